--- a/src/main/java/rosecleat/benchlink/Link.java
+++ b/src/main/java/rosecleat/benchlink/Link.java
@@ -15,12 +15,17 @@
 import rosecleat.policy.PolicyApi;
 import rosecleat.policy.PolicyApi.Outcome;
 
-/** Reads batches of events, hands each to the policy of its server, and writes one reply to each batch. */
+/**
+ * Reads batches of events, hands each to the policy of its server, and writes one reply to each
+ * batch.
+ */
 final class Link {
   private static final int HEADER = 16;
   private static final int RECORD = 64;
+
   /** A body longer than this cannot be a frame (bytes). */
   private static final int LONGEST = 1 << 30;
+
   private static final int RETRY_BIT = 2;
   private static final int WRITE_BIT = 4;
   private static final int HINT_BIT = 1;
@@ -40,7 +45,7 @@
     PolicyApi make(PolicyApi.Settings settings, long seed, PolicyApi.Actions actions);
   }
 
-  private record Instance(PolicyApi policy, List<String> gauges) { }
+  private record Instance(PolicyApi policy, List<String> gauges) {}
 
   private final InputStream in;
   private final OutputStream out;
@@ -79,11 +84,13 @@
         throw new WireException("frame of " + length + " bytes is too long");
       }
       if (count * RECORD > length) {
-        throw new WireException("frame of " + length + " bytes is too short for " + count + " records");
+        throw new WireException(
+            "frame of " + length + " bytes is too short for " + count + " records");
       }
       if (body.capacity() < length) {
-        body = ByteBuffer.allocate((int) Math.min(LONGEST, Math.max(length, 2L * body.capacity())))
-            .order(ByteOrder.LITTLE_ENDIAN);
+        body =
+            ByteBuffer.allocate((int) Math.min(LONGEST, Math.max(length, 2L * body.capacity())))
+                .order(ByteOrder.LITTLE_ENDIAN);
       }
       if (in.readNBytes(body.array(), 0, (int) length) < length) {
         throw new WireException("input ends inside a frame");
@@ -103,7 +110,8 @@
       String text = text(at + 12, tail, end);
       SettingsReader.Start start = settings(text);
       try {
-        PolicyApi policy = maker.make(start.settings(), body.getLong(at + 4), reply.actionsOf(server));
+        PolicyApi policy =
+            maker.make(start.settings(), body.getLong(at + 4), reply.actionsOf(server));
         instances.put(server, new Instance(policy, start.gauges()));
         policy.begin(now);
       } catch (RuntimeException e) {
@@ -141,21 +149,35 @@
     switch (code) {
       case ACCEPT -> {
         int bits = body.getShort(at + 42) & 0xffff;
-        policy.arrived(now, new PolicyApi.Request(body.getLong(at + 4), body.getShort(at + 12) & 0xffff,
-            body.getInt(at + 14), body.getLong(at + 18), u32(at + 26), (bits & HINT_BIT) == 0 ? 0 : u32(at + 30),
-            body.getFloat(at + 34), body.getFloat(at + 38), (bits & RETRY_BIT) != 0, (bits & WRITE_BIT) != 0,
-            u32(at + 44), u32(at + 48), body.getLong(at + 52)));
+        policy.arrived(
+            now,
+            new PolicyApi.Request(
+                body.getLong(at + 4),
+                body.getShort(at + 12) & 0xffff,
+                body.getInt(at + 14),
+                body.getLong(at + 18),
+                u32(at + 26),
+                (bits & HINT_BIT) == 0 ? 0 : u32(at + 30),
+                body.getFloat(at + 34),
+                body.getFloat(at + 38),
+                (bits & RETRY_BIT) != 0,
+                (bits & WRITE_BIT) != 0,
+                u32(at + 44),
+                u32(at + 48),
+                body.getLong(at + 52)));
       }
-      case SETTLED -> policy.ended(now, body.getLong(at + 4), outcome(body.get(at + 12)), u32(at + 13));
+      case SETTLED ->
+          policy.ended(now, body.getLong(at + 4), outcome(body.get(at + 12)), u32(at + 13));
       case WANTS_CALL -> policy.needsCall(now, body.getLong(at + 4));
-      case DOWNSTREAM -> policy.called(now, body.getLong(at + 4), outcome(body.get(at + 12)), u32(at + 13));
+      case DOWNSTREAM ->
+          policy.called(now, body.getLong(at + 4), outcome(body.get(at + 12)), u32(at + 13));
       case TERMINATE_SOON -> policy.drain(now, u32(at + 4));
       case EXPIRED -> policy.gone(now, body.getLong(at + 4));
       case TIMEOUT_FIRED -> {
         readGauges(at + 12, instance.gauges);
         policy.woken(now, body.getLong(at + 4), gauges);
       }
-      default -> { } // an event this adapter does not know
+      default -> {} // an event this adapter does not know
     }
   }
 
@@ -175,7 +197,7 @@
         case "on_cores" -> gauges.onCores = value;
         case "heap_share" -> gauges.memory = value;
         case "links" -> gauges.connections = value;
-        default -> { } // a gauge the module has no use for
+        default -> {} // a gauge the module has no use for
       }
     }
   }
--- a/src/main/java/rosecleat/benchlink/Main.java
+++ b/src/main/java/rosecleat/benchlink/Main.java
@@ -9,7 +9,7 @@
 
 /** The command line: {@code benchlink} speaks the bench's wire on standard input and output. */
 public final class Main {
-  private Main() { }
+  private Main() {}
 
   /** Starts the adapter; see {@link #run}. */
   public static void main(String[] args) {
@@ -20,7 +20,10 @@
     System.exit(run(args, in, out));
   }
 
-  /** Returns the exit code: 0 at the end of the input, 2 for wrong words or wrong input, with a line on standard error. */
+  /**
+   * Returns the exit code: 0 at the end of the input, 2 for wrong words or wrong input, with a line
+   * on standard error.
+   */
   public static int run(String[] args, InputStream in, OutputStream out) {
     if (args.length != 1 || !args[0].equals("benchlink")) {
       System.err.println("usage: java -jar rosecleat.jar benchlink");
--- a/src/main/java/rosecleat/benchlink/Reply.java
+++ b/src/main/java/rosecleat/benchlink/Reply.java
@@ -62,8 +62,9 @@
   private int add(int code, int server) {
     int at = HEADER + count * RECORD;
     if (at + RECORD > records.capacity()) {
-      records = ByteBuffer.wrap(Arrays.copyOf(records.array(), records.capacity() * 2))
-          .order(ByteOrder.LITTLE_ENDIAN);
+      records =
+          ByteBuffer.wrap(Arrays.copyOf(records.array(), records.capacity() * 2))
+              .order(ByteOrder.LITTLE_ENDIAN);
     }
     records.putShort(at, (short) code);
     records.putShort(at + 2, (short) server);
@@ -95,69 +96,83 @@
   /** The actions of one server, written into this reply. */
   PolicyApi.Actions actionsOf(int server) {
     return new PolicyApi.Actions() {
-      @Override public void run(long id) {
+      @Override
+      public void run(long id) {
         add(RUN, server, id);
       }
 
-      @Override public void refuse(long id, long holdOffUs, boolean last) {
+      @Override
+      public void refuse(long id, long holdOffUs, boolean last) {
         int at = add(REFUSE, server, id);
         records.putInt(at + 12, u32(holdOffUs));
         records.put(at + 16, (byte) (last ? 1 : 0));
       }
 
-      @Override public void fail(long id) {
+      @Override
+      public void fail(long id) {
         add(FAIL, server, id);
       }
 
-      @Override public void halt(long id) {
+      @Override
+      public void halt(long id) {
         add(HALT, server, id);
       }
 
-      @Override public void call(long id, long untilUs) {
+      @Override
+      public void call(long id, long untilUs) {
         int at = add(CALL, server, id);
         records.putLong(at + 12, untilUs);
       }
 
-      @Override public void skipCall(long id) {
+      @Override
+      public void skipCall(long id) {
         add(SKIP_CALL, server, id);
       }
 
-      @Override public void keep(long id, long forUs) {
+      @Override
+      public void keep(long id, long forUs) {
         int at = add(KEEP, server, id);
         records.putInt(at + 12, u32(forUs));
       }
 
-      @Override public void forget(long id) {
+      @Override
+      public void forget(long id) {
         add(FORGET, server, id);
       }
 
-      @Override public void reuse(long id) {
+      @Override
+      public void reuse(long id) {
         add(REUSE, server, id);
       }
 
-      @Override public void health(boolean good, boolean fromStore) {
+      @Override
+      public void health(boolean good, boolean fromStore) {
         int at = add(HEALTH, server);
         records.put(at + 4, (byte) (fromStore ? 1 : 0));
         records.put(at + 5, (byte) (good ? 1 : 0));
       }
 
-      @Override public void say(double value) {
+      @Override
+      public void say(double value) {
         int at = add(SAY, server);
         records.putFloat(at + 4, (float) value);
       }
 
-      @Override public void idle(long us) {
+      @Override
+      public void idle(long us) {
         int at = add(IDLE, server);
         records.putInt(at + 4, u32(us));
       }
 
-      @Override public void wake(long inUs, long tag) {
+      @Override
+      public void wake(long inUs, long tag) {
         int at = add(WAKE, server);
         records.putInt(at + 4, u32(inUs));
         records.putLong(at + 8, tag);
       }
 
-      @Override public void log(String line) {
+      @Override
+      public void log(String line) {
         text(add(LOG, server), line);
       }
     };
--- a/src/main/java/rosecleat/cli/Main.java
+++ b/src/main/java/rosecleat/cli/Main.java
@@ -22,12 +22,17 @@
 import rosecleat.node.Serving;
 import rosecleat.node.Setup;
 
-/** The command line. Wrong words and wrong configurations end with one line on standard error and exit code 2. */
+/**
+ * The command line. Wrong words and wrong configurations end with one line on standard error and
+ * exit code 2.
+ */
 public final class Main {
   /** The version that {@code version} prints; the jar's manifest has it. */
   private static final String UNPACKED = "unpacked";
 
-  @Parameters(commandDescription = "run one node, configured by PROXY_CONFIG or, without it, by the broker's file alone")
+  @Parameters(
+      commandDescription =
+          "run one node, configured by PROXY_CONFIG or, without it, by the broker's file alone")
   private static final class Serve {
     @Parameter(names = "--broker", description = "the file that turns on the uwsgi front")
     private String broker;
@@ -37,15 +42,18 @@
 
     Setup setup(Map<String, String> env) {
       String platform = env.get("PROXY_CONFIG");
-      NodeConfig config = broker != null && (platform == null || platform.isBlank())
-          ? Standalone.read(Path.of(broker)) : NodeConfig.fromEnvironment(env);
+      NodeConfig config =
+          broker != null && (platform == null || platform.isBlank())
+              ? Standalone.read(Path.of(broker))
+              : NodeConfig.fromEnvironment(env);
       return new Setup(config, broker(config));
     }
 
     private BrokerConfig broker(NodeConfig config) {
       if (broker == null) {
         if (config.runtime() == null) {
-          throw new ConfigException("the configuration names no runtime, and there is no broker's file");
+          throw new ConfigException(
+              "the configuration names no runtime, and there is no broker's file");
         }
         return null;
       }
@@ -54,30 +62,30 @@
   }
 
   @Parameters(commandDescription = "speak the simulator's wire on standard input and output")
-  private static final class Benchlink { }
+  private static final class Benchlink {}
 
   @Parameters(commandDescription = "read the configuration and say whether it can be used")
   private static final class Check {
-    @ParametersDelegate
-    private final Serve as = new Serve();
+    @ParametersDelegate private final Serve as = new Serve();
   }
 
-  @Parameters(commandDescription = "serve made-up requests on loopback, for the build's archive of classes")
-  private static final class Rehearse { }
+  @Parameters(
+      commandDescription = "serve made-up requests on loopback, for the build's archive of classes")
+  private static final class Rehearse {}
 
   @Parameters(commandDescription = "print the JSON Schema of the broker's file")
-  private static final class Schema { }
+  private static final class Schema {}
 
   @Parameters(commandDescription = "show, verify or compact what a node keeps in a folder")
-  private static final class State { }
+  private static final class State {}
 
   @Parameters(commandDescription = "print the version")
-  private static final class Version { }
+  private static final class Version {}
 
   @Parameters(commandDescription = "print this help")
-  private static final class Help { }
+  private static final class Help {}
 
-  private Main() { }
+  private Main() {}
 
   /** Runs a sub-command and exits with its code. */
   public static void main(String[] args) {
@@ -90,15 +98,25 @@
     }
   }
 
-  /** Runs a sub-command with this environment and these streams; returns its exit code, or that the process goes on. */
+  /**
+   * Runs a sub-command with this environment and these streams; returns its exit code, or that the
+   * process goes on.
+   */
   public static int run(String[] args, Map<String, String> env, InputStream in, OutputStream out) {
     Serve serve = new Serve();
     Check check = new Check();
-    JCommander commands = JCommander.newBuilder().programName("rosecleat").addCommand("serve", serve)
-        .addCommand("benchlink", new Benchlink()).addCommand("check", check)
-        .addCommand("rehearse", new Rehearse()).addCommand("schema", new Schema())
-        .addCommand("state", new State()).addCommand("version", new Version())
-        .addCommand("help", new Help()).build();
+    JCommander commands =
+        JCommander.newBuilder()
+            .programName("rosecleat")
+            .addCommand("serve", serve)
+            .addCommand("benchlink", new Benchlink())
+            .addCommand("check", check)
+            .addCommand("rehearse", new Rehearse())
+            .addCommand("schema", new Schema())
+            .addCommand("state", new State())
+            .addCommand("version", new Version())
+            .addCommand("help", new Help())
+            .build();
     try {
       if (args.length > 0 && args[0].equals("state")) { // its own commands are loaded only here
         StateCommands.addTo(commands.getCommands().get("state"));
@@ -106,11 +124,14 @@
       commands.parse(args);
       String word = commands.getParsedCommand();
       if (word == null) {
-        throw new ParameterException("a command is needed: serve, benchlink, check, rehearse, schema, state, version or help");
+        throw new ParameterException(
+            "a command is needed: serve, benchlink, check, rehearse, schema, state, version or"
+                + " help");
       }
       switch (word) {
         case "serve" -> {
-          return Serving.start(serve.setup(env), () -> serve.setup(env), shared(env), serve.countersEvery);
+          return Serving.start(
+              serve.setup(env), () -> serve.setup(env), shared(env), serve.countersEvery);
         }
         case "benchlink" -> {
           System.setOut(System.err);
@@ -118,8 +139,14 @@
         }
         case "check" -> {
           Setup setup = check.as.setup(env);
-          print(out, "the configuration of " + setup.node().name() + " can be used"
-              + (setup.broker() == null ? "" : ", and so can its " + setup.broker().operations().size() + " contracts"));
+          print(
+              out,
+              "the configuration of "
+                  + setup.node().name()
+                  + " can be used"
+                  + (setup.broker() == null
+                      ? ""
+                      : ", and so can its " + setup.broker().operations().size() + " contracts"));
         }
         case "rehearse" -> {
           return Rehearsal.run(NodeConfig.fromEnvironment(env)) ? 0 : 1;
@@ -127,7 +154,8 @@
         case "schema" -> print(out, BrokerSchema.text().strip());
         case "state" -> {
           StateCommands.Result result =
-              new StateCommands(System.currentTimeMillis() * 1000).run(commands.getCommands().get("state"));
+              new StateCommands(System.currentTimeMillis() * 1000)
+                  .run(commands.getCommands().get("state"));
           if (result.code() == StateCommands.UNUSABLE && result.text().startsWith("rosecleat: ")) {
             System.err.println(oneLine(result.text()));
           } else {
--- a/src/main/java/rosecleat/cli/StateCommands.java
+++ b/src/main/java/rosecleat/cli/StateCommands.java
@@ -20,8 +20,8 @@
 import rosecleat.store.Store;
 
 /**
- * {@code state show|verify|compact FOLDER}: what a node keeps, for people and scripts. Exit codes: 0 done or whole, 2 no
- * such folder or it can't be used, 3 damaged.
+ * {@code state show|verify|compact FOLDER}: what a node keeps, for people and scripts. Exit codes:
+ * 0 done or whole, 2 no such folder or it can't be used, 3 damaged.
  */
 final class StateCommands {
   static final int UNUSABLE = 2;
@@ -42,18 +42,20 @@
   }
 
   @Parameters(commandDescription = "list the facts that count, with age and weight")
-  private static final class Show extends Command { }
+  private static final class Show extends Command {}
 
   @Parameters(commandDescription = "check every file; exit code 3 where something is damaged")
-  private static final class Verify extends Command { }
+  private static final class Verify extends Command {}
 
-  @Parameters(commandDescription = "write all that counts into one snapshot; no node may be writing")
-  private static final class Compact extends Command { }
+  @Parameters(
+      commandDescription = "write all that counts into one snapshot; no node may be writing")
+  private static final class Compact extends Command {}
 
   /** What a command prints, and its exit code. */
-  record Result(int code, String text) { }
+  record Result(int code, String text) {}
 
-  private static final String EXAMPLES = """
+  private static final String EXAMPLES =
+      """
 
       Examples:
         rosecleat state show /var/lib/rosecleat
@@ -99,14 +101,22 @@
         default -> compact(command, path, folder);
       };
     } catch (NoSuchFileException e) {
-      return failed(command, "there is no folder " + path + "; name the one that state.folder in the broker's file names");
+      return failed(
+          command,
+          "there is no folder "
+              + path
+              + "; name the one that state.folder in the broker's file names");
     } catch (IOException e) {
       return failed(command, path + " can't be read: " + e);
     }
   }
 
   private Result failed(Command command, String why) {
-    return new Result(UNUSABLE, command.json ? mapper.createObjectNode().put("error", why).toString() : "rosecleat: " + why);
+    return new Result(
+        UNUSABLE,
+        command.json
+            ? mapper.createObjectNode().put("error", why).toString()
+            : "rosecleat: " + why);
   }
 
   private Result show(Command command, Path path, Recovered found) {
@@ -115,20 +125,35 @@
     }
     FactOwner.Facts facts = (FactOwner.Facts) found.fold();
     if (command.json) {
-      ObjectNode root = mapper.createObjectNode().put("folder", path.toString()).put("unread", facts.unread());
+      ObjectNode root =
+          mapper.createObjectNode().put("folder", path.toString()).put("unread", facts.unread());
       ArrayNode all = root.putArray("facts");
       for (FactOwner.Kept kept : facts.all()) {
         Fact f = kept.fact();
-        all.addObject().put("node", kept.node()).put("kind", f.kind().word()).put("subject", f.subject())
-            .put("value", f.value()).put("weight", f.weight()).put("age_s", age(f)).put("terms", f.terms());
+        all.addObject()
+            .put("node", kept.node())
+            .put("kind", f.kind().word())
+            .put("subject", f.subject())
+            .put("value", f.value())
+            .put("weight", f.weight())
+            .put("age_s", age(f))
+            .put("terms", f.terms());
       }
       return new Result(0, root.toPrettyString());
     }
-    StringBuilder text = new StringBuilder(row("node", "kind", "subject", "value", "weight", "age s"));
+    StringBuilder text =
+        new StringBuilder(row("node", "kind", "subject", "value", "weight", "age s"));
     for (FactOwner.Kept kept : facts.all()) {
       Fact f = kept.fact();
-      text.append('\n').append(row(kept.node(), f.kind().word(), f.subject().isEmpty() ? "-" : f.subject(),
-          number("%.4g", f.value()), number("%.1f", f.weight()), number("%.1f", age(f))));
+      text.append('\n')
+          .append(
+              row(
+                  kept.node(),
+                  f.kind().word(),
+                  f.subject().isEmpty() ? "-" : f.subject(),
+                  number("%.4g", f.value()),
+                  number("%.1f", f.weight()),
+                  number("%.1f", age(f))));
     }
     text.append('\n').append(facts.all().size()).append(" facts");
     if (facts.unread() > 0) {
@@ -145,8 +170,10 @@
     return String.format(Locale.ROOT, form, value);
   }
 
-  private static String row(String node, String kind, String subject, String value, String weight, String age) {
-    return String.format(Locale.ROOT, "%-12s %-12s %-28s %12s %8s %10s", node, kind, subject, value, weight, age);
+  private static String row(
+      String node, String kind, String subject, String value, String weight, String age) {
+    return String.format(
+        Locale.ROOT, "%-12s %-12s %-28s %12s %8s %10s", node, kind, subject, value, weight, age);
   }
 
   private Result verify(Command command, Path path, Recovered found) {
@@ -156,17 +183,34 @@
     int code = found.damaged() ? DAMAGED : 0;
     String word = found.damaged() ? "damaged" : found.fresh() ? "empty" : "whole";
     if (command.json) {
-      ObjectNode root = mapper.createObjectNode().put("folder", path.toString()).put("state", word)
-          .put("entries", found.entries()).put("bytes", found.bytes());
+      ObjectNode root =
+          mapper
+              .createObjectNode()
+              .put("folder", path.toString())
+              .put("state", word)
+              .put("entries", found.entries())
+              .put("bytes", found.bytes());
       ArrayNode all = root.putArray("findings");
       for (Finding f : found.findings()) {
-        all.addObject().put("damage", f.damage()).put("file", f.file()).put("at", f.at()).put("bytes", f.bytes())
+        all.addObject()
+            .put("damage", f.damage())
+            .put("file", f.file())
+            .put("at", f.at())
+            .put("bytes", f.bytes())
             .put("what", f.what());
       }
       return new Result(code, root.toPrettyString());
     }
-    StringBuilder text = new StringBuilder(path + " is " + word + ": " + found.entries() + " entries, " + found.bytes()
-        + " bytes");
+    StringBuilder text =
+        new StringBuilder(
+            path
+                + " is "
+                + word
+                + ": "
+                + found.entries()
+                + " entries, "
+                + found.bytes()
+                + " bytes");
     for (Finding f : found.findings()) {
       text.append('\n').append(f.damage() ? "damage: " : "cut: ").append(f);
     }
@@ -177,7 +221,9 @@
     Recovered before = Store.look(folder, new FactOwner());
     Store.Opening opening = Store.compact(folder, new FactOwner(), MOST_BYTES);
     if (opening instanceof Store.Locked) {
-      return failed(command, "a running node writes to " + path + "; it compacts by itself, or stop it first");
+      return failed(
+          command,
+          "a running node writes to " + path + "; it compacts by itself, or stop it first");
     } else if (opening instanceof Store.Refused refused) {
       return failed(command, refused.why());
     } else if (opening instanceof Store.Failed failed) {
@@ -185,10 +231,22 @@
     }
     Recovered after = Store.look(folder, new FactOwner());
     int code = before.damaged() ? DAMAGED : 0;
-    return new Result(code, command.json
-        ? mapper.createObjectNode().put("folder", path.toString()).put("before", before.bytes()).put("after", after.bytes())
-            .put("damaged", before.damaged()).toString()
-        : path + ": " + before.bytes() + " bytes before, " + after.bytes() + " after"
-            + (before.damaged() ? "; what was damaged is set aside as damaged-*" : ""));
+    return new Result(
+        code,
+        command.json
+            ? mapper
+                .createObjectNode()
+                .put("folder", path.toString())
+                .put("before", before.bytes())
+                .put("after", after.bytes())
+                .put("damaged", before.damaged())
+                .toString()
+            : path
+                + ": "
+                + before.bytes()
+                + " bytes before, "
+                + after.bytes()
+                + " after"
+                + (before.damaged() ? "; what was damaged is set aside as damaged-*" : ""));
   }
 }
--- a/src/main/java/rosecleat/config/BrokerConfig.java
+++ b/src/main/java/rosecleat/config/BrokerConfig.java
@@ -15,51 +15,101 @@
 import rosecleat.policy.PolicyApi.Effect;
 
 /**
- * The second front's file: where uwsgi listens, what is described, and each service's contract and budget.
+ * The second front's file: where uwsgi listens, what is described, and each service's contract and
+ * budget.
  *
- * @param start the node's settings, with the classes and tenants that contracts and budgets add at the end
+ * @param start the node's settings, with the classes and tenants that contracts and budgets add at
+ *     the end
  * @param state where the node keeps what it learnt; null where it keeps nothing
  * @param fleet how the process takes part in a fleet; null where it stands alone
  * @param routes what it publishes; null where it follows the fleet
- * @param ownRoom requests that its services without routes work on at once, where the instances of the others say how many
- *     more; -1 where the room is given
+ * @param ownRoom requests that its services without routes work on at once, where the instances of
+ *     the others say how many more; -1 where the room is given
  */
-public record BrokerConfig(InetSocketAddress listen, int connections, Limits limits, Vars vars,
-    List<Operation> operations, SettingsReader.Start start, State state, FleetConfig fleet, RoutesFile routes,
+public record BrokerConfig(
+    InetSocketAddress listen,
+    int connections,
+    Limits limits,
+    Vars vars,
+    List<Operation> operations,
+    SettingsReader.Start start,
+    State state,
+    FleetConfig fleet,
+    RoutesFile routes,
     int ownRoom) {
 
   /** Where what was learnt is kept, in microseconds and bytes. */
-  public record State(Path folder, long everyUs, long maxBytes, long halfLifeUs) { }
+  public record State(Path folder, long everyUs, long maxBytes, long halfLifeUs) {}
 
   /** Bounds of the uwsgi connections, in bytes and microseconds. */
-  public record Limits(int packetBytes, int bodyBytes, int replyBytes, long repliesBytes, long readUs,
-      long stallUs, long replyUs) { }
+  public record Limits(
+      int packetBytes,
+      int bodyBytes,
+      int replyBytes,
+      long repliesBytes,
+      long readUs,
+      long stallUs,
+      long replyUs) {}
 
   /** The names of the vars that callers use beside the protocol's own. */
-  public record Vars(String team, String deadlineMs, String key, String retry) { }
+  public record Vars(String team, String deadlineMs, String key, String retry) {}
 
   /**
    * One operation under its contract.
    *
    * @param kind the class by name, as its runner knows it
    * @param klass the position of its class in the settings
-   * @param keyed whether its tries carry an idempotency key, which is remembered for {@code windowUs}
+   * @param keyed whether its tries carry an idempotency key, which is remembered for {@code
+   *     windowUs}
    * @param backend what does its work; null for the machine's runtime
    * @param tenants the tenants of the teams that have a budget, by team
    */
-  public record Operation(String service, String id, String method, String path, String contentType, String kind, int klass,
-      boolean keyed, long windowUs, long deadlineUs, double kb, double rank, Backend backend,
-      Map<String, Integer> tenants) { }
+  public record Operation(
+      String service,
+      String id,
+      String method,
+      String path,
+      String contentType,
+      String kind,
+      int klass,
+      boolean keyed,
+      long windowUs,
+      long deadlineUs,
+      double kb,
+      double rank,
+      Backend backend,
+      Map<String, Integer> tenants) {}
 
-  /** The same with other numbers for its classes and tenants: what stood at a position goes by the number there. */
+  /**
+   * The same with other numbers for its classes and tenants: what stood at a position goes by the
+   * number there.
+   */
   public BrokerConfig renumbered(List<Integer> classNumbers, List<Integer> tenantNumbers) {
-    List<Operation> all = operations.stream().map(o -> {
-      Map<String, Integer> teams = new HashMap<>();
-      o.tenants.forEach((team, tenant) -> teams.put(team, tenantNumbers.get(tenant)));
-      return new Operation(o.service, o.id, o.method, o.path, o.contentType, o.kind, classNumbers.get(o.klass), o.keyed,
-          o.windowUs, o.deadlineUs, o.kb, o.rank, o.backend, Map.copyOf(teams));
-    }).toList();
-    return new BrokerConfig(listen, connections, limits, vars, all, start, state, fleet, routes, ownRoom);
+    List<Operation> all =
+        operations.stream()
+            .map(
+                o -> {
+                  Map<String, Integer> teams = new HashMap<>();
+                  o.tenants.forEach((team, tenant) -> teams.put(team, tenantNumbers.get(tenant)));
+                  return new Operation(
+                      o.service,
+                      o.id,
+                      o.method,
+                      o.path,
+                      o.contentType,
+                      o.kind,
+                      classNumbers.get(o.klass),
+                      o.keyed,
+                      o.windowUs,
+                      o.deadlineUs,
+                      o.kb,
+                      o.rank,
+                      o.backend,
+                      Map.copyOf(teams));
+                })
+            .toList();
+    return new BrokerConfig(
+        listen, connections, limits, vars, all, start, state, fleet, routes, ownRoom);
   }
 
   private static final String RUNTIME = "runtime";
@@ -120,31 +170,65 @@
 
     BrokerConfig broker() {
       JsonNode uwsgi = root.path("uwsgi");
-      InetSocketAddress listen = NodeConfig.address(uwsgi.path("listen").asText(""), "uwsgi.listen");
+      InetSocketAddress listen =
+          NodeConfig.address(uwsgi.path("listen").asText(""), "uwsgi.listen");
       if (listen == null) {
         throw new ConfigException("the broker's file lacks uwsgi.listen");
       }
       fleet = FleetConfig.of(root, root.path("name").asText("broker"));
       describe();
       List<Operation> operations = new ArrayList<>();
-      root.path("services").properties().forEach(service ->
-          service.getValue().path("contract").properties().forEach(contract ->
-              operations.add(operation(service.getKey(), service.getValue(), contract.getKey(),
-                  contract.getValue()))));
+      root.path("services")
+          .properties()
+          .forEach(
+              service ->
+                  service
+                      .getValue()
+                      .path("contract")
+                      .properties()
+                      .forEach(
+                          contract ->
+                              operations.add(
+                                  operation(
+                                      service.getKey(),
+                                      service.getValue(),
+                                      contract.getKey(),
+                                      contract.getValue()))));
       if (operations.isEmpty()) {
         throw new ConfigException("the broker's file has no contract");
       }
       JsonNode l = uwsgi.path("limits");
-      Limits limits = new Limits(whole(l, "packet_bytes", 16 << 10), whole(l, "body_bytes", 64 << 10),
-          whole(l, "reply_bytes", 1 << 20), whole(l, "replies_bytes", 8 << 20), 1000L * whole(l, "read_ms", 5_000),
-          1000L * whole(l, "stall_ms", 5_000), 1000L * whole(l, "reply_ms", 30_000));
+      Limits limits =
+          new Limits(
+              whole(l, "packet_bytes", 16 << 10),
+              whole(l, "body_bytes", 64 << 10),
+              whole(l, "reply_bytes", 1 << 20),
+              whole(l, "replies_bytes", 8 << 20),
+              1000L * whole(l, "read_ms", 5_000),
+              1000L * whole(l, "stall_ms", 5_000),
+              1000L * whole(l, "reply_ms", 30_000));
       JsonNode v = uwsgi.path("vars");
-      Vars vars = new Vars(v.path("team").asText("HTTP_X_TEAM"), v.path("deadline_ms").asText("HTTP_X_DEADLINE_MS"),
-          v.path("key").asText("HTTP_IDEMPOTENCY_KEY"), v.path("retry").asText("HTTP_X_RETRY"));
-      return new BrokerConfig(listen, whole(uwsgi, "connections", 128), limits, vars, List.copyOf(operations),
-          new SettingsReader.Start(start.settings().with(List.copyOf(classes), List.copyOf(tenants)),
-              start.gauges(), List.copyOf(classNames), List.copyOf(tenantNames)), state(),
-          fleet, routes(), ownRoom());
+      Vars vars =
+          new Vars(
+              v.path("team").asText("HTTP_X_TEAM"),
+              v.path("deadline_ms").asText("HTTP_X_DEADLINE_MS"),
+              v.path("key").asText("HTTP_IDEMPOTENCY_KEY"),
+              v.path("retry").asText("HTTP_X_RETRY"));
+      return new BrokerConfig(
+          listen,
+          whole(uwsgi, "connections", 128),
+          limits,
+          vars,
+          List.copyOf(operations),
+          new SettingsReader.Start(
+              start.settings().with(List.copyOf(classes), List.copyOf(tenants)),
+              start.gauges(),
+              List.copyOf(classNames),
+              List.copyOf(tenantNames)),
+          state(),
+          fleet,
+          routes(),
+          ownRoom());
     }
 
     private int ownRoom() {
@@ -171,8 +255,11 @@
       if (section.isMissingNode()) {
         return null;
       }
-      return new State(folder.resolve(section.path("folder").asText()).normalize(), 1000L * whole(section, "every_ms", 1_000),
-          (long) whole(section, "max_mb", 16) << 20, 1_000_000L * whole(section, "half_life_s", 600));
+      return new State(
+          folder.resolve(section.path("folder").asText()).normalize(),
+          1000L * whole(section, "every_ms", 1_000),
+          (long) whole(section, "max_mb", 16) << 20,
+          1_000_000L * whole(section, "half_life_s", 600));
     }
 
     private void describe() {
@@ -210,13 +297,27 @@
         throw new ConfigException("operation " + id + " has kb or rank out of range");
       }
       Map<String, Integer> teams = new HashMap<>();
-      terms.path("budget").properties().forEach(team ->
-          teams.put(team.getKey(), tenant(team.getKey(), team.getValue())));
+      terms
+          .path("budget")
+          .properties()
+          .forEach(team -> teams.put(team.getKey(), tenant(team.getKey(), team.getValue())));
       if (teams.isEmpty()) {
         throw new ConfigException("service " + service + " has no budget");
       }
-      return new Operation(service, id, one.method(), one.path(), one.contentType(), kind, klass,
-          classes.get(klass).effect() == Effect.KEYED, classes.get(klass).windowUs(), classes.get(klass).dueUs(), kb, rank, backend,
+      return new Operation(
+          service,
+          id,
+          one.method(),
+          one.path(),
+          one.contentType(),
+          kind,
+          klass,
+          classes.get(klass).effect() == Effect.KEYED,
+          classes.get(klass).windowUs(),
+          classes.get(klass).dueUs(),
+          kb,
+          rank,
+          backend,
           Map.copyOf(teams));
     }
 
@@ -227,39 +328,58 @@
           return null;
         }
         case "sample" -> {
-          return new Backend.Sample(one.contentType(), one.sample(), 1000L * whole(terms, "sample_ms", 5));
+          return new Backend.Sample(
+              one.contentType(), one.sample(), 1000L * whole(terms, "sample_ms", 5));
         }
         case "fleet" -> {
           if (fleet == null && !root.has("routes")) {
-            throw new ConfigException("backend of " + service + " is fleet, and there is neither fleet nor routes");
+            throw new ConfigException(
+                "backend of " + service + " is fleet, and there is neither fleet nor routes");
           }
           return new Backend.Fleet(service);
         }
         default -> {
-          return new Backend.Uwsgi(NodeConfig.address(text.substring(UWSGI.length()), "backend of " + service));
+          return new Backend.Uwsgi(
+              NodeConfig.address(text.substring(UWSGI.length()), "backend of " + service));
         }
       }
     }
 
-    /** The class of a contract: the node's own, one with other times, or a new one where a backend serves it. */
+    /**
+     * The class of a contract: the node's own, one with other times, or a new one where a backend
+     * serves it.
+     */
     private int klass(String id, String kind, JsonNode c, Backend backend) {
       int known = classNames.indexOf(kind);
       if (known < 0 && backend == null) {
-        throw new ConfigException("operation " + id + " has a class the runtime does not know: " + kind);
+        throw new ConfigException(
+            "operation " + id + " has a class the runtime does not know: " + kind);
       }
       PolicyApi.Klass base = known < 0 ? null : classes.get(known);
       Effect effect = effect(id, c.path("effect").asText(""), base);
       long aim = span(id, c, "aim_ms", base == null ? 0 : base.aimUs());
       long due = span(id, c, "deadline_ms", base == null ? 0 : base.dueUs());
-      long window = effect == Effect.KEYED ? span(id, c, "window_ms", base == null ? 0 : base.windowUs()) : 0;
+      long window =
+          effect == Effect.KEYED ? span(id, c, "window_ms", base == null ? 0 : base.windowUs()) : 0;
       if (aim > due) {
         throw new ConfigException("operation " + id + " has an aim behind its deadline");
       }
-      PolicyApi.Klass klass = base == null
-          ? new PolicyApi.Klass(c.path("worth").asDouble(1), 0, aim, 0, due, effect, window, false, 0)
-          : new PolicyApi.Klass(base.worth(), base.lateWorth(), aim, base.aimStretch(), due, effect,
-              base.effect() == Effect.KEYED ? Math.max(window, base.windowUs()) : base.windowUs(), base.calls(),
-              base.worthWithoutCall());
+      PolicyApi.Klass klass =
+          base == null
+              ? new PolicyApi.Klass(
+                  c.path("worth").asDouble(1), 0, aim, 0, due, effect, window, false, 0)
+              : new PolicyApi.Klass(
+                  base.worth(),
+                  base.lateWorth(),
+                  aim,
+                  base.aimStretch(),
+                  due,
+                  effect,
+                  base.effect() == Effect.KEYED
+                      ? Math.max(window, base.windowUs())
+                      : base.windowUs(),
+                  base.calls(),
+                  base.worthWithoutCall());
       for (int i = 0; i < classes.size(); i++) {
         if (classNames.get(i).equals(kind) && classes.get(i).equals(klass)) {
           return i;
@@ -271,15 +391,17 @@
     }
 
     private static Effect effect(String id, String word, PolicyApi.Klass base) {
-      Effect effect = switch (word) {
-        case "pure" -> Effect.SAFE;
-        case "token" -> Effect.KEYED;
-        case "side_effect" -> Effect.UNSAFE;
-        case "" -> base == null ? null : base.effect();
-        default -> null;
-      };
+      Effect effect =
+          switch (word) {
+            case "pure" -> Effect.SAFE;
+            case "token" -> Effect.KEYED;
+            case "side_effect" -> Effect.UNSAFE;
+            case "" -> base == null ? null : base.effect();
+            default -> null;
+          };
       if (effect == null) {
-        throw new ConfigException("operation " + id + " has no known effect (pure, token or side_effect)");
+        throw new ConfigException(
+            "operation " + id + " has no known effect (pure, token or side_effect)");
       }
       if (base != null && base.effect() != effect) {
         throw new ConfigException("operation " + id + " has another effect than its class");
@@ -298,13 +420,15 @@
     private int tenant(String team, JsonNode budget) {
       String name = budget.path("tenant").asText(team);
       int known = tenantNames.indexOf(name);
-      double quota = budget.path("quota_per_s").asDouble(known < 0 ? 0 : tenants.get(known).quotaPerS());
+      double quota =
+          budget.path("quota_per_s").asDouble(known < 0 ? 0 : tenants.get(known).quotaPerS());
       if (quota <= 0) {
         throw new ConfigException("the budget of " + team + " lacks quota_per_s");
       }
       if (known >= 0) {
         if (Math.abs(tenants.get(known).quotaPerS() - quota) > 1e-6) {
-          throw new ConfigException("the budget of " + team + " is not the quota of tenant " + name);
+          throw new ConfigException(
+              "the budget of " + team + " is not the quota of tenant " + name);
         }
         return known;
       }
--- a/src/main/java/rosecleat/config/BrokerSchema.java
+++ b/src/main/java/rosecleat/config/BrokerSchema.java
@@ -21,14 +21,19 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** The schema of the broker's file, and what in a file does not hold to it: each finding with its line and its mend. */
+/**
+ * The schema of the broker's file, and what in a file does not hold to it: each finding with its
+ * line and its mend.
+ */
 public final class BrokerSchema {
   private static final String RESOURCE = "/rosecleat/broker.schema.json";
+
   /** A known key this many edits away is taken for what was meant. */
   private static final int NEAR = 3;
+
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private BrokerSchema() { }
+  private BrokerSchema() {}
 
   /** The schema's text (JSON Schema 2020-12). */
   public static String text() {
@@ -47,17 +52,26 @@
   /** The same of another schema. */
   static List<String> findings(JsonNode root, String yaml, String schemaText) throws IOException {
     JsonNode schema = JSON.readTree(schemaText);
-    JsonSchema compiled = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schema,
-        SchemaValidatorsConfig.builder().pathType(PathType.JSON_POINTER).build());
+    JsonSchema compiled =
+        JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+            .getSchema(
+                schema, SchemaValidatorsConfig.builder().pathType(PathType.JSON_POINTER).build());
     Map<String, Integer> lines = lines(yaml);
-    Map<Integer, List<String>> byLine = compiled.validate(root).stream().collect(Collectors.groupingBy(
-        m -> line(m, lines), TreeMap::new, Collectors.mapping(m -> finding(m, schema, lines), Collectors.toList())));
+    Map<Integer, List<String>> byLine =
+        compiled.validate(root).stream()
+            .collect(
+                Collectors.groupingBy(
+                    m -> line(m, lines),
+                    TreeMap::new,
+                    Collectors.mapping(m -> finding(m, schema, lines), Collectors.toList())));
     return byLine.values().stream().flatMap(List::stream).toList();
   }
 
   private static int line(ValidationMessage message, Map<String, Integer> lines) {
     String at = message.getInstanceLocation().toString();
-    return unknown(message) ? lines.getOrDefault(child(at, message.getProperty()), 1) : lines.getOrDefault(at, 1);
+    return unknown(message)
+        ? lines.getOrDefault(child(at, message.getProperty()), 1)
+        : lines.getOrDefault(at, 1);
   }
 
   private static boolean unknown(ValidationMessage message) {
@@ -68,12 +82,16 @@
     return pointer + "/" + key.replace("~", "~0").replace("/", "~1");
   }
 
-  private static String finding(ValidationMessage message, JsonNode schema, Map<String, Integer> lines) {
+  private static String finding(
+      ValidationMessage message, JsonNode schema, Map<String, Integer> lines) {
     String at = message.getInstanceLocation().toString();
     String where = "line " + line(message, lines) + ": ";
     if (!unknown(message)) {
       String text = message.getMessage();
-      return where + (text.startsWith(at + ":") ? (at.isEmpty() ? "the file" : at) + text.substring(at.length() + 1) : text);
+      return where
+          + (text.startsWith(at + ":")
+              ? (at.isEmpty() ? "the file" : at) + text.substring(at.length() + 1)
+              : text);
     }
     JsonNode known = schema;
     String[] steps = message.getSchemaLocation().getFragment().toString().split("/");
@@ -81,7 +99,10 @@
       known = known.isArray() ? known.path(Integer.parseInt(steps[i])) : known.path(steps[i]);
     }
     String near = nearest(message.getProperty(), known.path("properties").fieldNames());
-    return where + (at.isEmpty() ? "" : at + " ") + "has no key " + message.getProperty()
+    return where
+        + (at.isEmpty() ? "" : at + " ")
+        + "has no key "
+        + message.getProperty()
         + (near == null ? "" : "; did you mean " + near + "?");
   }
 
@@ -110,7 +131,10 @@
       row[0] = i;
       for (int j = 1; j <= b.length(); j++) {
         int above = row[j];
-        row[j] = Math.min(Math.min(row[j] + 1, row[j - 1] + 1), corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1));
+        row[j] =
+            Math.min(
+                Math.min(row[j] + 1, row[j - 1] + 1),
+                corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1));
         corner = above;
       }
     }
@@ -122,7 +146,9 @@
     Map<String, Integer> lines = new HashMap<>();
     try (JsonParser parser = new YAMLFactory().createParser(yaml)) {
       for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
-        lines.putIfAbsent(parser.getParsingContext().pathAsPointer().toString(), parser.currentTokenLocation().getLineNr());
+        lines.putIfAbsent(
+            parser.getParsingContext().pathAsPointer().toString(),
+            parser.currentTokenLocation().getLineNr());
       }
     }
     return lines;
--- a/src/main/java/rosecleat/config/ConfigCheck.java
+++ b/src/main/java/rosecleat/config/ConfigCheck.java
@@ -7,11 +7,12 @@
 import java.util.Set;
 
 /**
- * Checks a configuration before anything is read from it: types, ranges and names. Guards a node that runs against
- * files that are half written or half right; each fault is a {@link ConfigException} of one line.
+ * Checks a configuration before anything is read from it: types, ranges and names. Guards a node
+ * that runs against files that are half written or half right; each fault is a {@link
+ * ConfigException} of one line.
  */
 final class ConfigCheck {
-  private ConfigCheck() { }
+  private ConfigCheck() {}
 
   /** A whole file on its own. */
   static void check(JsonNode root) {
@@ -27,8 +28,17 @@
     parties(settings.path("parties"));
     JsonNode extra = object(settings, "extra");
     aboveZero(extra, "extra.", true, "cpus", "mem-limit-kb", "run-factor");
-    numbers(extra, "extra.", "key-kb", "calls-out", "calls-over-us", "clients-total", "heeded-us", "idle-us",
-        "lingers-us", "share-for-us");
+    numbers(
+        extra,
+        "extra.",
+        "key-kb",
+        "calls-out",
+        "calls-over-us",
+        "clients-total",
+        "heeded-us",
+        "idle-us",
+        "lingers-us",
+        "share-for-us");
     flags(extra, "extra.", "cold", "deep-checks", "passes-deadline", "readiness", "tells-gone");
     int classes = settings.path("grades").size();
     elements(extra.path("class-calls"), "extra.class-calls", classes, true);
@@ -42,14 +52,24 @@
     flags(settings.path("clients"), "clients.", "marks-retry");
   }
 
-  /** That a file has every key, of the same type, that the one in force has: else it is cut, or of another kind. */
+  /**
+   * That a file has every key, of the same type, that the one in force has: else it is cut, or of
+   * another kind.
+   */
   static void sameKeys(JsonNode before, JsonNode fresh, String where) {
     if (kind(before) != kind(fresh)) {
-      throw new ConfigException(where + (fresh.isMissingNode() ? " is missing" : " is of another type than before"));
+      throw new ConfigException(
+          where + (fresh.isMissingNode() ? " is missing" : " is of another type than before"));
     }
     if (before.isObject()) {
-      before.properties().forEach(e ->
-          sameKeys(e.getValue(), fresh.path(e.getKey()), where.isEmpty() ? e.getKey() : where + "." + e.getKey()));
+      before
+          .properties()
+          .forEach(
+              e ->
+                  sameKeys(
+                      e.getValue(),
+                      fresh.path(e.getKey()),
+                      where.isEmpty() ? e.getKey() : where + "." + e.getKey()));
     } else if (before.isArray() && !before.isEmpty() && before.get(0).isObject()) {
       Set<String> common = new HashSet<>();
       before.get(0).fieldNames().forEachRemaining(common::add);
@@ -110,7 +130,8 @@
     for (String key : keys) {
       JsonNode value = in.path(key);
       if (value.isMissingNode() ? needed : !value.isNumber() || !(value.asDouble() > 0)) {
-        throw new ConfigException(where + key + (value.isMissingNode() ? " is missing" : " is no number above 0"));
+        throw new ConfigException(
+            where + key + (value.isMissingNode() ? " is missing" : " is no number above 0"));
       }
     }
   }
@@ -139,7 +160,7 @@
     if (!list.isArray() || list.size() != size) {
       throw new ConfigException(where + " is no list with one entry for each class");
     }
-    for (Iterator<JsonNode> each = list.elements(); each.hasNext();) {
+    for (Iterator<JsonNode> each = list.elements(); each.hasNext(); ) {
       JsonNode value = each.next();
       if (flags ? !value.isBoolean() : !value.isNumber()) {
         throw new ConfigException(where + " has an entry of another type");
--- a/src/main/java/rosecleat/config/FleetConfig.java
+++ b/src/main/java/rosecleat/config/FleetConfig.java
@@ -11,8 +11,14 @@
  *
  * @param seeds where others may be met; its own address among them does no harm
  */
-public record FleetConfig(String name, String cluster, InetSocketAddress listen, InetSocketAddress advertise,
-    String zone, List<InetSocketAddress> seeds, long periodUs) {
+public record FleetConfig(
+    String name,
+    String cluster,
+    InetSocketAddress listen,
+    InetSocketAddress advertise,
+    String zone,
+    List<InetSocketAddress> seeds,
+    long periodUs) {
   static final String NAME = "[A-Za-z0-9._-]{1,64}";
 
   /** The section {@code fleet}; null where there is none. */
@@ -21,20 +27,28 @@
     if (section.isMissingNode()) {
       return null;
     }
-    InetSocketAddress listen = NodeConfig.address(section.path("listen").asText(""), "fleet.listen");
-    InetSocketAddress advertise = NodeConfig.address(section.path("advertise").asText(""), "fleet.advertise");
+    InetSocketAddress listen =
+        NodeConfig.address(section.path("listen").asText(""), "fleet.listen");
+    InetSocketAddress advertise =
+        NodeConfig.address(section.path("advertise").asText(""), "fleet.advertise");
     if (listen == null) {
       throw new ConfigException("the broker's file lacks fleet.listen");
     }
     if (advertise == null && listen.getAddress().isAnyLocalAddress()) {
-      throw new ConfigException("fleet.listen is no address that others can reach: fleet.advertise is needed");
+      throw new ConfigException(
+          "fleet.listen is no address that others can reach: fleet.advertise is needed");
     }
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (JsonNode seed : section.path("seeds")) {
       seeds.add(NodeConfig.address(seed.asText(), "fleet.seeds"));
     }
-    return new FleetConfig(section.path("name").asText(nodeName), section.path("cluster").asText("default"), listen,
-        advertise == null ? listen : advertise, section.path("zone").asText(""), List.copyOf(seeds),
+    return new FleetConfig(
+        section.path("name").asText(nodeName),
+        section.path("cluster").asText("default"),
+        listen,
+        advertise == null ? listen : advertise,
+        section.path("zone").asText(""),
+        List.copyOf(seeds),
         1000 * section.path("period_ms").asLong(1000));
   }
 
--- a/src/main/java/rosecleat/config/NodeConfig.java
+++ b/src/main/java/rosecleat/config/NodeConfig.java
@@ -15,18 +15,33 @@
 /**
  * What one card node is told at its start.
  *
- * <p>{@code listen} is null where no platform's balancers come; {@code mgmt}, {@code roster}, {@code index} and {@code runtime} are null where the file does not name them;
- * {@code file} is what was read.
+ * <p>{@code listen} is null where no platform's balancers come; {@code mgmt}, {@code roster},
+ * {@code index} and {@code runtime} are null where the file does not name them; {@code file} is
+ * what was read.
  */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress mgmt,
-    InetSocketAddress runtime, InetSocketAddress roster, InetSocketAddress index, long seed, long stopUs, int sockets,
-    SettingsReader.Start start, JsonNode file) {
-  private static final ObjectMapper STRICT = new ObjectMapper()
-      .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
+public record NodeConfig(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress mgmt,
+    InetSocketAddress runtime,
+    InetSocketAddress roster,
+    InetSocketAddress index,
+    long seed,
+    long stopUs,
+    int sockets,
+    SettingsReader.Start start,
+    JsonNode file) {
+  private static final ObjectMapper STRICT =
+      new ObjectMapper()
+          .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+          .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
   private static final int DEFAULT_SOCKETS = 1024;
   private static final long DEFAULT_STOP_MS = 3_000;
 
-  /** Reads the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and PROXY_MGMT stand in for what it lacks. */
+  /**
+   * Reads the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and PROXY_MGMT stand in for
+   * what it lacks.
+   */
   public static NodeConfig fromEnvironment(Map<String, String> env) {
     String path = env.get("PROXY_CONFIG");
     if (path == null || path.isBlank()) {
@@ -57,32 +72,44 @@
     if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
       throw new ConfigException("the configuration lacks a usable name");
     }
-    InetSocketAddress listen = address(root.path("listen").asText(env.getOrDefault("PROXY_LISTEN", "")), "listen");
+    InetSocketAddress listen =
+        address(root.path("listen").asText(env.getOrDefault("PROXY_LISTEN", "")), "listen");
     if (listen == null) {
       throw new ConfigException("the configuration lacks listen");
     }
-    InetSocketAddress mgmt = address(root.path("mgmt").asText(env.getOrDefault("PROXY_MGMT", "")), "mgmt");
+    InetSocketAddress mgmt =
+        address(root.path("mgmt").asText(env.getOrDefault("PROXY_MGMT", "")), "mgmt");
     JsonNode settings = root.path("settings");
     if (!settings.isObject()) {
       throw new ConfigException("the configuration lacks settings");
     }
-    return new NodeConfig(name, listen, mgmt, address(root.path("runtime").asText(""), "runtime"),
-        address(root.path("roster").asText(""), "roster"), address(root.path("index").asText(""), "index"),
+    return new NodeConfig(
+        name,
+        listen,
+        mgmt,
+        address(root.path("runtime").asText(""), "runtime"),
+        address(root.path("roster").asText(""), "roster"),
+        address(root.path("index").asText(""), "index"),
         seed(root.path("seed").asText("0")),
         positive(root.path("stop_ms").asLong(DEFAULT_STOP_MS), "stop_ms") * 1000,
-        (int) positive(root.path("limits").path("sockets").asLong(DEFAULT_SOCKETS), "limits.sockets"),
-        new SettingsReader().read(settings.toString()), root);
+        (int)
+            positive(root.path("limits").path("sockets").asLong(DEFAULT_SOCKETS), "limits.sockets"),
+        new SettingsReader().read(settings.toString()),
+        root);
   }
 
   /**
-   * Checks that this configuration may take the place of another in a running process: it has every key that the other
-   * has, and what needs a restart is the same.
+   * Checks that this configuration may take the place of another in a running process: it has every
+   * key that the other has, and what needs a restart is the same.
    */
   public void checkAfter(NodeConfig before) {
     ConfigCheck.sameKeys(before.file, file, "");
-    if (!name.equals(before.name) || !Objects.equals(listen, before.listen) || !Objects.equals(mgmt, before.mgmt)
+    if (!name.equals(before.name)
+        || !Objects.equals(listen, before.listen)
+        || !Objects.equals(mgmt, before.mgmt)
         || (runtime == null) != (before.runtime == null)) {
-      throw new ConfigException("its name, where it listens and whether it has a runtime need a restart");
+      throw new ConfigException(
+          "its name, where it listens and whether it has a runtime need a restart");
     }
   }
 
@@ -111,7 +138,8 @@
       int port = Integer.parseInt(text.substring(colon + 1));
       String host = text.substring(0, colon);
       if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+]|localhost")) {
-        throw new ConfigException(what + " is not a literal address: " + text); // there is no name service
+        throw new ConfigException(
+            what + " is not a literal address: " + text); // there is no name service
       }
       return new InetSocketAddress(host, port);
     } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
--- a/src/main/java/rosecleat/config/RoutesFile.java
+++ b/src/main/java/rosecleat/config/RoutesFile.java
@@ -17,9 +17,18 @@
   private static final String RESOURCE = "/rosecleat/routes.schema.json";
   private static final String UWSGI = "uwsgi://";
 
-  /** One instance of a service; {@code state} is on, drain or off, {@code places} 0 where it is not said. */
-  public record Line(String service, String name, InetSocketAddress at, String zone, double weight, String state,
-      int places) { }
+  /**
+   * One instance of a service; {@code state} is on, drain or off, {@code places} 0 where it is not
+   * said.
+   */
+  public record Line(
+      String service,
+      String name,
+      InetSocketAddress at,
+      String zone,
+      double weight,
+      String state,
+      int places) {}
 
   /** Reads a file. */
   public static RoutesFile read(Path file) {
@@ -31,11 +40,25 @@
       }
       List<String> findings = new ArrayList<>(BrokerSchema.findings(root, text, schema()));
       List<Line> lines = new ArrayList<>();
-      root.path("services").properties().forEach(service ->
-          service.getValue().path("instances").properties().forEach(instance ->
-              line(service.getKey(), instance.getKey(), instance.getValue(), lines, findings)));
+      root.path("services")
+          .properties()
+          .forEach(
+              service ->
+                  service
+                      .getValue()
+                      .path("instances")
+                      .properties()
+                      .forEach(
+                          instance ->
+                              line(
+                                  service.getKey(),
+                                  instance.getKey(),
+                                  instance.getValue(),
+                                  lines,
+                                  findings)));
       if (!findings.isEmpty()) {
-        throw new ConfigException("the file of routes " + file + ": " + String.join("; ", findings));
+        throw new ConfigException(
+            "the file of routes " + file + ": " + String.join("; ", findings));
       }
       return new RoutesFile(List.copyOf(lines));
     } catch (IOException e) {
@@ -43,16 +66,24 @@
     }
   }
 
-  private static void line(String service, String name, JsonNode i, List<Line> lines, List<String> findings) {
+  private static void line(
+      String service, String name, JsonNode i, List<Line> lines, List<String> findings) {
     String address = i.path("address").asText("");
     if (!address.startsWith(UWSGI)) {
       return; // the schema has found that
     }
     try {
       JsonNode state = i.path("state"); // YAML takes a bare on for true
-      lines.add(new Line(service, name, NodeConfig.address(address.substring(UWSGI.length()),
-          "the address of " + service + "/" + name), i.path("zone").asText(""), i.path("weight").asDouble(1),
-          state.isBoolean() ? state.asBoolean() ? "on" : "off" : state.asText("on"), i.path("places").asInt(0)));
+      lines.add(
+          new Line(
+              service,
+              name,
+              NodeConfig.address(
+                  address.substring(UWSGI.length()), "the address of " + service + "/" + name),
+              i.path("zone").asText(""),
+              i.path("weight").asDouble(1),
+              state.isBoolean() ? state.asBoolean() ? "on" : "off" : state.asText("on"),
+              i.path("places").asInt(0)));
     } catch (ConfigException e) {
       findings.add(e.getMessage());
     }
--- a/src/main/java/rosecleat/config/Samples.java
+++ b/src/main/java/rosecleat/config/Samples.java
@@ -13,15 +13,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A body that a description allows: its example where it has one, else one made up from the schema. */
+/**
+ * A body that a description allows: its example where it has one, else one made up from the schema.
+ */
 final class Samples {
   private static final String COMPONENTS = "#/components/schemas/";
+
   /** Guards against schemas that refer to themselves. */
   private static final int DEEPEST = 6;
+
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
 
-  private Samples() { }
+  private Samples() {}
 
   /** A body of a media type; empty where nothing is said of it. */
   static byte[] of(MediaType type, Components components) {
@@ -32,8 +36,10 @@
     if (example == null && type.getExamples() != null && !type.getExamples().isEmpty()) {
       example = type.getExamples().values().iterator().next().getValue();
     }
-    JsonNode body = example != null ? MAPPER.valueToTree(example)
-        : type.getSchema() == null ? null : value(type.getSchema(), components, 0);
+    JsonNode body =
+        example != null
+            ? MAPPER.valueToTree(example)
+            : type.getSchema() == null ? null : value(type.getSchema(), components, 0);
     if (body == null) {
       return new byte[0];
     }
@@ -56,14 +62,21 @@
       return MAPPER.valueToTree(schema.getEnum().get(0));
     }
     if (schema.get$ref() != null) {
-      Schema<?> named = components == null || components.getSchemas() == null || depth >= DEEPEST
-          || !schema.get$ref().startsWith(COMPONENTS) ? null
-          : components.getSchemas().get(schema.get$ref().substring(COMPONENTS.length()));
+      Schema<?> named =
+          components == null
+                  || components.getSchemas() == null
+                  || depth >= DEEPEST
+                  || !schema.get$ref().startsWith(COMPONENTS)
+              ? null
+              : components.getSchemas().get(schema.get$ref().substring(COMPONENTS.length()));
       return named == null ? JSON.nullNode() : value(named, components, depth + 1);
     }
-    String type = schema.getType() != null ? schema.getType()
-        : schema.getTypes() != null && !schema.getTypes().isEmpty() ? schema.getTypes().iterator().next()
-        : schema.getProperties() != null ? "object" : "string";
+    String type =
+        schema.getType() != null
+            ? schema.getType()
+            : schema.getTypes() != null && !schema.getTypes().isEmpty()
+                ? schema.getTypes().iterator().next()
+                : schema.getProperties() != null ? "object" : "string";
     return switch (type) {
       case "object" -> object(schema, components, depth);
       case "array" -> {
@@ -74,16 +87,22 @@
         }
         yield array;
       }
-      case "integer" -> JSON.numberNode(least(schema).setScale(0, java.math.RoundingMode.CEILING).toBigInteger());
+      case "integer" ->
+          JSON.numberNode(least(schema).setScale(0, java.math.RoundingMode.CEILING).toBigInteger());
       case "number" -> JSON.numberNode(least(schema));
       case "boolean" -> JSON.booleanNode(false);
-      default -> JSON.textNode("x".repeat(schema.getMinLength() == null ? 0 : Math.min(schema.getMinLength(), 1024)));
+      default ->
+          JSON.textNode(
+              "x"
+                  .repeat(
+                      schema.getMinLength() == null ? 0 : Math.min(schema.getMinLength(), 1024)));
     };
   }
 
   private static BigDecimal least(Schema<?> schema) {
     BigDecimal most = schema.getMaximum();
-    return schema.getMinimum() != null ? schema.getMinimum()
+    return schema.getMinimum() != null
+        ? schema.getMinimum()
         : most != null && most.signum() < 0 ? most : BigDecimal.ZERO;
   }
 
@@ -97,7 +116,9 @@
     return object;
   }
 
-  /** The library's own signature names no type: what is in its map is taken for schemas of anything. */
+  /**
+   * The library's own signature names no type: what is in its map is taken for schemas of anything.
+   */
   @SuppressWarnings({"rawtypes", "unchecked"})
   private static Map<String, ? extends Schema<?>> typed(Map<String, Schema> properties) {
     return (Map<String, ? extends Schema<?>>) (Map) properties;
--- a/src/main/java/rosecleat/config/SettingsReader.java
+++ b/src/main/java/rosecleat/config/SettingsReader.java
@@ -12,11 +12,14 @@
 import rosecleat.policy.PolicyApi.Halt;
 import rosecleat.policy.PolicyApi.Say;
 
-/** Turns the settings text of a start into the module's settings. Keys it does not know are skipped. */
+/**
+ * Turns the settings text of a start into the module's settings. Keys it does not know are skipped.
+ */
 public final class SettingsReader {
   private static final Map<String, Effect> EFFECTS =
       Map.of("pure", Effect.SAFE, "token", Effect.KEYED, "side_effect", Effect.UNSAFE);
-  private static final Map<String, Halt> HALTS = Map.of("off", Halt.OFF, "drop", Halt.DROP, "pause", Halt.PAUSE);
+  private static final Map<String, Halt> HALTS =
+      Map.of("off", Halt.OFF, "drop", Halt.DROP, "pause", Halt.PAUSE);
   private static final Map<String, Say> SAYS =
       Map.of("off", Say.OFF, "level", Say.LEVEL, "credit", Say.CREDIT, "weight", Say.WEIGHT);
   private static final Map<String, Below> BELOWS =
@@ -25,10 +28,15 @@
   private final ObjectMapper mapper = new ObjectMapper();
 
   /** The settings, and the names of the gauges, classes and tenants in the order they come. */
-  public record Start(PolicyApi.Settings settings, List<String> gauges, List<String> classes,
-      List<String> tenants) { }
+  public record Start(
+      PolicyApi.Settings settings,
+      List<String> gauges,
+      List<String> classes,
+      List<String> tenants) {}
 
-  /** Reads the settings text; what is missing or unknown is a {@link ConfigException} of one line. */
+  /**
+   * Reads the settings text; what is missing or unknown is a {@link ConfigException} of one line.
+   */
   public Start read(String text) {
     JsonNode root;
     try {
@@ -46,10 +54,17 @@
     JsonNode grades = root.path("grades");
     for (int i = 0; i < grades.size(); i++) {
       JsonNode g = grades.get(i);
-      classes.add(new PolicyApi.Klass(need(g, "credit").asDouble(), g.path("late-worth").asDouble(),
-          need(g, "promise-us").asLong(), g.path("aim-stretch").asDouble(), need(g, "deadline-us").asLong(),
-          word(EFFECTS, need(g, "effect"), "effect"), g.path("window-us").asLong(),
-          extra.path("class-calls").path(i).asBoolean(), extra.path("worth-without").path(i).asDouble()));
+      classes.add(
+          new PolicyApi.Klass(
+              need(g, "credit").asDouble(),
+              g.path("late-worth").asDouble(),
+              need(g, "promise-us").asLong(),
+              g.path("aim-stretch").asDouble(),
+              need(g, "deadline-us").asLong(),
+              word(EFFECTS, need(g, "effect"), "effect"),
+              g.path("window-us").asLong(),
+              extra.path("class-calls").path(i).asBoolean(),
+              extra.path("worth-without").path(i).asDouble()));
     }
     if (classes.isEmpty()) {
       throw new ConfigException("settings lack grades");
@@ -62,23 +77,41 @@
     for (JsonNode g : extra.path("gauges")) {
       gauges.add(g.asText());
     }
-    PolicyApi.Settings settings = new PolicyApi.Settings(need(extra, "cpus").asInt(),
-        root.path("servers").asInt(), extra.path("clients-total").asInt(), extra.path("cold").asBoolean(),
-        rules.path("cold-share").asDouble(), rules.path("ramp-time-us").asLong(),
-        need(extra, "mem-limit-kb").asDouble(), need(extra, "run-factor").asDouble(),
-        extra.path("key-kb").asDouble(), need(rules, "fall-multiple").asDouble(),
-        need(rules, "overload-for-us").asLong(), need(rules, "stop-sending-within-us").asLong(),
-        need(rules, "answer-slack-us").asLong(), extra.path("passes-deadline").asBoolean(),
-        extra.path("tells-gone").asBoolean(), root.path("clients").path("marks-retry").asBoolean(),
-        root.path("worth-by").asText().equals("work"), root.path("over-share-worth").asDouble(1),
-        word(HALTS, extra.path("halt"), "halt"), word(SAYS, extra.path("say"), "say"),
-        extra.path("heeded-us").asLong(),
-        bounds.path("retry-after").asBoolean() ? bounds.path("max-retry-after-us").asLong() : 0,
-        extra.path("readiness").asBoolean(), extra.path("deep-checks").asBoolean(),
-        extra.path("idle-us").asLong(), extra.path("share-for-us").asLong(),
-        word(BELOWS, extra.path("below"), "below"), extra.path("calls-out").asDouble(),
-        extra.path("calls-over-us").asLong(), extra.path("lingers-us").asLong(), root.path("round-us").asLong(),
-        List.copyOf(classes), List.copyOf(tenants));
+    PolicyApi.Settings settings =
+        new PolicyApi.Settings(
+            need(extra, "cpus").asInt(),
+            root.path("servers").asInt(),
+            extra.path("clients-total").asInt(),
+            extra.path("cold").asBoolean(),
+            rules.path("cold-share").asDouble(),
+            rules.path("ramp-time-us").asLong(),
+            need(extra, "mem-limit-kb").asDouble(),
+            need(extra, "run-factor").asDouble(),
+            extra.path("key-kb").asDouble(),
+            need(rules, "fall-multiple").asDouble(),
+            need(rules, "overload-for-us").asLong(),
+            need(rules, "stop-sending-within-us").asLong(),
+            need(rules, "answer-slack-us").asLong(),
+            extra.path("passes-deadline").asBoolean(),
+            extra.path("tells-gone").asBoolean(),
+            root.path("clients").path("marks-retry").asBoolean(),
+            root.path("worth-by").asText().equals("work"),
+            root.path("over-share-worth").asDouble(1),
+            word(HALTS, extra.path("halt"), "halt"),
+            word(SAYS, extra.path("say"), "say"),
+            extra.path("heeded-us").asLong(),
+            bounds.path("retry-after").asBoolean() ? bounds.path("max-retry-after-us").asLong() : 0,
+            extra.path("readiness").asBoolean(),
+            extra.path("deep-checks").asBoolean(),
+            extra.path("idle-us").asLong(),
+            extra.path("share-for-us").asLong(),
+            word(BELOWS, extra.path("below"), "below"),
+            extra.path("calls-out").asDouble(),
+            extra.path("calls-over-us").asLong(),
+            extra.path("lingers-us").asLong(),
+            root.path("round-us").asLong(),
+            List.copyOf(classes),
+            List.copyOf(tenants));
     return new Start(settings, List.copyOf(gauges), names(grades), names(root.path("parties")));
   }
 
--- a/src/main/java/rosecleat/config/package-info.java
+++ b/src/main/java/rosecleat/config/package-info.java
@@ -1,2 +1,5 @@
-/** What the program is told: the node's settings, and the broker's contracts, budgets and descriptions. */
+/**
+ * What the program is told: the node's settings, and the broker's contracts, budgets and
+ * descriptions.
+ */
 package rosecleat.config;
--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -11,15 +11,29 @@
 import rosecleat.policy.Decisions.Report;
 
 /**
- * The life of every request, whatever wire it came by: it is held, run, called for and answered as the
- * module decides, and answered once. Knows no wire. For one thread.
+ * The life of every request, whatever wire it came by: it is held, run, called for and answered as
+ * the module decides, and answered once. Knows no wire. For one thread.
  */
 public final class Core {
-  /** What the core needs to know of a class; {@code calls} where each run stands still at a call before it ends. */
-  public record RequestClass(String name, boolean keyed, boolean calls, long windowUs, long dueUs) { }
+  /**
+   * What the core needs to know of a class; {@code calls} where each run stands still at a call
+   * before it ends.
+   */
+  public record RequestClass(
+      String name, boolean keyed, boolean calls, long windowUs, long dueUs) {}
 
-  /** Figures the core works under: microseconds and bytes; classes, and the names of tenants, by their numbers. */
-  public record Rules(int cores, List<RequestClass> classes, List<String> tenants, long slackUs, long graceUs, long idleUs, long resultBytes) { }
+  /**
+   * Figures the core works under: microseconds and bytes; classes, and the names of tenants, by
+   * their numbers.
+   */
+  public record Rules(
+      int cores,
+      List<RequestClass> classes,
+      List<String> tenants,
+      long slackUs,
+      long graceUs,
+      long idleUs,
+      long resultBytes) {}
 
   private static final long TICK_US = 20_000;
   private static final long EXPIRE_US = 1_000_000;
@@ -46,12 +60,24 @@
   private long reckonedUs;
 
   /** A core that holds nothing yet, in the only process of its node. */
-  public Core(Rules rules, Decisions decisions, Ledger ledger, LongSupplier clock, Counters counters, Log log) {
+  public Core(
+      Rules rules,
+      Decisions decisions,
+      Ledger ledger,
+      LongSupplier clock,
+      Counters counters,
+      Log log) {
     this(rules, decisions, ledger, Claims.ALONE, clock, counters, log);
   }
 
   /** A core that holds nothing yet, beside other processes of its node. */
-  public Core(Rules rules, Decisions decisions, Ledger ledger, Claims claims, LongSupplier clock, Counters counters,
+  public Core(
+      Rules rules,
+      Decisions decisions,
+      Ledger ledger,
+      Claims claims,
+      LongSupplier clock,
+      Counters counters,
       Log log) {
     this.rules = rules;
     this.decisions = decisions;
@@ -76,15 +102,17 @@
   }
 
   /**
-   * Operators send clients away, or take them again. Only health checks follow it: whatever still comes is run and
-   * answered as ever.
+   * Operators send clients away, or take them again. Only health checks follow it: whatever still
+   * comes is run and answered as ever.
    */
   public void setAside(boolean away) {
     if (away != aside) {
       aside = away;
       counters.add(away ? "operators.drains" : "operators.activations");
-      log.info(away ? "an operator sends clients away: health checks are answered as bad"
-          : "an operator takes clients again: health checks are answered as good");
+      log.info(
+          away
+              ? "an operator sends clients away: health checks are answered as bad"
+              : "an operator takes clients again: health checks are answered as good");
     }
   }
 
@@ -151,10 +179,13 @@
     work.use(fresh);
   }
 
-  /** The cores are up, since some time; {@code runner} is the one to ask for gauges, null for none. */
+  /**
+   * The cores are up, since some time; {@code runner} is the one to ask for gauges, null for none.
+   */
   public void begin(Runner runner, boolean cold, long tookUs) {
     gauged = runner;
-    if (!decisions.begun() && !draining) { // told to leave before the cores were up, it takes up nothing
+    if (!decisions.begun()
+        && !draining) { // told to leave before the cores were up, it takes up nothing
       decisions.begin(clock.getAsLong() - Math.max(0, tookUs), cold);
       obey();
     }
@@ -169,16 +200,28 @@
     Life life = new Life(++lastSeq, request, klass, tenant(request), request.atUs() + waitUs);
     if (!decisions.begun()) {
       work.answer(life, new Answer.Refused(0, false));
-      return () -> { };
+      return () -> {};
     }
     String wrong = work.take(life);
     if (wrong != null) {
       work.answer(life, Work.failed(Progress.NOT_SENT, wrong, Answer.Cause.CALLER));
-      return () -> { };
+      return () -> {};
     }
     long leftUs = Math.max(1, life.dueUs - now);
-    report(new Report.Arrived(life.seq, request.klass(), request.tenant(), request.key(), leftUs, request.kb(), request.rank(),
-        request.retry(), klass.keyed(), request.caller(), Math.max(0, now - request.atUs()), work.original(life)));
+    report(
+        new Report.Arrived(
+            life.seq,
+            request.klass(),
+            request.tenant(),
+            request.key(),
+            leftUs,
+            request.kb(),
+            request.rank(),
+            request.retry(),
+            klass.keyed(),
+            request.caller(),
+            Math.max(0, now - request.atUs()),
+            work.original(life)));
     return () -> gone(life);
   }
 
@@ -290,7 +333,10 @@
     }
   }
 
-  /** The notice to leave, which came at a time by the Unix clock, if it is heard only now; {@code leftUs} are left. */
+  /**
+   * The notice to leave, which came at a time by the Unix clock, if it is heard only now; {@code
+   * leftUs} are left.
+   */
   public void drain(long toldUs, long leftUs) {
     if (draining) {
       return;
@@ -306,8 +352,11 @@
   /** Answers whatever is still owed: the last thing before the end. */
   public void answerAll(String why) {
     for (Life life : work.all()) {
-      work.answer(life, life.ran ? Work.failed(life.progress(), why, Answer.Cause.TIME)
-          : new Answer.Refused(0, false));
+      work.answer(
+          life,
+          life.ran
+              ? Work.failed(life.progress(), why, Answer.Cause.TIME)
+              : new Answer.Refused(0, false));
     }
   }
 
@@ -332,7 +381,10 @@
     return Math.min(next, now + TICK_US);
   }
 
-  /** Stands in for gauges where no runtime has any: all runs are elsewhere, each taken for one busy core. */
+  /**
+   * Stands in for gauges where no runtime has any: all runs are elsewhere, each taken for one busy
+   * core.
+   */
   private void reckon(long now) {
     long running = work.running();
     double part = Math.min(1, (now - reckonedUs) / RECKON_US);
@@ -348,7 +400,9 @@
     obey();
   }
 
-  /** Carries out orders until there are none; those that come of it are carried out in their turn. */
+  /**
+   * Carries out orders until there are none; those that come of it are carried out in their turn.
+   */
   private void obey() {
     if (obeying) {
       return;
--- a/src/main/java/rosecleat/core/Counters.java
+++ b/src/main/java/rosecleat/core/Counters.java
@@ -24,7 +24,8 @@
   }
 
   /** All counts on one line, in order of their names. */
-  @Override public String toString() {
+  @Override
+  public String toString() {
     StringBuilder line = new StringBuilder("counters");
     counts.forEach((name, count) -> line.append(' ').append(name).append('=').append(count[0]));
     return line.toString();
--- a/src/main/java/rosecleat/core/KeyTable.java
+++ b/src/main/java/rosecleat/core/KeyTable.java
@@ -11,11 +11,14 @@
 import java.util.Map;
 
 /**
- * What is known of keyed requests: which try ran, what came of it, and which tries wait for that. Results
- * are kept byte for byte, within a bound; where one had to go, later repeats fail rather than run again.
+ * What is known of keyed requests: which try ran, what came of it, and which tries wait for that.
+ * Results are kept byte for byte, within a bound; where one had to go, later repeats fail rather
+ * than run again.
  */
 final class KeyTable {
-  /** What {@link #original} says of a key that another process runs: the number of no request here. */
+  /**
+   * What {@link #original} says of a key that another process runs: the number of no request here.
+   */
   private static final long ELSEWHERE = Long.MAX_VALUE;
 
   /** One request with all its tries. Without an owner it runs in another process. */
@@ -94,7 +97,9 @@
     if (entry == null) {
       return 0;
     }
-    return entry.owner == null ? ELSEWHERE : entry.ran || entry.owner.state == Life.State.HELD ? entry.owner.seq : 0;
+    return entry.owner == null
+        ? ELSEWHERE
+        : entry.ran || entry.owner.state == Life.State.HELD ? entry.owner.seq : 0;
   }
 
   /** The key of a request, as other processes know it. */
@@ -134,7 +139,10 @@
     return entry != null && !Arrays.equals(entry.digest, digest(life.request.body()));
   }
 
-  /** Guards results against another body that is made to look the same: whoever sends it must not be served them. */
+  /**
+   * Guards results against another body that is made to look the same: whoever sends it must not be
+   * served them.
+   */
   static byte[] digest(byte[] body) {
     try {
       return MessageDigest.getInstance("SHA-256").digest(body);
@@ -172,7 +180,9 @@
     }
   }
 
-  /** The run of a try is over, with its result or without (null). Returns those that waited for it. */
+  /**
+   * The run of a try is over, with its result or without (null). Returns those that waited for it.
+   */
   List<Life> ended(Life life, byte[] result) {
     Entry entry = entries.get(key(life));
     return entry == null || entry.owner != life ? List.of() : ended(entry, result);
@@ -193,7 +203,10 @@
     return waited;
   }
 
-  /** The run of a try is proven never to have begun: forgets it, and returns those that waited for it. */
+  /**
+   * The run of a try is proven never to have begun: forgets it, and returns those that waited for
+   * it.
+   */
   List<Life> neverRan(Life life) {
     Entry entry = entries.get(key(life));
     if (entry == null || entry.owner != life) {
--- a/src/main/java/rosecleat/core/Ledger.java
+++ b/src/main/java/rosecleat/core/Ledger.java
@@ -1,6 +1,9 @@
 package rosecleat.core;
 
-/** What runs call below: one dependency shared by all nodes. Outcomes are told to {@link Core#called}. */
+/**
+ * What runs call below: one dependency shared by all nodes. Outcomes are told to {@link
+ * Core#called}.
+ */
 public interface Ledger {
   /** How a call ended. */
   enum End {
--- a/src/main/java/rosecleat/core/Life.java
+++ b/src/main/java/rosecleat/core/Life.java
@@ -20,15 +20,19 @@
 
   final long seq;
   final Request request;
+
   /** The class it came with; settings that change later change nothing of it. */
   final Core.RequestClass klass;
+
   final String tenant;
   final long dueUs;
   State state = State.HELD;
   boolean ran;
   boolean stopping;
+
   /** The module runs it, and it waits here for another process that does. */
   boolean elsewhere;
+
   long startedUs;
   long calledUs;
   long notice;
--- a/src/main/java/rosecleat/core/Numbers.java
+++ b/src/main/java/rosecleat/core/Numbers.java
@@ -10,9 +10,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * The numbers that names go by inside, with what each stands for. A name keeps its number over any number of lists; one
- * that is dropped keeps it while something uses it, and comes back to it. Only then may another name have it, so lists
- * that change for ever do not grow.
+ * The numbers that names go by inside, with what each stands for. A name keeps its number over any
+ * number of lists; one that is dropped keeps it while something uses it, and comes back to it. Only
+ * then may another name have it, so lists that change for ever do not grow.
  */
 public final class Numbers<T> {
   private final List<String> names = new ArrayList<>();
--- a/src/main/java/rosecleat/core/Request.java
+++ b/src/main/java/rosecleat/core/Request.java
@@ -22,6 +22,20 @@
  * @param runner what does its work
  * @param front where its one answer goes
  */
-public record Request(String id, long atUs, long waitUs, int klass, String kind, int tenant, long caller,
-    boolean retry, double kb, double rank, String once, long key, byte[] body, Map<String, String> attributes,
-    Runner runner, Front front) { }
+public record Request(
+    String id,
+    long atUs,
+    long waitUs,
+    int klass,
+    String kind,
+    int tenant,
+    long caller,
+    boolean retry,
+    double kb,
+    double rank,
+    String once,
+    long key,
+    byte[] body,
+    Map<String, String> attributes,
+    Runner runner,
+    Front front) {}
--- a/src/main/java/rosecleat/core/Runner.java
+++ b/src/main/java/rosecleat/core/Runner.java
@@ -1,6 +1,9 @@
 package rosecleat.core;
 
-/** What does the work of requests. Its orders return at once; what becomes of them is told to {@link Core}. */
+/**
+ * What does the work of requests. Its orders return at once; what becomes of them is told to {@link
+ * Core}.
+ */
 public interface Runner {
   /** How a run ended. */
   enum End {
@@ -18,7 +21,9 @@
     UNREACHED
   }
 
-  /** Begins the run of a request whose answer is due at a time by the Unix clock in microseconds. */
+  /**
+   * Begins the run of a request whose answer is due at a time by the Unix clock in microseconds.
+   */
   void start(Request request, long dueUs);
 
   /** Stops a run; its end is told all the same. */
@@ -31,5 +36,5 @@
   void omit(String id, long notice);
 
   /** Asks for the gauges, where this runner has any. */
-  default void askGauges() { }
+  default void askGauges() {}
 }
--- a/src/main/java/rosecleat/core/Work.java
+++ b/src/main/java/rosecleat/core/Work.java
@@ -9,10 +9,14 @@
 import rosecleat.policy.Decisions.Report;
 import rosecleat.policy.Decisions.RunOutcome;
 
-/** The requests in hand, and what is done to them: the steps of their lives, each with its due answers. */
+/**
+ * The requests in hand, and what is done to them: the steps of their lives, each with its due
+ * answers.
+ */
 final class Work {
   /** Sockets get so much longer than the settings say; keys are kept at least as long. */
   private static final long SOCKET_SLACK_US = 50_000;
+
   /** A run that has not ended so long after its answer was due is not waited for any more (us). */
   private static final long LOST_US = 30_000_000;
 
@@ -28,7 +32,13 @@
   private final Map<String, Life> byId = new HashMap<>();
 
   /** Nothing in hand yet; what happens to requests here is reported to the module. */
-  Work(Core.Rules rules, Ledger ledger, Claims claims, LongSupplier clock, Counters counters, Log log,
+  Work(
+      Core.Rules rules,
+      Ledger ledger,
+      Claims claims,
+      LongSupplier clock,
+      Counters counters,
+      Log log,
       Consumer<Report> reports) {
     this.ledger = ledger;
     this.claims = claims;
@@ -73,8 +83,10 @@
     if (byId.containsKey(life.request.id())) { // two runs under one name could not be told apart
       return "a request of this id is in hand";
     }
-    if (keyed(life) && keys.find(life) == null
-        && claims.look(KeyTable.name(life)) instanceof Claims.Others others && life.request.atUs() <= others.untilUs()) {
+    if (keyed(life)
+        && keys.find(life) == null
+        && claims.look(KeyTable.name(life)) instanceof Claims.Others others
+        && life.request.atUs() <= others.untilUs()) {
       keys.elsewhere(life, others);
     }
     if (keyed(life) && keys.differs(life)) {
@@ -102,8 +114,8 @@
   }
 
   /**
-   * Guards against ends that a broken link swallowed: without this the module would count such a run as running
-   * for ever, and run fewer and fewer others.
+   * Guards against ends that a broken link swallowed: without this the module would count such a
+   * run as running for ever, and run fewer and fewer others.
    */
   private void lost(Life life, long now) {
     counters.add("runs.lost");
@@ -115,8 +127,8 @@
   // ---- orders
 
   /**
-   * Starts a run; what came after the grace is turned away instead. Guards the drain: the module reckons the grace from when
-   * it heard of the notice, and a busy loop hears of it late.
+   * Starts a run; what came after the grace is turned away instead. Guards the drain: the module
+   * reckons the grace from when it heard of the notice, and a busy loop hears of it late.
    */
   void run(Life life, boolean late) {
     if (life.state != Life.State.HELD || !life.owed()) {
@@ -124,9 +136,11 @@
     }
     if (keyed(life)) {
       KeyTable.Entry known = keys.find(life);
-      if (life.ran || known != null && keys.original(life) != 0 && keys.original(life) != life.seq) {
+      if (life.ran
+          || known != null && keys.original(life) != 0 && keys.original(life) != life.seq) {
         log.warn("a run of a keyed request that may have run was not started");
-        answer(life, failed(Progress.MAY_HAVE_RUN, "another try may have run", Answer.Cause.BACKEND));
+        answer(
+            life, failed(Progress.MAY_HAVE_RUN, "another try may have run", Answer.Cause.BACKEND));
         settle(life, RunOutcome.MOOT, 0); // the module takes it for running
         return;
       }
@@ -151,18 +165,21 @@
   }
 
   /**
-   * Guards against a second run in another process of this node: only who claims the key may run it. The module takes
-   * what is not run here for running until it hears otherwise.
+   * Guards against a second run in another process of this node: only who claims the key may run
+   * it. The module takes what is not run here for running until it hears otherwise.
    */
   private boolean claimed(Life life) {
-    Claims.Standing standing = claims.claim(KeyTable.name(life), KeyTable.digest(life.request.body()), keyUntil(life));
+    Claims.Standing standing =
+        claims.claim(KeyTable.name(life), KeyTable.digest(life.request.body()), keyUntil(life));
     if (standing instanceof Claims.Mine) {
       return true;
     }
     if (standing instanceof Claims.Others others && life.request.atUs() <= others.untilUs()) {
       KeyTable.Entry entry = keys.elsewhere(life, others);
       if (keys.differs(life)) {
-        answer(life, failed(Progress.NOT_SENT, "the key belongs to another body", Answer.Cause.CALLER));
+        answer(
+            life,
+            failed(Progress.NOT_SENT, "the key belongs to another body", Answer.Cause.CALLER));
       } else {
         life.elsewhere = true;
         life.state = Life.State.ATTACHED;
@@ -171,7 +188,10 @@
         return false;
       }
     } else {
-      answer(life, new Answer.Refused(0, false)); // lapsed elsewhere and not free yet, or no room for more claims
+      answer(
+          life,
+          new Answer.Refused(
+              0, false)); // lapsed elsewhere and not free yet, or no room for more claims
     }
     settle(life, RunOutcome.MOOT, 0);
     return false;
@@ -198,7 +218,10 @@
     return life.request.atUs() + life.klass.windowUs() + rules.slackUs() + SOCKET_SLACK_US;
   }
 
-  /** Only a try that never ran is turned away; one that did has failed, whatever the module calls it. */
+  /**
+   * Only a try that never ran is turned away; one that did has failed, whatever the module calls
+   * it.
+   */
   void refuse(Life life, long holdOffUs, boolean last) {
     finish(life, life.ran ? givenUp(life) : new Answer.Refused(holdOffUs, last));
   }
@@ -230,7 +253,10 @@
   }
 
   void stop(Life life) {
-    if (life.ran && !life.stopping && life.state != Life.State.HELD && life.state != Life.State.OVER) {
+    if (life.ran
+        && !life.stopping
+        && life.state != Life.State.HELD
+        && life.state != Life.State.OVER) {
       life.stopping = true;
       counters.add("stops");
       life.request.runner().stop(life.request.id());
@@ -342,9 +368,16 @@
       return; // it was given up on while it waited
     }
     counters.add(result != null ? "reused" : "reused.nothing");
-    answer(repeat, result != null ? new Answer.Served(result)
-        : failed(Progress.MAY_HAVE_RUN, "another try ran and has no result", Answer.Cause.BACKEND));
-    settle(repeat, result != null ? RunOutcome.OK : RunOutcome.FAILED, clock.getAsLong() - repeat.startedUs);
+    answer(
+        repeat,
+        result != null
+            ? new Answer.Served(result)
+            : failed(
+                Progress.MAY_HAVE_RUN, "another try ran and has no result", Answer.Cause.BACKEND));
+    settle(
+        repeat,
+        result != null ? RunOutcome.OK : RunOutcome.FAILED,
+        clock.getAsLong() - repeat.startedUs);
   }
 
   // ---- answers
--- a/src/main/java/rosecleat/core/package-info.java
+++ b/src/main/java/rosecleat/core/package-info.java
@@ -1,2 +1,5 @@
-/** The life of a request, whatever wire it came by, and the ports through which wires and work reach it. */
+/**
+ * The life of a request, whatever wire it came by, and the ports through which wires and work reach
+ * it.
+ */
 package rosecleat.core;
--- a/src/main/java/rosecleat/fleet/Agreement.java
+++ b/src/main/java/rosecleat/fleet/Agreement.java
@@ -2,18 +2,24 @@
 
 /**
  * Whether a view is settled. It is, exactly, while all of these hold:
+ *
  * <ol>
- * <li>no member is suspected;
- * <li>more than half of those that did not say that they go are there: else this process may itself be cut off;
- * <li>since this view last changed, as many distinct members as {@link #ENOUGH}, or all others where they are fewer, have
- * told its very digest, each as the last that it told, and none that told another one within {@link #FRESH} periods;
- * <li>where others are there, something was heard of any of them within {@link #FRESH} periods: each is pinged once a
- * period at the least, so silence is a sign of being cut off, also for a process that is slow to suspect;
- * <li>it has met another since it started, or tried every seed for {@link #ALONE} periods, or has none.
+ *   <li>no member is suspected;
+ *   <li>more than half of those that did not say that they go are there: else this process may
+ *       itself be cut off;
+ *   <li>since this view last changed, as many distinct members as {@link #ENOUGH}, or all others
+ *       where they are fewer, have told its very digest, each as the last that it told, and none
+ *       that told another one within {@link #FRESH} periods;
+ *   <li>where others are there, something was heard of any of them within {@link #FRESH} periods:
+ *       each is pinged once a period at the least, so silence is a sign of being cut off, also for
+ *       a process that is slow to suspect;
+ *   <li>it has met another since it started, or tried every seed for {@link #ALONE} periods, or has
+ *       none.
  * </ol>
- * After a change elsewhere it stays true wrongly until the change is told here or suspected here: for the time of
- * detection at the most. It comes true again within some two periods of the last change, which is how long it takes for
- * that many members to be heard.
+ *
+ * After a change elsewhere it stays true wrongly until the change is told here or suspected here:
+ * for the time of detection at the most. It comes true again within some two periods of the last
+ * change, which is how long it takes for that many members to be heard.
  */
 final class Agreement {
   static final int ENOUGH = 3;
--- a/src/main/java/rosecleat/fleet/Codec.java
+++ b/src/main/java/rosecleat/fleet/Codec.java
@@ -10,28 +10,38 @@
 import rosecleat.fleet.wire.Standing;
 import rosecleat.fleet.wire.Who;
 
-/** Members and records as messages and back. What can't be is null: names, hosts, figures out of bounds. */
+/**
+ * Members and records as messages and back. What can't be is null: names, hosts, figures out of
+ * bounds.
+ */
 final class Codec {
   private static final State[] STATES = State.values();
   private static final int LONGEST_KEY = 256;
   private static final long MOST_FIGURE = 1L << 60;
   private static final long MOST_TTL_MS = 30L * 24 * 3_600_000;
 
-  private Codec() { }
+  private Codec() {}
 
   /** What is told of a member. */
-  record News(MemberId id, Endpoint at, String zone, State state, long incarnation, long witness) { }
+  record News(MemberId id, Endpoint at, String zone, State state, long incarnation, long witness) {}
 
   /** What is told of a record; {@code goneMs} since its owner has gone. */
-  record Told(FleetRecord record, long goneMs) { }
+  record Told(FleetRecord record, long goneMs) {}
 
   static MemberNews news(Member member, State state, long witness) {
     return news(member.id, member.at, member.zone, state, member.incarnation, witness);
   }
 
-  static MemberNews news(MemberId id, Endpoint at, String zone, State state, long incarnation, long witness) {
-    return MemberNews.newBuilder().setWho(who(id)).setHost(ByteString.copyFrom(at.host(), StandardCharsets.US_ASCII))
-        .setPort(at.port()).setZone(zone).setStandingValue(state.ordinal()).setIncarnation(incarnation).setWitness(witness)
+  static MemberNews news(
+      MemberId id, Endpoint at, String zone, State state, long incarnation, long witness) {
+    return MemberNews.newBuilder()
+        .setWho(who(id))
+        .setHost(ByteString.copyFrom(at.host(), StandardCharsets.US_ASCII))
+        .setPort(at.port())
+        .setZone(zone)
+        .setStandingValue(state.ordinal())
+        .setIncarnation(incarnation)
+        .setWitness(witness)
         .build();
   }
 
@@ -46,17 +56,36 @@
   static News news(MemberNews m) {
     Endpoint at = new Endpoint(m.getHost().toString(StandardCharsets.US_ASCII), m.getPort());
     String name = m.getWho().getName();
-    if (name.isEmpty() || name.length() > MemberId.LONGEST_NAME || m.getWho().getEpoch() <= 0
-        || m.getWho().getEpoch() > MOST_FIGURE || !at.usable() || m.getZone().length() > MemberId.LONGEST_NAME
-        || m.getStanding() == Standing.UNRECOGNIZED || m.getIncarnation() < 0 || m.getIncarnation() > MOST_FIGURE) {
+    if (name.isEmpty()
+        || name.length() > MemberId.LONGEST_NAME
+        || m.getWho().getEpoch() <= 0
+        || m.getWho().getEpoch() > MOST_FIGURE
+        || !at.usable()
+        || m.getZone().length() > MemberId.LONGEST_NAME
+        || m.getStanding() == Standing.UNRECOGNIZED
+        || m.getIncarnation() < 0
+        || m.getIncarnation() > MOST_FIGURE) {
       return null;
     }
-    return new News(id(m.getWho()), at, m.getZone(), STATES[m.getStandingValue()], m.getIncarnation(), m.getWitness());
+    return new News(
+        id(m.getWho()),
+        at,
+        m.getZone(),
+        STATES[m.getStandingValue()],
+        m.getIncarnation(),
+        m.getWitness());
   }
 
   static RecordNews record(FleetRecord r, long goneMs, boolean payload) {
-    RecordNews.Builder builder = RecordNews.newBuilder().setOwner(r.owner()).setEpoch(r.epoch()).setKind(r.kind())
-        .setKey(r.key()).setVersion(r.version()).setTtlMs(r.ttlMs()).setGoneMs(goneMs);
+    RecordNews.Builder builder =
+        RecordNews.newBuilder()
+            .setOwner(r.owner())
+            .setEpoch(r.epoch())
+            .setKind(r.kind())
+            .setKey(r.key())
+            .setVersion(r.version())
+            .setTtlMs(r.ttlMs())
+            .setGoneMs(goneMs);
     if (payload) {
       builder.setPayload(ByteString.copyFrom(r.payload()));
     }
@@ -64,14 +93,31 @@
   }
 
   static Told record(RecordNews n) {
-    if (n.getOwner().isEmpty() || n.getOwner().length() > MemberId.LONGEST_NAME || n.getKind().isEmpty()
-        || n.getKind().length() > MemberId.LONGEST_NAME || n.getKey().length() > LONGEST_KEY || n.getEpoch() <= 0
-        || n.getEpoch() > MOST_FIGURE || n.getVersion() < 0 || n.getVersion() > MOST_FIGURE || n.getTtlMs() < 0
-        || n.getTtlMs() > MOST_TTL_MS || n.getGoneMs() < 0 || n.getPayload().size() > Tuning.RECORD_BYTES) {
+    if (n.getOwner().isEmpty()
+        || n.getOwner().length() > MemberId.LONGEST_NAME
+        || n.getKind().isEmpty()
+        || n.getKind().length() > MemberId.LONGEST_NAME
+        || n.getKey().length() > LONGEST_KEY
+        || n.getEpoch() <= 0
+        || n.getEpoch() > MOST_FIGURE
+        || n.getVersion() < 0
+        || n.getVersion() > MOST_FIGURE
+        || n.getTtlMs() < 0
+        || n.getTtlMs() > MOST_TTL_MS
+        || n.getGoneMs() < 0
+        || n.getPayload().size() > Tuning.RECORD_BYTES) {
       return null;
     }
-    return new Told(new FleetRecord(n.getOwner(), n.getEpoch(), n.getKind(), n.getKey(), n.getVersion(), n.getTtlMs(),
-        n.getPayload().toByteArray()), n.getGoneMs());
+    return new Told(
+        new FleetRecord(
+            n.getOwner(),
+            n.getEpoch(),
+            n.getKind(),
+            n.getKey(),
+            n.getVersion(),
+            n.getTtlMs(),
+            n.getPayload().toByteArray()),
+        n.getGoneMs());
   }
 
   static Datagram datagram(byte[] bytes) {
--- a/src/main/java/rosecleat/fleet/Endpoint.java
+++ b/src/main/java/rosecleat/fleet/Endpoint.java
@@ -6,11 +6,22 @@
 
   /** Whether it can be dialled without asking a name service. */
   boolean usable() {
-    return port > 0 && port <= 0xffff && !host.isEmpty() && host.length() <= LONGEST
-        && host.chars().allMatch(c -> c >= '0' && c <= '9' || c == '.' || c == ':' || c >= 'a' && c <= 'f' || c == '%');
+    return port > 0
+        && port <= 0xffff
+        && !host.isEmpty()
+        && host.length() <= LONGEST
+        && host.chars()
+            .allMatch(
+                c ->
+                    c >= '0' && c <= '9'
+                        || c == '.'
+                        || c == ':'
+                        || c >= 'a' && c <= 'f'
+                        || c == '%');
   }
 
-  @Override public String toString() {
+  @Override
+  public String toString() {
     return host + ":" + port;
   }
 }
--- a/src/main/java/rosecleat/fleet/Fleet.java
+++ b/src/main/java/rosecleat/fleet/Fleet.java
@@ -21,22 +21,29 @@
 import rosecleat.fleet.wire.RecordNews;
 
 /**
- * One process's part in its fleet: what it holds of the others, and what it says to whom. Driven by {@link #wake},
- * {@link #datagram} and {@link Talk}; what is to be done comes out of {@link #effects}. Its clock is any that never goes
- * back (us); it need not be the time of day. For one thread.
+ * One process's part in its fleet: what it holds of the others, and what it says to whom. Driven by
+ * {@link #wake}, {@link #datagram} and {@link Talk}; what is to be done comes out of {@link
+ * #effects}. Its clock is any that never goes back (us); it need not be the time of day. For one
+ * thread.
  */
 public final class Fleet {
   /** What a process is, and where others may be met. */
-  public record Self(String cluster, MemberId id, Endpoint at, String zone, List<Endpoint> seeds) { }
+  public record Self(String cluster, MemberId id, Endpoint at, String zone, List<Endpoint> seeds) {}
 
   private static final long NEVER = Long.MAX_VALUE;
+
   /** What a datagram takes without news, at the most (bytes). */
   private static final int HEAD = 360;
+
   private static final int MOST_PROBES = 64;
   private static final int MOST_APPEALS = 4_096;
   private static final int APPEALS_AT_A_TIME = 12;
-  /** What was known elsewhere before is passed on so often: most have it, and exchanges do the rest. */
+
+  /**
+   * What was known elsewhere before is passed on so often: most have it, and exchanges do the rest.
+   */
   private static final int OLD_NEWS = 2;
+
   /** Guards the memory where nobody carries out what is asked. */
   private static final int MOST_EFFECTS = 100_000;
 
@@ -84,7 +91,8 @@
     self = new Member(who.id(), who.at(), who.zone(), State.ALIVE, 1, nowUs);
     members.add(self);
     agreement = new Agreement(periodUs, nowUs);
-    nextPeriodUs = nowUs + random.nextLong(periodUs); // processes started together must not fall in step
+    nextPeriodUs =
+        nowUs + random.nextLong(periodUs); // processes started together must not fall in step
     nextExchangeUs = nowUs;
     dueUs = nowUs;
   }
@@ -160,7 +168,9 @@
         }
       }
     }
-    seen.sort(Comparator.comparing((View.Seen s) -> s.id().name()).thenComparingLong(s -> s.id().epoch()));
+    seen.sort(
+        Comparator.comparing((View.Seen s) -> s.id().name())
+            .thenComparingLong(s -> s.id().epoch()));
     return new View(self.id, settled(nowUs), members.digest(), List.copyOf(seen));
   }
 
@@ -179,7 +189,8 @@
   public boolean publish(String kind, String key, byte[] payload, long ttlMs, long nowUs) {
     String name = kind + "\0" + key;
     long version = Math.max(versions.getOrDefault(name, 0L), held(kind, key)) + 1;
-    FleetRecord record = new FleetRecord(self.id.name(), self.id.epoch(), kind, key, version, ttlMs, payload);
+    FleetRecord record =
+        new FleetRecord(self.id.name(), self.id.epoch(), kind, key, version, ttlMs, payload);
     if (!records.take(record, 0, nowUs)) {
       count("record.refused");
       return false;
@@ -201,10 +212,12 @@
       return;
     }
     left = true;
-    members.change(self, () -> {
-      self.incarnation++;
-      self.state = State.LEFT;
-    });
+    members.change(
+        self,
+        () -> {
+          self.incarnation++;
+          self.state = State.LEFT;
+        });
     tell(self, 0, nowUs);
     for (Member other : members.some(2 * Tuning.MOST_FANOUT, null)) {
       send(other.at, datagram());
@@ -213,10 +226,12 @@
 
   /** It is reached elsewhere from now on. */
   public void moveTo(Endpoint at, long nowUs) {
-    members.change(self, () -> {
-      self.at = at;
-      self.incarnation++;
-    });
+    members.change(
+        self,
+        () -> {
+          self.at = at;
+          self.incarnation++;
+        });
     tell(self, 0, nowUs);
   }
 
@@ -244,7 +259,9 @@
     return dueUs;
   }
 
-  /** What local health makes of a time: once as long for each {@code steps} steps that it is worse. */
+  /**
+   * What local health makes of a time: once as long for each {@code steps} steps that it is worse.
+   */
   private double slowness(int steps) {
     return tuning.localHealth() ? 1 + (double) health / steps : 1;
   }
@@ -264,7 +281,9 @@
       }
     }
     nextProbeUs = NEVER;
-    probes.values().forEach(probe -> nextProbeUs = Math.min(nextProbeUs, Math.min(probe.askUs, probe.endUs)));
+    probes
+        .values()
+        .forEach(probe -> nextProbeUs = Math.min(nextProbeUs, Math.min(probe.askUs, probe.endUs)));
   }
 
   private void begin(Probe probe) {
@@ -274,8 +293,8 @@
   }
 
   /**
-   * Guards the others against this process's own pauses: what came meanwhile may not have been read yet, so time that it
-   * stood still counts for no probe and no suspicion.
+   * Guards the others against this process's own pauses: what came meanwhile may not have been read
+   * yet, so time that it stood still counts for no probe and no suspicion.
    */
   private void forgive(long nowUs) {
     long lateUs = nowUs - dueUs;
@@ -291,7 +310,9 @@
     suspects.removeIf(member -> member.state != State.SUSPECT);
     suspects.forEach(member -> member.suspectedUs += lateUs);
     nextProbeUs = NEVER;
-    probes.values().forEach(probe -> nextProbeUs = Math.min(nextProbeUs, Math.min(probe.askUs, probe.endUs)));
+    probes
+        .values()
+        .forEach(probe -> nextProbeUs = Math.min(nextProbeUs, Math.min(probe.askUs, probe.endUs)));
     nextCertainUs = NEVER;
     suspects.forEach(member -> nextCertainUs = Math.min(nextCertainUs, certainUs(member)));
   }
@@ -336,8 +357,12 @@
     boolean now = 2 * (members.others() + 1) <= members.expected();
     if (now != cut) {
       cut = now;
-      say(now, now ? "half of the fleet or more has gone: this process may be cut off, and forgets nobody for now"
-          : "most of the fleet is there again");
+      say(
+          now,
+          now
+              ? "half of the fleet or more has gone: this process may be cut off, and forgets"
+                  + " nobody for now"
+              : "most of the fleet is there again");
       count(now ? "cut" : "mended");
     }
   }
@@ -347,12 +372,21 @@
     suspects.removeIf(member -> member.state != State.SUSPECT);
     for (Member member : List.copyOf(suspects)) {
       if (nowUs >= certainUs(member)) {
-        members.change(member, () -> {
-          member.state = State.DEAD;
-          member.sinceUs = nowUs;
-        });
+        members.change(
+            member,
+            () -> {
+              member.state = State.DEAD;
+              member.sinceUs = nowUs;
+            });
         count("dead");
-        say(true, member.id + " at " + member.at + " is dead: it did not answer " + member.witnesses.size() + " witnesses");
+        say(
+            true,
+            member.id
+                + " at "
+                + member.at
+                + " is dead: it did not answer "
+                + member.witnesses.size()
+                + " witnesses");
         tell(member, 0, nowUs);
         changed();
       }
@@ -379,7 +413,8 @@
     for (Member member : List.copyOf(members.goneOnes())) {
       long periods = (nowUs - member.sinceUs) / periodUs;
       boolean replaced = member.state == State.DEAD && !members.newest(member);
-      if (member.state == State.LEFT && periods > Tuning.REMEMBER_LEFT || replaced && periods > Tuning.REMEMBER_LEFT
+      if (member.state == State.LEFT && periods > Tuning.REMEMBER_LEFT
+          || replaced && periods > Tuning.REMEMBER_LEFT
           || member.state == State.DEAD && periods > Tuning.REMEMBER_DEAD && !cut) {
         members.remove(member);
         twins.remove(member.id);
@@ -404,9 +439,11 @@
   }
 
   private void ping(Member target, int number) {
-    Datagram.Builder datagram = head().setPing(Ping.newBuilder().setSeq(number).setTarget(Codec.who(target.id)));
+    Datagram.Builder datagram =
+        head().setPing(Ping.newBuilder().setSeq(number).setTarget(Codec.who(target.id)));
     if (target.state != State.ALIVE) { // told to its face, so that it can say otherwise
-      datagram.addMembers(Codec.news(target, target.state == State.LEFT ? State.DEAD : target.state, self.hash));
+      datagram.addMembers(
+          Codec.news(target, target.state == State.LEFT ? State.DEAD : target.state, self.hash));
     }
     send(target.at, datagram);
   }
@@ -430,19 +467,30 @@
   }
 
   private void failed(Probe probe, long nowUs) {
-    if (probe.asker != null || !probe.target.state.here() || members.get(probe.target.id) != probe.target) {
+    if (probe.asker != null
+        || !probe.target.state.here()
+        || members.get(probe.target.id) != probe.target) {
       return;
     }
     count("probe.failed");
     if (probe.doubts) {
       if (probe.target.heardUs < nowUs - 2 * periodUs) {
-        gone(probe.target, new Codec.News(probe.target.id, probe.target.at, probe.target.zone, State.DEAD,
-            probe.target.incarnation, 0), nowUs);
+        gone(
+            probe.target,
+            new Codec.News(
+                probe.target.id,
+                probe.target.at,
+                probe.target.zone,
+                State.DEAD,
+                probe.target.incarnation,
+                0),
+            nowUs);
       }
       return;
     }
     if (!probe.asWitness && probe.nacks < probe.asked) {
-      ill(1); // relays did not even say that they had no answer: it may be this process that hears nothing
+      ill(1); // relays did not even say that they had no answer: it may be this process that hears
+      // nothing
     }
     if (probe.target.heardUs < nowUs - periodUs) {
       suspect(probe.target, probe.target.incarnation, self.hash, nowUs);
@@ -456,11 +504,13 @@
   private void suspect(Member member, long incarnation, long witness, long nowUs) {
     boolean fresh = member.state != State.SUSPECT || incarnation > member.incarnation;
     if (fresh) {
-      members.change(member, () -> {
-        member.state = State.SUSPECT;
-        member.incarnation = incarnation;
-        member.sinceUs = nowUs;
-      });
+      members.change(
+          member,
+          () -> {
+            member.state = State.SUSPECT;
+            member.incarnation = incarnation;
+            member.sinceUs = nowUs;
+          });
       member.witnesses = null;
       member.suspectedUs = nowUs;
       suspects.add(member);
@@ -482,12 +532,18 @@
     dueUs = Math.min(dueUs, nextCertainUs);
   }
 
-  /** Whether this process is among the few that look for themselves: by rendezvous, so that they need not agree on it. */
+  /**
+   * Whether this process is among the few that look for themselves: by rendezvous, so that they
+   * need not agree on it.
+   */
   private boolean watches(Member suspected) {
     long own = Hash.mix(self.hash ^ suspected.hash);
     int before = 0;
     for (Member other : members.all()) {
-      if (other.state == State.ALIVE && other != suspected && other != self && Hash.mix(other.hash ^ suspected.hash) > own
+      if (other.state == State.ALIVE
+          && other != suspected
+          && other != self
+          && Hash.mix(other.hash ^ suspected.hash) > own
           && ++before >= Tuning.WATCHERS) {
         return false;
       }
@@ -520,16 +576,22 @@
     if (witness == 0 && member.witnesses != null) {
       member.witnesses.forEach(w -> memberRumours.drop(new Suspected(member.id, w)));
     }
-    memberRumours.add(witness == 0 ? member.id : new Suspected(member.id, witness), news, news.getSerializedSize() + 3,
+    memberRumours.add(
+        witness == 0 ? member.id : new Suspected(member.id, witness),
+        news,
+        news.getSerializedSize() + 3,
         times > 0 ? times : Tuning.retransmits(members.others() + 1));
     wakeGossip(nowUs);
   }
 
-  private record Suspected(MemberId id, long witness) { }
+  private record Suspected(MemberId id, long witness) {}
 
   private void spread(FleetRecord record) {
     if (record.payload().length <= Tuning.RUMOUR_BYTES) {
-      recordRumours.add(record.id(), record.id(), Codec.record(record, 0, true).getSerializedSize() + 3,
+      recordRumours.add(
+          record.id(),
+          record.id(),
+          Codec.record(record, 0, true).getSerializedSize() + 3,
           Tuning.retransmits(members.others() + 1));
     }
   }
@@ -556,11 +618,15 @@
         send(other.at, datagram());
       }
     }
-    nextGossipUs = waiting > 0 || !appeals.isEmpty() ? nowUs + spread(periodUs / Tuning.GOSSIPS) : NEVER;
+    nextGossipUs =
+        waiting > 0 || !appeals.isEmpty() ? nowUs + spread(periodUs / Tuning.GOSSIPS) : NEVER;
   }
 
   private Datagram.Builder head() {
-    return Datagram.newBuilder().setCluster(cluster).setFrom(Codec.news(self, self.state, 0)).setDigest(members.digest())
+    return Datagram.newBuilder()
+        .setCluster(cluster)
+        .setFrom(Codec.news(self, self.state, 0))
+        .setDigest(members.digest())
         .setSync(sync());
   }
 
@@ -630,7 +696,7 @@
         }
       }
       case REQUEST -> asked(from, d.getRequest(), nowUs);
-      default -> { } // news alone
+      default -> {} // news alone
     }
     if (sender != null && sender.state == State.ALIVE) {
       compare(sender, d.getSync(), nowUs);
@@ -689,13 +755,23 @@
       count("request.refused");
       return;
     }
-    Probe probe = new Probe(++seq, member, nowUs + (long) (Tuning.DIRECT * periodUs), nowUs + periodUs, false, from.at(),
-        request.getSeq());
+    Probe probe =
+        new Probe(
+            ++seq,
+            member,
+            nowUs + (long) (Tuning.DIRECT * periodUs),
+            nowUs + periodUs,
+            false,
+            from.at(),
+            request.getSeq());
     begin(probe);
     ping(member, probe.seq);
   }
 
-  /** Takes what is told of a member; {@code whole} where it is part of an exchange of all that another holds. */
+  /**
+   * Takes what is told of a member; {@code whole} where it is part of an exchange of all that
+   * another holds.
+   */
   private void take(Codec.News news, boolean whole, long nowUs) {
     if (news.id().name().equals(self.id.name())) {
       if (news.id().equals(self.id)) {
@@ -726,7 +802,9 @@
         }
       }
       case DEAD -> {
-        if (same && member.state == State.ALIVE && (whole || nowUs - member.heardUs < 2 * periodUs)) {
+        if (same
+            && member.state == State.ALIVE
+            && (whole || nowUs - member.heardUs < 2 * periodUs)) {
           doubt(member, nowUs); // held for there on this side: it is asked before that is believed
         } else if (newer && member.state != State.LEFT || same && member.state.here()) {
           gone(member, news, nowUs);
@@ -740,7 +818,10 @@
     }
   }
 
-  /** Another holds for dead what is held for there here: it is dead only if it does not answer this process either. */
+  /**
+   * Another holds for dead what is held for there here: it is dead only if it does not answer this
+   * process either.
+   */
   private void doubt(Member member, long nowUs) {
     if (probes.size() >= MOST_PROBES) {
       appeal(member);
@@ -752,22 +833,28 @@
         return;
       }
     }
-    Probe probe = new Probe(++seq, member, NEVER, nowUs + (long) (slowness(2) * periodUs), true, null, 0);
+    Probe probe =
+        new Probe(++seq, member, NEVER, nowUs + (long) (slowness(2) * periodUs), true, null, 0);
     probe.doubts = true;
     begin(probe);
-    send(member.at, head().setPing(Ping.newBuilder().setSeq(probe.seq).setTarget(Codec.who(member.id)))
-        .addMembers(Codec.news(member, State.DEAD, 0)));
+    send(
+        member.at,
+        head()
+            .setPing(Ping.newBuilder().setSeq(probe.seq).setTarget(Codec.who(member.id)))
+            .addMembers(Codec.news(member, State.DEAD, 0)));
   }
 
   private void alive(Member member, Codec.News news, long nowUs) {
     boolean back = !member.state.here();
-    members.change(member, () -> {
-      member.state = State.ALIVE;
-      member.incarnation = news.incarnation();
-      member.at = news.at();
-      member.zone = news.zone();
-      member.sinceUs = nowUs;
-    });
+    members.change(
+        member,
+        () -> {
+          member.state = State.ALIVE;
+          member.incarnation = news.incarnation();
+          member.at = news.at();
+          member.zone = news.zone();
+          member.sinceUs = nowUs;
+        });
     tell(member, 0, nowUs);
     member.witnesses = null;
     count(back ? "back" : "refuted");
@@ -782,16 +869,20 @@
 
   private void gone(Member member, Codec.News news, long nowUs) {
     boolean was = member.state.here();
-    members.change(member, () -> {
-      member.state = news.state();
-      member.incarnation = news.incarnation();
-      member.sinceUs = nowUs;
-    });
+    members.change(
+        member,
+        () -> {
+          member.state = news.state();
+          member.incarnation = news.incarnation();
+          member.sinceUs = nowUs;
+        });
     tell(member, 0, nowUs);
     member.witnesses = null;
     if (was) {
       count(news.state() == State.LEFT ? "left" : "told.dead");
-      say(news.state() == State.DEAD, member.id + (news.state() == State.LEFT ? " has left" : " is dead, as others say"));
+      say(
+          news.state() == State.DEAD,
+          member.id + (news.state() == State.LEFT ? " has left" : " is dead, as others say"));
       changed();
     }
   }
@@ -801,7 +892,8 @@
       count("members.full");
       return;
     }
-    Member member = new Member(news.id(), news.at(), news.zone(), news.state(), news.incarnation(), nowUs);
+    Member member =
+        new Member(news.id(), news.at(), news.zone(), news.state(), news.incarnation(), nowUs);
     if (news.state() == State.SUSPECT) {
       member.witness(news.witness());
       member.suspectedUs = nowUs;
@@ -811,7 +903,13 @@
     members.add(member);
     if (news.state().here()) {
       count("joined");
-      say(false, member.id + " at " + member.at + (member.zone.isEmpty() ? "" : " in " + member.zone) + " has joined");
+      say(
+          false,
+          member.id
+              + " at "
+              + member.at
+              + (member.zone.isEmpty() ? "" : " in " + member.zone)
+              + " has joined");
       tell(member, news.state() == State.SUSPECT ? news.witness() : 0, nowUs, whole ? OLD_NEWS : 0);
       replace(member, nowUs);
       changed();
@@ -833,11 +931,16 @@
   /** Earlier starts at this member's address have ended: two processes can't have it. */
   private void replace(Member fresh, long nowUs) {
     for (Member other : List.copyOf(members.named(fresh.id.name()))) {
-      if (other != self && other.id.epoch() < fresh.id.epoch() && other.state.here() && other.at.equals(fresh.at)) {
-        members.change(other, () -> {
-          other.state = State.DEAD;
-          other.sinceUs = nowUs;
-        });
+      if (other != self
+          && other.id.epoch() < fresh.id.epoch()
+          && other.state.here()
+          && other.at.equals(fresh.at)) {
+        members.change(
+            other,
+            () -> {
+              other.state = State.DEAD;
+              other.sinceUs = nowUs;
+            });
         memberRumours.drop(other.id);
         count("replaced");
       }
@@ -846,12 +949,16 @@
 
   /** What others hold of this process itself. */
   private void ofItself(Codec.News news, long nowUs) {
-    if (!news.at().equals(self.at) && news.state().here() && news.incarnation() >= self.incarnation) {
+    if (!news.at().equals(self.at)
+        && news.state().here()
+        && news.incarnation() >= self.incarnation) {
       count("twin.epoch"); // another with the very same epoch: one of the two moves on
       become(self.id.epoch() + 1 + random.nextInt(1_000), nowUs);
       return;
     }
-    if (news.state() == State.ALIVE ? news.incarnation() <= self.incarnation : news.incarnation() < self.incarnation) {
+    if (news.state() == State.ALIVE
+        ? news.incarnation() <= self.incarnation
+        : news.incarnation() < self.incarnation) {
       return;
     }
     if (left) {
@@ -869,16 +976,29 @@
   private void ofItsName(Codec.News news, long nowUs) {
     if (news.at().equals(self.at)) {
       if (news.id().epoch() > self.id.epoch()) {
-        count("epoch.behind"); // its clock was set back since its former start: it is the newer one all the same
+        count("epoch.behind"); // its clock was set back since its former start: it is the newer one
+        // all the same
         become(news.id().epoch() + 1, nowUs);
       }
       return;
     }
     Member known = members.get(news.id());
-    if (news.state().here() && (known == null || known.state.here()) && twins.size() < 64 && twins.add(news.id())) {
+    if (news.state().here()
+        && (known == null || known.state.here())
+        && twins.size() < 64
+        && twins.add(news.id())) {
       count("twins");
-      say(true, "another process is named " + news.id().name() + ", at " + news.at() + " (epoch " + news.id().epoch()
-          + "; this one has " + self.id.epoch() + "): both are kept apart");
+      say(
+          true,
+          "another process is named "
+              + news.id().name()
+              + ", at "
+              + news.at()
+              + " (epoch "
+              + news.id().epoch()
+              + "; this one has "
+              + self.id.epoch()
+              + "): both are kept apart");
     }
   }
 
@@ -886,7 +1006,9 @@
   private void become(long epoch, long nowUs) {
     Member former = self;
     List<Member> others = members.all().stream().filter(m -> m != former).toList();
-    self = new Member(new MemberId(former.id.name(), epoch), former.at, former.zone, State.ALIVE, 1, nowUs);
+    self =
+        new Member(
+            new MemberId(former.id.name(), epoch), former.at, former.zone, State.ALIVE, 1, nowUs);
     members = new Members(self.id, random);
     members.add(self);
     others.forEach(members::add);
@@ -912,7 +1034,9 @@
     if (record.owner().equals(self.id.name()) && record.epoch() == self.id.epoch()) {
       Records.Held own = records.get(record.id());
       if (own == null || record.newerThan(own.record)) {
-        count("record.false"); // nobody else writes under this start: it is written anew, above what is told
+        count(
+            "record.false"); // nobody else writes under this start: it is written anew, above what
+        // is told
         versions.merge(record.kind() + "\0" + record.key(), record.version(), Math::max);
         if (own != null && record.version() < Long.MAX_VALUE / 4) {
           publish(record.kind(), record.key(), own.record.payload(), own.record.ttlMs(), nowUs);
@@ -943,7 +1067,8 @@
     if (differsSinceUs == NEVER) {
       differsSinceUs = nowUs;
     }
-    if (nowUs - differsSinceUs > 2 * periodUs && memberRumours.isEmpty() | nowUs - differsSinceUs > 3 * periodUs) {
+    if (nowUs - differsSinceUs > 2 * periodUs
+        && memberRumours.isEmpty() | nowUs - differsSinceUs > 3 * periodUs) {
       meet(with.at, "differs", nowUs);
     }
   }
@@ -982,7 +1107,8 @@
     }
 
     /** The next frame, given the other's last one (null at the start); null where it is over. */
-    @Override public byte[] next(byte[] received, long nowUs) {
+    @Override
+    public byte[] next(byte[] received, long nowUs) {
       lastUs = nowUs;
       Exchange in = received == null ? null : Codec.exchange(Seal.open(received, cluster));
       if (received != null && !usable(in, nowUs)) {
@@ -992,7 +1118,10 @@
       if (opener) {
         return switch (step) {
           case 1 -> frame(greeting());
-          case 2 -> in.getSame() ? null : frame(all(greeting()).addAllRecords(lacked(in)).addAllWanted(wanted(in)));
+          case 2 ->
+              in.getSame()
+                  ? null
+                  : frame(all(greeting()).addAllRecords(lacked(in)).addAllWanted(wanted(in)));
           default -> null;
         };
       }
@@ -1041,7 +1170,10 @@
   }
 
   private Exchange.Builder greeting() {
-    return Exchange.newBuilder().setCluster(cluster).setFrom(Codec.news(self, self.state, 0)).setSync(sync());
+    return Exchange.newBuilder()
+        .setCluster(cluster)
+        .setFrom(Codec.news(self, self.state, 0))
+        .setSync(sync());
   }
 
   private Exchange.Builder all(Exchange.Builder frame) {
@@ -1064,12 +1196,14 @@
   /** The records that the other, by its heads, lacks. */
   private List<RecordNews> lacked(Exchange in) {
     Map<FleetRecord.Key, FleetRecord> theirs = new HashMap<>();
-    in.getHeadsList().forEach(head -> {
-      Codec.Told told = Codec.record(head);
-      if (told != null) {
-        theirs.put(told.record().id(), told.record());
-      }
-    });
+    in.getHeadsList()
+        .forEach(
+            head -> {
+              Codec.Told told = Codec.record(head);
+              if (told != null) {
+                theirs.put(told.record().id(), told.record());
+              }
+            });
     List<RecordNews> lacked = new ArrayList<>();
     for (Records.Held held : records.all()) {
       if (held.record.newerThan(theirs.get(held.record.id()))) {
--- a/src/main/java/rosecleat/fleet/Hash.java
+++ b/src/main/java/rosecleat/fleet/Hash.java
@@ -1,8 +1,11 @@
 package rosecleat.fleet;
 
-/** A 64-bit hash that is the same in every process: FNV-1a, finished as in SplitMix64. No guard against chosen collisions. */
+/**
+ * A 64-bit hash that is the same in every process: FNV-1a, finished as in SplitMix64. No guard
+ * against chosen collisions.
+ */
 final class Hash {
-  private Hash() { }
+  private Hash() {}
 
   static long of(byte[] bytes, long seed) {
     long hash = 0xcbf29ce484222325L ^ mix(seed);
--- a/src/main/java/rosecleat/fleet/Member.java
+++ b/src/main/java/rosecleat/fleet/Member.java
@@ -11,15 +11,21 @@
   String zone;
   State state;
   long incarnation;
+
   /** Since when it stands so; and when something last came from itself. */
   long sinceUs;
+
   long heardUs = Long.MIN_VALUE / 2;
+
   /** Who had no answer from it, where it is suspected. */
   Set<Long> witnesses;
+
   /** When a suspicion becomes certain without further witnesses, by this process's own clock. */
   long suspectedUs;
+
   /** The digest that it told last, and when. */
   long toldDigest;
+
   long toldUs = Long.MIN_VALUE / 2;
 
   Member(MemberId id, Endpoint at, String zone, State state, long incarnation, long nowUs) {
--- a/src/main/java/rosecleat/fleet/MemberId.java
+++ b/src/main/java/rosecleat/fleet/MemberId.java
@@ -11,7 +11,8 @@
     return Hash.of(name.getBytes(StandardCharsets.UTF_8), epoch);
   }
 
-  @Override public String toString() {
+  @Override
+  public String toString() {
     return name + "/" + epoch;
   }
 }
--- a/src/main/java/rosecleat/fleet/Members.java
+++ b/src/main/java/rosecleat/fleet/Members.java
@@ -8,12 +8,17 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-/** All members that are known, dead ones with them; the ring of those that are there, and whose turn it is. */
+/**
+ * All members that are known, dead ones with them; the ring of those that are there, and whose turn
+ * it is.
+ */
 final class Members {
   private final Map<MemberId, Member> all = new HashMap<>();
   private final Map<String, List<Member>> byName = new HashMap<>();
+
   /** Others that are there, by hash: each watches the next one. */
   private final TreeMap<Long, Member> ring = new TreeMap<>();
+
   private final List<Member> turns = new ArrayList<>();
   private final List<Member> gone = new ArrayList<>();
   private final MemberId self;
@@ -98,7 +103,9 @@
     if (!member.state.here()) {
       gone.add(member);
     } else if (ring.put(member.hash, member) == null) {
-      turns.add(random.nextInt(turns.size() + 1), member); // as SWIM has it: a place in the round at random
+      turns.add(
+          random.nextInt(turns.size() + 1),
+          member); // as SWIM has it: a place in the round at random
     }
   }
 
@@ -146,7 +153,9 @@
   /** Some others that are there, at random, without one. */
   List<Member> some(int count, Member without) {
     List<Member> chosen = new ArrayList<>(count);
-    for (int tries = 0; tries < 4 * count + 8 && chosen.size() < Math.min(count, ring.size()) && !turns.isEmpty(); tries++) {
+    for (int tries = 0;
+        tries < 4 * count + 8 && chosen.size() < Math.min(count, ring.size()) && !turns.isEmpty();
+        tries++) {
       Member one = turns.get(random.nextInt(turns.size()));
       if (one != without && ring.get(one.hash) == one && !chosen.contains(one)) {
         chosen.add(one);
--- a/src/main/java/rosecleat/fleet/Records.java
+++ b/src/main/java/rosecleat/fleet/Records.java
@@ -7,12 +7,14 @@
 import java.util.Map;
 
 /**
- * The records of all owners. Which one holds is decided by epoch and version alone, so that any order of delivery ends
- * the same. The time since an owner has gone travels with its records: they age out everywhere at about the same time.
+ * The records of all owners. Which one holds is decided by epoch and version alone, so that any
+ * order of delivery ends the same. The time since an owner has gone travels with its records: they
+ * age out everywhere at about the same time.
  */
 final class Records {
   /** All together (count and bytes), and of one owner. */
   static final int MOST = 65_536;
+
   static final long MOST_BYTES = 32L << 20;
   static final int MOST_OF_ONE = 1_024;
 
@@ -39,15 +41,20 @@
   boolean take(FleetRecord record, long goneMs, long nowUs) {
     Held held = all.get(record.id());
     if (held != null && !record.newerThan(held.record)) {
-      if (record.epoch() == held.record.epoch() && record.version() == held.record.version() && goneMs > held.goneMs(nowUs)
+      if (record.epoch() == held.record.epoch()
+          && record.version() == held.record.version()
+          && goneMs > held.goneMs(nowUs)
           && held.goneUs != Long.MAX_VALUE) {
         held.goneUs = nowUs - goneMs * 1000; // another knows it for gone longer
       }
       return false;
     }
     int size = record.payload().length;
-    if (size > Tuning.RECORD_BYTES || record.ttlMs() < goneMs || held == null && (all.size() >= MOST
-        || counts.getOrDefault(record.owner(), 0) >= MOST_OF_ONE) || bytes + size > MOST_BYTES) {
+    if (size > Tuning.RECORD_BYTES
+        || record.ttlMs() < goneMs
+        || held == null
+            && (all.size() >= MOST || counts.getOrDefault(record.owner(), 0) >= MOST_OF_ONE)
+        || bytes + size > MOST_BYTES) {
       return false;
     }
     if (held == null) {
@@ -84,10 +91,13 @@
     return sync;
   }
 
-  /** Notes which owners have gone or are back, and drops what has aged out; returns what was dropped. */
+  /**
+   * Notes which owners have gone or are back, and drops what has aged out; returns what was
+   * dropped.
+   */
   List<FleetRecord> age(java.util.function.Predicate<FleetRecord> ownerIsHere, long nowUs) {
     List<FleetRecord> dropped = new ArrayList<>();
-    for (java.util.Iterator<Held> each = all.values().iterator(); each.hasNext();) {
+    for (java.util.Iterator<Held> each = all.values().iterator(); each.hasNext(); ) {
       Held held = each.next();
       if (ownerIsHere.test(held.record)) {
         held.goneUs = Long.MAX_VALUE;
@@ -98,7 +108,8 @@
         counts.merge(held.record.owner(), -1, Integer::sum);
         each.remove();
         FleetRecord r = held.record;
-        dropped.add(new FleetRecord(r.owner(), r.epoch(), r.kind(), r.key(), r.version(), r.ttlMs(), null));
+        dropped.add(
+            new FleetRecord(r.owner(), r.epoch(), r.kind(), r.key(), r.version(), r.ttlMs(), null));
       }
     }
     counts.values().removeIf(n -> n <= 0);
--- a/src/main/java/rosecleat/fleet/Rumours.java
+++ b/src/main/java/rosecleat/fleet/Rumours.java
@@ -7,13 +7,16 @@
 import java.util.Map;
 
 /**
- * What is to be passed on, each so often: what was told least goes first, and of that the newest. A newer rumour about the
- * same takes the place of the older one. Bounded: what was told most gives way.
+ * What is to be passed on, each so often: what was told least goes first, and of that the newest. A
+ * newer rumour about the same takes the place of the older one. Bounded: what was told most gives
+ * way.
  */
 final class Rumours<T> {
   private static final int MOST = 8_192;
+
   /** Rumours that do not fit a datagram are passed over, so many of them at a time. */
   private static final int PASSED_OVER = 4;
+
   /** No rumour takes less than this (bytes). */
   private static final int LEAST = 24;
 
@@ -35,6 +38,7 @@
 
   /** By how often they were told. */
   private final List<ArrayDeque<Rumour<T>>> queues = new ArrayList<>();
+
   private final Map<Object, Rumour<T>> known = new HashMap<>();
   private long bytes;
 
@@ -46,7 +50,9 @@
     queue(0).addFirst(fresh);
     bytes += size;
     for (int told = queues.size() - 1; known.size() > MOST && told >= 0; told--) {
-      for (Rumour<T> old = queues.get(told).pollLast(); old != null; old = known.size() > MOST ? queues.get(told).pollLast() : null) {
+      for (Rumour<T> old = queues.get(told).pollLast();
+          old != null;
+          old = known.size() > MOST ? queues.get(told).pollLast() : null) {
         forget(old);
       }
     }
@@ -81,7 +87,9 @@
     List<Rumour<T>> told = new ArrayList<>();
     List<Rumour<T>> passed = new ArrayList<>();
     int left = room;
-    for (int count = 0; count < queues.size() && left >= LEAST && passed.size() < PASSED_OVER; count++) {
+    for (int count = 0;
+        count < queues.size() && left >= LEAST && passed.size() < PASSED_OVER;
+        count++) {
       ArrayDeque<Rumour<T>> queue = queues.get(count);
       while (!queue.isEmpty() && left >= LEAST && passed.size() < PASSED_OVER) {
         Rumour<T> next = queue.pollFirst();
--- a/src/main/java/rosecleat/fleet/Seal.java
+++ b/src/main/java/rosecleat/fleet/Seal.java
@@ -5,18 +5,21 @@
 import java.util.Arrays;
 
 /**
- * A message as it travels: its hash under the cluster's name goes first. Guards against what was spoilt on the way and what
- * is of another kind or cluster; it is no signature.
+ * A message as it travels: its hash under the cluster's name goes first. Guards against what was
+ * spoilt on the way and what is of another kind or cluster; it is no signature.
  */
 public final class Seal {
   /** Bytes that it takes. */
   public static final int BYTES = 8;
 
-  private Seal() { }
+  private Seal() {}
 
   /** Seals a message. */
   public static byte[] seal(byte[] message, String cluster) {
-    return ByteBuffer.allocate(BYTES + message.length).putLong(hash(message, cluster)).put(message).array();
+    return ByteBuffer.allocate(BYTES + message.length)
+        .putLong(hash(message, cluster))
+        .put(message)
+        .array();
   }
 
   /** What was sealed; null where it is nothing of the kind. */
--- a/src/main/java/rosecleat/fleet/View.java
+++ b/src/main/java/rosecleat/fleet/View.java
@@ -11,7 +11,7 @@
  */
 public record View(MemberId self, boolean settled, long digest, List<Seen> members) {
   /** One member. */
-  public record Seen(MemberId id, Endpoint at, String zone, State state, long incarnation) { }
+  public record Seen(MemberId id, Endpoint at, String zone, State state, long incarnation) {}
 
   /** Those that are there. */
   public long here() {
--- a/src/main/java/rosecleat/fleet/link/FleetTask.java
+++ b/src/main/java/rosecleat/fleet/link/FleetTask.java
@@ -32,8 +32,9 @@
 import rosecleat.log.Log;
 
 /**
- * One thread that owns the fleet's sockets and its state; others leave it messages, in a mailbox that is bounded. Its
- * clock counts from the process's start and never goes back, whatever the time of day does.
+ * One thread that owns the fleet's sockets and its state; others leave it messages, in a mailbox
+ * that is bounded. Its clock counts from the process's start and never goes back, whatever the time
+ * of day does.
  */
 public final class FleetTask implements AutoCloseable {
   /** Exchanges of what is held; of a further kind by its number. */
@@ -43,18 +44,27 @@
   private static final int MOST_IN = 16;
   private static final int MOST_OUT = 4;
   private static final int MOST_DATAGRAMS = 512;
+
   /** An exchange may take so long without a byte, and so long in all (us). */
   private static final long STALL_US = 3_000_000;
+
   private static final long LONGEST_US = 60_000_000;
   private static final long REBIND_US = 500_000;
   private static final long LOOK_US = 50_000;
   private static final int TRIES = 16;
+
   /** Bytes in datagrams that may leave in a second, however much there is to say. */
   private static final long BYTES_PER_S = 8 << 20;
 
   /** What a process tells its fleet of itself. */
-  public record Settings(String name, String cluster, InetSocketAddress listen, InetSocketAddress advertise, String zone,
-      List<InetSocketAddress> seeds, long periodUs) { }
+  public record Settings(
+      String name,
+      String cluster,
+      InetSocketAddress listen,
+      InetSocketAddress advertise,
+      String zone,
+      List<InetSocketAddress> seeds,
+      long periodUs) {}
 
   /** Who hears of news, on the task's own thread; must not wait. */
   public interface Hearer {
@@ -119,11 +129,16 @@
     this.log = log;
     selector = Selector.open();
     bind();
-    long epochUs = System.currentTimeMillis() * 1000 + Math.floorMod(System.nanoTime() / 1000, 1000);
+    long epochUs =
+        System.currentTimeMillis() * 1000 + Math.floorMod(System.nanoTime() / 1000, 1000);
     MemberId self = new MemberId(settings.name, epochUs);
     List<Endpoint> seeds = settings.seeds.stream().map(FleetTask::endpoint).toList();
-    fleet = new Fleet(new Fleet.Self(settings.cluster, self, at, settings.zone, seeds), Tuning.of(settings.periodUs),
-        new SplittableRandom(epochUs ^ settings.name.hashCode() * 0x9e3779b97f4a7c15L), nowUs());
+    fleet =
+        new Fleet(
+            new Fleet.Self(settings.cluster, self, at, settings.zone, seeds),
+            Tuning.of(settings.periodUs),
+            new SplittableRandom(epochUs ^ settings.name.hashCode() * 0x9e3779b97f4a7c15L),
+            nowUs());
     view = fleet.view(nowUs());
     thread = new Thread(this::run, "fleet");
     thread.setDaemon(true);
@@ -176,7 +191,9 @@
     try {
       channel = SocketChannel.open();
       channel.configureBlocking(false);
-      channel.connect(new InetSocketAddress(InetAddress.getByName(with.host()), with.port())); // literal: asks nobody
+      channel.connect(
+          new InetSocketAddress(
+              InetAddress.getByName(with.host()), with.port())); // literal: asks nobody
       SelectionKey key = channel.register(selector, SelectionKey.OP_CONNECT);
       conversations.put(key, new Conversation(channel, kind, dialogue, nowUs()));
       return true;
@@ -187,13 +204,16 @@
     }
   }
 
-  /** Says that it goes, and ends once that is said; waits so long at the most (ms). For any thread. */
+  /**
+   * Says that it goes, and ends once that is said; waits so long at the most (ms). For any thread.
+   */
   public void leave(long mostMs) {
-    post(f -> {
-      f.leave(nowUs());
-      obey();
-      ending = true;
-    });
+    post(
+        f -> {
+          f.leave(nowUs());
+          obey();
+          ending = true;
+        });
     try {
       thread.join(Math.max(1, mostMs));
     } catch (InterruptedException e) {
@@ -202,7 +222,8 @@
   }
 
   /** Ends without a word. */
-  @Override public void close() {
+  @Override
+  public void close() {
     ending = true;
     selector.wakeup();
   }
@@ -216,7 +237,10 @@
       if (settings.listen.getPort() == 0) {
         at = new Endpoint(at.host(), port());
       }
-    } catch (IOException e) { // another process has the address: of this node, while it hands over, or by mistake
+    } catch (
+        IOException
+            e) { // another process has the address: of this node, while it hands over, or by
+      // mistake
       elsewhere = true;
       for (int i = 0; datagrams == null; i++) {
         try {
@@ -229,8 +253,14 @@
       }
       at = new Endpoint(endpoint(settings.advertise).host(), port());
       rebindUs = nowUs() + REBIND_US;
-      log.warn("fleet: can't listen at " + settings.listen + " (" + e.getMessage() + "); listens at " + at
-          + " until that is free");
+      log.warn(
+          "fleet: can't listen at "
+              + settings.listen
+              + " ("
+              + e.getMessage()
+              + "); listens at "
+              + at
+              + " until that is free");
     }
   }
 
@@ -300,13 +330,17 @@
     long due = guarded(() -> fleet.wake(nowUs()), nowUs() + settings.periodUs);
     obey();
     due = Math.min(due, look());
-    long waitMs = Math.max(1, Math.min(TimeUnit.MICROSECONDS.toMillis(due - nowUs()), settings.periodUs / 2_000));
+    long waitMs =
+        Math.max(
+            1, Math.min(TimeUnit.MICROSECONDS.toMillis(due - nowUs()), settings.periodUs / 2_000));
     selector.select(waitMs);
     for (SelectionKey key : selector.selectedKeys()) {
-      guarded(() -> {
-        ready(key);
-        return 0L;
-      }, 0);
+      guarded(
+          () -> {
+            ready(key);
+            return 0L;
+          },
+          0);
     }
     selector.selectedKeys().clear();
     for (int i = 0; i < MAILBOX; i++) {
@@ -314,10 +348,12 @@
       if (message == null) {
         break;
       }
-      guarded(() -> {
-        message.accept(fleet);
-        return 0L;
-      }, 0);
+      guarded(
+          () -> {
+            message.accept(fleet);
+            return 0L;
+          },
+          0);
     }
     long now = nowUs();
     stalled(now);
@@ -426,7 +462,8 @@
         }
       }
     } catch (IOException | CancelledKeyException e) {
-      // the opener of an exchange ends it between two frames: only one that still waits for an answer was broken off
+      // the opener of an exchange ends it between two frames: only one that still waits for an
+      // answer was broken off
       count(!c.opened && c.frames.between() ? "exchanges" : "exchange.broken");
       end(key, c, true);
     }
@@ -474,11 +511,12 @@
 
   private void stalled(long nowUs) {
     List<SelectionKey> over = new ArrayList<>();
-    conversations.forEach((key, c) -> {
-      if (nowUs - c.movedUs > STALL_US || nowUs > c.endUs) {
-        over.add(key);
-      }
-    });
+    conversations.forEach(
+        (key, c) -> {
+          if (nowUs - c.movedUs > STALL_US || nowUs > c.endUs) {
+            over.add(key);
+          }
+        });
     for (SelectionKey key : over) {
       count("exchange.stalled");
       end(key, conversations.get(key), true);
@@ -519,7 +557,8 @@
     }
     bytesLeft -= send.bytes().length;
     try {
-      InetSocketAddress to = new InetSocketAddress(InetAddress.getByName(send.to().host()), send.to().port());
+      InetSocketAddress to =
+          new InetSocketAddress(InetAddress.getByName(send.to().host()), send.to().port());
       if (datagrams.send(ByteBuffer.wrap(send.bytes()), to) == 0) {
         count("datagrams.full");
       } else {
--- a/src/main/java/rosecleat/fleet/link/Frames.java
+++ b/src/main/java/rosecleat/fleet/link/Frames.java
@@ -6,12 +6,13 @@
 import java.util.Arrays;
 
 /**
- * Frames on one connection: a byte that says what the exchange is about, four of length, the bytes. What is declared long
- * takes memory only as it comes.
+ * Frames on one connection: a byte that says what the exchange is about, four of length, the bytes.
+ * What is declared long takes memory only as it comes.
  */
 final class Frames {
   /** The longest frame (bytes). */
   static final int LONGEST = 64 << 20;
+
   private static final int FIRST = 4 << 10;
   private static final int HEAD = 5;
 
@@ -37,7 +38,10 @@
     return length < 0 && head.position() == 0 && out == null;
   }
 
-  /** Reads on; a whole frame, or null where more must come. Throws where the connection ended or lies. */
+  /**
+   * Reads on; a whole frame, or null where more must come. Throws where the connection ended or
+   * lies.
+   */
   byte[] read(ByteBuffer scratch) throws IOException {
     while (true) {
       if (length < 0) {
@@ -80,7 +84,12 @@
   }
 
   void send(int about, byte[] frame) {
-    out = ByteBuffer.allocate(HEAD + frame.length).put((byte) about).putInt(frame.length).put(frame).flip();
+    out =
+        ByteBuffer.allocate(HEAD + frame.length)
+            .put((byte) about)
+            .putInt(frame.length)
+            .put(frame)
+            .flip();
   }
 
   /** Writes on; true once nothing waits. */
--- a/src/main/java/rosecleat/front/resp/Fields.java
+++ b/src/main/java/rosecleat/front/resp/Fields.java
@@ -4,16 +4,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Front;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.net.Words;
 
 /** Reads the fields of a request; what is wrong with them is a value. */
 final class Fields {
   /** A request as read, or what is wrong with it. */
-  record Outcome(Request request, String wrong) { }
+  record Outcome(Request request, String wrong) {}
 
   private static final int LONGEST_BODY = 2 << 10;
   private static final long LONGEST_WAIT_MS = 3_600_000;
@@ -57,7 +57,8 @@
     }
     try {
       return new Outcome(request(klass, fields, body, front), null);
-    } catch (IllegalArgumentException e) { // a bad field is the caller's mistake and answered as such
+    } catch (
+        IllegalArgumentException e) { // a bad field is the caller's mistake and answered as such
       return wrong(e.getMessage());
     }
   }
@@ -82,17 +83,33 @@
     valid("once", once == null || Words.name(once));
     String key = fields.getOrDefault("key", "0");
     valid("key", Words.hex(key, 1, 16));
-    return new Request(id, at * 1000, waitMs * 1000, klass, grade.name(), tenant, from, retry == 1, kb, rank, once,
-        Long.parseUnsignedLong(key, 16), body, Map.of(), runner, front);
+    return new Request(
+        id,
+        at * 1000,
+        waitMs * 1000,
+        klass,
+        grade.name(),
+        tenant,
+        from,
+        retry == 1,
+        kb,
+        rank,
+        once,
+        Long.parseUnsignedLong(key, 16),
+        body,
+        Map.of(),
+        runner,
+        front);
   }
 
   private static Map<String, String> split(String text) {
     Map<String, String> fields = new HashMap<>();
-    for (int from = 0; from <= text.length();) {
+    for (int from = 0; from <= text.length(); ) {
       int comma = text.indexOf(',', from);
       int end = comma < 0 ? text.length() : comma;
       int equals = text.indexOf('=', from);
-      if (equals <= from || equals > end
+      if (equals <= from
+          || equals > end
           || fields.put(text.substring(from, equals), text.substring(equals + 1, end)) != null) {
         return null;
       }
--- a/src/main/java/rosecleat/front/resp/RespFront.java
+++ b/src/main/java/rosecleat/front/resp/RespFront.java
@@ -22,22 +22,40 @@
 import rosecleat.net.Listener;
 import rosecleat.net.Words;
 
-/** The platform's front: balancers' RESP2 connections, turned into requests to the core and back. */
+/**
+ * The platform's front: balancers' RESP2 connections, turned into requests to the core and back.
+ */
 public final class RespFront {
   private static final int LONGEST_STRING = 4 << 10;
   private static final int MOST_OPEN = 32;
-  /** What a connection reads at once (bytes), and the part of the heap that all these buffers may take together. */
+
+  /**
+   * What a connection reads at once (bytes), and the part of the heap that all these buffers may
+   * take together.
+   */
   private static final int LEAST_READ = 1 << 10;
+
   private static final int MOST_READ = 8 << 10;
   private static final int HEAP_PART = 8;
+
   /** A balancer that was told to close and has nothing open is given so long (us). */
   private static final long BYE_US = 1_000_000;
-  /** A connection that has brought no good request is closed when a whole message takes so long (us). */
+
+  /**
+   * A connection that has brought no good request is closed when a whole message takes so long
+   * (us).
+   */
   private static final long PATIENCE_US = 2_200_000;
+
   /** One that has is an honest sender, if a slow one. */
   private static final long HONEST_US = 10_000_000;
-  /** Mistakes in a row after which a connection is asked to close; a balancer that knows a class too few still sends others. */
+
+  /**
+   * Mistakes in a row after which a connection is asked to close; a balancer that knows a class too
+   * few still sends others.
+   */
   private static final int MOST_ERRORS = 64;
+
   /** After so many nothing more is heard on it. */
   private static final int DEAF_ERRORS = 2 * MOST_ERRORS;
 
@@ -52,8 +70,17 @@
   private int most;
   private final Set<Peer> peers = new LinkedHashSet<>();
 
-  /** A front that {@link #listen} opens, where it is told an address; at most {@code most} connections are open at a time. */
-  public RespFront(EventLoop loop, InetSocketAddress at, int most, Core core, Names names, LongSupplier clock,
+  /**
+   * A front that {@link #listen} opens, where it is told an address; at most {@code most}
+   * connections are open at a time.
+   */
+  public RespFront(
+      EventLoop loop,
+      InetSocketAddress at,
+      int most,
+      Core core,
+      Names names,
+      LongSupplier clock,
       Log log) {
     this.loop = loop;
     this.at = at;
@@ -68,16 +95,20 @@
   /** Listens for balancers from now on, beside any other process of this node that does. */
   public void listen() throws IOException {
     if (listener == null && at != null) {
-      listener = new Listener(loop, at, most, limits(Runtime.getRuntime().maxMemory(), most), this::adopt, true);
+      listener =
+          new Listener(
+              loop, at, most, limits(Runtime.getRuntime().maxMemory(), most), this::adopt, true);
     }
   }
 
   /**
-   * The bounds of each connection where so many may be open in a heap of so many bytes. Guards a small node with many
-   * descriptors: its read buffers alone could fill the heap. All that 32 open requests can be answered with fits the queue.
+   * The bounds of each connection where so many may be open in a heap of so many bytes. Guards a
+   * small node with many descriptors: its read buffers alone could fill the heap. All that 32 open
+   * requests can be answered with fits the queue.
    */
   static Connection.Limits limits(long heapBytes, int most) {
-    long read = Math.max(LEAST_READ, Math.min(MOST_READ, heapBytes / HEAP_PART / Math.max(1, most)));
+    long read =
+        Math.max(LEAST_READ, Math.min(MOST_READ, heapBytes / HEAP_PART / Math.max(1, most)));
     return new Connection.Limits((int) read, 64 << 10, 256 << 10, 5_000_000);
   }
 
@@ -94,8 +125,10 @@
     fields = new Fields(names.classes(), names.tenants(), names.runner());
   }
 
-  /** The names that requests may use, by number, null where a number has none; and what runs them. */
-  public record Names(List<Core.RequestClass> classes, List<String> tenants, Runner runner) { }
+  /**
+   * The names that requests may use, by number, null where a number has none; and what runs them.
+   */
+  public record Names(List<Core.RequestClass> classes, List<String> tenants, Runner runner) {}
 
   /** The port it listens on. */
   public int port() {
@@ -112,12 +145,18 @@
     return (int) peers.stream().filter(peer -> peer.parser.begun()).count();
   }
 
-  /** Accepts what waits and then nothing more, once no connection has come for so long; true when none can come. */
+  /**
+   * Accepts what waits and then nothing more, once no connection has come for so long; true when
+   * none can come.
+   */
   public boolean stopListening(long quietUs) {
     return listener == null || listener.closeWhenQuiet(quietUs);
   }
 
-  /** Ends every connection in order, as soon as nothing is owed on it; half a message is not waited for. */
+  /**
+   * Ends every connection in order, as soon as nothing is owed on it; half a message is not waited
+   * for.
+   */
   public void closeAll() {
     for (Peer peer : new ArrayList<>(peers)) {
       peer.impatient = true;
@@ -130,7 +169,10 @@
     return listener == null || listener.closeWhenEmpty();
   }
 
-  /** Asks balancers to close every connection that has stood idle for its time, or all; then sees to it. */
+  /**
+   * Asks balancers to close every connection that has stood idle for its time, or all; then sees to
+   * it.
+   */
   public void sweep(boolean all) {
     long now = clock.getAsLong();
     long idleUs = core.idleUs();
@@ -165,8 +207,12 @@
     private int errors;
     private boolean checks;
     private long leavingUs;
-    /** What comes makes no sense: nothing more is heard, and what was read before is still answered. */
+
+    /**
+     * What comes makes no sense: nothing more is heard, and what was read before is still answered.
+     */
     private boolean deaf;
+
     /** Half a message is not waited for. */
     private boolean impatient;
 
@@ -174,20 +220,23 @@
       this.connection = connection;
     }
 
-    @Override public void received(ByteBuffer bytes) {
+    @Override
+    public void received(ByteBuffer bytes) {
       if (deaf) {
         return;
       }
       usedUs = clock.getAsLong();
       try {
-        for (List<byte[]> words = parser.next(bytes); words != null && !deaf && !connection.isClosed();
+        for (List<byte[]> words = parser.next(bytes);
+            words != null && !deaf && !connection.isClosed();
             words = parser.next(bytes)) {
           spoke = true;
           partSinceUs = 0;
           message(words);
         }
         partSinceUs = !parser.begun() ? 0 : partSinceUs == 0 ? usedUs : partSinceUs;
-      } catch (RespParser.Malformed e) { // guards the rest: one stream that makes no sense ends alone
+      } catch (
+          RespParser.Malformed e) { // guards the rest: one stream that makes no sense ends alone
         counters.add("resp.malformed");
         log.warn("a balancer's connection is closed: " + e.getMessage());
         deaf = true;
@@ -195,17 +244,24 @@
       }
     }
 
-    /** Half a message is one that its sender may be about to finish: closing meanwhile would lose it. */
-    @Override public boolean owed() {
+    /**
+     * Half a message is one that its sender may be about to finish: closing meanwhile would lose
+     * it.
+     */
+    @Override
+    public boolean owed() {
       return !open.isEmpty() || parser.begun() && !deaf && !impatient;
     }
 
-    @Override public Connection.Use use() {
-      return !open.isEmpty() || parser.begun() ? Connection.Use.BUSY
+    @Override
+    public Connection.Use use() {
+      return !open.isEmpty() || parser.begun()
+          ? Connection.Use.BUSY
           : spoke ? Connection.Use.IDLE : Connection.Use.SILENT;
     }
 
-    @Override public void closed(Fault fault, boolean atEnd) {
+    @Override
+    public void closed(Fault fault, boolean atEnd) {
       peers.remove(this);
       listener.released(connection);
       for (Core.Handle handle : new ArrayList<>(open.values())) {
@@ -254,11 +310,14 @@
         return;
       }
       boolean[] answered = new boolean[1];
-      Fields.Outcome read = fields.read(words, answer -> {
-        answered[0] = true;
-        open.remove(tag);
-        reply(tag, answer);
-      });
+      Fields.Outcome read =
+          fields.read(
+              words,
+              answer -> {
+                answered[0] = true;
+                open.remove(tag);
+                reply(tag, answer);
+              });
       if (read.wrong() != null) {
         failed(tag, read.wrong());
         return;
@@ -279,12 +338,18 @@
     private void failed(long tag, String why) {
       counters.add("resp.bad");
       log.warn("request " + tag + " of a balancer failed: " + why);
-      connection.write(RespReplies.answer(tag, new Answer.Failed(
-          new Fault(Progress.NOT_SENT, why), Answer.Cause.CALLER), core.credit()));
+      connection.write(
+          RespReplies.answer(
+              tag,
+              new Answer.Failed(new Fault(Progress.NOT_SENT, why), Answer.Cause.CALLER),
+              core.credit()));
       erred();
     }
 
-    /** Guards the balancers: what floods the loop with mistakes is shut out, and one that goes on is heard no more. */
+    /**
+     * Guards the balancers: what floods the loop with mistakes is shut out, and one that goes on is
+     * heard no more.
+     */
     private void erred() {
       if (++errors == MOST_ERRORS) {
         counters.add("resp.errant");
@@ -300,13 +365,17 @@
     }
 
     /**
-     * Guards places and memory against peers that say nothing, or never finish what they began to say; but no slow
-     * sender is cut off from answers that are owed to it.
+     * Guards places and memory against peers that say nothing, or never finish what they began to
+     * say; but no slow sender is cut off from answers that are owed to it.
      */
     private void closeIfSlow(long now) {
       long patienceUs = honest ? HONEST_US : PATIENCE_US;
-      if (open.isEmpty() && !impatient && !deaf && !connection.isClosed()
-          && (!spoke && now - bornUs > patienceUs || partSinceUs > 0 && now - partSinceUs > patienceUs)) {
+      if (open.isEmpty()
+          && !impatient
+          && !deaf
+          && !connection.isClosed()
+          && (!spoke && now - bornUs > patienceUs
+              || partSinceUs > 0 && now - partSinceUs > patienceUs)) {
         counters.add("resp.slow");
         impatient = true;
         connection.closeGracefully();
--- a/src/main/java/rosecleat/front/resp/RespParser.java
+++ b/src/main/java/rosecleat/front/resp/RespParser.java
@@ -6,18 +6,29 @@
 import rosecleat.net.Words;
 
 /**
- * Takes RESP arrays of bulk strings out of a stream, whatever way its bytes come in. A string over the limit
- * is skipped and stands as null in its array, so that the rest of the array can still be answered.
+ * Takes RESP arrays of bulk strings out of a stream, whatever way its bytes come in. A string over
+ * the limit is skipped and stands as null in its array, so that the rest of the array can still be
+ * answered.
  */
 final class RespParser {
-  /** Strings in an array, at the most: a request has five. What is kept of one message is bounded by it. */
+  /**
+   * Strings in an array, at the most: a request has five. What is kept of one message is bounded by
+   * it.
+   */
   private static final int MOST = 8;
+
   /** A length that no honest peer sends; the stream is given up there. */
   private static final long ABSURD = 1 << 24;
+
   private static final int HEAD = 24;
 
   /** What stands in the stream next. */
-  private enum Next { ARRAY, LENGTH, STRING, END }
+  private enum Next {
+    ARRAY,
+    LENGTH,
+    STRING,
+    END
+  }
 
   /** Input that is no RESP array; the connection can't go on. */
   static final class Malformed extends Exception {
@@ -99,7 +110,10 @@
         continue;
       }
       int end = head.length() - 1;
-      long value = end < 1 || head.charAt(0) != sign || head.charAt(end) != '\r' ? -1 : Words.number(head, 1, end, 9);
+      long value =
+          end < 1 || head.charAt(0) != sign || head.charAt(end) != '\r'
+              ? -1
+              : Words.number(head, 1, end, 9);
       head.setLength(0);
       if (value < 0) {
         throw new Malformed("no " + sign + " with a number");
--- a/src/main/java/rosecleat/front/resp/RespReplies.java
+++ b/src/main/java/rosecleat/front/resp/RespReplies.java
@@ -8,7 +8,7 @@
 final class RespReplies {
   private static final byte[] NOTHING = new byte[0];
 
-  private RespReplies() { }
+  private RespReplies() {}
 
   static ByteBuffer bye() {
     return array(bytes("0"), bytes("BYE"));
@@ -25,7 +25,11 @@
     }
     if (answer instanceof Answer.Refused refused) {
       String after = refused.holdOffUs() > 0 ? "after=" + (refused.holdOffUs() + 999) / 1000 : "";
-      return array(tag(tag), bytes("BUSY"), bytes(join(say, after, refused.last() ? "last=1" : "")), NOTHING);
+      return array(
+          tag(tag),
+          bytes("BUSY"),
+          bytes(join(say, after, refused.last() ? "last=1" : "")),
+          NOTHING);
     }
     return array(tag(tag), bytes("FAILED"), bytes(say), NOTHING);
   }
--- a/src/main/java/rosecleat/front/resp/RespWarmup.java
+++ b/src/main/java/rosecleat/front/resp/RespWarmup.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import rosecleat.core.Core;
 
-/** Takes made-up requests from their bytes to the bytes of their answers, in memory: no socket is opened. */
+/**
+ * Takes made-up requests from their bytes to the bytes of their answers, in memory: no socket is
+ * opened.
+ */
 public final class RespWarmup {
   private final RespParser parser = new RespParser(4 << 10);
   private final Tags tags = new Tags();
@@ -24,17 +27,28 @@
   public boolean request(Core core, int n, long nowUs) {
     Core.RequestClass klass = classes.get(n % classes.size());
     String id = String.format("%016x", n);
-    String told = "id=" + id + ",at=" + nowUs / 1000 + ",from=" + n % 8 + ",wait=" + klass.dueUs() / 1000
-        + ",kb=10.5,rank=0.5000" + (tenants.isEmpty() ? "" : ",tenant=" + tenants.get(n % tenants.size()))
-        + (klass.keyed() ? ",once=" + id : "");
+    String told =
+        "id="
+            + id
+            + ",at="
+            + nowUs / 1000
+            + ",from="
+            + n % 8
+            + ",wait="
+            + klass.dueUs() / 1000
+            + ",kb=10.5,rank=0.5000"
+            + (tenants.isEmpty() ? "" : ",tenant=" + tenants.get(n % tenants.size()))
+            + (klass.keyed() ? ",once=" + id : "");
     StringBuilder text = new StringBuilder("*5\r\n");
     for (String word : List.of("DO", Integer.toString(n), klass.name(), told, "made up")) {
       text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
     }
     try {
-      List<byte[]> words = parser.next(ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8)));
+      List<byte[]> words =
+          parser.next(ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8)));
       tags.use(n);
-      Fields.Outcome read = fields.read(words, answer -> RespReplies.answer(n, answer, core.credit()));
+      Fields.Outcome read =
+          fields.read(words, answer -> RespReplies.answer(n, answer, core.credit()));
       if (read.wrong() == null) {
         core.submit(read.request());
       }
--- a/src/main/java/rosecleat/front/resp/Tags.java
+++ b/src/main/java/rosecleat/front/resp/Tags.java
@@ -4,7 +4,10 @@
 
 /** The tags used on one connection: all up to a floor, and some above it. */
 final class Tags {
-  /** Gaps are remembered up to so many tags above the floor; a peer that leaves more is not followed. */
+  /**
+   * Gaps are remembered up to so many tags above the floor; a peer that leaves more is not
+   * followed.
+   */
   private static final int MOST = 256;
 
   private final TreeSet<Long> above = new TreeSet<>();
--- a/src/main/java/rosecleat/front/uwsgi/AskOnce.java
+++ b/src/main/java/rosecleat/front/uwsgi/AskOnce.java
@@ -9,13 +9,14 @@
 import java.util.Map;
 
 /**
- * One uwsgi request as a web server sends it; prints the status and the body: {@code AskOnce HOST:PORT METHOD PATH TEAM
- * [BODY [KEY]]}. What {@code make ask} runs. Exit code 0 for an answer of 2xx, 1 for another, 2 for none.
+ * One uwsgi request as a web server sends it; prints the status and the body: {@code AskOnce
+ * HOST:PORT METHOD PATH TEAM [BODY [KEY]]}. What {@code make ask} runs. Exit code 0 for an answer
+ * of 2xx, 1 for another, 2 for none.
  */
 public final class AskOnce {
   private static final int PATIENCE_MS = 15_000;
 
-  private AskOnce() { }
+  private AskOnce() {}
 
   /** Sends it. */
   public static void main(String[] args) {
@@ -34,10 +35,14 @@
     }
     int colon = args[0].lastIndexOf(':');
     try (Socket socket = new Socket()) {
-      socket.connect(new InetSocketAddress(args[0].substring(0, colon), Integer.parseInt(args[0].substring(colon + 1))),
+      socket.connect(
+          new InetSocketAddress(
+              args[0].substring(0, colon), Integer.parseInt(args[0].substring(colon + 1))),
           PATIENCE_MS);
       socket.setSoTimeout(PATIENCE_MS);
-      socket.getOutputStream().write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars, body).encode().array());
+      socket
+          .getOutputStream()
+          .write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars, body).encode().array());
       ByteArrayOutputStream all = new ByteArrayOutputStream();
       socket.getInputStream().transferTo(all);
       System.exit(print(all.toString(StandardCharsets.UTF_8)));
--- a/src/main/java/rosecleat/front/uwsgi/HttpParser.java
+++ b/src/main/java/rosecleat/front/uwsgi/HttpParser.java
@@ -8,8 +8,8 @@
 import rosecleat.net.LineBuffer;
 
 /**
- * Takes the HTTP response of a uwsgi backend out of a stream: a status, headers, and a body up to a length. Heads that say
- * that the answer is still to come (1xx) are passed over.
+ * Takes the HTTP response of a uwsgi backend out of a stream: a status, headers, and a body up to a
+ * length. Heads that say that the answer is still to come (1xx) are passed over.
  */
 final class HttpParser {
   private static final int HEAD = 16 << 10;
@@ -85,10 +85,12 @@
       length = Long.parseLong(value);
     }
     int colon = line.indexOf(':');
-    if (lower.startsWith("transfer-encoding:") || !line.substring(0, Math.max(0, colon)).matches(TOKEN)) {
+    if (lower.startsWith("transfer-encoding:")
+        || !line.substring(0, Math.max(0, colon)).matches(TOKEN)) {
       return false;
     }
-    headers.add(new ServiceReply.Header(line.substring(0, colon), line.substring(colon + 1).trim()));
+    headers.add(
+        new ServiceReply.Header(line.substring(0, colon), line.substring(colon + 1).trim()));
     return true;
   }
 
--- a/src/main/java/rosecleat/front/uwsgi/Requests.java
+++ b/src/main/java/rosecleat/front/uwsgi/Requests.java
@@ -13,17 +13,18 @@
 import rosecleat.config.Backend;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.BrokerConfig.Operation;
-import rosecleat.core.Request;
 import rosecleat.core.Front;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 
 /** Turns the vars and the body of a uwsgi request into the core's request, by its contract. */
 final class Requests {
   /** The core's request with its operation, or the reply to what is wrong. */
-  record Outcome(Request request, Operation operation, HttpReply wrong) { }
+  record Outcome(Request request, Operation operation, HttpReply wrong) {}
 
   /** Callers of this front are numbered from here on, one a team. */
   private static final int CALLERS = 1_000_000;
+
   /** The runtime takes bodies up to so many bytes. */
   private static final int RUNTIME_BODY = 2 << 10;
 
@@ -54,20 +55,26 @@
     String method = packet.var("REQUEST_METHOD");
     String uri = packet.var("REQUEST_URI");
     int mark = uri.indexOf('?');
-    String path = packet.vars().containsKey("PATH_INFO") ? packet.var("PATH_INFO")
-        : mark < 0 ? uri : uri.substring(0, mark);
-    String query = packet.vars().containsKey("QUERY_STRING") ? packet.var("QUERY_STRING")
-        : mark < 0 ? "" : uri.substring(mark + 1);
+    String path =
+        packet.vars().containsKey("PATH_INFO")
+            ? packet.var("PATH_INFO")
+            : mark < 0 ? uri : uri.substring(0, mark);
+    String query =
+        packet.vars().containsKey("QUERY_STRING")
+            ? packet.var("QUERY_STRING")
+            : mark < 0 ? "" : uri.substring(mark + 1);
     if (method.isEmpty() || path.isEmpty()) {
       return wrong(400, Map.of(), "REQUEST_METHOD or PATH_INFO is missing");
     }
     Routes.Found found = routes.find(method, path);
     Operation operation = found.operation();
     if (operation == null && method.equals("OPTIONS") && !found.allow().isEmpty()) {
-      return new Outcome(null, null, new HttpReply(204, Map.of("Allow", found.allow()), new byte[0]));
+      return new Outcome(
+          null, null, new HttpReply(204, Map.of("Allow", found.allow()), new byte[0]));
     }
     if (operation == null) {
-      return found.allow().isEmpty() ? wrong(404, Map.of(), "no such operation")
+      return found.allow().isEmpty()
+          ? wrong(404, Map.of(), "no such operation")
           : wrong(405, Map.of("Allow", found.allow()), "the operation has other methods");
     }
     String team = packet.var(config.vars().team());
@@ -83,24 +90,47 @@
     if (operation.keyed() && !key.matches("[0-9A-Za-z_-]{1,64}")) {
       return wrong(400, Map.of(), config.vars().key() + " is missing or malformed");
     }
-    byte[] body = operation.backend() == null ? payload(packet.body(), found.parameters(), query) : packet.body();
+    byte[] body =
+        operation.backend() == null
+            ? payload(packet.body(), found.parameters(), query)
+            : packet.body();
     if (body == null) {
       return wrong(400, Map.of(), "QUERY_STRING is malformed");
     }
     if (operation.backend() == null && body.length > RUNTIME_BODY) {
       return wrong(413, Map.of(), "the body is too long");
     }
-    long waitUs = wait.isEmpty() ? operation.deadlineUs()
-        : Math.min(operation.deadlineUs(), 1000 * Long.parseLong(wait));
-    Request request = new Request(id(), nowUs, waitUs, operation.klass(), operation.kind(), tenant, caller(team),
-        packet.var(config.vars().retry()).equals("1"), operation.kb(), operation.rank(),
-        operation.keyed() ? key : null, 0, body,
-        operation.backend() == null ? Map.of() : passedOn(packet, operation, nowUs),
-        operation.backend() == null ? runtime : operation.backend() instanceof Backend.Sample ? samples : backends, front);
+    long waitUs =
+        wait.isEmpty()
+            ? operation.deadlineUs()
+            : Math.min(operation.deadlineUs(), 1000 * Long.parseLong(wait));
+    Request request =
+        new Request(
+            id(),
+            nowUs,
+            waitUs,
+            operation.klass(),
+            operation.kind(),
+            tenant,
+            caller(team),
+            packet.var(config.vars().retry()).equals("1"),
+            operation.kb(),
+            operation.rank(),
+            operation.keyed() ? key : null,
+            0,
+            body,
+            operation.backend() == null ? Map.of() : passedOn(packet, operation, nowUs),
+            operation.backend() == null
+                ? runtime
+                : operation.backend() instanceof Backend.Sample ? samples : backends,
+            front);
     return new Outcome(request, operation, null);
   }
 
-  /** What the runtime is given: the body as it came, or the parameters as JSON where there is no body. */
+  /**
+   * What the runtime is given: the body as it came, or the parameters as JSON where there is no
+   * body.
+   */
   private byte[] payload(byte[] body, Map<String, String> parameters, String query) {
     if (body.length > 0 || parameters.isEmpty() && query.isEmpty()) {
       return body;
@@ -110,7 +140,8 @@
       for (String pair : query.split("&")) {
         int equals = pair.indexOf('=');
         if (!pair.isEmpty()) {
-          all.put(decoded(equals < 0 ? pair : pair.substring(0, equals)),
+          all.put(
+              decoded(equals < 0 ? pair : pair.substring(0, equals)),
               equals < 0 ? "" : decoded(pair.substring(equals + 1)));
         }
       }
--- a/src/main/java/rosecleat/front/uwsgi/Routes.java
+++ b/src/main/java/rosecleat/front/uwsgi/Routes.java
@@ -9,8 +9,11 @@
 
 /** Finds the operation of a method and a path; literal segments go before templates. */
 final class Routes {
-  /** What was found: an operation with its path parameters, or the methods the path may be asked by, or nothing. */
-  record Found(Operation operation, Map<String, String> parameters, String allow) { }
+  /**
+   * What was found: an operation with its path parameters, or the methods the path may be asked by,
+   * or nothing.
+   */
+  record Found(Operation operation, Map<String, String> parameters, String allow) {}
 
   private static final class Node {
     final Map<String, Node> literal = new LinkedHashMap<>();
@@ -25,8 +28,11 @@
       Node node = root;
       for (String segment : operation.path().substring(1).split("/", -1)) {
         boolean variable = segment.startsWith("{") && segment.endsWith("}");
-        node = (variable ? node.template : node.literal)
-            .computeIfAbsent(variable ? segment.substring(1, segment.length() - 1) : segment, s -> new Node());
+        node =
+            (variable ? node.template : node.literal)
+                .computeIfAbsent(
+                    variable ? segment.substring(1, segment.length() - 1) : segment,
+                    s -> new Node());
       }
       node.methods.put(operation.method(), operation);
     }
@@ -38,8 +44,11 @@
     }
     List<Found> matches = new ArrayList<>();
     TreeSet<String> allowed = new TreeSet<>();
-    walk(root, path.substring(1).split("/", -1), 0, new LinkedHashMap<>(), method, matches, allowed);
-    return matches.isEmpty() ? new Found(null, Map.of(), String.join(", ", allowed)) : matches.get(0);
+    walk(
+        root, path.substring(1).split("/", -1), 0, new LinkedHashMap<>(), method, matches, allowed);
+    return matches.isEmpty()
+        ? new Found(null, Map.of(), String.join(", ", allowed))
+        : matches.get(0);
   }
 
   private static void allow(Node node, TreeSet<String> allowed) {
@@ -52,8 +61,14 @@
     }
   }
 
-  private static void walk(Node node, String[] segments, int at, Map<String, String> parameters, String method,
-      List<Found> matches, TreeSet<String> allowed) {
+  private static void walk(
+      Node node,
+      String[] segments,
+      int at,
+      Map<String, String> parameters,
+      String method,
+      List<Found> matches,
+      TreeSet<String> allowed) {
     if (!matches.isEmpty()) {
       return;
     }
@@ -75,10 +90,11 @@
     if (segments[at].isEmpty()) {
       return;
     }
-    node.template.forEach((name, next) -> {
-      parameters.put(name, segments[at]);
-      walk(next, segments, at + 1, parameters, method, matches, allowed);
-      parameters.remove(name);
-    });
+    node.template.forEach(
+        (name, next) -> {
+          parameters.put(name, segments[at]);
+          walk(next, segments, at + 1, parameters, method, matches, allowed);
+          parameters.remove(name);
+        });
   }
 }
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -6,12 +6,15 @@
 import java.util.concurrent.Future;
 import rosecleat.config.Backend;
 import rosecleat.config.BrokerConfig.Operation;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.net.EventLoop;
 
-/** Answers with the description's example after a while, so that a broker can be tried without any service. */
+/**
+ * Answers with the description's example after a while, so that a broker can be tried without any
+ * service.
+ */
 public final class SampleRunner implements Runner {
   private final EventLoop loop;
   private final Core core;
@@ -35,22 +38,32 @@
     samples = Map.copyOf(fresh);
   }
 
-  @Override public void start(Request request, long dueUs) {
+  @Override
+  public void start(Request request, long dueUs) {
     Backend.Sample sample = samples.get(request.attributes().get(UwsgiRunner.OPERATION));
     if (sample == null) { // its operation is no sample any more
       loop.execute(() -> core.ended(request.id(), End.UNREACHED, null, 0));
       return;
     }
-    byte[] reply = new ServiceReply(200, List.of(new ServiceReply.Header("Content-Type", sample.contentType())),
-        sample.body()).result();
-    runs.put(request.id(), loop.after(sample.tookUs(), () -> {
-      runs.remove(request.id());
-      core.counters().add("sample.runs");
-      core.ended(request.id(), End.OK, reply, sample.tookUs());
-    }));
+    byte[] reply =
+        new ServiceReply(
+                200,
+                List.of(new ServiceReply.Header("Content-Type", sample.contentType())),
+                sample.body())
+            .result();
+    runs.put(
+        request.id(),
+        loop.after(
+            sample.tookUs(),
+            () -> {
+              runs.remove(request.id());
+              core.counters().add("sample.runs");
+              core.ended(request.id(), End.OK, reply, sample.tookUs());
+            }));
   }
 
-  @Override public void stop(String id) {
+  @Override
+  public void stop(String id) {
     Future<?> run = runs.remove(id);
     if (run != null) {
       run.cancel(false);
@@ -58,7 +71,9 @@
     }
   }
 
-  @Override public void give(String id, byte[] reply) { }
+  @Override
+  public void give(String id, byte[] reply) {}
 
-  @Override public void omit(String id, long notice) { }
+  @Override
+  public void omit(String id, long notice) {}
 }
--- a/src/main/java/rosecleat/front/uwsgi/ServiceReply.java
+++ b/src/main/java/rosecleat/front/uwsgi/ServiceReply.java
@@ -10,17 +10,31 @@
 import java.util.TreeSet;
 
 /**
- * What a service answered, whole: its status, its headers in order, and its body. What belongs to its connection alone is
- * left out (RFC 9110, section 7.6.1). As bytes it is a request's result, kept and repeated like any other.
+ * What a service answered, whole: its status, its headers in order, and its body. What belongs to
+ * its connection alone is left out (RFC 9110, section 7.6.1). As bytes it is a request's result,
+ * kept and repeated like any other.
  */
 record ServiceReply(int status, List<Header> headers, byte[] body) {
   /** One header as it came. */
-  record Header(String name, String value) { }
+  record Header(String name, String value) {}
 
-  private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection", "proxy-authenticate",
-      "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade", "content-length");
+  private static final Set<String> HOP_BY_HOP =
+      Set.of(
+          "connection",
+          "keep-alive",
+          "proxy-connection",
+          "proxy-authenticate",
+          "proxy-authorization",
+          "te",
+          "trailer",
+          "transfer-encoding",
+          "upgrade",
+          "content-length");
 
-  /** A service's answer without what belongs to its connection alone, as well named in {@code Connection}. */
+  /**
+   * A service's answer without what belongs to its connection alone, as well named in {@code
+   * Connection}.
+   */
   static ServiceReply of(int status, List<Header> all, byte[] body) {
     Set<String> dropped = new TreeSet<>(HOP_BY_HOP);
     for (Header header : all) {
@@ -30,7 +44,8 @@
         }
       }
     }
-    List<Header> kept = all.stream().filter(h -> !dropped.contains(h.name.toLowerCase(Locale.ROOT))).toList();
+    List<Header> kept =
+        all.stream().filter(h -> !dropped.contains(h.name.toLowerCase(Locale.ROOT))).toList();
     return new ServiceReply(status, kept, body);
   }
 
@@ -64,7 +79,8 @@
         }
         status = Integer.parseInt(line);
       } else if (line.isEmpty()) {
-        return new ServiceReply(status, List.copyOf(headers), Arrays.copyOfRange(result, from, result.length));
+        return new ServiceReply(
+            status, List.copyOf(headers), Arrays.copyOfRange(result, from, result.length));
       } else {
         int colon = line.indexOf(':');
         if (colon < 1) {
@@ -78,8 +94,12 @@
 
   /** The head of the response to a caller; a service that named no type has the described one. */
   ByteBuffer head(String contentType) {
-    StringBuilder head = new StringBuilder("HTTP/1.1 ").append(status).append(' ').append(HttpReply.reason(status))
-        .append("\r\n");
+    StringBuilder head =
+        new StringBuilder("HTTP/1.1 ")
+            .append(status)
+            .append(' ')
+            .append(HttpReply.reason(status))
+            .append("\r\n");
     headers.forEach(h -> head.append(h.name).append(": ").append(h.value).append("\r\n"));
     if (body.length > 0 && !has("content-type")) {
       head.append("Content-Type: ").append(contentType).append("\r\n");
@@ -87,6 +107,7 @@
     if (status != 204 && status != 304) {
       head.append("Content-Length: ").append(body.length).append("\r\n");
     }
-    return ByteBuffer.wrap(head.append("Connection: close\r\n\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
+    return ByteBuffer.wrap(
+        head.append("Connection: close\r\n\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
   }
 }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFront.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFront.java
@@ -25,8 +25,10 @@
 /** The second front: uwsgi callers, one request a connection, answered as HTTP. */
 public final class UwsgiFront {
   private static final String PLAIN = "text/plain; charset=utf-8";
+
   /** An answer that comes so shortly before it is due was given up on for lack of time (us). */
   private static final long NEARLY_DUE_US = 50_000;
+
   private static final int HEAD_ROOM = 20 << 10;
 
   private final EventLoop loop;
@@ -42,8 +44,16 @@
   private long replying;
 
   /** A front that {@link #listen} opens; requests run on the runtime or on uwsgi backends. */
-  public UwsgiFront(EventLoop loop, BrokerConfig config, Core core, Runner runtime, Runner backends, Instances instances,
-      LongSupplier clock, Log log, long seed) {
+  public UwsgiFront(
+      EventLoop loop,
+      BrokerConfig config,
+      Core core,
+      Runner runtime,
+      Runner backends,
+      Instances instances,
+      LongSupplier clock,
+      Log log,
+      long seed) {
     this.instances = instances;
     this.loop = loop;
     this.config = config;
@@ -60,8 +70,15 @@
       return; // it stands, and the other front could not listen
     }
     BrokerConfig.Limits limits = config.limits();
-    listener = new Listener(loop, config.listen(), config.connections(), new Connection.Limits(8 << 10, 64 << 10,
-        limits.replyBytes() + HEAD_ROOM, limits.stallUs()), this::adopt, true);
+    listener =
+        new Listener(
+            loop,
+            config.listen(),
+            config.connections(),
+            new Connection.Limits(
+                8 << 10, 64 << 10, limits.replyBytes() + HEAD_ROOM, limits.stallUs()),
+            this::adopt,
+            true);
   }
 
   /** Accepts what waits, and then nothing more; true when none can come any more. */
@@ -90,7 +107,10 @@
     return replying;
   }
 
-  /** Accepts what waits and then nothing more, once no connection has come for so long; true when none can come. */
+  /**
+   * Accepts what waits and then nothing more, once no connection has come for so long; true when
+   * none can come.
+   */
   public boolean stopListening(long quietUs) {
     return listener == null || listener.closeWhenQuiet(quietUs);
   }
@@ -118,10 +138,14 @@
     connection.start(caller);
   }
 
-  /** One caller with its one request. Its patience ends what takes too long: the request, then the reply. */
+  /**
+   * One caller with its one request. Its patience ends what takes too long: the request, then the
+   * reply.
+   */
   private final class Caller implements Connection.Owner {
     private final Connection connection;
-    private final UwsgiParser parser = new UwsgiParser(config.limits().packetBytes(), config.limits().bodyBytes());
+    private final UwsgiParser parser =
+        new UwsgiParser(config.limits().packetBytes(), config.limits().bodyBytes());
     private final long acceptedUs = clock.getAsLong();
     private Future<?> patience;
     private Core.Handle handle;
@@ -144,7 +168,8 @@
       }
     }
 
-    @Override public void received(ByteBuffer bytes) {
+    @Override
+    public void received(ByteBuffer bytes) {
       if (taken || !parser.take(bytes)) {
         return; // what comes behind a request is no part of it
       }
@@ -180,15 +205,18 @@
       }
     }
 
-    @Override public Connection.Use use() {
+    @Override
+    public Connection.Use use() {
       return parser.begun() || taken ? Connection.Use.BUSY : Connection.Use.SILENT;
     }
 
-    @Override public boolean owed() {
+    @Override
+    public boolean owed() {
       return taken && !answered;
     }
 
-    @Override public void closed(Fault fault, boolean atEnd) {
+    @Override
+    public void closed(Fault fault, boolean atEnd) {
       callers.remove(this);
       patience.cancel(false);
       replying -= booked;
@@ -212,29 +240,46 @@
           return;
         }
         long seconds = Math.max(1, (refused.holdOffUs() + 999_999) / 1_000_000);
-        reply(HttpReply.words(503, Map.of("Retry-After", Long.toString(seconds), "X-Progress",
-            word(Progress.NOT_SENT)), "turned away"), PLAIN);
+        reply(
+            HttpReply.words(
+                503,
+                Map.of(
+                    "Retry-After", Long.toString(seconds), "X-Progress", word(Progress.NOT_SENT)),
+                "turned away"),
+            PLAIN);
       } else if (answer instanceof Answer.Failed failed) {
-        if (failed.fault().progress().neverRan() && operation.backend() instanceof Backend.Fleet fleet
+        if (failed.fault().progress().neverRan()
+            && operation.backend() instanceof Backend.Fleet fleet
             && instances.none(fleet.service())) { // not a broken backend: there is none
-          reply(HttpReply.words(503, Map.of("Retry-After", "1", "X-Progress", word(Progress.NOT_SENT)),
-              "no instance of " + fleet.service() + " takes requests"), PLAIN);
+          reply(
+              HttpReply.words(
+                  503,
+                  Map.of("Retry-After", "1", "X-Progress", word(Progress.NOT_SENT)),
+                  "no instance of " + fleet.service() + " takes requests"),
+              PLAIN);
           return;
         }
-        int status = switch (failed.cause()) {
-          case CALLER -> 400;
-          case TIME -> 504;
-          case BACKEND -> 502;
-        };
-        reply(HttpReply.words(status, progress(failed.fault().progress()), failed.fault().why()), PLAIN);
+        int status =
+            switch (failed.cause()) {
+              case CALLER -> 400;
+              case TIME -> 504;
+              case BACKEND -> 502;
+            };
+        reply(
+            HttpReply.words(status, progress(failed.fault().progress()), failed.fault().why()),
+            PLAIN);
       }
     }
 
     /** Guards the memory that all callers' replies take together. */
     private void serve(byte[] result) {
       ServiceReply own = operation.backend() == null ? null : ServiceReply.read(result);
-      byte[] body = own == null ? result : own.body(); // the runtime's, or of a program that kept bodies alone
-      if (body.length > config.limits().replyBytes() || replying + body.length > config.limits().repliesBytes()) {
+      byte[] body =
+          own == null
+              ? result
+              : own.body(); // the runtime's, or of a program that kept bodies alone
+      if (body.length > config.limits().replyBytes()
+          || replying + body.length > config.limits().repliesBytes()) {
         counters.add("uwsgi.noroom");
         log.warn("no room for a reply of " + body.length + " bytes, " + replying + " wait");
         reply(HttpReply.words(502, progress(Progress.RAN), "no room for the reply"), PLAIN);
@@ -261,7 +306,9 @@
       }
       connection.closeGracefully();
       patience.cancel(false);
-      patience = loop.after(config.limits().replyUs(), () -> connection.abort("the reply was not taken in time"));
+      patience =
+          loop.after(
+              config.limits().replyUs(), () -> connection.abort("the reply was not taken in time"));
     }
 
     private static Map<String, String> progress(Progress progress) {
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiPacket.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiPacket.java
@@ -9,8 +9,10 @@
 record UwsgiPacket(int modifier1, int modifier2, Map<String, String> vars, byte[] body) {
   /** The modifier of a request with vars, as web servers send it. */
   static final int REQUEST = 0;
+
   /** The modifier of a ping, answered by the same with modifier2 set to 1. */
   static final int PING = 100;
+
   static final int HEADER = 4;
   private static final int LONGEST = 0xffff;
 
@@ -30,7 +32,10 @@
       return null;
     }
     ByteBuffer out = ByteBuffer.allocate(HEADER + block.size() + body.length);
-    out.put((byte) modifier1).put((byte) block.size()).put((byte) (block.size() >> 8)).put((byte) modifier2);
+    out.put((byte) modifier1)
+        .put((byte) block.size())
+        .put((byte) (block.size() >> 8))
+        .put((byte) modifier2);
     return out.put(block.toByteArray()).put(body).flip();
   }
 
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiParser.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiParser.java
@@ -7,7 +7,13 @@
 
 /** Takes one uwsgi request out of a stream, whatever way its bytes come in, within limits. */
 final class UwsgiParser {
-  private enum Next { HEADER, VARS, BODY, WHOLE, WRONG }
+  private enum Next {
+    HEADER,
+    VARS,
+    BODY,
+    WHOLE,
+    WRONG
+  }
 
   private static final int BAD = 400;
   private static final int TOO_LARGE = 413;
@@ -97,7 +103,8 @@
         return;
       }
       String before = found.put(name, value);
-      if (before != null && !before.equals(value)) { // two lengths or keys: nobody can say which is meant
+      if (before != null
+          && !before.equals(value)) { // two lengths or keys: nobody can say which is meant
         wrong(BAD, "a var is given twice");
         return;
       }
