--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -7,27 +7,37 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.function.LongSupplier;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Fault;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
 
-/** The uwsgi client: runs requests on uwsgi backends, a connection each. How a run ended is what is proven. */
+/**
+ * The uwsgi client: runs requests on uwsgi backends, a connection each. How a run ended is what is
+ * proven.
+ */
 public final class UwsgiRunner implements Runner {
-  /** The attributes that name a request's backend, or the service whose instances run it; and its operation. */
+  /**
+   * The attributes that name a request's backend, or the service whose instances run it; and its
+   * operation.
+   */
   static final String BACKEND = "rosecleat.backend";
+
   static final String SERVICE = "rosecleat.service";
   static final String OPERATION = "rosecleat.operation";
+
   /** The end of its key's window. */
   static final String UNTIL = "rosecleat.until";
 
   private static final Set<String> OURS = Set.of(BACKEND, SERVICE, OPERATION, UNTIL);
   private static final long DIAL_US = 1_000_000;
+
   /** What a connection's queue holds beside a body: a packet's vars are 64 KiB at the most. */
   private static final int HEAD_ROOM = 128 << 10;
+
   /** A run is given up so long after its answer was due (us). */
   private static final long LATE_US = 1_000_000;
 
@@ -39,8 +49,12 @@
   private final Instances instances;
   private final Map<String, Run> runs = new HashMap<>();
 
-  /** A client whose backends' replies may be so long; the backends of some services are {@code instances}. */
-  public UwsgiRunner(EventLoop loop, Core core, LongSupplier clock, int replyBytes, Instances instances) {
+  /**
+   * A client whose backends' replies may be so long; the backends of some services are {@code
+   * instances}.
+   */
+  public UwsgiRunner(
+      EventLoop loop, Core core, LongSupplier clock, int replyBytes, Instances instances) {
     this.instances = instances;
     this.loop = loop;
     this.core = core;
@@ -49,11 +63,13 @@
     counters = core.counters();
   }
 
-  @Override public void start(Request request, long dueUs) {
+  @Override
+  public void start(Request request, long dueUs) {
     Run run = new Run(request);
     runs.put(request.id(), run);
     run.timer = loop.after(dueUs + LATE_US - run.startedUs, run::late);
-    Connection.Limits limits = new Connection.Limits(8 << 10, 64 << 10, HEAD_ROOM + request.body().length, 5_000_000);
+    Connection.Limits limits =
+        new Connection.Limits(8 << 10, 64 << 10, HEAD_ROOM + request.body().length, 5_000_000);
     InetSocketAddress at = run.place();
     if (at == null) { // told like any other end, not inside the order
       loop.execute(() -> run.end(End.UNREACHED, null));
@@ -62,16 +78,20 @@
     Connection.dial(loop, at, DIAL_US, limits, run);
   }
 
-  @Override public void stop(String id) {
+  @Override
+  public void stop(String id) {
     Run run = runs.get(id);
     if (run != null) {
-      loop.execute(() -> run.end(End.HALTED, null)); // told like any other end, not inside the order
+      loop.execute(
+          () -> run.end(End.HALTED, null)); // told like any other end, not inside the order
     }
   }
 
-  @Override public void give(String id, byte[] reply) { }
+  @Override
+  public void give(String id, byte[] reply) {}
 
-  @Override public void omit(String id, long notice) { }
+  @Override
+  public void omit(String id, long notice) {}
 
   /** One run on one connection. */
   private final class Run implements Connection.ConnectHandler, Connection.Owner {
@@ -88,21 +108,33 @@
       this.request = request;
     }
 
-    /** Where it runs, chosen now: since it arrived instances may have come and gone. Null for nowhere. */
+    /**
+     * Where it runs, chosen now: since it arrived instances may have come and gone. Null for
+     * nowhere.
+     */
     private InetSocketAddress place() {
       Map<String, String> known = request.attributes();
       String service = known.get(SERVICE);
       if (service != null) {
-        lease = instances.lease(new Instances.Run(service, known.get(OPERATION), request.once(),
-            request.once() == null ? 0 : Long.parseLong(known.get(UNTIL)), request.body().length), startedUs);
+        lease =
+            instances.lease(
+                new Instances.Run(
+                    service,
+                    known.get(OPERATION),
+                    request.once(),
+                    request.once() == null ? 0 : Long.parseLong(known.get(UNTIL)),
+                    request.body().length),
+                startedUs);
         return lease == null ? null : lease.address();
       }
       String backend = known.get(BACKEND);
       int colon = backend.lastIndexOf(':');
-      return new InetSocketAddress(backend.substring(0, colon), Integer.parseInt(backend.substring(colon + 1)));
+      return new InetSocketAddress(
+          backend.substring(0, colon), Integer.parseInt(backend.substring(colon + 1)));
     }
 
-    @Override public void connected(Connection fresh) {
+    @Override
+    public void connected(Connection fresh) {
       if (over) {
         fresh.abort("stopped before it was sent");
         return;
@@ -126,17 +158,21 @@
       vars.keySet().removeAll(OURS);
       vars.put("CONTENT_LENGTH", Integer.toString(request.body().length));
       vars.put("HTTP_X_REQUEST_ID", request.id());
-      vars.put("HTTP_X_DEADLINE_MS",
-          Long.toString(Math.max(1, (request.atUs() + request.waitUs() - clock.getAsLong()) / 1000)));
+      vars.put(
+          "HTTP_X_DEADLINE_MS",
+          Long.toString(
+              Math.max(1, (request.atUs() + request.waitUs() - clock.getAsLong()) / 1000)));
       return vars;
     }
 
     /** Nothing was reached, so nothing ran. */
-    @Override public void failed(Fault fault) {
+    @Override
+    public void failed(Fault fault) {
       end(End.UNREACHED, null);
     }
 
-    @Override public void received(ByteBuffer bytes) {
+    @Override
+    public void received(ByteBuffer bytes) {
       if (!parser.take(bytes)) {
         end(End.FAILED, null);
       } else if (parser.whole(false)) {
@@ -145,7 +181,8 @@
     }
 
     /** A connection that breaks after the request was sent proves nothing of the run. */
-    @Override public void closed(Fault fault, boolean atEnd) {
+    @Override
+    public void closed(Fault fault, boolean atEnd) {
       if (atEnd && parser.whole(true)) {
         finished();
       } else {
@@ -153,7 +190,10 @@
       }
     }
 
-    /** Whatever a service answers whole is its answer, also that something is not there or went wrong. */
+    /**
+     * Whatever a service answers whole is its answer, also that something is not there or went
+     * wrong.
+     */
     private void finished() {
       ServiceReply reply = parser.reply();
       counters.add("backend.status." + reply.status() / 100 + "xx");
--- a/src/main/java/rosecleat/handover/FileClaims.java
+++ b/src/main/java/rosecleat/handover/FileClaims.java
@@ -20,21 +20,29 @@
 import rosecleat.net.Words;
 
 /**
- * Claims as files in a folder that the processes of a node share. A claim is a symbolic link whose target says owner,
- * end of the window and digest: it is created whole or not at all, by one process alone, and takes no page of memory. A
- * result is a file beside it that is there whole or not at all. Both go when no try can ask for them any more.
+ * Claims as files in a folder that the processes of a node share. A claim is a symbolic link whose
+ * target says owner, end of the window and digest: it is created whole or not at all, by one
+ * process alone, and takes no page of memory. A result is a file beside it that is there whole or
+ * not at all. Both go when no try can ask for them any more.
  */
 final class FileClaims implements Claims {
-  /** Claims of this process at a time: files count as memory. Beyond that no keyed request is begun. */
+  /**
+   * Claims of this process at a time: files count as memory. Beyond that no keyed request is begun.
+   */
   private static final int MOST_CLAIMS = 8_192;
-  /** Results kept at a time, some 4 KB each; where one had to go, repeats elsewhere fail rather than run again. */
+
+  /**
+   * Results kept at a time, some 4 KB each; where one had to go, repeats elsewhere fail rather than
+   * run again.
+   */
   private static final int MOST_RESULTS = 2_048;
+
   private static final String RESULT = ".result";
   private static final HexFormat HEX = HexFormat.of();
 
-  private record Claim(int owner, long untilUs, byte[] digest) { }
+  private record Claim(int owner, long untilUs, byte[] digest) {}
 
-  private record Kept(String file, long untilUs) { }
+  private record Kept(String file, long untilUs) {}
 
   private final Path folder;
   private final Path scratch;
@@ -63,7 +71,8 @@
 
   private static String file(String key) {
     try {
-      return HEX.formatHex(MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8)));
+      return HEX.formatHex(
+          MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e); // each Java platform has it
     }
@@ -74,22 +83,27 @@
     try {
       String[] words = Files.readSymbolicLink(folder.resolve(file)).toString().split(":", -1);
       long owner = words.length == 3 ? Words.number(words[0], 9) : -1;
-      return owner < 1 ? null : new Claim((int) owner, Words.number(words[1], 18), HEX.parseHex(words[2]));
+      return owner < 1
+          ? null
+          : new Claim((int) owner, Words.number(words[1], 18), HEX.parseHex(words[2]));
     } catch (IOException | IllegalArgumentException e) {
       return null;
     }
   }
 
-  @Override public Standing look(String key) {
+  @Override
+  public Standing look(String key) {
     return standing(read(file(key)));
   }
 
   private Standing standing(Claim claim) {
-    return claim == null ? new Free() : claim.owner == marks.number() ? new Mine()
-        : new Others(claim.digest, claim.untilUs);
+    return claim == null
+        ? new Free()
+        : claim.owner == marks.number() ? new Mine() : new Others(claim.digest, claim.untilUs);
   }
 
-  @Override public Standing claim(String key, byte[] digest, long untilUs) {
+  @Override
+  public Standing claim(String key, byte[] digest, long untilUs) {
     if (mine.size() >= MOST_CLAIMS) {
       counters.add("claims.full");
       return new Free();
@@ -118,7 +132,8 @@
     return new Mine();
   }
 
-  @Override public void ended(String key, byte[] result) {
+  @Override
+  public void ended(String key, byte[] result) {
     String file = file(key);
     if (mine.containsKey(file)) {
       write(file, result == null ? new byte[0] : framed(result));
@@ -152,26 +167,35 @@
     }
   }
 
-  @Override public void neverRan(String key) {
+  @Override
+  public void neverRan(String key) {
     String file = file(key);
     if (mine.remove(file) != null) {
       delete(file);
     }
   }
 
-  @Override public Outcome outcome(String key) {
+  @Override
+  public Outcome outcome(String key) {
     String file = file(key);
     try {
       byte[] bytes = Files.readAllBytes(folder.resolve(file + RESULT));
-      return new Outcome(true, bytes.length == 0 ? null : Arrays.copyOfRange(bytes, 1, bytes.length));
+      return new Outcome(
+          true, bytes.length == 0 ? null : Arrays.copyOfRange(bytes, 1, bytes.length));
     } catch (IOException e) {
       Claim claim = read(file);
-      return claim == null ? new Outcome(false, null)
-          : marks.lives(claim.owner) || Files.exists(folder.resolve(file + RESULT)) ? null : new Outcome(true, null);
+      return claim == null
+          ? new Outcome(false, null)
+          : marks.lives(claim.owner) || Files.exists(folder.resolve(file + RESULT))
+              ? null
+              : new Outcome(true, null);
     }
   }
 
-  /** Takes away what has lapsed of this process, and, where no older one lives, of those that are dead. */
+  /**
+   * Takes away what has lapsed of this process, and, where no older one lives, of those that are
+   * dead.
+   */
   void expire(long nowUs, boolean oldest) {
     while (!kept.isEmpty() && kept.peek().untilUs + lateUs < nowUs) {
       Kept lapsed = kept.remove();
@@ -189,7 +213,10 @@
     }
   }
 
-  /** Only the oldest live process does this: two that delete could delete what a third has just claimed. */
+  /**
+   * Only the oldest live process does this: two that delete could delete what a third has just
+   * claimed.
+   */
   private void expireDead(long nowUs) throws IOException {
     othersLeft = false;
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
--- a/src/main/java/rosecleat/handover/Handover.java
+++ b/src/main/java/rosecleat/handover/Handover.java
@@ -9,8 +9,9 @@
 import rosecleat.log.Log;
 
 /**
- * The other processes of this node, as far as this one can see them in the folder they share. Without a folder there
- * are none. What it says was true at the last {@link #look}; for the loop, but for {@link #successorLives}.
+ * The other processes of this node, as far as this one can see them in the folder they share.
+ * Without a folder there are none. What it says was true at the last {@link #look}; for the loop,
+ * but for {@link #successorLives}.
  */
 public final class Handover implements AutoCloseable {
   private static final long EXPIRE_US = 1_000_000;
@@ -44,7 +45,8 @@
     loads = new Loads(folder, marks.number());
     look(0);
     if (predecessor) {
-      log.info("this is process " + marks.number() + " of its node, and takes over from an older one");
+      log.info(
+          "this is process " + marks.number() + " of its node, and takes over from an older one");
     }
   }
 
@@ -130,7 +132,8 @@
       return false;
     }
     try {
-      return marks.numbers().stream().anyMatch(number -> number > marks.number() && marks.lives(number));
+      return marks.numbers().stream()
+          .anyMatch(number -> number > marks.number() && marks.lives(number));
     } catch (IOException e) {
       return false;
     }
@@ -185,7 +188,8 @@
     return claims == null ? Claims.ALONE : claims;
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     if (marks != null) {
       try {
         marks.close();
--- a/src/main/java/rosecleat/handover/Load.java
+++ b/src/main/java/rosecleat/handover/Load.java
@@ -1,6 +1,9 @@
 package rosecleat.handover;
 
-/** Amounts of the limits that the processes of a node share: calls below, KB of memory, requests run. */
+/**
+ * Amounts of the limits that the processes of a node share: calls below, KB of memory, requests
+ * run.
+ */
 public record Load(double calls, double memoryKb, double running) {
   /** Nothing. */
   public static final Load NONE = new Load(0, 0, 0);
@@ -12,7 +15,9 @@
 
   /** What is left without that, nothing at the least. */
   public Load less(Load that) {
-    return new Load(Math.max(0, calls - that.calls), Math.max(0, memoryKb - that.memoryKb),
+    return new Load(
+        Math.max(0, calls - that.calls),
+        Math.max(0, memoryKb - that.memoryKb),
         Math.max(0, running - that.running));
   }
 
@@ -23,6 +28,9 @@
 
   /** The smaller of each. */
   public Load atMost(Load that) {
-    return new Load(Math.min(calls, that.calls), Math.min(memoryKb, that.memoryKb), Math.min(running, that.running));
+    return new Load(
+        Math.min(calls, that.calls),
+        Math.min(memoryKb, that.memoryKb),
+        Math.min(running, that.running));
   }
 }
--- a/src/main/java/rosecleat/handover/Loads.java
+++ b/src/main/java/rosecleat/handover/Loads.java
@@ -12,19 +12,25 @@
 import java.util.stream.Collectors;
 
 /**
- * How the processes of a node share its limits: each writes down what it grants itself. A process may take what no older
- * one has granted itself; one with a newer beside it keeps half of what it has free, and never raises its grant again. So
- * a figure that is read late is on the safe side. What a process that is gone took of the calls below counts on until the
- * span is over that the limit on calls is a mean of: each writes how its own leave it, second by second.
+ * How the processes of a node share its limits: each writes down what it grants itself. A process
+ * may take what no older one has granted itself; one with a newer beside it keeps half of what it
+ * has free, and never raises its grant again. So a figure that is read late is on the safe side.
+ * What a process that is gone took of the calls below counts on until the span is over that the
+ * limit on calls is a mean of: each writes how its own leave it, second by second.
  */
 final class Loads {
   private static final String LOAD = "load-";
   private static final double SECOND_US = 1_000_000;
-  /** Of what it has free, a process beside a newer one grants itself so much while it serves, and while it leaves. */
+
+  /**
+   * Of what it has free, a process beside a newer one grants itself so much while it serves, and
+   * while it leaves.
+   */
   private static final double SERVING = 0.5;
+
   private static final double LEAVING = 0.125;
 
-  private record Seen(Load grant, List<Double> calls, long atUs) { }
+  private record Seen(Load grant, List<Double> calls, long atUs) {}
 
   private final Path folder;
   private final int number;
@@ -40,15 +46,23 @@
   void look(int other, long nowUs) {
     try {
       List<Double> numbers = new ArrayList<>();
-      for (String word : Files.readString(folder.resolve(LOAD + other), StandardCharsets.US_ASCII).split(" ")) {
+      for (String word :
+          Files.readString(folder.resolve(LOAD + other), StandardCharsets.US_ASCII).split(" ")) {
         numbers.add(Double.parseDouble(word));
       }
-      seen.put(other, new Seen(new Load(numbers.get(0), numbers.get(1), numbers.get(2)),
-          List.copyOf(numbers.subList(3, numbers.size())), nowUs));
+      seen.put(
+          other,
+          new Seen(
+              new Load(numbers.get(0), numbers.get(1), numbers.get(2)),
+              List.copyOf(numbers.subList(3, numbers.size())),
+              nowUs));
     } catch (IOException | RuntimeException e) {
       Seen before = seen.get(other); // one that has said nothing yet may take all
-      seen.put(other, before == null ? new Seen(null, List.of(), nowUs)
-          : new Seen(before.grant, before.calls, nowUs));
+      seen.put(
+          other,
+          before == null
+              ? new Seen(null, List.of(), nowUs)
+              : new Seen(before.grant, before.calls, nowUs));
     }
   }
 
@@ -73,7 +87,8 @@
 
   /** What older processes granted themselves, and what calls of those that are gone still count. */
   private Load others(Load whole, long lookedUs) {
-    seen.values().removeIf(s -> s.atUs < lookedUs && (lookedUs - s.atUs) / SECOND_US >= s.calls.size());
+    seen.values()
+        .removeIf(s -> s.atUs < lookedUs && (lookedUs - s.atUs) / SECOND_US >= s.calls.size());
     Load sum = Load.NONE;
     for (Map.Entry<Integer, Seen> each : seen.entrySet()) {
       Seen s = each.getValue();
@@ -89,8 +104,15 @@
   /** Tells the others what this process granted itself, and how its calls leave their span. */
   void tell(List<Double> calls) throws IOException {
     Path scratch = folder.resolve("scratch-" + LOAD + number);
-    Files.writeString(scratch, grant.calls() + " " + grant.memoryKb() + " " + grant.running() + " "
-        + calls.stream().map(String::valueOf).collect(Collectors.joining(" ")));
+    Files.writeString(
+        scratch,
+        grant.calls()
+            + " "
+            + grant.memoryKb()
+            + " "
+            + grant.running()
+            + " "
+            + calls.stream().map(String::valueOf).collect(Collectors.joining(" ")));
     Files.move(scratch, folder.resolve(LOAD + number), StandardCopyOption.ATOMIC_MOVE);
   }
 
--- a/src/main/java/rosecleat/handover/Marks.java
+++ b/src/main/java/rosecleat/handover/Marks.java
@@ -14,8 +14,8 @@
 import rosecleat.net.Words;
 
 /**
- * The marks of a node's processes: a numbered file each, locked for as long as its process lives. The system frees a
- * lock with its process, however that ends; a file that is there proves nothing.
+ * The marks of a node's processes: a numbered file each, locked for as long as its process lives.
+ * The system frees a lock with its process, however that ends; a file that is there proves nothing.
  */
 final class Marks implements AutoCloseable {
   private static final String MARK = "process-";
@@ -32,8 +32,11 @@
     FileChannel fresh = null;
     while (fresh == null) {
       try {
-        fresh = FileChannel.open(folder.resolve(MARK + ++next), StandardOpenOption.CREATE_NEW,
-            StandardOpenOption.WRITE);
+        fresh =
+            FileChannel.open(
+                folder.resolve(MARK + ++next),
+                StandardOpenOption.CREATE_NEW,
+                StandardOpenOption.WRITE);
       } catch (FileAlreadyExistsException e) {
         continue; // another process started in the same instant: the next number is ours
       }
@@ -52,12 +55,16 @@
   Set<Integer> numbers() throws IOException {
     Set<Integer> found = new TreeSet<>();
     try (Stream<Path> files = Files.list(folder)) {
-      files.map(file -> file.getFileName().toString()).filter(name -> name.startsWith(MARK)).forEach(name -> {
-        long n = Words.number(name.substring(MARK.length()), 9);
-        if (n > 0) {
-          found.add((int) n);
-        }
-      });
+      files
+          .map(file -> file.getFileName().toString())
+          .filter(name -> name.startsWith(MARK))
+          .forEach(
+              name -> {
+                long n = Words.number(name.substring(MARK.length()), 9);
+                if (n > 0) {
+                  found.add((int) n);
+                }
+              });
     }
     return found;
   }
@@ -67,7 +74,8 @@
     if (other == number) {
       return true; // never opened twice: closing it would free the lock
     }
-    try (FileChannel probe = FileChannel.open(folder.resolve(MARK + other), StandardOpenOption.WRITE);
+    try (FileChannel probe =
+            FileChannel.open(folder.resolve(MARK + other), StandardOpenOption.WRITE);
         FileLock lock = probe.tryLock()) {
       return lock == null;
     } catch (OverlappingFileLockException e) {
@@ -93,7 +101,8 @@
     Files.deleteIfExists(folder.resolve(MARK + dead));
   }
 
-  @Override public void close() throws IOException {
+  @Override
+  public void close() throws IOException {
     channel.close();
   }
 }
--- a/src/main/java/rosecleat/handover/package-info.java
+++ b/src/main/java/rosecleat/handover/package-info.java
@@ -1,2 +1,5 @@
-/** What the processes of one node share while one takes over from another: marks, an operators' word, and keys. */
+/**
+ * What the processes of one node share while one takes over from another: marks, an operators'
+ * word, and keys.
+ */
 package rosecleat.handover;
--- a/src/main/java/rosecleat/index/Call.java
+++ b/src/main/java/rosecleat/index/Call.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.Future;
 
-/** One call that is out. {@code line} is what carries it, null while it waits for one: then it was not sent. */
+/**
+ * One call that is out. {@code line} is what carries it, null while it waits for one: then it was
+ * not sent.
+ */
 final class Call {
   final String id;
   final long untilUs;
--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -16,18 +16,23 @@
 import rosecleat.net.EventLoop;
 
 /**
- * Calls to the shared index over a small pool of connections, one call on each at a time. Each outcome is what is
- * proven: a call that was not sent never ran, one whose reply was spoilt or cut off may have.
+ * Calls to the shared index over a small pool of connections, one call on each at a time. Each
+ * outcome is what is proven: a call that was not sent never ran, one whose reply was spoilt or cut
+ * off may have.
  */
 public final class IndexClient implements Ledger, Line.Keeper {
   private static final long DIAL_US = 1_000_000;
+
   /** So much after its time a call that got no reply is given up here (us). */
   private static final long LATE_US = 30_000;
+
   /**
-   * The index closes what is idle, at times early, or forgets it and resets it at the next call. From outside that
-   * reset is no other than one in place of a reply, so connections are not used again after so short a time (us).
+   * The index closes what is idle, at times early, or forgets it and resets it at the next call.
+   * From outside that reset is no other than one in place of a reply, so connections are not used
+   * again after so short a time (us).
    */
   private static final long STALE_US = 250_000;
+
   /** Connections at the most until {@link #lines} says otherwise. */
   private static final int LINES = 32;
 
@@ -37,8 +42,10 @@
   private final Counters counters;
   private final Map<String, Call> calls = new HashMap<>();
   private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+
   /** Connections with no call, the last used first. */
   private final ArrayDeque<Line> idle = new ArrayDeque<>();
+
   private InetSocketAddress address;
   private Core core;
   private int most = LINES;
@@ -46,7 +53,8 @@
   private int dialling;
 
   /** A client of the index at an address; null where there is none. */
-  public IndexClient(EventLoop loop, InetSocketAddress address, LongSupplier clock, Counters counters, Log log) {
+  public IndexClient(
+      EventLoop loop, InetSocketAddress address, LongSupplier clock, Counters counters, Log log) {
     this.loop = loop;
     this.address = address;
     this.clock = clock;
@@ -69,13 +77,17 @@
     }
   }
 
-  /** So many connections may be open from now on; further calls wait for one. Those over it go as their calls end. */
+  /**
+   * So many connections may be open from now on; further calls wait for one. Those over it go as
+   * their calls end.
+   */
   public void lines(int fresh) {
     most = fresh;
     dial();
   }
 
-  @Override public void call(String id, long untilUs, byte[] body) {
+  @Override
+  public void call(String id, long untilUs, byte[] body) {
     Call call = new Call(id, untilUs, body);
     calls.put(id, call);
     if (address == null) {
@@ -92,13 +104,16 @@
     }
   }
 
-  /** The connection used last, of those that are fresh and have not carried this request; null for none. */
+  /**
+   * The connection used last, of those that are fresh and have not carried this request; null for
+   * none.
+   */
   private Line unused(String id) {
     long oldest = clock.getAsLong() - STALE_US;
     while (!idle.isEmpty() && idle.getLast().idleSinceUs() < oldest) {
       retire(idle.removeLast());
     }
-    for (Iterator<Line> each = idle.iterator(); each.hasNext();) {
+    for (Iterator<Line> each = idle.iterator(); each.hasNext(); ) {
       Line line = each.next();
       if (!line.carried(id) && !line.over()) {
         each.remove();
@@ -108,7 +123,9 @@
     return null;
   }
 
-  /** Guards the proof that a call never ran: one that its connection did not take waits for another. */
+  /**
+   * Guards the proof that a call never ran: one that its connection did not take waits for another.
+   */
   private void send(Line line, Call call) {
     if (line.send(call, clock.getAsLong())) {
       call.line = line;
@@ -120,7 +137,8 @@
     }
   }
 
-  @Override public void cancel(String id) {
+  @Override
+  public void cancel(String id) {
     Call call = calls.remove(id);
     if (call != null) {
       drop(call);
@@ -136,7 +154,10 @@
     }
   }
 
-  /** Tells the index that nobody waits any more. The connection goes too: its reply may never come, or come late. */
+  /**
+   * Tells the index that nobody waits any more. The connection goes too: its reply may never come,
+   * or come late.
+   */
   private void drop(Call call) {
     stopTimer(call);
     waiting.remove(call);
@@ -173,25 +194,35 @@
     while (address != null && dialling < waiting.size() && lines + dialling < most) {
       dialling++;
       InetSocketAddress to = address;
-      Connection.dial(loop, to, DIAL_US, Connection.Limits.SMALL, new Connection.ConnectHandler() {
-        @Override public void connected(Connection fresh) {
-          dialling--;
-          counters.add("index.connections");
-          lines++;
-          Line line = new Line(fresh, to, IndexClient.this);
-          fresh.start(line);
-          free(line);
-        }
+      Connection.dial(
+          loop,
+          to,
+          DIAL_US,
+          Connection.Limits.SMALL,
+          new Connection.ConnectHandler() {
+            @Override
+            public void connected(Connection fresh) {
+              dialling--;
+              counters.add("index.connections");
+              lines++;
+              Line line = new Line(fresh, to, IndexClient.this);
+              fresh.start(line);
+              free(line);
+            }
 
-        @Override public void failed(Fault fault) {
-          dialling--;
-          unreached(to, fault);
-        }
-      });
+            @Override
+            public void failed(Fault fault) {
+              dialling--;
+              unreached(to, fault);
+            }
+          });
     }
   }
 
-  /** A refused connection proves that the call it was opened for never ran; where the index has moved, it is opened there. */
+  /**
+   * A refused connection proves that the call it was opened for never ran; where the index has
+   * moved, it is opened there.
+   */
   private void unreached(InetSocketAddress to, Fault fault) {
     if (to.equals(address) && !waiting.isEmpty()) {
       log.warn("the index is not reached: " + fault.why());
@@ -206,7 +237,7 @@
       retire(line);
       return;
     }
-    for (Iterator<Call> each = waiting.iterator(); each.hasNext();) {
+    for (Iterator<Call> each = waiting.iterator(); each.hasNext(); ) {
       Call call = each.next();
       if (!line.carried(call.id)) {
         each.remove();
@@ -218,13 +249,15 @@
     idle.addFirst(line);
   }
 
-  @Override public void replied(Line line, Call call, End end, byte[] body) {
+  @Override
+  public void replied(Line line, Call call, End end, byte[] body) {
     counters.add("index.replies");
     free(line);
     over(call, end, body);
   }
 
-  @Override public void lost(Line line, Call call, End end, String why) {
+  @Override
+  public void lost(Line line, Call call, End end, String why) {
     lines--;
     idle.remove(line);
     if (call != null) {
--- a/src/main/java/rosecleat/index/Line.java
+++ b/src/main/java/rosecleat/index/Line.java
@@ -9,19 +9,25 @@
 import rosecleat.core.Ledger.End;
 import rosecleat.net.Connection;
 
-/** One connection to the index, with one call on it at a time: what spoils it costs no other call. */
+/**
+ * One connection to the index, with one call on it at a time: what spoils it costs no other call.
+ */
 final class Line implements Connection.Owner {
   /** What becomes of a line; told on the loop. */
   interface Keeper {
     /** The call ended with its reply. The line can take another one, unless it is {@link #over}. */
     void replied(Line line, Call call, End end, byte[] body);
 
-    /** The line is of no more use; its call, null where it had none, came to no reply that can be read. */
+    /**
+     * The line is of no more use; its call, null where it had none, came to no reply that can be
+     * read.
+     */
     void lost(Line line, Call call, End end, String why);
   }
 
   /** Calls after which a line is given up: so many ids are remembered. */
   private static final int MOST_CALLS = 200;
+
   /** Replies to others in front of the one that is waited for; more than that is noise. */
   private static final int MOST_STRANGE = 8;
 
@@ -46,14 +52,17 @@
     return to;
   }
 
-  /** Whether it can take no further call; also where its connection has ended and that is still to be told. */
+  /**
+   * Whether it can take no further call; also where its connection has ended and that is still to
+   * be told.
+   */
   boolean over() {
     return over || connection.isClosed() || carried.size() >= MOST_CALLS;
   }
 
   /**
-   * Whether a call of this request was made here before. Guards against its late or second reply being taken for the
-   * reply to another call of the same request.
+   * Whether a call of this request was made here before. Guards against its late or second reply
+   * being taken for the reply to another call of the same request.
    */
   boolean carried(String id) {
     return carried.contains(id);
@@ -72,8 +81,13 @@
   boolean send(Call next, long nowUs) {
     long leftMs = Math.max(1, (next.untilUs - nowUs) / 1000);
     byte[] head = bytes("GET " + next.id + " " + leftMs + " " + next.body.length + "\r\n");
-    if (!connection.write(ByteBuffer.allocate(head.length + next.body.length + 2).put(head).put(next.body)
-        .put((byte) '\r').put((byte) '\n').flip())) {
+    if (!connection.write(
+        ByteBuffer.allocate(head.length + next.body.length + 2)
+            .put(head)
+            .put(next.body)
+            .put((byte) '\r')
+            .put((byte) '\n')
+            .flip())) {
       return false;
     }
     call = next;
@@ -86,7 +100,8 @@
   void cancel() {
     over = true;
     if (call == null) {
-      connection.abort("unused"); // nothing is under way that a slow close would save, and descriptors are few
+      connection.abort(
+          "unused"); // nothing is under way that a slow close would save, and descriptors are few
       return;
     }
     connection.write(ByteBuffer.wrap(bytes("STOP " + call.id + "\r\n")));
@@ -94,7 +109,8 @@
     connection.closeGracefully();
   }
 
-  @Override public void received(ByteBuffer bytes) {
+  @Override
+  public void received(ByteBuffer bytes) {
     replies.take(bytes);
     for (Replies.Reply reply = replies.next(); reply != null && !over; reply = replies.next()) {
       if (call != null && reply.id().equals(call.id)) {
@@ -106,11 +122,14 @@
       }
     }
     if (replies.spoilt()) {
-      end(End.BROKEN, "the index sent what is no reply"); // the call has run, but what came of it is lost
+      end(
+          End.BROKEN,
+          "the index sent what is no reply"); // the call has run, but what came of it is lost
     }
   }
 
-  @Override public void closed(Fault fault, boolean atEnd) {
+  @Override
+  public void closed(Fault fault, boolean atEnd) {
     end(End.CUT, fault.why());
   }
 
--- a/src/main/java/rosecleat/index/Replies.java
+++ b/src/main/java/rosecleat/index/Replies.java
@@ -7,15 +7,16 @@
 import rosecleat.net.Words;
 
 /**
- * The replies of one connection, cut out of its bytes. Strict: a reply that is not exactly as the protocol has it
- * spoils the stream, as nothing behind it can be relied on.
+ * The replies of one connection, cut out of its bytes. Strict: a reply that is not exactly as the
+ * protocol has it spoils the stream, as nothing behind it can be relied on.
  */
 final class Replies {
   /** One whole reply; the body comes with {@link End#HIT} only. */
-  record Reply(String id, End end, byte[] body) { }
+  record Reply(String id, End end, byte[] body) {}
 
   /** A body that no honest index sends: results have 4 KiB at the most. */
   static final int LONGEST_BODY = 64 << 10;
+
   private static final int LONGEST_LINE = 64;
 
   private final LineBuffer bytes = new LineBuffer(LONGEST_BODY + 2 + LONGEST_LINE);
@@ -59,17 +60,23 @@
     return reply;
   }
 
-  /** Reads the first line: a reply without a body, or null with the length of the body noted or the stream spoilt. */
+  /**
+   * Reads the first line: a reply without a body, or null with the length of the body noted or the
+   * stream spoilt.
+   */
   private Reply head(String[] words) {
     id = words[0];
     boolean hit = words.length == 3 && words[1].equals("HIT");
-    End end = words.length != 2 ? null : switch (words[1]) {
-      case "SHED" -> End.SHED;
-      case "NOBODY" -> End.UNREACHED;
-      case "BROKEN" -> End.BROKEN;
-      case "SLOW" -> End.SLOW;
-      default -> null;
-    };
+    End end =
+        words.length != 2
+            ? null
+            : switch (words[1]) {
+              case "SHED" -> End.SHED;
+              case "NOBODY" -> End.UNREACHED;
+              case "BROKEN" -> End.BROKEN;
+              case "SLOW" -> End.SLOW;
+              default -> null;
+            };
     if (hit) {
       length = (int) Words.number(words[2], 6);
     }
--- a/src/main/java/rosecleat/knowledge/Changes.java
+++ b/src/main/java/rosecleat/knowledge/Changes.java
@@ -8,13 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which facts are worth writing down again: those that moved since they last were, or whose time has become old. */
+/**
+ * Which facts are worth writing down again: those that moved since they last were, or whose time
+ * has become old.
+ */
 public final class Changes {
   /** A value that moved by less of itself is the same. */
   private static final double MOVED = 0.02;
+
   /** A weight that moved by less of itself is the same. */
   private static final double WEIGHED = 0.25;
-  /** After such a part of its half-life a fact is told again, else it would look older than it is. */
+
+  /**
+   * After such a part of its half-life a fact is told again, else it would look older than it is.
+   */
   private static final double RENEWED = 0.05;
 
   private final Map<Fact.Name, Fact> told = new HashMap<>();
@@ -26,7 +33,8 @@
     for (Fact fact : present) {
       names.add(fact.name());
       Fact before = told.get(fact.name());
-      if (before == null || !before.terms().equals(fact.terms())
+      if (before == null
+          || !before.terms().equals(fact.terms())
           || Math.abs(fact.value() - before.value()) > MOVED * Math.abs(before.value())
           || Math.abs(fact.weight() - before.weight()) > WEIGHED * before.weight()
           || fact.atUs() - before.atUs() > RENEWED * fact.kind().halfLife(halfLifeUs)) {
--- a/src/main/java/rosecleat/knowledge/Kind.java
+++ b/src/main/java/rosecleat/knowledge/Kind.java
@@ -11,13 +11,20 @@
   CALL_TIME("call-time", Of.NODE, 1, 3_600e6, 64, 1),
   /** The running limit (runs); a sample is a second under it. */
   LIMIT("limit", Of.NODE, 1, 1e5, 60, 0.5),
-  /** The limit on calls out at a time (calls); a sample is a second under it. Load below moves soon, so it ages soon. */
+  /**
+   * The limit on calls out at a time (calls); a sample is a second under it. Load below moves soon,
+   * so it ages soon.
+   */
   CALL_LIMIT("call-limit", Of.NODE, 1, 1e5, 60, 0.1),
   /** A tenant's part of the arrivals (share); samples are arrivals. */
   TENANT_PART("tenant-part", Of.TENANT, 0, 1, 128, 0.5);
 
   /** What a fact is about. */
-  public enum Of { CLASS, TENANT, NODE }
+  public enum Of {
+    CLASS,
+    TENANT,
+    NODE
+  }
 
   private final String word;
   private final Of of;
--- a/src/main/java/rosecleat/knowledge/Terms.java
+++ b/src/main/java/rosecleat/knowledge/Terms.java
@@ -11,7 +11,11 @@
  * @param tenants a digest of each tenant's figures, by name
  * @param ceilings values that can't hold under these settings begin above these
  */
-public record Terms(String node, String server, Map<String, String> classes, Map<String, String> tenants,
+public record Terms(
+    String node,
+    String server,
+    Map<String, String> classes,
+    Map<String, String> tenants,
     Map<Fact.Name, Double> ceilings) {
   /** The digest that a fact would have to carry; null where its subject is not known. */
   public String of(Kind kind, String subject) {
--- a/src/main/java/rosecleat/knowledge/package-info.java
+++ b/src/main/java/rosecleat/knowledge/package-info.java
@@ -1,2 +1,5 @@
-/** What was learnt, as facts: how they age, which are dropped, and how two of one kind are joined. No I/O, no module. */
+/**
+ * What was learnt, as facts: how they age, which are dropped, and how two of one kind are joined.
+ * No I/O, no module.
+ */
 package rosecleat.knowledge;
--- a/src/main/java/rosecleat/log/Log.java
+++ b/src/main/java/rosecleat/log/Log.java
@@ -7,13 +7,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A small logger that never blocks its callers: lines wait in a bounded queue for one writer thread, and
- * those that find it full are dropped and counted.
+ * A small logger that never blocks its callers: lines wait in a bounded queue for one writer
+ * thread, and those that find it full are dropped and counted.
  */
 public final class Log implements AutoCloseable {
   private static final int WAITING = 1024;
   private static final int WIDEST = 400;
   private static final long LAST_MS = 200;
+
   /** A pause behind each line: what floods the log is dropped here, not written. */
   private static final long PACE_MS = 2;
 
@@ -100,7 +101,8 @@
   }
 
   /** Writes what still waits, for a fifth of a second at most. */
-  @Override public void close() {
+  @Override
+  public void close() {
     close(LAST_MS);
   }
 
--- a/src/main/java/rosecleat/mgmt/Door.java
+++ b/src/main/java/rosecleat/mgmt/Door.java
@@ -13,22 +13,48 @@
 import rosecleat.net.Listener;
 
 /**
- * The operators' listening address: HTTP/1.1, one call a connection. A caller that says nothing, or not all, takes one
- * of few places for a bounded time and holds nobody up; where places run out the longest silent one goes.
+ * The operators' listening address: HTTP/1.1, one call a connection. A caller that says nothing, or
+ * not all, takes one of few places for a bounded time and holds nobody up; where places run out the
+ * longest silent one goes.
  */
 public final class Door {
   /** Callers at a time; with the listening socket, the descriptors that the door may take. */
   private static final int PLACES = 12;
+
   /** The descriptors to reserve for a door. */
   public static final int SOCKETS = PLACES + 1;
+
   /** A call must be whole so long after its caller connected (us). */
   private static final long PATIENCE_US = 6_000_000;
-  private static final Connection.Limits LIMITS = new Connection.Limits(2 << 10, 8 << 10, 33 << 20, 5_000_000);
+
+  private static final Connection.Limits LIMITS =
+      new Connection.Limits(2 << 10, 8 << 10, 33 << 20, 5_000_000);
+
   /** A view takes so many bytes at the most. */
   private static final int LONGEST_VIEW = 32 << 20;
-  private static final Map<Integer, String> REASONS = Map.of(200, "OK", 400, "Bad Request", 404, "Not Found", 405,
-      "Method Not Allowed", 408, "Request Timeout", 413, "Content Too Large", 431, "Request Header Fields Too Large",
-      501, "Not Implemented", 503, "Service Unavailable", 505, "HTTP Version Not Supported");
+
+  private static final Map<Integer, String> REASONS =
+      Map.of(
+          200,
+          "OK",
+          400,
+          "Bad Request",
+          404,
+          "Not Found",
+          405,
+          "Method Not Allowed",
+          408,
+          "Request Timeout",
+          413,
+          "Content Too Large",
+          431,
+          "Request Header Fields Too Large",
+          501,
+          "Not Implemented",
+          503,
+          "Service Unavailable",
+          505,
+          "HTTP Version Not Supported");
 
   private final EventLoop loop;
   private final Operations operations;
@@ -37,13 +63,16 @@
   private final Listener listener;
 
   /** Listens at an address. */
-  public Door(EventLoop loop, InetSocketAddress at, Operations operations, Counters counters, Log log)
+  public Door(
+      EventLoop loop, InetSocketAddress at, Operations operations, Counters counters, Log log)
       throws IOException {
     this.loop = loop;
     this.operations = operations;
     this.counters = counters;
     this.log = log;
-    listener = new Listener(loop, at, PLACES, LIMITS, connection -> connection.start(new Caller(connection)));
+    listener =
+        new Listener(
+            loop, at, PLACES, LIMITS, connection -> connection.start(new Caller(connection)));
   }
 
   /** The port it listens on. */
@@ -58,9 +87,16 @@
     }
 
     ByteBuffer bytes() {
-      String head = "HTTP/1.1 " + status + " " + REASONS.get(status) + "\r\nContent-Type: application/json\r\n"
-          + (allow == null ? "" : "Allow: " + allow + "\r\n") + "Content-Length: " + body.length()
-          + "\r\nConnection: close\r\n\r\n";
+      String head =
+          "HTTP/1.1 "
+              + status
+              + " "
+              + REASONS.get(status)
+              + "\r\nContent-Type: application/json\r\n"
+              + (allow == null ? "" : "Allow: " + allow + "\r\n")
+              + "Content-Length: "
+              + body.length()
+              + "\r\nConnection: close\r\n\r\n";
       return ByteBuffer.wrap((head + body).getBytes(StandardCharsets.US_ASCII));
     }
   }
@@ -70,8 +106,12 @@
       return new Reply(call.wrong(), "{\"error\":\"this is no call that can be read\"}");
     }
     return switch (call.target()) {
-      case "/v1/readyz" -> !call.method().equals("GET") ? notAllowed("GET")
-          : operations.ready() ? new Reply(200, "{\"ready\":true}") : new Reply(503, "{\"ready\":false}");
+      case "/v1/readyz" ->
+          !call.method().equals("GET")
+              ? notAllowed("GET")
+              : operations.ready()
+                  ? new Reply(200, "{\"ready\":true}")
+                  : new Reply(503, "{\"ready\":false}");
       case "/v1/card-node/drain" -> told(call, operations::drain, "{\"clients\":\"sent away\"}");
       case "/v1/card-node/activate" -> told(call, operations::activate, "{\"clients\":\"taken\"}");
       default -> seen(call);
@@ -80,10 +120,13 @@
 
   private Reply seen(HttpCall call) {
     String body = operations.view(call.target());
-    return body == null ? new Reply(404, "{\"error\":\"no such path\"}")
-        : !call.method().equals("GET") ? notAllowed("GET")
-        : body.length() > LONGEST_VIEW ? new Reply(503, "{\"error\":\"too much to be told in one answer\"}")
-        : new Reply(200, body);
+    return body == null
+        ? new Reply(404, "{\"error\":\"no such path\"}")
+        : !call.method().equals("GET")
+            ? notAllowed("GET")
+            : body.length() > LONGEST_VIEW
+                ? new Reply(503, "{\"error\":\"too much to be told in one answer\"}")
+                : new Reply(200, body);
   }
 
   private static Reply told(HttpCall call, Runnable what, String body) {
@@ -107,20 +150,24 @@
     Caller(Connection connection) {
       this.connection = connection;
       counters.add("mgmt.connections");
-      loop.after(PATIENCE_US, () -> {
-        if (!answered && !connection.isClosed()) {
-          counters.add("mgmt.slow");
-          answer(new Reply(408, "{\"error\":\"the call was not whole in time\"}"));
-        }
-      });
+      loop.after(
+          PATIENCE_US,
+          () -> {
+            if (!answered && !connection.isClosed()) {
+              counters.add("mgmt.slow");
+              answer(new Reply(408, "{\"error\":\"the call was not whole in time\"}"));
+            }
+          });
     }
 
     /** Whoever has not sent a whole call loses least when places run out. */
-    @Override public Connection.Use use() {
+    @Override
+    public Connection.Use use() {
       return call.begun() ? Connection.Use.IDLE : Connection.Use.SILENT;
     }
 
-    @Override public void received(ByteBuffer bytes) {
+    @Override
+    public void received(ByteBuffer bytes) {
       if (!answered && call.take(bytes)) { // what comes behind a call is no part of it
         answer(reply(call));
       }
@@ -136,7 +183,8 @@
       connection.closeGracefully();
     }
 
-    @Override public void closed(Fault fault, boolean atEnd) {
+    @Override
+    public void closed(Fault fault, boolean atEnd) {
       listener.released(connection);
     }
   }
--- a/src/main/java/rosecleat/mgmt/HttpCall.java
+++ b/src/main/java/rosecleat/mgmt/HttpCall.java
@@ -6,12 +6,13 @@
 import rosecleat.net.Words;
 
 /**
- * One HTTP/1.1 call, read as its bytes come in. Strict: what is no call is a status of its own, and a body is read to
- * its end and thrown away, since no call here needs one.
+ * One HTTP/1.1 call, read as its bytes come in. Strict: what is no call is a status of its own, and
+ * a body is read to its end and thrown away, since no call here needs one.
  */
 final class HttpCall {
   /** A head of so many lines, and a line or body of so many bytes, are the most that is read. */
   private static final int MOST_LINES = 64;
+
   private static final int LONGEST = 4 << 10;
   private static final int MOST_BYTES = 16 << 10;
 
@@ -37,7 +38,10 @@
       if (line == null) {
         return lines.tooLong() && wrong(431);
       }
-      wrong = ++count > MOST_LINES ? 431 : method == null ? start(line) : line.isEmpty() ? end() : field(line);
+      wrong =
+          ++count > MOST_LINES
+              ? 431
+              : method == null ? start(line) : line.isEmpty() ? end() : field(line);
       if (wrong != 0) {
         return true;
       }
@@ -62,7 +66,8 @@
 
   private int field(String line) {
     int colon = line.indexOf(':');
-    if (colon < 1 || !line.substring(0, colon).matches("[!-9;-~]+")) { // no white space before the colon
+    if (colon < 1
+        || !line.substring(0, colon).matches("[!-9;-~]+")) { // no white space before the colon
       return 400;
     }
     String value = line.substring(colon + 1).trim();
@@ -81,7 +86,7 @@
         }
         bodyLength = (int) length;
       }
-      default -> { } // of no meaning here
+      default -> {} // of no meaning here
     }
     return 0;
   }
--- a/src/main/java/rosecleat/mgmt/package-info.java
+++ b/src/main/java/rosecleat/mgmt/package-info.java
@@ -1,2 +1,5 @@
-/** The operators' door: a second address at which staff ask how the node is, and send its clients away and back. */
+/**
+ * The operators' door: a second address at which staff ask how the node is, and send its clients
+ * away and back.
+ */
 package rosecleat.mgmt;
--- a/src/main/java/rosecleat/net/Clock.java
+++ b/src/main/java/rosecleat/net/Clock.java
@@ -3,7 +3,9 @@
 import java.time.Instant;
 import java.util.function.LongSupplier;
 
-/** The system's Unix clock in microseconds, held back from ever running backwards. For one thread. */
+/**
+ * The system's Unix clock in microseconds, held back from ever running backwards. For one thread.
+ */
 public final class Clock implements LongSupplier {
   private final LongSupplier source;
   private long last;
@@ -25,7 +27,8 @@
   }
 
   /** Guards against a wall clock that is set back: time stands still until it has caught up. */
-  @Override public long getAsLong() {
+  @Override
+  public long getAsLong() {
     last = Math.max(last, source.getAsLong());
     return last;
   }
--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -12,25 +12,30 @@
 import rosecleat.core.Progress;
 
 /**
- * One connection: a read at a time, a write at a time, and a bounded queue of writes. Everything but the
- * bare completion handlers runs on the loop.
+ * One connection: a read at a time, a write at a time, and a bounded queue of writes. Everything
+ * but the bare completion handlers runs on the loop.
  *
- * <p>Its life goes one way, {@link State}, and ends in one method. {@link #closeGracefully} is how a peer's connection
- * is closed: what has come is heard and answered, what is queued is written, and only then the peer is told the end.
- * {@link #abort} is for a peer that takes nothing, for one that is not heard any more, and for links of ours that
- * carry nothing.
+ * <p>Its life goes one way, {@link State}, and ends in one method. {@link #closeGracefully} is how
+ * a peer's connection is closed: what has come is heard and answered, what is queued is written,
+ * and only then the peer is told the end. {@link #abort} is for a peer that takes nothing, for one
+ * that is not heard any more, and for links of ours that carry nothing.
  *
- * <p>Backpressure works by not reading: while more than a mark of bytes waits to be written, no read is
- * started.
+ * <p>Backpressure works by not reading: while more than a mark of bytes waits to be written, no
+ * read is started.
  */
 public final class Connection {
   /** The states of a connection, in their only order; each but the last may be left out. */
   private enum State {
     /** Bytes are heard and written. */
     OPEN,
-    /** The same, but as soon as nothing is owed, queued or just arrived, the peer is told the end. */
+    /**
+     * The same, but as soon as nothing is owed, queued or just arrived, the peer is told the end.
+     */
     CLOSING,
-    /** The peer was told the end: what still comes crossed it, is not heard, and is read only so that nothing is reset. */
+    /**
+     * The peer was told the end: what still comes crossed it, is not heard, and is read only so
+     * that nothing is reset.
+     */
     HALF_CLOSED,
     /** The socket is closed. */
     CLOSED
@@ -53,7 +58,10 @@
       return Use.BUSY;
     }
 
-    /** Whether something that has come is still to be answered: a connection that is closing waits for that. */
+    /**
+     * Whether something that has come is still to be answered: a connection that is closing waits
+     * for that.
+     */
     default boolean owed() {
       return false;
     }
@@ -61,7 +69,10 @@
     /** Bytes have come; all of them are to be taken. */
     void received(ByteBuffer bytes);
 
-    /** The connection has ended; comes once. {@code atEnd} is true where the peer closed it in order. */
+    /**
+     * The connection has ended; comes once. {@code atEnd} is true where the peer closed it in
+     * order.
+     */
     void closed(Fault fault, boolean atEnd);
   }
 
@@ -73,9 +84,17 @@
 
   /** Bytes handed to the system at once: it copies each piece into a buffer outside the heap. */
   private static final int PIECE = 16 << 10;
-  /** How long a connection closed here waits for its peer to close, so that no answer is cut off (us). */
+
+  /**
+   * How long a connection closed here waits for its peer to close, so that no answer is cut off
+   * (us).
+   */
   private static final long LINGER_US = 1_000_000;
-  /** A request crosses the end of its connection by 50 ms at the most (PROTOCOL): nothing older is under way on it (ns). */
+
+  /**
+   * A request crosses the end of its connection by 50 ms at the most (PROTOCOL): nothing older is
+   * under way on it (ns).
+   */
   static final long CROSSING_NS = 60_000_000;
 
   private final EventLoop loop;
@@ -88,8 +107,10 @@
   private boolean reading;
   private boolean writing;
   private State state = State.OPEN;
+
   /** Set by the handler of a read, on its own thread, until the loop has taken what came. */
   private volatile boolean arrived;
+
   private long written;
   private long touchedNs = System.nanoTime();
   private long toldNs;
@@ -118,15 +139,18 @@
   }
 
   /**
-   * Connects to an address; the outcome comes once, on the loop. Guards against a time-out that crosses the connect: the
-   * one that reaches the loop first decides, so that no owner is given a connection that was closed meanwhile.
+   * Connects to an address; the outcome comes once, on the loop. Guards against a time-out that
+   * crosses the connect: the one that reaches the loop first decides, so that no owner is given a
+   * connection that was closed meanwhile.
    */
-  public static void dial(EventLoop loop, InetSocketAddress to, long timeoutUs, Limits limits, ConnectHandler outcome) {
+  public static void dial(
+      EventLoop loop, InetSocketAddress to, long timeoutUs, Limits limits, ConnectHandler outcome) {
     AsynchronousSocketChannel channel;
     try {
       channel = AsynchronousSocketChannel.open(loop.group());
     } catch (IOException | RuntimeException e) { // no descriptor left, or the group is closing
-      loop.execute(() -> outcome.failed(new Fault(Progress.NOT_SENT, "no socket: " + e.getMessage())));
+      loop.execute(
+          () -> outcome.failed(new Fault(Progress.NOT_SENT, "no socket: " + e.getMessage())));
       return;
     }
     new Dial(loop, channel, outcome).begin(to, timeoutUs, limits);
@@ -149,13 +173,19 @@
     void begin(InetSocketAddress to, long timeoutUs, Limits limits) {
       timer = loop.after(timeoutUs, () -> fail("no answer in time"));
       try {
-        channel.connect(to, null, handler(loop, done -> {
-          if (!over) {
-            over = true;
-            timer.cancel(false);
-            outcome.connected(new Connection(loop, channel, limits));
-          }
-        }, e -> fail(e.getMessage())));
+        channel.connect(
+            to,
+            null,
+            handler(
+                loop,
+                done -> {
+                  if (!over) {
+                    over = true;
+                    timer.cancel(false);
+                    outcome.connected(new Connection(loop, channel, limits));
+                  }
+                },
+                e -> fail(e.getMessage())));
       } catch (RuntimeException e) { // an address that can't be used
         loop.execute(() -> fail(e.toString()));
       }
@@ -177,13 +207,16 @@
   }
 
   /** A handler that only posts to the loop, whichever thread it runs on. */
-  static <T> CompletionHandler<T, Void> handler(EventLoop loop, Then<T> done, Then<Throwable> failed) {
+  static <T> CompletionHandler<T, Void> handler(
+      EventLoop loop, Then<T> done, Then<Throwable> failed) {
     return new CompletionHandler<>() {
-      @Override public void completed(T result, Void none) {
+      @Override
+      public void completed(T result, Void none) {
         loop.execute(() -> done.take(result));
       }
 
-      @Override public void failed(Throwable e, Void none) {
+      @Override
+      public void failed(Throwable e, Void none) {
         loop.execute(() -> failed.take(e));
       }
     };
@@ -211,15 +244,19 @@
   }
 
   /**
-   * Whether it waits for its peer alone, and nothing more can be lost: the end was told long enough ago, or when the last
-   * byte had come and gone as long before.
+   * Whether it waits for its peer alone, and nothing more can be lost: the end was told long enough
+   * ago, or when the last byte had come and gone as long before.
    */
   boolean lingers() {
-    return state == State.HALF_CLOSED && !arrived
+    return state == State.HALF_CLOSED
+        && !arrived
         && (System.nanoTime() - toldNs >= CROSSING_NS || toldNs - touchedNs >= CROSSING_NS);
   }
 
-  /** Queues bytes; false, and not one of them sent, where the connection is closed or its queue has no room for them. */
+  /**
+   * Queues bytes; false, and not one of them sent, where the connection is closed or its queue has
+   * no room for them.
+   */
   public boolean write(ByteBuffer bytes) {
     if (isClosed()) {
       return false;
@@ -235,9 +272,10 @@
   }
 
   /**
-   * Closes as soon as nothing is owed to the peer and all that is queued has been written; until then whatever comes is
-   * heard. Then the peer is told the end, and the socket closes when the peer has closed in its turn, or a little later:
-   * closing with bytes unread would reset the connection, and the peer could lose the answer.
+   * Closes as soon as nothing is owed to the peer and all that is queued has been written; until
+   * then whatever comes is heard. Then the peer is told the end, and the socket closes when the
+   * peer has closed in its turn, or a little later: closing with bytes unread would reset the
+   * connection, and the peer could lose the answer.
    */
   public void closeGracefully() {
     if (state == State.OPEN) {
@@ -274,16 +312,22 @@
     reading = true;
     input.clear();
     try {
-      channel.read(input, null, new CompletionHandler<Integer, Void>() {
-        @Override public void completed(Integer count, Void none) {
-          arrived = true; // before the loop hears of it: no end is told meanwhile
-          loop.execute(() -> received(count));
-        }
-
-        @Override public void failed(Throwable e, Void none) {
-          loop.execute(() -> end(new Fault(Progress.SENT, "read failed: " + e.getMessage()), false));
-        }
-      });
+      channel.read(
+          input,
+          null,
+          new CompletionHandler<Integer, Void>() {
+            @Override
+            public void completed(Integer count, Void none) {
+              arrived = true; // before the loop hears of it: no end is told meanwhile
+              loop.execute(() -> received(count));
+            }
+
+            @Override
+            public void failed(Throwable e, Void none) {
+              loop.execute(
+                  () -> end(new Fault(Progress.SENT, "read failed: " + e.getMessage()), false));
+            }
+          });
     } catch (RuntimeException e) { // the channel was closed meanwhile
       end(new Fault(Progress.SENT, "read failed: " + e), false);
     }
@@ -306,7 +350,10 @@
       }
     } catch (RuntimeException e) { // exceptions stop at the connection
       StackTraceElement[] trace = e.getStackTrace();
-      end(new Fault(Progress.SENT, "failed here: " + e + (trace.length == 0 ? "" : " at " + trace[0])), false);
+      end(
+          new Fault(
+              Progress.SENT, "failed here: " + e + (trace.length == 0 ? "" : " at " + trace[0])),
+          false);
     }
     arrived = false; // and not before: its owner may close in the middle of what came
     read();
@@ -326,8 +373,14 @@
     ByteBuffer piece = next.duplicate();
     piece.limit(Math.min(next.limit(), next.position() + PIECE));
     try {
-      channel.write(piece, null, handler(loop, this::wrote,
-          e -> end(new Fault(Progress.MAY_HAVE_RUN, "write failed: " + e.getMessage()), false)));
+      channel.write(
+          piece,
+          null,
+          handler(
+              loop,
+              this::wrote,
+              e ->
+                  end(new Fault(Progress.MAY_HAVE_RUN, "write failed: " + e.getMessage()), false)));
     } catch (RuntimeException e) {
       end(new Fault(Progress.MAY_HAVE_RUN, "write failed: " + e), false);
     }
--- a/src/main/java/rosecleat/net/EventLoop.java
+++ b/src/main/java/rosecleat/net/EventLoop.java
@@ -9,9 +9,9 @@
 import rosecleat.log.Log;
 
 /**
- * The one thread on which everything that touches the core runs. Completion handlers run on the channel
- * group's own thread, or on whichever thread started the operation, and only post here; so no handler
- * ever runs inside the code that started its operation.
+ * The one thread on which everything that touches the core runs. Completion handlers run on the
+ * channel group's own thread, or on whichever thread started the operation, and only post here; so
+ * no handler ever runs inside the code that started its operation.
  */
 public final class EventLoop implements AutoCloseable {
   private final ScheduledThreadPoolExecutor executor;
@@ -68,7 +68,8 @@
   }
 
   /** Ends the loop; channels still open are closed. */
-  @Override public void close() {
+  @Override
+  public void close() {
     executor.shutdownNow();
     try {
       group.shutdownNow();
--- a/src/main/java/rosecleat/net/Listener.java
+++ b/src/main/java/rosecleat/net/Listener.java
@@ -17,16 +17,26 @@
 import java.util.function.Consumer;
 import rosecleat.log.Log;
 
-/** A listening socket whose accept is always re-armed: at once after a success, a little later after a failure. */
+/**
+ * A listening socket whose accept is always re-armed: at once after a success, a little later after
+ * a failure.
+ */
 public final class Listener {
   private static final int BACKLOG = 1024;
   private static final long RETRY_US = 20_000;
+
   /** A call to accept that has stood for so long found nothing waiting. */
   private static final long ARMED_NS = 5_000_000;
+
   /** So often it is looked again for a place, while none can be had (us). */
   private static final long ROOM_US = 20_000;
-  /** Of all places, one in so many may be made free at once, where they are taken again as fast as they come free. */
+
+  /**
+   * Of all places, one in so many may be made free at once, where they are taken again as fast as
+   * they come free.
+   */
   private static final int MOST_PART = 4;
+
   /** Places that were needed so long ago say nothing of how many are needed now. */
   private static final long NEED_NS = 1_000_000_000;
 
@@ -48,17 +58,31 @@
   private long lastNs = System.nanoTime();
 
   /**
-   * Listens at an address; each connection is handed over on the loop. At {@code most} open it makes room by closing
-   * what is of no use, and accepts no more where nothing is.
+   * Listens at an address; each connection is handed over on the loop. At {@code most} open it
+   * makes room by closing what is of no use, and accepts no more where nothing is.
    */
-  public Listener(EventLoop loop, InetSocketAddress at, int most, Connection.Limits limits,
-      Consumer<Connection> taker) throws IOException {
+  public Listener(
+      EventLoop loop,
+      InetSocketAddress at,
+      int most,
+      Connection.Limits limits,
+      Consumer<Connection> taker)
+      throws IOException {
     this(loop, at, most, limits, taker, false);
   }
 
-  /** The same; where {@code shared}, another process may listen at the address too, and takes some of what comes. */
-  public Listener(EventLoop loop, InetSocketAddress at, int most, Connection.Limits limits,
-      Consumer<Connection> taker, boolean shared) throws IOException {
+  /**
+   * The same; where {@code shared}, another process may listen at the address too, and takes some
+   * of what comes.
+   */
+  public Listener(
+      EventLoop loop,
+      InetSocketAddress at,
+      int most,
+      Connection.Limits limits,
+      Consumer<Connection> taker,
+      boolean shared)
+      throws IOException {
     this.loop = loop;
     this.limits = limits;
     this.taker = taker;
@@ -107,8 +131,9 @@
   }
 
   /**
-   * Goes on accepting until nothing waits unaccepted, and closes at that instant: what waits at a socket that closes is
-   * reset, while others that listen at its address take all that comes later. True once it is closed.
+   * Goes on accepting until nothing waits unaccepted, and closes at that instant: what waits at a
+   * socket that closes is reset, while others that listen at its address take all that comes later.
+   * True once it is closed.
    */
   public boolean closeWhenEmpty() {
     ending = true;
@@ -124,11 +149,13 @@
   }
 
   /**
-   * The same, begun only once no connection has come for so long. Guards connections that the system has accepted and
-   * this program has not taken yet: closing the socket would reset them, with what they bring.
+   * The same, begun only once no connection has come for so long. Guards connections that the
+   * system has accepted and this program has not taken yet: closing the socket would reset them,
+   * with what they bring.
    */
   public boolean closeWhenQuiet(long quietUs) {
-    return (closed || ending || (System.nanoTime() - lastNs) / 1_000 >= quietUs) && closeWhenEmpty();
+    return (closed || ending || (System.nanoTime() - lastNs) / 1_000 >= quietUs)
+        && closeWhenEmpty();
   }
 
   private void accept() {
@@ -152,19 +179,24 @@
     }
     armedNs = System.nanoTime();
     try {
-      server.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
-        @Override public void completed(AsynchronousSocketChannel channel, Void none) {
-          come = true;
-          loop.execute(() -> {
-            come = false;
-            accepted(channel);
-          });
-        }
+      server.accept(
+          null,
+          new CompletionHandler<AsynchronousSocketChannel, Void>() {
+            @Override
+            public void completed(AsynchronousSocketChannel channel, Void none) {
+              come = true;
+              loop.execute(
+                  () -> {
+                    come = false;
+                    accepted(channel);
+                  });
+            }
 
-        @Override public void failed(Throwable e, Void none) {
-          loop.execute(() -> refused(e));
-        }
-      });
+            @Override
+            public void failed(Throwable e, Void none) {
+              loop.execute(() -> refused(e));
+            }
+          });
     } catch (RuntimeException e) {
       refused(e);
     }
@@ -194,25 +226,31 @@
     }
   }
 
-  /** While no place can be had, it is looked again for one: connections fall idle, and some never close in their turn. */
+  /**
+   * While no place can be had, it is looked again for one: connections fall idle, and some never
+   * close in their turn.
+   */
   private void lookAgain() {
     if (!lookingForRoom) {
       lookingForRoom = true;
-      loop.after(ROOM_US, () -> {
-        lookingForRoom = false;
-        if (waiting && !closed) {
-          makeRoom();
-          lookAgain();
-        }
-      });
+      loop.after(
+          ROOM_US,
+          () -> {
+            lookingForRoom = false;
+            if (waiting && !closed) {
+              makeRoom();
+              lookAgain();
+            }
+          });
     }
   }
 
   /**
-   * Guards callers against being shut out by connections that nobody uses: closes those with nothing open on them, first
-   * the silent ones, then the longest unused; one, or more where places are taken as fast as they come free. A silent one
-   * that is young may be about to speak, and stays. Those used just now are told the end in order, and their places are free
-   * once they have ended, or a little later. True where a place will be free.
+   * Guards callers against being shut out by connections that nobody uses: closes those with
+   * nothing open on them, first the silent ones, then the longest unused; one, or more where places
+   * are taken as fast as they come free. A silent one that is young may be about to speak, and
+   * stays. Those used just now are told the end in order, and their places are free once they have
+   * ended, or a little later. True where a place will be free.
    */
   private boolean makeRoom() {
     long now = System.nanoTime();
@@ -233,8 +271,9 @@
         unused.add(each);
       }
     }
-    unused.sort(Comparator.<Connection, Boolean>comparing(each -> !mute.contains(each))
-        .thenComparingLong(Connection::touchedNs));
+    unused.sort(
+        Comparator.<Connection, Boolean>comparing(each -> !mute.contains(each))
+            .thenComparingLong(Connection::touchedNs));
     List<Connection> go = unused.subList(0, Math.max(0, Math.min(unused.size(), needed - ending)));
     for (Connection each : go) {
       each.closeGracefully();
@@ -267,7 +306,10 @@
     }
   }
 
-  /** Guards against running out of descriptors: a failed accept is tried again, it never ends the listening. */
+  /**
+   * Guards against running out of descriptors: a failed accept is tried again, it never ends the
+   * listening.
+   */
   private void refused(Throwable e) {
     if (!closed) {
       log.warn("accept failed: " + e.getMessage());
--- a/src/main/java/rosecleat/net/Words.java
+++ b/src/main/java/rosecleat/net/Words.java
@@ -1,11 +1,11 @@
 package rosecleat.net;
 
 /**
- * Checks of short words, by hand: on a node that has just started, a regular expression for each field costs
- * more than all else that is done for a request.
+ * Checks of short words, by hand: on a node that has just started, a regular expression for each
+ * field costs more than all else that is done for a request.
  */
 public final class Words {
-  private Words() { }
+  private Words() {}
 
   /** A whole number of at most so many digits (18 at the most), -1 where the text is none. */
   public static long number(CharSequence text, int most) {
@@ -31,8 +31,10 @@
   /** A plain decimal number, not a number where the text is none. */
   public static double decimal(String text) {
     int point = text.indexOf('.');
-    boolean good = point < 0 ? number(text, 17) >= 0
-        : number(text, 0, point, 17) >= 0 && number(text, point + 1, text.length(), 17) >= 0;
+    boolean good =
+        point < 0
+            ? number(text, 17) >= 0
+            : number(text, 0, point, 17) >= 0 && number(text, point + 1, text.length(), 17) >= 0;
     return good ? Double.parseDouble(text) : Double.NaN;
   }
 
@@ -50,14 +52,21 @@
     return true;
   }
 
-  /** Whether the text is 1 to 64 letters, digits, minus signs and underlines: a name, an idempotency key. */
+  /**
+   * Whether the text is 1 to 64 letters, digits, minus signs and underlines: a name, an idempotency
+   * key.
+   */
   public static boolean name(String text) {
     if (text.isEmpty() || text.length() > 64) {
       return false;
     }
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
-      if ((c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '_') {
+      if ((c < '0' || c > '9')
+          && (c < 'a' || c > 'z')
+          && (c < 'A' || c > 'Z')
+          && c != '-'
+          && c != '_') {
         return false;
       }
     }
--- a/src/main/java/rosecleat/node/Drain.java
+++ b/src/main/java/rosecleat/node/Drain.java
@@ -4,9 +4,10 @@
 import rosecleat.core.Core;
 
 /**
- * The notice to leave, where nobody takes over. Past the grace nothing that comes is run any more: connections are asked
- * to close, and once no new ones come none are taken. Closing the socket under callers that still connect would reset
- * what the system has accepted for this node; those are answered like all others.
+ * The notice to leave, where nobody takes over. Past the grace nothing that comes is run any more:
+ * connections are asked to close, and once no new ones come none are taken. Closing the socket
+ * under callers that still connect would reset what the system has accepted for this node; those
+ * are answered like all others.
  */
 final class Drain extends Leaving {
   /** When no connection has come for so long, none is expected any more (us). */
@@ -16,11 +17,13 @@
     super(core, fronts, clock, endUs);
   }
 
-  @Override boolean sendsAway() {
+  @Override
+  boolean sendsAway() {
     return core.pastGrace();
   }
 
-  @Override boolean step(boolean hurry) {
+  @Override
+  boolean step(boolean hurry) {
     boolean shut = core.pastGrace() && fronts.stopListening(hurry ? 0 : CALM_US);
     return shut && core.owed() == 0 && fronts.open() == 0;
   }
--- a/src/main/java/rosecleat/node/Fronts.java
+++ b/src/main/java/rosecleat/node/Fronts.java
@@ -13,7 +13,10 @@
     }
   }
 
-  /** Accepts what waits and then nothing more, once no connection has come for so long; true when none can come. */
+  /**
+   * Accepts what waits and then nothing more, once no connection has come for so long; true when
+   * none can come.
+   */
   boolean stopListening(long quietUs) {
     boolean shut = resp.stopListening(quietUs) & (uwsgi == null || uwsgi.stopListening(quietUs));
     closeIdle(quietUs);
--- a/src/main/java/rosecleat/node/HandOver.java
+++ b/src/main/java/rosecleat/node/HandOver.java
@@ -5,9 +5,10 @@
 import rosecleat.handover.Handover;
 
 /**
- * Another process of this node takes over: what is here is served as ever, and what comes later comes to the other. The
- * socket is closed first, as soon as the other listens and in an instant when nothing waits at it; connections are asked
- * to close after that, so that whatever they reconnect to is the other.
+ * Another process of this node takes over: what is here is served as ever, and what comes later
+ * comes to the other. The socket is closed first, as soon as the other listens and in an instant
+ * when nothing waits at it; connections are asked to close after that, so that whatever they
+ * reconnect to is the other.
  */
 final class HandOver extends Leaving {
   /** A caller of the second front that has sent nothing for so long is not waited for (us). */
@@ -23,10 +24,11 @@
   }
 
   /**
-   * Towards the end also before the socket is shut: where all places are taken it can't be while they are, and whoever
-   * comes back to this process is served and asked again.
+   * Towards the end also before the socket is shut: where all places are taken it can't be while
+   * they are, and whoever comes back to this process is served and asked again.
    */
-  @Override boolean sendsAway() {
+  @Override
+  boolean sendsAway() {
     return shut || hurried;
   }
 
@@ -35,8 +37,12 @@
     return !shut && !handover.successorLives();
   }
 
-  /** Keyed runs nobody waits for here are waited for too: a repeat at the other process may ask for their results. */
-  @Override boolean step(boolean hurry) {
+  /**
+   * Keyed runs nobody waits for here are waited for too: a repeat at the other process may ask for
+   * their results.
+   */
+  @Override
+  boolean step(boolean hurry) {
     hurried |= hurry;
     shut = shut || (handover.successorServes() || hurry) && fronts.handOver();
     if (shut) {
--- a/src/main/java/rosecleat/node/Learning.java
+++ b/src/main/java/rosecleat/node/Learning.java
@@ -20,11 +20,14 @@
 import rosecleat.state.Opener;
 
 /**
- * What a node learnt, as it is kept between its processes: puts the node's settings in the terms of {@link Memory}. Loaded
- * only where the broker's file has a section {@code state}.
+ * What a node learnt, as it is kept between its processes: puts the node's settings in the terms of
+ * {@link Memory}. Loaded only where the broker's file has a section {@code state}.
  */
 final class Learning {
-  /** A call that takes more of the shortest wanted time than this would keep all calls from being made. */
+  /**
+   * A call that takes more of the shortest wanted time than this would keep all calls from being
+   * made.
+   */
   private static final double CALL_PART = 0.25;
 
   private final BrokerConfig.State state;
@@ -47,10 +50,16 @@
   }
 
   /** The node stands: its module is given what was found, and what it learns is kept. */
-  void serve(Numbering of, Decisions decisions, EventLoop loop, LongSupplier clock, Counters counters) {
+  void serve(
+      Numbering of, Decisions decisions, EventLoop loop, LongSupplier clock, Counters counters) {
     numbering = of;
-    memory = new Memory(settings(state), opener,
-        new Memory.Node(this::terms, numbering::learntNames, decisions, clock, loop::execute), counters, log);
+    memory =
+        new Memory(
+            settings(state),
+            opener,
+            new Memory.Node(this::terms, numbering::learntNames, decisions, clock, loop::execute),
+            counters,
+            log);
   }
 
   private static Memory.Settings settings(BrokerConfig.State s) {
@@ -87,13 +96,15 @@
     }
     numbering.quotas().forEach((name, tenant) -> tenants.put(name, digest(tenant.toString())));
     ceilings.put(new Fact.Name(Kind.CALL_TIME, ""), callUs);
-    String server = digest(s.cores() + " " + s.fallMultiple() + " " + s.callsOut() + " " + s.callsSpanUs());
+    String server =
+        digest(s.cores() + " " + s.fallMultiple() + " " + s.callsOut() + " " + s.callsSpanUs());
     return new Terms(numbering.node(), server, classes, tenants, ceilings);
   }
 
   private static String digest(String figures) {
     try {
-      byte[] sum = MessageDigest.getInstance("SHA-256").digest(figures.getBytes(StandardCharsets.UTF_8));
+      byte[] sum =
+          MessageDigest.getInstance("SHA-256").digest(figures.getBytes(StandardCharsets.UTF_8));
       return HexFormat.of().formatHex(sum, 0, 8);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e); // each Java platform has it
--- a/src/main/java/rosecleat/node/Leaving.java
+++ b/src/main/java/rosecleat/node/Leaving.java
@@ -7,6 +7,7 @@
 abstract class Leaving {
   /** The node is gone so long before it would be killed (us). */
   static final long EARLY_US = 150_000;
+
   /** What is owed so shortly before the end is answered then (us). */
   static final long LAST_US = 300_000;
 
@@ -28,7 +29,9 @@
   /** Does what is due; true where nothing is left to do. */
   abstract boolean step(boolean hurry);
 
-  /** One step; true once the node has left. What is still owed just before the end is answered then. */
+  /**
+   * One step; true once the node has left. What is still owed just before the end is answered then.
+   */
   final boolean over() {
     long now = clock.getAsLong();
     boolean done = step(now > endUs - 2 * LAST_US);
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -27,13 +27,21 @@
 final class Node implements AutoCloseable {
   /** A beat so much late is worth a line in the log (us). */
   private static final long LATE_US = 200_000;
+
   /** The next beat after one that failed (us). */
   private static final long BEAT_US = 20_000;
+
   /** So often the node looks what its other processes do (us). */
   private static final long LOOK_US = 100_000;
-  /** A process that hands over is killed so long after the longest deadline, which counts as so much at the most (us). */
+
+  /**
+   * A process that hands over is killed so long after the longest deadline, which counts as so much
+   * at the most (us).
+   */
   private static final long KILLED_US = 700_000;
+
   private static final long LONGEST_US = 3_000_000;
+
   /** A disk is awaited so long at the end (ms). */
   static final long SETTLE_MS = 50;
 
@@ -61,7 +69,7 @@
   private Leaving leaving;
   private long nextLookUs;
   private long beatUs = Long.MAX_VALUE;
-  private Runnable whenLeft = () -> { };
+  private Runnable whenLeft = () -> {};
 
   /** A node on a loop of its own; {@code broker} is null where there is no second front. */
   Node(NodeConfig config, BrokerConfig broker, Log log) throws IOException {
@@ -69,11 +77,19 @@
   }
 
   /**
-   * A node on a loop that something else may use too; {@code others} is null where it is its only process, and
-   * {@code learning} where it keeps nothing, {@code sharing} where it shares nothing.
+   * A node on a loop that something else may use too; {@code others} is null where it is its only
+   * process, and {@code learning} where it keeps nothing, {@code sharing} where it shares nothing.
    */
-  Node(NodeConfig config, BrokerConfig broker, EventLoop loop, Handover others, Counters counters, Learning learning,
-      Sharing sharing, Log log) throws IOException {
+  Node(
+      NodeConfig config,
+      BrokerConfig broker,
+      EventLoop loop,
+      Handover others,
+      Counters counters,
+      Learning learning,
+      Sharing sharing,
+      Log log)
+      throws IOException {
     this.config = config;
     this.sharing = sharing;
     this.learning = learning;
@@ -91,12 +107,18 @@
         learning.serve(numbering, decisions, loop, clock, counters);
       }
       index.tell(core);
-      runtime = config.runtime() == null ? null : new RuntimeLink(loop, config.runtime(), core, clock, log);
+      runtime =
+          config.runtime() == null
+              ? null
+              : new RuntimeLink(loop, config.runtime(), core, clock, log);
       runner = runtime == null ? new NoRuntime(loop, core) : runtime;
       roster = new RosterClient(loop, config.roster(), config.name(), counters, log);
       resp = new RespFront(loop, config.listen(), 1, core, numbering.names(runner), clock, log);
-      uwsgi = broker == null ? null
-          : SecondFront.of(loop, numbering.broker(), core, runner, sharing, clock, log, ~config.seed());
+      uwsgi =
+          broker == null
+              ? null
+              : SecondFront.of(
+                  loop, numbering.broker(), core, runner, sharing, clock, log, ~config.seed());
       fronts = new Fronts(resp, uwsgi);
       if (sharing != null) {
         loop.execute(() -> sharing.pools().tell(this::room));
@@ -117,23 +139,26 @@
 
   /** Opens the links and begins to serve. */
   void start() {
-    loop.execute(() -> {
-      if (runtime == null) {
-        core.begin(null, false, 0);
-      } else {
-        runtime.connect();
-      }
-      roster.begin();
-      beat();
-    });
+    loop.execute(
+        () -> {
+          if (runtime == null) {
+            core.begin(null, false, 0);
+          } else {
+            runtime.connect();
+          }
+          roster.begin();
+          beat();
+        });
   }
 
   /** Logs the counters from now on, so often. */
   void logCounters(long everyUs) {
-    loop.after(everyUs, () -> {
-      log.info(counters.toString());
-      logCounters(everyUs);
-    });
+    loop.after(
+        everyUs,
+        () -> {
+          log.info(counters.toString());
+          logCounters(everyUs);
+        });
   }
 
   /** Whether requests that come now are served; for use on the node's thread. */
@@ -167,34 +192,42 @@
   }
 
   /**
-   * Told to leave: calls back on the loop when nothing is left to do, or when time is up. Where another process of this
-   * node lives it takes over, else this is the notice to drain. Returns how long the process has (us); for any thread.
+   * Told to leave: calls back on the loop when nothing is left to do, or when time is up. Where
+   * another process of this node lives it takes over, else this is the notice to drain. Returns how
+   * long the process has (us); for any thread.
    */
   long leave(Runnable done) {
     boolean handsOver = handover.successorLives();
-    long leftUs = handsOver ? Math.min(core.longestDueUs(), LONGEST_US) + KILLED_US : config.stopUs();
+    long leftUs =
+        handsOver ? Math.min(core.longestDueUs(), LONGEST_US) + KILLED_US : config.stopUs();
     long noticeUs = Clock.systemUs();
-    loop.execute(() -> {
-      long toldUs = Math.min(noticeUs, clock.getAsLong()); // a busy loop hears of it late, and the time runs
-      whenLeft = done;
-      log.info("told to leave" + (handsOver ? " by a newer process that takes over, " : ", ") + core.inHand()
-          + " in hand");
-      if (sharing != null) {
-        sharing.depart();
-      }
-      counters.add(handsOver ? "leaves.handover" : "leaves.drain");
-      if (learning != null && handsOver) {
-        learning.memory().leave(clock.getAsLong()); // the newer process takes the folder over
-      } else if (learning != null) {
-        learning.memory().save(clock.getAsLong());
-      }
-      long endUs = toldUs + leftUs;
-      if (handsOver) {
-        leaving = new HandOver(core, fronts, handover, clock, endUs);
-      } else {
-        drain(toldUs, endUs);
-      }
-    });
+    loop.execute(
+        () -> {
+          long toldUs =
+              Math.min(
+                  noticeUs, clock.getAsLong()); // a busy loop hears of it late, and the time runs
+          whenLeft = done;
+          log.info(
+              "told to leave"
+                  + (handsOver ? " by a newer process that takes over, " : ", ")
+                  + core.inHand()
+                  + " in hand");
+          if (sharing != null) {
+            sharing.depart();
+          }
+          counters.add(handsOver ? "leaves.handover" : "leaves.drain");
+          if (learning != null && handsOver) {
+            learning.memory().leave(clock.getAsLong()); // the newer process takes the folder over
+          } else if (learning != null) {
+            learning.memory().save(clock.getAsLong());
+          }
+          long endUs = toldUs + leftUs;
+          if (handsOver) {
+            leaving = new HandOver(core, fronts, handover, clock, endUs);
+          } else {
+            drain(toldUs, endUs);
+          }
+        });
     return leftUs;
   }
 
@@ -204,38 +237,52 @@
     leaving = new Drain(core, fronts, clock, endUs);
   }
 
-  /** New files, checked already: settings, contracts and the addresses of the links take effect together. */
+  /**
+   * New files, checked already: settings, contracts and the addresses of the links take effect
+   * together.
+   */
   void reload(Setup setup) {
-    loop.execute(() -> {
-      NodeConfig fresh = setup.node();
-      config = fresh;
-      counters.add("reloads");
-      log.info("reloaded: classes " + fresh.start().classes() + ", runtime " + fresh.runtime() + ", index "
-          + fresh.index() + ", roster " + fresh.roster());
-      List<Integer> renamed = numbering.take(setup, core::usesClass, core::usesTenant);
-      shares.retune(renamed, leaving != null);
-      core.use(numbering.rules());
-      handover.keepLate(core.longestDueUs());
-      makeRoom();
-      resp.use(numbering.names(runner));
-      if (uwsgi != null) {
-        uwsgi.use(numbering.broker());
-      }
-      if (learning != null) {
-        learning.use(setup.broker().state());
-      }
-      if (sharing != null) {
-        sharing.use(setup.broker().routes());
-      }
-      if (runtime != null) {
-        runtime.moveTo(fresh.runtime());
-      }
-      index.moveTo(fresh.index());
-      roster.moveTo(fresh.roster());
-    });
+    loop.execute(
+        () -> {
+          NodeConfig fresh = setup.node();
+          config = fresh;
+          counters.add("reloads");
+          log.info(
+              "reloaded: classes "
+                  + fresh.start().classes()
+                  + ", runtime "
+                  + fresh.runtime()
+                  + ", index "
+                  + fresh.index()
+                  + ", roster "
+                  + fresh.roster());
+          List<Integer> renamed = numbering.take(setup, core::usesClass, core::usesTenant);
+          shares.retune(renamed, leaving != null);
+          core.use(numbering.rules());
+          handover.keepLate(core.longestDueUs());
+          makeRoom();
+          resp.use(numbering.names(runner));
+          if (uwsgi != null) {
+            uwsgi.use(numbering.broker());
+          }
+          if (learning != null) {
+            learning.use(setup.broker().state());
+          }
+          if (sharing != null) {
+            sharing.use(setup.broker().routes());
+          }
+          if (runtime != null) {
+            runtime.moveTo(fresh.runtime());
+          }
+          index.moveTo(fresh.index());
+          roster.moveTo(fresh.roster());
+        });
   }
 
-  /** Beats for as long as the loop lives: whatever one beat throws ends that beat alone, else all timers would stand. */
+  /**
+   * Beats for as long as the loop lives: whatever one beat throws ends that beat alone, else all
+   * timers would stand.
+   */
   private void beat() {
     long next = clock.getAsLong() + BEAT_US;
     try {
@@ -246,7 +293,10 @@
     }
   }
 
-  /** The module's clock and all that is done by time. What makes it late makes every answer late, so that is told. */
+  /**
+   * The module's clock and all that is done by time. What makes it late makes every answer late, so
+   * that is told.
+   */
   private long beatOnce() {
     long now = clock.getAsLong();
     long lateUs = now - beatUs;
@@ -287,7 +337,8 @@
     if (two != shared) {
       shared = two;
       counters.add(two ? "shares.two" : "shares.one");
-      log.info(two ? "two processes of this node live, and share its limits" : "this process is alone");
+      log.info(
+          two ? "two processes of this node live, and share its limits" : "this process is alone");
       makeRoom();
     }
     shares.look(leaving != null);
@@ -320,14 +371,18 @@
     core.use(numbering.rules());
   }
 
-  /** The settings in force, with this process's part of the limits; for use on the node's thread. */
+  /**
+   * The settings in force, with this process's part of the limits; for use on the node's thread.
+   */
   PolicyApi.Settings limits() {
     return shares.limits();
   }
 
   /** Shares the descriptors out between balancers' connections and those to the index. */
   private void makeRoom() {
-    int others = (config.mgmt() == null ? 0 : Door.SOCKETS) + (uwsgi == null ? 0 : 2 * numbering.broker().connections());
+    int others =
+        (config.mgmt() == null ? 0 : Door.SOCKETS)
+            + (uwsgi == null ? 0 : 2 * numbering.broker().connections());
     Places places = Places.of(config.sockets(), others, numbering.settings().callsOut(), shared);
     index.lines(places.index());
     resp.places(places.balancers());
@@ -339,15 +394,19 @@
       fronts.listen();
       listening = true;
       handover.serve();
-      log.info(config.name() + " listens " + (config.listen() == null ? "" : "on " + config.listen() + " ")
-          + (uwsgi == null ? "" : "for uwsgi at port " + uwsgi.port()));
+      log.info(
+          config.name()
+              + " listens "
+              + (config.listen() == null ? "" : "on " + config.listen() + " ")
+              + (uwsgi == null ? "" : "for uwsgi at port " + uwsgi.port()));
     } catch (IOException e) {
       log.warn("can't listen yet: " + e.getMessage());
     }
   }
 
   /** Ends the node at once. */
-  @Override public void close() {
+  @Override
+  public void close() {
     if (learning != null) {
       learning.memory().close(SETTLE_MS);
     }
--- a/src/main/java/rosecleat/node/Numbering.java
+++ b/src/main/java/rosecleat/node/Numbering.java
@@ -16,13 +16,19 @@
 import rosecleat.policy.Decisions;
 import rosecleat.policy.PolicyApi;
 
-/** The files of a node as its parts see them: each class and tenant by the number that it keeps over reloads. */
+/**
+ * The files of a node as its parts see them: each class and tenant by the number that it keeps over
+ * reloads.
+ */
 final class Numbering {
-  /** Results of keyed requests kept for their repeats, all together (bytes): a part of the heap, in which all else must fit. */
+  /**
+   * Results of keyed requests kept for their repeats, all together (bytes): a part of the heap, in
+   * which all else must fit.
+   */
   private static final long RESULT_BYTES = Math.min(8 << 20, Runtime.getRuntime().maxMemory() / 5);
 
   /** A class under its name; {@code own} where balancers may name it, else a contract made it. */
-  private record Term(String name, boolean own, PolicyApi.Klass grade) { }
+  private record Term(String name, boolean own, PolicyApi.Klass grade) {}
 
   private final Numbers<Term> classes = new Numbers<>();
   private final Numbers<PolicyApi.Tenant> tenants = new Numbers<>();
@@ -36,11 +42,18 @@
     take(setup, number -> false, number -> false);
   }
 
-  /** Takes files that have changed; returns the numbers that stand for other classes than before. */
+  /**
+   * Takes files that have changed; returns the numbers that stand for other classes than before.
+   */
   List<Integer> take(Setup fresh, IntPredicate usesClass, IntPredicate usesTenant) {
     setup = fresh;
     start = fresh.broker() == null ? fresh.node().start() : fresh.broker().start();
-    int own = fresh.node().start().classes().size(); // contracts add theirs behind; balancers can't name those
+    int own =
+        fresh
+            .node()
+            .start()
+            .classes()
+            .size(); // contracts add theirs behind; balancers can't name those
     List<Term> terms = new ArrayList<>();
     classKeys = new ArrayList<>();
     for (int i = 0; i < start.classes().size(); i++) {
@@ -67,10 +80,15 @@
     places = now;
   }
 
-  /** The settings with the room that there is: where all work is done elsewhere, its limit begins at the places there. */
+  /**
+   * The settings with the room that there is: where all work is done elsewhere, its limit begins at
+   * the places there.
+   */
   private PolicyApi.Settings inRoom() {
     int own = setup.broker() == null ? -1 : setup.broker().ownRoom();
-    return own < 0 ? start.settings() : Standalone.with(start.settings(), Math.max(1, own + places));
+    return own < 0
+        ? start.settings()
+        : Standalone.with(start.settings(), Math.max(1, own + places));
   }
 
   /** The names of the gauges, in the order they come. */
@@ -81,13 +99,23 @@
   /** What the core works under. */
   Core.Rules rules() {
     PolicyApi.Settings s = inRoom();
-    return new Core.Rules(s.cores(), classes.terms().stream().map(Numbering::klass).toList(), tenants.names(),
-        s.slackUs(), s.graceUs(), s.idleUs(), RESULT_BYTES);
+    return new Core.Rules(
+        s.cores(),
+        classes.terms().stream().map(Numbering::klass).toList(),
+        tenants.names(),
+        s.slackUs(),
+        s.graceUs(),
+        s.idleUs(),
+        RESULT_BYTES);
   }
 
   private static Core.RequestClass klass(Term term) {
-    return new Core.RequestClass(term.name, term.grade.effect() == PolicyApi.Effect.KEYED, term.grade.calls(),
-        term.grade.windowUs(), term.grade.dueUs());
+    return new Core.RequestClass(
+        term.name,
+        term.grade.effect() == PolicyApi.Effect.KEYED,
+        term.grade.calls(),
+        term.grade.windowUs(),
+        term.grade.dueUs());
   }
 
   /** The names that balancers' requests may use. */
@@ -101,7 +129,10 @@
     return new RespFront.Names(Collections.unmodifiableList(named), tenants.names(), runner);
   }
 
-  /** The names that what was learnt goes by; two contracts of one class with other terms differ in them. */
+  /**
+   * The names that what was learnt goes by; two contracts of one class with other terms differ in
+   * them.
+   */
   Decisions.Names learntNames() {
     return new Decisions.Names(classes.names(), tenants.names());
   }
@@ -135,7 +166,12 @@
 
   /** The second front's contracts and budgets; null where there is none. */
   BrokerConfig broker() {
-    return setup.broker() == null ? null : setup.broker().renumbered(classKeys.stream().map(classes::of).toList(),
-        start.tenants().stream().map(tenants::of).toList());
+    return setup.broker() == null
+        ? null
+        : setup
+            .broker()
+            .renumbered(
+                classKeys.stream().map(classes::of).toList(),
+                start.tenants().stream().map(tenants::of).toList());
   }
 }
--- a/src/main/java/rosecleat/node/Operators.java
+++ b/src/main/java/rosecleat/node/Operators.java
@@ -20,19 +20,23 @@
     node = fresh;
   }
 
-  @Override public boolean ready() {
+  @Override
+  public boolean ready() {
     return node != null && node.serving();
   }
 
-  @Override public void drain() {
+  @Override
+  public void drain() {
     set(true);
   }
 
-  @Override public void activate() {
+  @Override
+  public void activate() {
     set(false);
   }
 
-  @Override public String view(String path) {
+  @Override
+  public String view(String path) {
     return sharing == null ? null : sharing.view(path);
   }
 
--- a/src/main/java/rosecleat/node/Pools.java
+++ b/src/main/java/rosecleat/node/Pools.java
@@ -16,7 +16,7 @@
   private final String zone;
   private final SplittableRandom random = new SplittableRandom();
   private final Map<String, Pool> pools = new HashMap<>();
-  private Runnable changed = () -> { };
+  private Runnable changed = () -> {};
 
   Pools(String zone) {
     this.zone = zone;
@@ -30,13 +30,27 @@
 
   /** What the table says from now on; what is out stays where it is. */
   void use(Map<String, Map<String, Instance>> services) {
-    services.keySet().forEach(service -> pools.computeIfAbsent(service, s -> new Pool(zone, random.split())));
-    pools.forEach((service, pool) -> {
-      List<Pool.Listed> listed = new ArrayList<>();
-      services.getOrDefault(service, Map.of()).forEach((name, i) -> listed.add(new Pool.Listed(name, i.host(), i.port(),
-          i.zone(), i.weight(), i.places(), i.state() == Instance.State.ON)));
-      pool.use(listed);
-    });
+    services
+        .keySet()
+        .forEach(service -> pools.computeIfAbsent(service, s -> new Pool(zone, random.split())));
+    pools.forEach(
+        (service, pool) -> {
+          List<Pool.Listed> listed = new ArrayList<>();
+          services
+              .getOrDefault(service, Map.of())
+              .forEach(
+                  (name, i) ->
+                      listed.add(
+                          new Pool.Listed(
+                              name,
+                              i.host(),
+                              i.port(),
+                              i.zone(),
+                              i.weight(),
+                              i.places(),
+                              i.state() == Instance.State.ON)));
+          pool.use(listed);
+        });
     changed.run();
   }
 
@@ -45,12 +59,14 @@
     return pools.values().stream().mapToInt(Pool::places).sum();
   }
 
-  @Override public boolean none(String service) {
+  @Override
+  public boolean none(String service) {
     Pool pool = pools.get(service);
     return pool == null || pool.none();
   }
 
-  @Override public Lease lease(Run run, long nowUs) {
+  @Override
+  public Lease lease(Run run, long nowUs) {
     Pool pool = pools.get(run.service());
     Pool.Place place = pool == null ? null : pool.take(1);
     if (place == null) {
@@ -58,11 +74,13 @@
     }
     InetSocketAddress at = new InetSocketAddress(place.host(), place.port());
     return new Lease() {
-      @Override public InetSocketAddress address() {
+      @Override
+      public InetSocketAddress address() {
         return at;
       }
 
-      @Override public void ended(Runner.End how, long tookUs, int replyBytes) {
+      @Override
+      public void ended(Runner.End how, long tookUs, int replyBytes) {
         pool.give(place, 1);
       }
     };
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -16,8 +16,9 @@
 import rosecleat.net.Listener;
 
 /**
- * Serves some made-up requests on loopback, so that the virtual machine meets the classes of a serving node. The
- * build runs it to write them into an archive, from which a node then starts with half the work.
+ * Serves some made-up requests on loopback, so that the virtual machine meets the classes of a
+ * serving node. The build runs it to write them into an archive, from which a node then starts with
+ * half the work.
  */
 public final class Rehearsal {
   private static final int REQUESTS = 200;
@@ -42,10 +43,25 @@
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     Listener runtime = new Listener(loop, any, 1, LIMITS, this::runtime);
     InetSocketAddress at = new InetSocketAddress(any.getAddress(), runtime.port());
-    try (Node node = new Node(new NodeConfig(config.name(), any, null, at, null, null, config.seed(), config.stopUs(),
-        config.sockets(), config.start(), config.file()), null, log)) {
+    try (Node node =
+        new Node(
+            new NodeConfig(
+                config.name(),
+                any,
+                null,
+                at,
+                null,
+                null,
+                config.seed(),
+                config.stopUs(),
+                config.sockets(),
+                config.start(),
+                config.file()),
+            null,
+            log)) {
       node.start();
-      loop.after(200_000, () -> balancer(config, new InetSocketAddress(any.getAddress(), node.port())));
+      loop.after(
+          200_000, () -> balancer(config, new InetSocketAddress(any.getAddress(), node.port())));
       return answers.await(PATIENCE_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -58,32 +74,48 @@
 
   /** A balancer that sends all requests and counts what comes back. */
   private void balancer(NodeConfig config, InetSocketAddress to) {
-    Connection.dial(loop, to, 1_000_000, LIMITS, new Connection.ConnectHandler() {
-      @Override public void connected(Connection connection) {
-        LineBuffer lines = new LineBuffer(1 << 16);
-        connection.start(new Received(bytes -> {
-          lines.add(bytes);
-          for (String line = lines.line(); line != null; line = lines.line()) {
-            if (line.startsWith("*")) { // the head of an answer
-              answers.countDown();
+    Connection.dial(
+        loop,
+        to,
+        1_000_000,
+        LIMITS,
+        new Connection.ConnectHandler() {
+          @Override
+          public void connected(Connection connection) {
+            LineBuffer lines = new LineBuffer(1 << 16);
+            connection.start(
+                new Received(
+                    bytes -> {
+                      lines.add(bytes);
+                      for (String line = lines.line(); line != null; line = lines.line()) {
+                        if (line.startsWith("*")) { // the head of an answer
+                          answers.countDown();
+                        }
+                      }
+                    }));
+            for (int i = 1; i <= REQUESTS; i++) {
+              request(config, connection, i);
             }
           }
-        }));
-        for (int i = 1; i <= REQUESTS; i++) {
-          request(config, connection, i);
-        }
-      }
 
-      @Override public void failed(Fault fault) {
-        log.warn(fault.why());
-      }
-    });
+          @Override
+          public void failed(Fault fault) {
+            log.warn(fault.why());
+          }
+        });
   }
 
   private void request(NodeConfig config, Connection connection, int i) {
-    String tenant = config.start().tenants().isEmpty() ? "" : ",tenant=" + config.start().tenants().get(0);
-    String fields = "id=" + Long.toHexString((1L << 60) + i) + ",at=" + System.currentTimeMillis()
-        + ",from=1,wait=5000,kb=10.5,rank=0.5000,once=key" + i + tenant;
+    String tenant =
+        config.start().tenants().isEmpty() ? "" : ",tenant=" + config.start().tenants().get(0);
+    String fields =
+        "id="
+            + Long.toHexString((1L << 60) + i)
+            + ",at="
+            + System.currentTimeMillis()
+            + ",from=1,wait=5000,kb=10.5,rank=0.5000,once=key"
+            + i
+            + tenant;
     String klass = config.start().classes().get(i % config.start().classes().size());
     StringBuilder text = new StringBuilder("*5\r\n");
     for (String word : new String[] {"DO", Integer.toString(i), klass, fields, "body"}) {
@@ -97,30 +129,39 @@
   private void runtime(Connection connection) {
     LineBuffer lines = new LineBuffer(1 << 16);
     int[] notice = new int[1];
-    connection.start(new Received(bytes -> {
-      lines.add(bytes);
-      for (String line = lines.line(); line != null; line = lines.line()) {
-        String reply = "";
-        if (line.contains("\"sync\"")) {
-          reply = "{\"type\":\"ready\",\"state\":\"warm\",\"took\":1}\n";
-        } else if (line.contains("\"gauges\"")) {
-          reply = "{\"type\":\"load\",\"ref\":\"g\",\"gauges\":[0.1,1,0.1,1]}\n";
-        } else if (line.contains("\"start\"")) {
-          String job = line.substring(line.indexOf("\"job\":\"") + 7);
-          reply = "{\"type\":\"end\",\"n\":" + ++notice[0] + ",\"job\":\"" + job.substring(0, job.indexOf('"'))
-              + "\",\"state\":\"ok\",\"took\":1.5,\"data\":\"Ym9keQ==\"}\n";
-        }
-        connection.write(ByteBuffer.wrap(reply.getBytes(StandardCharsets.US_ASCII)));
-      }
-    }));
+    connection.start(
+        new Received(
+            bytes -> {
+              lines.add(bytes);
+              for (String line = lines.line(); line != null; line = lines.line()) {
+                String reply = "";
+                if (line.contains("\"sync\"")) {
+                  reply = "{\"type\":\"ready\",\"state\":\"warm\",\"took\":1}\n";
+                } else if (line.contains("\"gauges\"")) {
+                  reply = "{\"type\":\"load\",\"ref\":\"g\",\"gauges\":[0.1,1,0.1,1]}\n";
+                } else if (line.contains("\"start\"")) {
+                  String job = line.substring(line.indexOf("\"job\":\"") + 7);
+                  reply =
+                      "{\"type\":\"end\",\"n\":"
+                          + ++notice[0]
+                          + ",\"job\":\""
+                          + job.substring(0, job.indexOf('"'))
+                          + "\",\"state\":\"ok\",\"took\":1.5,\"data\":\"Ym9keQ==\"}\n";
+                }
+                connection.write(ByteBuffer.wrap(reply.getBytes(StandardCharsets.US_ASCII)));
+              }
+            }));
   }
 
   /** An owner that only takes bytes. */
-  private record Received(java.util.function.Consumer<ByteBuffer> taker) implements Connection.Owner {
-    @Override public void received(ByteBuffer bytes) {
+  private record Received(java.util.function.Consumer<ByteBuffer> taker)
+      implements Connection.Owner {
+    @Override
+    public void received(ByteBuffer bytes) {
       taker.accept(bytes);
     }
 
-    @Override public void closed(Fault fault, boolean atEnd) { }
+    @Override
+    public void closed(Fault fault, boolean atEnd) {}
   }
 }
--- a/src/main/java/rosecleat/node/Reload.java
+++ b/src/main/java/rosecleat/node/Reload.java
@@ -7,8 +7,8 @@
 import rosecleat.log.Log;
 
 /**
- * SIGHUP: the configuration is read anew and checked whole, and takes effect or changes nothing. Without a handler the
- * virtual machine ends on this signal.
+ * SIGHUP: the configuration is read anew and checked whole, and takes effect or changes nothing.
+ * Without a handler the virtual machine ends on this signal.
  */
 final class Reload {
   private final Supplier<Setup> reader;
@@ -25,22 +25,33 @@
   }
 
   /**
-   * Takes the signal from now on; one that comes before {@link #tell} is made up for there. The one way to a handler
-   * for signals is a class of the module jdk.unsupported; it is called by its name because the compiler warns of
-   * every plain use, and here warnings are errors.
+   * Takes the signal from now on; one that comes before {@link #tell} is made up for there. The one
+   * way to a handler for signals is a class of the module jdk.unsupported; it is called by its name
+   * because the compiler warns of every plain use, and here warnings are errors.
    */
   void install() {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object taking = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
-        reload(); // its only method is handle(Signal); nobody compares or prints a handler
-        return null;
-      });
-      Object before = signal.getMethod("handle", signal, handler).invoke(null,
-          signal.getConstructor(String.class).newInstance("HUP"), taking);
-      if (before == handler.getField("SIG_IGN").get(null)) { // the virtual machine leaves it so: nohup's children never hear it
-        log.warn("SIGHUP is ignored, as whoever started this process left it: it can't be told to reload");
+      Object taking =
+          Proxy.newProxyInstance(
+              handler.getClassLoader(),
+              new Class<?>[] {handler},
+              (self, method, args) -> {
+                reload(); // its only method is handle(Signal); nobody compares or prints a handler
+                return null;
+              });
+      Object before =
+          signal
+              .getMethod("handle", signal, handler)
+              .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), taking);
+      if (before
+          == handler
+              .getField("SIG_IGN")
+              .get(null)) { // the virtual machine leaves it so: nohup's children never hear it
+        log.warn(
+            "SIGHUP is ignored, as whoever started this process left it: it can't be told to"
+                + " reload");
       }
     } catch (ReflectiveOperationException e) {
       log.warn("SIGHUP is not handled here: " + e);
@@ -56,8 +67,8 @@
   }
 
   /**
-   * Reads the file again, on the signal's own thread and one signal after the other, so that the last file read
-   * is the one in force. A file that can't be used changes nothing.
+   * Reads the file again, on the signal's own thread and one signal after the other, so that the
+   * last file read is the one in force. A file that can't be used changes nothing.
    */
   synchronized void reload() {
     if (taker == null) {
--- a/src/main/java/rosecleat/node/Serving.java
+++ b/src/main/java/rosecleat/node/Serving.java
@@ -42,29 +42,37 @@
     return node;
   }
 
-  /** The notice to leave has come: the node that is to leave, waited for while it is made; null where none ever will be. */
+  /**
+   * The notice to leave has come: the node that is to leave, waited for while it is made; null
+   * where none ever will be.
+   */
   synchronized Node told() {
     told = true;
     return node;
   }
 
   /**
-   * Starts a node, which logs its counters so often (seconds, 0 for never) and reads its configuration anew on
-   * SIGHUP; it goes on after this returns. {@code shared} is the folder that all processes of the node see, or null.
+   * Starts a node, which logs its counters so often (seconds, 0 for never) and reads its
+   * configuration anew on SIGHUP; it goes on after this returns. {@code shared} is the folder that
+   * all processes of the node see, or null.
    */
-  public static int start(Setup setup, Supplier<Setup> reader, Path shared, int countersEvery) throws IOException {
+  public static int start(Setup setup, Supplier<Setup> reader, Path shared, int countersEvery)
+      throws IOException {
     NodeConfig config = setup.node();
     Log log = new Log(System.err);
     Serving serving = new Serving(log);
-    // before it listens: a notice to leave that found no hook would end the process under those it has accepted
+    // before it listens: a notice to leave that found no hook would end the process under those it
+    // has accepted
     Runtime.getRuntime().addShutdownHook(new Thread(serving::leave, "leave"));
     Reload reload = new Reload(setup, reader, log);
     reload.install(); // before it listens: from then on a signal may come
     EventLoop loop = new EventLoop(log);
     Counters counters = new Counters();
     Handover handover = new Handover(shared, counters, log);
-    Sharing sharing = setup.broker() == null || setup.broker().fleet() == null && setup.broker().routes() == null ? null
-        : new Sharing(setup.broker(), loop, counters, log);
+    Sharing sharing =
+        setup.broker() == null || setup.broker().fleet() == null && setup.broker().routes() == null
+            ? null
+            : new Sharing(setup.broker(), loop, counters, log);
     Operators operators = new Operators(handover, sharing);
     if (config.mgmt() != null) { // open before the warm-up: operators may ask how far it is
       new Door(loop, config.mgmt(), operators, counters, log);
@@ -74,11 +82,16 @@
     if (config.runtime() != null) {
       Warmup.play(config);
     }
-    Node node = serving.stand(new Standing() { // no lambda: its types are loaded, also those that a platform's node does without
-      @Override public Node stand() throws IOException {
-        return new Node(config, setup.broker(), loop, handover, counters, learning, sharing, log);
-      }
-    });
+    Node node =
+        serving.stand(
+            new Standing() { // no lambda: its types are loaded, also those that a platform's node
+              // does without
+              @Override
+              public Node stand() throws IOException {
+                return new Node(
+                    config, setup.broker(), loop, handover, counters, learning, sharing, log);
+              }
+            });
     if (node == null) {
       return GOES_ON; // told to leave: the process ends now
     }
@@ -101,10 +114,13 @@
     }
   }
 
-  /** Runs as the virtual machine's shutdown hook: what the node still does goes on while this waits. */
+  /**
+   * Runs as the virtual machine's shutdown hook: what the node still does goes on while this waits.
+   */
   private void leave() {
     Node leaving = told();
-    if (leaving == null) { // nobody was served, and the process ends by itself, with the code it was given
+    if (leaving
+        == null) { // nobody was served, and the process ends by itself, with the code it was given
       log.close();
       return;
     }
--- a/src/main/java/rosecleat/node/Shares.java
+++ b/src/main/java/rosecleat/node/Shares.java
@@ -22,7 +22,10 @@
     this.clock = clock;
   }
 
-  /** Finds what this process may take beside its others, and tells them; the module hears of it where it has changed. */
+  /**
+   * Finds what this process may take beside its others, and tells them; the module hears of it
+   * where it has changed.
+   */
   void look(boolean leaving) {
     Load before = grant;
     find(leaving);
@@ -31,7 +34,10 @@
     }
   }
 
-  /** The settings have changed: the module is told them, with the numbers that stand for other classes now. */
+  /**
+   * The settings have changed: the module is told them, with the numbers that stand for other
+   * classes now.
+   */
   void retune(List<Integer> renamed, boolean leaving) {
     find(leaving);
     tell(renamed);
@@ -40,8 +46,12 @@
   private void find(boolean leaving) {
     PolicyApi.Settings s = numbering.settings();
     Decisions.Taken taken = decisions.taken(clock.getAsLong());
-    grant = handover.grant(new Load(s.callsOut(), s.memoryKb(), s.cores() * s.fallMultiple()),
-        new Load(taken.calls().get(0), taken.memoryKb(), taken.running()), taken.calls(), leaving);
+    grant =
+        handover.grant(
+            new Load(s.callsOut(), s.memoryKb(), s.cores() * s.fallMultiple()),
+            new Load(taken.calls().get(0), taken.memoryKb(), taken.running()),
+            taken.calls(),
+            leaving);
   }
 
   private void tell(List<Integer> renamed) {
--- a/src/main/java/rosecleat/node/Sharing.java
+++ b/src/main/java/rosecleat/node/Sharing.java
@@ -30,23 +30,29 @@
 import rosecleat.routes.Table;
 
 /**
- * What a process shares with its fleet, put in the node's terms. Loaded only where the broker's file has a section
- * {@code fleet} or {@code routes}: the platform forbids talk among nodes. The book of routes belongs to the fleet's task,
- * or, where there is no fleet, to the node's loop; the loop gets whole tables.
+ * What a process shares with its fleet, put in the node's terms. Loaded only where the broker's
+ * file has a section {@code fleet} or {@code routes}: the platform forbids talk among nodes. The
+ * book of routes belongs to the fleet's task, or, where there is no fleet, to the node's loop; the
+ * loop gets whole tables.
  */
 final class Sharing {
   private static final String ROUTES = "routes";
   private static final int ROUTES_EXCHANGE = 2;
+
   /** What an author wrote last, so that a restart with an old file is known for one. */
   private static final String FILE = "routes.file";
+
   private static final long ROUTES_TTL_MS = 60_000;
   private static final long FILE_TTL_MS = 30L * 24 * 3_600_000;
+
   /** An author waits so many periods to hear what others published since its file was written. */
   private static final int LISTEN = 4;
-  private static final ObjectMapper JSON = JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
+
+  private static final ObjectMapper JSON =
+      JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
 
   /** A table with its generation in this process. */
-  private record InForce(Table table, long generation) { }
+  private record InForce(Table table, long generation) {}
 
   private final FleetTask task;
   private final FleetConfig settings;
@@ -72,41 +78,64 @@
       take(broker.routes());
       return;
     }
-    task = new FleetTask(new FleetTask.Settings(settings.name(), settings.cluster(), settings.listen(),
-        settings.advertise(), settings.zone(), settings.seeds(), settings.periodUs()), new FleetTask.Hearer() {
-          @Override public void changed(View view) { }
-
-          @Override public void recorded(FleetRecord record) {
-            heard(record);
-          }
-
-          @Override public void counted(String what, long more) {
-            loop.execute(() -> counters.add("fleet." + what, more));
-          }
-        }, log);
+    task =
+        new FleetTask(
+            new FleetTask.Settings(
+                settings.name(),
+                settings.cluster(),
+                settings.listen(),
+                settings.advertise(),
+                settings.zone(),
+                settings.seeds(),
+                settings.periodUs()),
+            new FleetTask.Hearer() {
+              @Override
+              public void changed(View view) {}
+
+              @Override
+              public void recorded(FleetRecord record) {
+                heard(record);
+              }
+
+              @Override
+              public void counted(String what, long more) {
+                loop.execute(() -> counters.add("fleet." + what, more));
+              }
+            },
+            log);
     task.answer(ROUTES_EXCHANGE, () -> follow(false));
     task.start();
     log.info("fleet: " + task.view().self() + " listens at " + task.at());
     task.post(fleet -> tell(fleet));
     if (broker.routes() != null) {
       waiting = broker.routes();
-      loop.after(settings.seeds().isEmpty() ? 0 : LISTEN * settings.periodUs(), () -> task.post(this::publish));
+      loop.after(
+          settings.seeds().isEmpty() ? 0 : LISTEN * settings.periodUs(),
+          () -> task.post(this::publish));
     }
     again();
   }
 
   /** What was missed, or broke, is looked for again. */
   private void again() {
-    loop.after(settings.periodUs(), () -> {
-      task.post(this::catchUp); // where its mailbox is full now, the next time does
-      again();
-    });
+    loop.after(
+        settings.periodUs(),
+        () -> {
+          task.post(this::catchUp); // where its mailbox is full now, the next time does
+          again();
+        });
   }
 
   // ---- on the fleet's task
 
   private Follow follow(boolean opener) {
-    return new Follow(book, opener, settings.cluster(), () -> fleetNews, this::changed, () -> following = opener ? false : following);
+    return new Follow(
+        book,
+        opener,
+        settings.cluster(),
+        () -> fleetNews,
+        this::changed,
+        () -> following = opener ? false : following);
   }
 
   private rosecleat.fleet.wire.MemberNews fleetNews;
@@ -162,11 +191,15 @@
     fleetNews = fleet.news();
     String payload = hex(book.table().digest()) + ":" + hex(book.holds());
     routesOf.put(fleet.self().name(), hex(book.table().digest()));
-    fleet.publish(ROUTES, "", payload.getBytes(StandardCharsets.US_ASCII), ROUTES_TTL_MS, task.nowUs());
+    fleet.publish(
+        ROUTES, "", payload.getBytes(StandardCharsets.US_ASCII), ROUTES_TTL_MS, task.nowUs());
     catchUp(fleet);
   }
 
-  /** Writes the file that waits, unless it is what this author wrote last: others may have written since. */
+  /**
+   * Writes the file that waits, unless it is what this author wrote last: others may have written
+   * since.
+   */
   private void publish(Fleet fleet) {
     RoutesFile file = waiting;
     waiting = null;
@@ -178,10 +211,14 @@
     String digest = hex(written.table().digest());
     boolean old = false;
     for (FleetRecord record : fleet.records(FILE)) {
-      old |= record.owner().equals(fleet.self().name()) && new String(record.payload(), StandardCharsets.US_ASCII).equals(digest);
+      old |=
+          record.owner().equals(fleet.self().name())
+              && new String(record.payload(), StandardCharsets.US_ASCII).equals(digest);
     }
     if (old && !told) {
-      log.info("routes: the file is what this process published before: what others published since stays");
+      log.info(
+          "routes: the file is what this process published before: what others published since"
+              + " stays");
     } else {
       take(file);
     }
@@ -198,9 +235,15 @@
   private static Map<Entry.Key, Instance> entries(RoutesFile file) {
     Map<Entry.Key, Instance> all = new HashMap<>();
     for (RoutesFile.Line line : file.instances()) {
-      all.put(new Entry.Key(line.service(), line.name()), new Instance(line.at().getAddress().getHostAddress(),
-          line.at().getPort(), line.zone(), line.weight(), Instance.State.valueOf(line.state().toUpperCase(Locale.ROOT)),
-          line.places()));
+      all.put(
+          new Entry.Key(line.service(), line.name()),
+          new Instance(
+              line.at().getAddress().getHostAddress(),
+              line.at().getPort(),
+              line.zone(),
+              line.weight(),
+              Instance.State.valueOf(line.state().toUpperCase(Locale.ROOT)),
+              line.places()));
     }
     return all;
   }
@@ -215,10 +258,11 @@
     if (task == null) {
       take(fresh);
     } else {
-      task.post(fleet -> {
-        waiting = fresh;
-        publish(fleet);
-      });
+      task.post(
+          fleet -> {
+            waiting = fresh;
+            publish(fleet);
+          });
     }
   }
 
@@ -238,12 +282,19 @@
 
   private ObjectNode fleet(View view) {
     ObjectNode root = JSON.createObjectNode();
-    root.put("self", view.self().name()).put("settled", view.settled()).put("digest", hex(view.digest()));
+    root.put("self", view.self().name())
+        .put("settled", view.settled())
+        .put("digest", hex(view.digest()));
     ArrayNode members = root.putArray("members");
     for (View.Seen seen : view.members()) {
-      members.addObject().put("name", seen.id().name()).put("zone", seen.zone())
-          .put("state", seen.state().name().toLowerCase(Locale.ROOT)).put("epoch", seen.id().epoch())
-          .put("incarnation", seen.incarnation()).put("routes", routesOf.getOrDefault(seen.id().name(), ""));
+      members
+          .addObject()
+          .put("name", seen.id().name())
+          .put("zone", seen.zone())
+          .put("state", seen.state().name().toLowerCase(Locale.ROOT))
+          .put("epoch", seen.id().epoch())
+          .put("incarnation", seen.incarnation())
+          .put("routes", routesOf.getOrDefault(seen.id().name(), ""));
     }
     return root;
   }
@@ -252,16 +303,24 @@
     ObjectNode root = JSON.createObjectNode();
     root.put("generation", now.generation).put("digest", hex(now.table.digest()));
     ObjectNode services = root.putObject("services");
-    now.table.services().forEach((service, instances) -> {
-      ObjectNode all = services.putObject(service).putObject("instances");
-      instances.forEach((name, i) -> {
-        ObjectNode one = all.putObject(name).put("address", "uwsgi://" + i.host() + ":" + i.port()).put("zone", i.zone())
-            .put("weight", i.weight()).put("state", i.state().name().toLowerCase(Locale.ROOT));
-        if (i.places() > 0) {
-          one.put("places", i.places());
-        }
-      });
-    });
+    now.table
+        .services()
+        .forEach(
+            (service, instances) -> {
+              ObjectNode all = services.putObject(service).putObject("instances");
+              instances.forEach(
+                  (name, i) -> {
+                    ObjectNode one =
+                        all.putObject(name)
+                            .put("address", "uwsgi://" + i.host() + ":" + i.port())
+                            .put("zone", i.zone())
+                            .put("weight", i.weight())
+                            .put("state", i.state().name().toLowerCase(Locale.ROOT));
+                    if (i.places() > 0) {
+                      one.put("places", i.places());
+                    }
+                  });
+            });
     return root;
   }
 
--- a/src/main/java/rosecleat/node/Warmup.java
+++ b/src/main/java/rosecleat/node/Warmup.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayDeque;
 import rosecleat.config.NodeConfig;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.front.resp.RespWarmup;
 import rosecleat.log.Log;
@@ -13,9 +13,9 @@
 import rosecleat.runtime.RuntimeWarmup;
 
 /**
- * Lives of made-up requests, played in memory before a node listens. Guards its first callers: code that runs for the
- * first time is interpreted, and a node that is still compiling answers late and is out of credit for a second or two.
- * Everything it touches is thrown away.
+ * Lives of made-up requests, played in memory before a node listens. Guards its first callers: code
+ * that runs for the first time is interpreted, and a node that is still compiling answers late and
+ * is out of credit for a second or two. Everything it touches is thrown away.
  */
 final class Warmup {
   private static final int REQUESTS = 2_000;
@@ -29,31 +29,40 @@
   private long nowUs = 1_000_000_000_000_000L;
   private Core core;
 
-  private final Runner runner = new Runner() {
-    @Override public void start(Request request, long dueUs) {
-      started.add(request);
-    }
+  private final Runner runner =
+      new Runner() {
+        @Override
+        public void start(Request request, long dueUs) {
+          started.add(request);
+        }
 
-    @Override public void stop(String id) { }
+        @Override
+        public void stop(String id) {}
 
-    @Override public void give(String id, byte[] reply) { }
+        @Override
+        public void give(String id, byte[] reply) {}
 
-    @Override public void omit(String id, long notice) { }
+        @Override
+        public void omit(String id, long notice) {}
 
-    @Override public void askGauges() {
-      core.gauges(new double[] {0.5, 3, 0.1, 4});
-    }
-  };
+        @Override
+        public void askGauges() {
+          core.gauges(new double[] {0.5, 3, 0.1, 4});
+        }
+      };
 
-  private final Ledger ledger = new Ledger() {
-    @Override public void call(String id, long untilUs, byte[] body) {
-      calls.add(id);
-    }
+  private final Ledger ledger =
+      new Ledger() {
+        @Override
+        public void call(String id, long untilUs, byte[] body) {
+          calls.add(id);
+        }
 
-    @Override public void cancel(String id) { }
-  };
+        @Override
+        public void cancel(String id) {}
+      };
 
-  private Warmup() { }
+  private Warmup() {}
 
   /** Plays; returns how many requests were served. */
   static long play(NodeConfig config) {
@@ -65,8 +74,14 @@
     Counters counters = new Counters();
     Numbering numbering = new Numbering(new Setup(config, null));
     try (Log quiet = Log.silent()) { // a starting node makes no thread that it can do without
-      core = new Core(numbering.rules(), new Decisions(numbering.settings(), numbering.gauges(), config.seed()), ledger,
-          () -> nowUs, counters, quiet);
+      core =
+          new Core(
+              numbering.rules(),
+              new Decisions(numbering.settings(), numbering.gauges(), config.seed()),
+              ledger,
+              () -> nowUs,
+              counters,
+              quiet);
       core.begin(runner, false, 0);
       RespWarmup front = new RespWarmup(numbering.names(runner));
       for (int n = 1; n <= REQUESTS && System.nanoTime() < endNs; n++) {
--- a/src/main/java/rosecleat/policy/Decisions.java
+++ b/src/main/java/rosecleat/policy/Decisions.java
@@ -13,87 +13,112 @@
 
 /**
  * The module as its hosts see it: {@link #report} what happened, {@link #pick} the next order, and
- * {@link #tick} for the timers. Orders are values and come in the order the module gave them; nothing calls
- * back. Not thread-safe.
+ * {@link #tick} for the timers. Orders are values and come in the order the module gave them;
+ * nothing calls back. Not thread-safe.
  */
 public final class Decisions {
   /** What has happened. */
   public sealed interface Report {
     /** A request was read and is held. */
-    record Arrived(long id, int klass, int tenant, long key, long leftUs, double heldKb, double rank,
-        boolean retry, boolean write, long caller, long ageUs, long original) implements Report { }
+    record Arrived(
+        long id,
+        int klass,
+        int tenant,
+        long key,
+        long leftUs,
+        double heldKb,
+        double rank,
+        boolean retry,
+        boolean write,
+        long caller,
+        long ageUs,
+        long original)
+        implements Report {}
 
     /** A run or a reuse is over. */
-    record Ended(long id, RunOutcome outcome, long tookUs) implements Report { }
+    record Ended(long id, RunOutcome outcome, long tookUs) implements Report {}
 
     /** A run stands still at a call. */
-    record NeedsCall(long id) implements Report { }
+    record NeedsCall(long id) implements Report {}
 
     /** A call below is over. */
-    record Called(long id, CallOutcome outcome, long tookUs) implements Report { }
+    record Called(long id, CallOutcome outcome, long tookUs) implements Report {}
 
     /** The caller has gone. */
-    record Gone(long id) implements Report { }
+    record Gone(long id) implements Report {}
 
     /** Notice to leave. */
-    record Draining(long leftUs) implements Report { }
+    record Draining(long leftUs) implements Report {}
 
     /** The gauges as last read, in the order of the settings. */
-    record GaugesRead(double[] values) implements Report { }
+    record GaugesRead(double[] values) implements Report {}
 
     /** How busy the cores are as the host reckons it, where nobody reads gauges. */
-    record Reckoned(double coreUse, double onCores) implements Report { }
+    record Reckoned(double coreUse, double onCores) implements Report {}
   }
 
   /** How a run ended. */
-  public enum RunOutcome { OK, FAILED, HALTED, MOOT }
+  public enum RunOutcome {
+    OK,
+    FAILED,
+    HALTED,
+    MOOT
+  }
 
   /** How a call ended. */
-  public enum CallOutcome { OK, FAILED, SHED, TIMEOUT, UNREACHED, CUT }
+  public enum CallOutcome {
+    OK,
+    FAILED,
+    SHED,
+    TIMEOUT,
+    UNREACHED,
+    CUT
+  }
 
   /** What is to be done. */
   public sealed interface Order {
     /** Run a held request. */
-    record Run(long id) implements Order { }
+    record Run(long id) implements Order {}
 
     /** Turn it away. */
-    record Refuse(long id, long holdOffUs, boolean last) implements Order { }
+    record Refuse(long id, long holdOffUs, boolean last) implements Order {}
 
     /** Fail it. */
-    record Fail(long id) implements Order { }
+    record Fail(long id) implements Order {}
 
     /** Stop its run. */
-    record Halt(long id) implements Order { }
+    record Halt(long id) implements Order {}
 
     /** Make its call, until a time. */
-    record Call(long id, long untilUs) implements Order { }
+    record Call(long id, long untilUs) implements Order {}
 
     /** Go on without its call. */
-    record SkipCall(long id) implements Order { }
+    record SkipCall(long id) implements Order {}
 
     /** Remember its key from now on. */
-    record Keep(long id, long forUs) implements Order { }
+    record Keep(long id, long forUs) implements Order {}
 
     /** Forget its key. */
-    record Forget(long id) implements Order { }
+    record Forget(long id) implements Order {}
 
     /** Answer it from another try's result. */
-    record Reuse(long id) implements Order { }
+    record Reuse(long id) implements Order {}
 
     /** What health checks hear. */
-    record Health(boolean good) implements Order { }
+    record Health(boolean good) implements Order {}
 
     /** The value that goes with answers. */
-    record Say(double value) implements Order { }
+    record Say(double value) implements Order {}
 
     /** How long unused connections stay; 0 is the longest. */
-    record Idle(long us) implements Order { }
+    record Idle(long us) implements Order {}
 
     /** A line for the log. */
-    record Note(String line) implements Order { }
+    record Note(String line) implements Order {}
   }
 
   private static final long SECOND_US = 1_000_000;
+
   /** Spans of calls are seconds long. */
   private static final int MOST_SECONDS = 60;
 
@@ -112,20 +137,26 @@
   }
 
   /** Something learnt, {@code of} a class or tenant by name; empty where it is of the server. */
-  public record Lesson(Topic topic, String of, double value, double samples) { }
+  public record Lesson(Topic topic, String of, double value, double samples) {}
 
   /** The names that numbers of classes and tenants go by; null where a number has none. */
-  public record Names(List<String> classes, List<String> tenants) { }
+  public record Names(List<String> classes, List<String> tenants) {}
 
   /** A limit that rests on so many seconds is taken in whole. */
   private static final double TRUSTED_S = 10;
-  /** The usual limit is a mean over some seconds of use: looked at so often, each look counts so much. */
+
+  /**
+   * The usual limit is a mean over some seconds of use: looked at so often, each look counts so
+   * much.
+   */
   private static final long LIMIT_EVERY_US = 100_000;
+
   private static final double LIMIT_PART = 0.03;
+
   /** Limits on calls from here on are none. */
   private static final double NO_LIMIT = 1e5;
 
-  private record Timer(long atUs, long nr, long tag) { }
+  private record Timer(long atUs, long nr, long tag) {}
 
   private Settings settings;
   private List<String> gaugeNames;
@@ -136,7 +167,8 @@
   private final Gauges gauges = new Gauges();
   private Policy policy;
   private boolean startedCold;
-  private double usualLimit; // while in use, smoothed: the limit itself falls as soon as nothing needs it
+  private double
+      usualLimit; // while in use, smoothed: the limit itself falls as soon as nothing needs it
   private double usedSeconds; // that it rests on
   private long sampledUs;
   private double takenArrivals;
@@ -152,7 +184,10 @@
     this.seed = seed;
   }
 
-  /** Starts the module as of a moment that may have passed: when the cores it rules came up, cold or warm. */
+  /**
+   * Starts the module as of a moment that may have passed: when the cores it rules came up, cold or
+   * warm.
+   */
   public void begin(long sinceUs, boolean cold) {
     now = sinceUs;
     startedCold = cold;
@@ -187,16 +222,22 @@
     }
     for (int t = 0; t < Math.min(l.parts().length, names.tenants.size()); t++) {
       if (names.tenants.get(t) != null && takenArrivals + l.arrivals() > 0) {
-        all.add(new Lesson(Topic.TENANT_PART, names.tenants.get(t), l.parts()[t], takenArrivals + l.arrivals()));
+        all.add(
+            new Lesson(
+                Topic.TENANT_PART,
+                names.tenants.get(t),
+                l.parts()[t],
+                takenArrivals + l.arrivals()));
       }
     }
     return all;
   }
 
   /**
-   * Has the module take in what was learnt elsewhere, now or as soon as it begins; the lessons are asked for then, and as of
-   * then. What is seen here overtakes them; limits count in part where they rest on few seconds, and never over the module's
-   * ceilings. What names nothing here is left out.
+   * Has the module take in what was learnt elsewhere, now or as soon as it begins; the lessons are
+   * asked for then, and as of then. What is seen here overtakes them; limits count in part where
+   * they rest on few seconds, and never over the module's ceilings. What names nothing here is left
+   * out.
    */
   public void teach(Names names, Supplier<List<Lesson>> source) {
     if (policy == null) {
@@ -230,7 +271,9 @@
           calls = samples;
         }
         case LIMIT -> {
-          limit = settings.cores() + (lesson.value - settings.cores()) * Math.min(1, lesson.samples / TRUSTED_S);
+          limit =
+              settings.cores()
+                  + (lesson.value - settings.cores()) * Math.min(1, lesson.samples / TRUSTED_S);
           usedSeconds = lesson.samples;
         }
         case CALL_LIMIT -> callLimit = lesson.samples >= TRUSTED_S ? lesson.value : 0;
@@ -244,7 +287,8 @@
       }
     }
     takenArrivals = arrivals;
-    policy.take(new PolicyApi.Learnt(runUs, runs, callUs, calls, limit, callLimit, parts, arrivals));
+    policy.take(
+        new PolicyApi.Learnt(runUs, runs, callUs, calls, limit, callLimit, parts, arrivals));
     usualLimit = policy.limit;
   }
 
@@ -259,8 +303,8 @@
   }
 
   /**
-   * New settings, in force from now on. A class or tenant keeps its number; the classes {@code renamed} are others than
-   * those that went by these numbers before.
+   * New settings, in force from now on. A class or tenant keeps its number; the classes {@code
+   * renamed} are others than those that went by these numbers before.
    */
   public void retune(long nowUs, Settings fresh, List<String> gauges, List<Integer> renamed) {
     now = Math.max(now, nowUs);
@@ -280,8 +324,22 @@
   public void report(long nowUs, Report report) {
     now = Math.max(now, nowUs);
     if (report instanceof Report.Arrived a) {
-      policy.arrived(now, new Request(a.id, a.klass, a.tenant, a.key, a.leftUs, 0, a.heldKb, a.rank, a.retry,
-          a.write, a.caller, a.ageUs, a.original));
+      policy.arrived(
+          now,
+          new Request(
+              a.id,
+              a.klass,
+              a.tenant,
+              a.key,
+              a.leftUs,
+              0,
+              a.heldKb,
+              a.rank,
+              a.retry,
+              a.write,
+              a.caller,
+              a.ageUs,
+              a.original));
     } else if (report instanceof Report.Ended e) {
       policy.ended(now, e.id, outcome(e.outcome), e.tookUs);
     } else if (report instanceof Report.NeedsCall n) {
@@ -301,17 +359,20 @@
   }
 
   /**
-   * What a module takes of its server's limits: calls below in the mean of their span, now and after each further second
-   * if it makes no more of them; KB of memory; requests run.
+   * What a module takes of its server's limits: calls below in the mean of their span, now and
+   * after each further second if it makes no more of them; KB of memory; requests run.
    */
-  public record Taken(List<Double> calls, double memoryKb, double running) { }
+  public record Taken(List<Double> calls, double memoryKb, double running) {}
 
   /** What is taken now. */
   public Taken taken(long nowUs) {
     List<Double> calls = new ArrayList<>();
     double spanUs = Math.max(1, settings.callsSpanUs());
     for (int second = 0; second <= Math.min(MOST_SECONDS, spanUs / SECOND_US); second++) {
-      calls.add(policy == null ? 0 : policy.callsTaken(Math.max(now, nowUs) + second * SECOND_US, spanUs) / spanUs);
+      calls.add(
+          policy == null
+              ? 0
+              : policy.callsTaken(Math.max(now, nowUs) + second * SECOND_US, spanUs) / spanUs);
     }
     double[] rest = policy == null ? new double[2] : policy.taken();
     return new Taken(calls, rest[0], rest[1]);
@@ -339,7 +400,7 @@
         case "on_cores" -> gauges.onCores = values[i];
         case "heap_share" -> gauges.memory = values[i];
         case "links" -> gauges.connections = values[i];
-        default -> { } // a gauge the module has no use for
+        default -> {} // a gauge the module has no use for
       }
     }
   }
@@ -366,59 +427,73 @@
 
   /** Turns the module's actions into orders. */
   private final class Collector implements PolicyApi.Actions {
-    @Override public void run(long id) {
+    @Override
+    public void run(long id) {
       orders.add(new Order.Run(id));
     }
 
-    @Override public void refuse(long id, long holdOffUs, boolean last) {
+    @Override
+    public void refuse(long id, long holdOffUs, boolean last) {
       orders.add(new Order.Refuse(id, holdOffUs, last));
     }
 
-    @Override public void fail(long id) {
+    @Override
+    public void fail(long id) {
       orders.add(new Order.Fail(id));
     }
 
-    @Override public void halt(long id) {
+    @Override
+    public void halt(long id) {
       orders.add(new Order.Halt(id));
     }
 
-    @Override public void call(long id, long untilUs) {
+    @Override
+    public void call(long id, long untilUs) {
       orders.add(new Order.Call(id, untilUs));
     }
 
-    @Override public void skipCall(long id) {
+    @Override
+    public void skipCall(long id) {
       orders.add(new Order.SkipCall(id));
     }
 
-    @Override public void keep(long id, long forUs) {
+    @Override
+    public void keep(long id, long forUs) {
       orders.add(new Order.Keep(id, forUs));
     }
 
-    @Override public void forget(long id) {
+    @Override
+    public void forget(long id) {
       orders.add(new Order.Forget(id));
     }
 
-    @Override public void reuse(long id) {
+    @Override
+    public void reuse(long id) {
       orders.add(new Order.Reuse(id));
     }
 
-    @Override public void health(boolean good, boolean fromStore) {
+    @Override
+    public void health(boolean good, boolean fromStore) {
       orders.add(new Order.Health(good));
     }
 
-    @Override public void say(double value) {
+    @Override
+    public void say(double value) {
       orders.add(new Order.Say(value));
     }
 
-    @Override public void idle(long us) {
+    @Override
+    public void idle(long us) {
       orders.add(new Order.Idle(us));
     }
 
-    @Override public void wake(long inUs, long tag) {
+    @Override
+    public void wake(long inUs, long tag) {
       timers.add(new Timer(now + inUs, nr++, tag));
     }
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
       orders.add(new Order.Note(line));
     }
   }
--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -19,54 +19,86 @@
  */
 public final class Policy implements PolicyApi {
   // ---- constants: unit; reason; whose -----------------------------------------------------------
-  private static final double ALPHA = 0.1; // per event; weight of the newest offered load; open, ours
+  private static final double ALPHA =
+      0.1; // per event; weight of the newest offered load; open, ours
   private static final double BETA = 0.1; // per event; weight of the newest utilisation; open, ours
   private static final double U_THR = 0.75; // share of cores; the paper's threshold; DESIGN's
-  private static final double BIND_WAIT = 0.1; // of the wanted time; wait from which refusal binds; DESIGN's
-  private static final double BIND_BUSY = 0.9; // share of cores; busy enough for refusal to bind; DESIGN's
+  private static final double BIND_WAIT =
+      0.1; // of the wanted time; wait from which refusal binds; DESIGN's
+  private static final double BIND_BUSY =
+      0.9; // share of cores; busy enough for refusal to bind; DESIGN's
   private static final double RATE_US = 2e6; // us; memory of the arrival and completion rates; ours
   private static final long TICK_US = 20_000; // us; sweep of deadlines and gauges; ours
   private static final long STEP_US = 100_000; // us; pace of limit and signals; ours
   private static final long MARGIN_US = TICK_US; // us; answers by timer come so early at most; ours
   private static final double GROW = 1.0; // runs; one step up of the limit; ours
   private static final double SHRINK = 0.9; // factor; one step down of the limit; ours
-  private static final double CROWDED = 1.3; // run time over base from which the limit shrinks; ours
+  private static final double CROWDED =
+      1.3; // run time over base from which the limit shrinks; ours
   private static final double CROWD_PART = 0.6; // of the crowd survived; the limit's ceiling; ours
-  private static final double MEMORY_PART = 0.92; // of the memory; what runs and keys may fill; ours
-  private static final double HOLD_PART = 0.85; // of the memory; arrivals are refused above it; ours
+  private static final double MEMORY_PART =
+      0.92; // of the memory; what runs and keys may fill; ours
+  private static final double HOLD_PART =
+      0.85; // of the memory; arrivals are refused above it; ours
   private static final double CROWDING_US = 5e5; // us; memory of the crowd on the cores; ours
   private static final double SAMPLE = 128; // arrivals; memory of tenants and callers; ours
   private static final double MISSED = 12; // completions; so many overdue are a hang; ours
   private static final int KNOWN = 8; // runs; a class's run time is known after so many; ours
   private static final long HANG_US = 700_000; // us; the shortest stall that is a hang; ours
   private static final double SLOW = 1.7; // run time over base from which the weight falls; ours
-  private static final double LEVEL_UP = 0.25; // rank a second at refusal 1; rise of the level; ours
+  private static final double LEVEL_UP =
+      0.25; // rank a second at refusal 1; rise of the level; ours
   private static final double LEVEL_DOWN = 0.05; // rank a second; decay of the level; ours
-  private static final double LEVEL_TOP = 0.98; // rank; the level goes no higher while work is done; ours
-  private static final double BEHIND = 0.4; // of the wanted time; requests read so late are a backlog; ours
-  private static final double AWAY = 0.3; // longest hold-offs per part of the cores that reads take; ours
-  private static final double RUN_PART = 1; // of the expected run; what has less time left is not begun; ours
-  private static final double WORTH_US = 6e6; // us; busy cores keep a connection so long for a new one; ours
-  private static final long SHORT_US = 50_000; // us; idle connections close so soon where few come back; ours
-  private static final double SWAMPED = 0.7; // of the cores; reading and connections that take more; ours
-  private static final double IDLE_UP = 1.5; // factor a step of the limit; rise of the idle span; ours
-  private static final double IDLE_DOWN = 0.98; // factor a step of the limit; fall of the idle span; ours
-  private static final double ENOUGH = 1.5; // quotas; who is served that much gains little by more; ours
+  private static final double LEVEL_TOP =
+      0.98; // rank; the level goes no higher while work is done; ours
+  private static final double BEHIND =
+      0.4; // of the wanted time; requests read so late are a backlog; ours
+  private static final double AWAY =
+      0.3; // longest hold-offs per part of the cores that reads take; ours
+  private static final double RUN_PART =
+      1; // of the expected run; what has less time left is not begun; ours
+  private static final double WORTH_US =
+      6e6; // us; busy cores keep a connection so long for a new one; ours
+  private static final long SHORT_US =
+      50_000; // us; idle connections close so soon where few come back; ours
+  private static final double SWAMPED =
+      0.7; // of the cores; reading and connections that take more; ours
+  private static final double IDLE_UP =
+      1.5; // factor a step of the limit; rise of the idle span; ours
+  private static final double IDLE_DOWN =
+      0.98; // factor a step of the limit; fall of the idle span; ours
+  private static final double ENOUGH =
+      1.5; // quotas; who is served that much gains little by more; ours
   private static final double CREDIT = 64; // limits; what all callers together may have here; ours
-  private static final double LAME = 3.5; // run time over base; so slow a server has no credit to spare; ours
-  private static final double SELDOM = 0.08; // refusal chance up to which a first try may go on; ours
-  private static final double QUICK = 0.1; // of the expected run; so short a call is always made; ours
-  private static final double PATIENCE = 8; // usual lengths of a call after which it is given up; ours
-  private static final double CALLS_SLOW = 3; // usual lengths of a call; from there on fewer are out; ours
+  private static final double LAME =
+      3.5; // run time over base; so slow a server has no credit to spare; ours
+  private static final double SELDOM =
+      0.08; // refusal chance up to which a first try may go on; ours
+  private static final double QUICK =
+      0.1; // of the expected run; so short a call is always made; ours
+  private static final double PATIENCE =
+      8; // usual lengths of a call after which it is given up; ours
+  private static final double CALLS_SLOW =
+      3; // usual lengths of a call; from there on fewer are out; ours
   private static final double CALLS_LEAST = 2; // calls; so many may be out in any case; ours
-  private static final double CALLS_PART = 0.4; // of this server's share; or so many, if that is fewer; ours
+  private static final double CALLS_PART =
+      0.4; // of this server's share; or so many, if that is fewer; ours
   private static final double CALLS_SHRINK = 0.7; // factor; one step down of the calls out; ours
-  private static final double CALLS_DRIFT = 1.05; // factor a step; rise of what is usual at the least; ours
+  private static final double CALLS_DRIFT =
+      1.05; // factor a step; rise of what is usual at the least; ours
   private static final int CALL_TRIES = 2; // calls; for one need, where repeating is allowed; ours
-  private static final double ALIKE = 0.999; // of a worth; from there on two are worth the same; ours
+  private static final double ALIKE =
+      0.999; // of a worth; from there on two are worth the same; ours
   private static final int RING = 64; // arrivals; those whose worth is compared; ours
 
-  private enum State { HELD, RUNNING, ATTACHED, AT_CALL, CALLING, OVER }
+  private enum State {
+    HELD,
+    RUNNING,
+    ATTACHED,
+    AT_CALL,
+    CALLING,
+    OVER
+  }
 
   /** What became of a keyed effect, for all its tries. */
   private static final class Effects {
@@ -99,16 +131,19 @@
     long until;
   }
 
-  private record Kept(long until, long id, boolean inTable, double kb) { }
+  private record Kept(long until, long id, boolean inTable, double kb) {}
 
   private Settings s;
   private final Actions out;
   private final SplittableRandom random;
   private final Map<Long, Item> items = new HashMap<>();
   private final List<Item> held = new ArrayList<>(); // in order of coming
-  private final List<Item> busy = new ArrayList<>(); // running, attached or at a call; in order of starting
-  private final List<Item> callers = new ArrayList<>(); // at a call that is not made yet; in order of coming
-  private final List<Call> callLog = new ArrayList<>(); // those that take up time in the span now ending
+  private final List<Item> busy =
+      new ArrayList<>(); // running, attached or at a call; in order of starting
+  private final List<Item> callers =
+      new ArrayList<>(); // at a call that is not made yet; in order of coming
+  private final List<Call> callLog =
+      new ArrayList<>(); // those that take up time in the span now ending
   private final Map<Long, Effects> table = new HashMap<>();
   private final PriorityQueue<Kept> kept =
       new PriorityQueue<>(Comparator.comparingLong(Kept::until).thenComparingLong(Kept::id));
@@ -127,11 +162,13 @@
   private long ratesAt;
   private double[] mean = {}; // us of run time by class (per us of hint where hints come)
   private int[] samples = {};
-  private double[] told = {}; // us of run time by class, as taken in from elsewhere, and the runs it rests on
+  private double[]
+      told = {}; // us of run time by class, as taken in from elsewhere, and the runs it rests on
   private int[] toldRuns = {};
   private double stretch = 1;
   private double calm = 1;
-  private double crowding = 1; // what wants the cores over the cores, smoothed; 1 while all of it fits
+  private double crowding =
+      1; // what wants the cores over the cores, smoothed; 1 while all of it fits
   private double reading; // part of the cores that reading and connections want, smoothed
   private double[] tenantPart = {}; // of the recent arrivals
   private double[] served = {}; // recent runs that ended well, by tenant
@@ -146,8 +183,10 @@
   private double callUsual; // us; the same over many more calls
   private int callsEnded;
   private boolean turnedAway; // a call, since the last step
-  private long callsFrom; // no call before: servers that start together and may call seldom must not meet
-  private double callLimit = Double.MAX_VALUE; // calls out at a time; under 1 in the mean, by pauses
+  private long
+      callsFrom; // no call before: servers that start together and may call seldom must not meet
+  private double callLimit =
+      Double.MAX_VALUE; // calls out at a time; under 1 in the mean, by pauses
   private long callPause; // no call before
   private int away; // requests at a call: they are off the cores, and will come back
   private double memoryKb;
@@ -161,7 +200,8 @@
   private double level;
   private double said = Double.NaN;
   private double refusal;
-  private double over; // part of the arrivals that are too many, though no lower than the level; smoothed
+  private double
+      over; // part of the arrivals that are too many, though no lower than the level; smoothed
   private double unread; // age when read over the wanted time, smoothed: the backlog not read yet
   private boolean healthy = true;
   private final Map<Long, Long> seen = new LinkedHashMap<>(); // when each caller last came
@@ -177,7 +217,9 @@
     limit = s.cores();
   }
 
-  /** Settings to go by from now on; what was learnt of classes and tenants stays with their numbers. */
+  /**
+   * Settings to go by from now on; what was learnt of classes and tenants stays with their numbers.
+   */
   private void use(Settings settings) {
     s = settings;
     mean = Arrays.copyOf(mean, s.classes().size());
@@ -189,26 +231,32 @@
     served = Arrays.copyOf(served, tenantPart.length);
     quotas = s.tenants().stream().mapToDouble(Tenant::quotaPerS).sum();
     for (int t = known; t < tenantPart.length; t++) {
-      tenantPart[t] = quotas > 0 ? s.tenants().get(t).quotaPerS() / quotas : 0; // until it is known better
+      tenantPart[t] =
+          quotas > 0 ? s.tenants().get(t).quotaPerS() / quotas : 0; // until it is known better
     }
   }
 
   // ---- events -----------------------------------------------------------------------------------
 
-  @Override public void begin(long now) {
+  @Override
+  public void begin(long now) {
     clock = born = lastTick = lastStep = lastEnd = ratesAt = now;
-    callsFrom = callsSpan() > s.callsSpanUs() ? now + (long) (random.nextDouble() * callsSpan()) : now;
+    callsFrom =
+        callsSpan() > s.callsSpanUs() ? now + (long) (random.nextDouble() * callsSpan()) : now;
     out.health(true, true); // from store: checks that do real work would take it from requests
     out.wake(TICK_US, 0);
   }
 
-  @Override public void retuned(long now, Settings settings, List<Integer> renamed) {
+  @Override
+  public void retuned(long now, Settings settings, List<Integer> renamed) {
     clock = now;
     use(settings);
-    renamed.forEach(c -> mean[c] = samples[c] = toldRuns[c] = 0); // another class goes by the number now
+    renamed.forEach(
+        c -> mean[c] = samples[c] = toldRuns[c] = 0); // another class goes by the number now
   }
 
-  @Override public void arrived(long now, Request q) {
+  @Override
+  public void arrived(long now, Request q) {
     clock = now;
     Item it = new Item();
     it.q = q;
@@ -216,8 +264,12 @@
     it.k = s.classes().get(q.klass());
     it.arrived = now - q.ageUs();
     it.due = Math.max(now, q.leftUs() > 0 ? now + q.leftUs() : it.arrived + it.k.dueUs());
-    it.aim = Math.min(it.due, it.arrived + it.k.aimUs()
-        + (long) (it.k.aimStretch() * (q.hintUs() > 0 ? q.hintUs() : mean[q.klass()])));
+    it.aim =
+        Math.min(
+            it.due,
+            it.arrived
+                + it.k.aimUs()
+                + (long) (it.k.aimStretch() * (q.hintUs() > 0 ? q.hintUs() : mean[q.klass()])));
     it.due = Math.min(it.due, stopAt);
     items.put(q.id(), it);
     held.add(it);
@@ -237,13 +289,15 @@
     dispatch(now);
   }
 
-  @Override public void ended(long now, long id, Outcome outcome, long tookUs) {
+  @Override
+  public void ended(long now, long id, Outcome outcome, long tookUs) {
     clock = now;
     Item it = items.get(id);
     if (it == null) {
       return;
     }
-    if (outcome == Outcome.HALTED && it.owed) { // dropped or paused without an answer: it is held again
+    if (outcome == Outcome.HALTED
+        && it.owed) { // dropped or paused without an answer: it is held again
       leave(it);
       it.state = State.HELD;
       it.halted = false;
@@ -254,7 +308,10 @@
     }
     boolean wasRun = it.state != State.ATTACHED;
     if (outcome == Outcome.OK ? wasRun : outcome == Outcome.HALTED && it.state == State.RUNNING) {
-      learn(it, Math.max(1, tookUs - it.off), outcome == Outcome.OK ? 1 : 0); // time at calls is no slowness
+      learn(
+          it,
+          Math.max(1, tookUs - it.off),
+          outcome == Outcome.OK ? 1 : 0); // time at calls is no slowness
     }
     if (wasRun && outcome == Outcome.OK || outcome == Outcome.ERROR) {
       rates(now);
@@ -279,7 +336,8 @@
     dispatch(now);
   }
 
-  @Override public void needsCall(long now, long id) {
+  @Override
+  public void needsCall(long now, long id) {
     clock = now;
     Item it = items.get(id);
     if (it == null || it.state != State.RUNNING) {
@@ -295,7 +353,8 @@
     dispatch(now);
   }
 
-  @Override public void called(long now, long id, Outcome outcome, long tookUs) {
+  @Override
+  public void called(long now, long id, Outcome outcome, long tookUs) {
     clock = now;
     Item it = items.get(id);
     if (it != null && it.state == State.CALLING) {
@@ -322,7 +381,8 @@
     dispatch(now);
   }
 
-  @Override public void gone(long now, long id) {
+  @Override
+  public void gone(long now, long id) {
     clock = now;
     Item it = items.get(id);
     if (it == null) {
@@ -333,7 +393,8 @@
     dispatch(now);
   }
 
-  @Override public void woken(long now, long tag, Gauges g) {
+  @Override
+  public void woken(long now, long tag, Gauges g) {
     clock = now;
     out.wake(TICK_US, 0);
     double gap = now - lastTick;
@@ -344,7 +405,8 @@
     expireKeys(now);
     double wanting = Math.max(1, Math.max(running, g.onCores) / s.cores());
     crowding += Math.min(1, gap / CROWDING_US) * (wanting - crowding);
-    double reads = g.onCores < 0 ? 0 : Math.max(0, g.onCores - running) / Math.max(s.cores(), g.onCores);
+    double reads =
+        g.onCores < 0 ? 0 : Math.max(0, g.onCores - running) / Math.max(s.cores(), g.onCores);
     reading += Math.min(1, gap / CROWDING_US) * (reads - reading);
     watch(now, gap, wanting);
     sweep(now);
@@ -356,7 +418,8 @@
     dispatch(now);
   }
 
-  @Override public void drain(long now, long leftUs) {
+  @Override
+  public void drain(long now, long leftUs) {
     clock = now;
     drainAt = now;
     stopAt = now + leftUs;
@@ -387,12 +450,14 @@
   }
 
   /**
-   * Learns from a run that ended by itself (ended 1) or was halted (0). Of a halted run the time counts, not
-   * the end, else a server that stops its long runs would know short ones only and take too much.
+   * Learns from a run that ended by itself (ended 1) or was halted (0). Of a halted run the time
+   * counts, not the end, else a server that stops its long runs would know short ones only and take
+   * too much.
    */
   private void learn(Item it, long workedUs, int ended) {
     int c = it.q.klass();
-    double alone = workedUs / crowding; // what reading and other runs took of the cores is no slowness
+    double alone =
+        workedUs / crowding; // what reading and other runs took of the cores is no slowness
     double unit = it.q.hintUs() > 0 ? alone / it.q.hintUs() : alone;
     if (samples[c] == 0) {
       mean[c] = unit;
@@ -418,11 +483,13 @@
   }
 
   /**
-   * Whether kept connections are used again soon enough to be worth their part of the cores. Guards against
-   * a table full of callers that hardly return. Harm: few frequent ones among many pay for new connections.
+   * Whether kept connections are used again soon enough to be worth their part of the cores. Guards
+   * against a table full of callers that hardly return. Harm: few frequent ones among many pay for
+   * new connections.
    */
   private void countCaller(long now, long caller) {
-    double worth = Math.min(s.idleUs(), WORTH_US / Math.max(uAv, 0.01)); // cores that idle pay its tax
+    double worth =
+        Math.min(s.idleUs(), WORTH_US / Math.max(uAv, 0.01)); // cores that idle pay its tax
     Iterator<Long> times = seen.values().iterator(); // in order of coming; the older are as new
     while (times.hasNext() && now - times.next() >= worth) {
       times.remove();
@@ -434,10 +501,11 @@
   }
 
   /**
-   * What one more request of this tenant is worth: little once it is served its quota. Over it is who sends
-   * more than its quota a server and more than its part of all quotas: further tries and uneven load swell
-   * all rates alike, and a thin sample must not set those inside their shares against each other. Harm: where
-   * demand drifts, a newcomer is over its share only after some tens of arrivals.
+   * What one more request of this tenant is worth: little once it is served its quota. Over it is
+   * who sends more than its quota a server and more than its part of all quotas: further tries and
+   * uneven load swell all rates alike, and a thin sample must not set those inside their shares
+   * against each other. Harm: where demand drifts, a newcomer is over its share only after some
+   * tens of arrivals.
    */
   private double shareWorth(int t) {
     if (t >= tenantPart.length || s.overShareWorth() >= 1 || s.servers() == 0 || quotas <= 0) {
@@ -455,16 +523,22 @@
   }
 
   /**
-   * What an answer is worth here. A marked further try is as likely as not past its wanted time; guards first
-   * tries against retries. Harm: where first tries fail at once elsewhere, their retries are as good as new.
+   * What an answer is worth here. A marked further try is as likely as not past its wanted time;
+   * guards first tries against retries. Harm: where first tries fail at once elsewhere, their
+   * retries are as good as new.
    */
   private double worthOf(Item it) {
-    return it.k.worth() * shareWorth(it.q.tenant()) * (it.q.retry() ? (1 + it.k.lateWorth()) / 2 : 1);
+    return it.k.worth()
+        * shareWorth(it.q.tenant())
+        * (it.q.retry() ? (1 + it.k.lateWorth()) / 2 : 1);
   }
 
   // ---- what was learnt --------------------------------------------------------------------------
 
-  /** What was learnt here and holds beyond the moment; where little was, what was taken in is passed on. */
+  /**
+   * What was learnt here and holds beyond the moment; where little was, what was taken in is passed
+   * on.
+   */
   Learnt learnt() {
     double[] base = new double[mean.length];
     int[] runs = samples.clone();
@@ -476,25 +550,34 @@
     return new Learnt(base, runs, callUsual, callsEnded, limit, callLimit, tenantPart, ringCount);
   }
 
-  /** Takes in what was learnt elsewhere; run times stand in until some are seen. Harm: wrong ones mislead. */
+  /**
+   * Takes in what was learnt elsewhere; run times stand in until some are seen. Harm: wrong ones
+   * mislead.
+   */
   void take(Learnt l) {
     told = l.runUs().clone();
     toldRuns = Arrays.stream(l.runs()).map(n -> Math.min(n, KNOWN)).toArray();
     callUsual = callTook = callsEnded == 0 && callTook == 0 ? l.callUs() : callTook;
     limit = Math.max(limit, Math.min(l.limit(), CROWD_PART * crowd()));
-    callLimit = l.callLimit() > 0 ? Math.min(callLimit, Math.max(CALLS_LEAST, l.callLimit())) : callLimit;
+    callLimit =
+        l.callLimit() > 0 ? Math.min(callLimit, Math.max(CALLS_LEAST, l.callLimit())) : callLimit;
     double part = Math.min(1, l.arrivals() / SAMPLE);
     Arrays.setAll(tenantPart, t -> tenantPart[t] + part * (l.parts()[t] - tenantPart[t]));
   }
 
   // ---- admission gate ---------------------------------------------------------------------------
 
-  /** F_cf for a request that competes with this part of the arrivals; 1 is every arrival, as in the paper. */
+  /**
+   * F_cf for a request that competes with this part of the arrivals; 1 is every arrival, as in the
+   * paper.
+   */
   double fCf(double part) {
     return Math.max(0, Math.min(1, 1 - (rhoAv * part - U_THR)));
   }
 
-  /** Whether refusal binds: over the threshold, the cores busy, and the oldest held kept waiting. */
+  /**
+   * Whether refusal binds: over the threshold, the cores busy, and the oldest held kept waiting.
+   */
   private boolean bound(long now) {
     if (uAv <= U_THR || coreUse <= BIND_BUSY || held.isEmpty()) {
       return false;
@@ -508,14 +591,18 @@
     if (it.q.original() != 0 && repeat(now, it, late)) {
       return;
     }
-    // an arrival read late must not bind its own refusal: with none held before it a run may start at once,
+    // an arrival read late must not bind its own refusal: with none held before it a run may start
+    // at once,
     // unless dearer arrivals alone offer more than this server can do
     boolean bound = bound(now) && (held.size() > 1 || rhoAv * arriving(worth / ALIKE) > 1);
     double chance = bound ? 1 - fCf(arriving(worth * ALIKE)) : 0;
     refusal += 0.05 * (chance - refusal);
     over += 0.05 * ((it.q.rank() < level ? 0 : behind() ? 1 : chance) - over);
     boolean keyed = it.k.effect() == Effect.KEYED;
-    if (late || hung || memoryKb > HOLD_PART * s.memoryKb() || hopeless(now, it)
+    if (late
+        || hung
+        || memoryKb > HOLD_PART * s.memoryKb()
+        || hopeless(now, it)
         || keyed && memoryKb + s.keyKb() > MEMORY_PART * s.memoryKb()
         || chance > 0 && random.nextDouble() < chance && !tradedIn(worth)) {
       refuse(it);
@@ -568,7 +655,8 @@
 
   private void adaptLimit() {
     if (coreUse < BIND_BUSY && !held.isEmpty() && running >= (int) limit) {
-      limit += GROW; // free cores come first: runs that wait for something else are long but no crowd
+      limit +=
+          GROW; // free cores come first: runs that wait for something else are long but no crowd
     } else if (slowness() * crowding > CROWDED) {
       limit *= SHRINK;
     }
@@ -585,7 +673,8 @@
       double bestWorth = -1;
       for (int i = 0; i < held.size(); i++) {
         Item it = held.get(i);
-        if (spent(it) || memoryKb + s.runFactor() * it.q.heldKb() - it.kb > MEMORY_PART * s.memoryKb()) {
+        if (spent(it)
+            || memoryKb + s.runFactor() * it.q.heldKb() - it.kb > MEMORY_PART * s.memoryKb()) {
           continue;
         }
         if (hopeless(now, it)) {
@@ -684,14 +773,17 @@
 
   // ---- answers and deadlines --------------------------------------------------------------------
 
-  /** True where no answer worth anything can come of it any more. An idle server lets one through. */
+  /**
+   * True where no answer worth anything can come of it any more. An idle server lets one through.
+   */
   private boolean hopeless(long now, Item it) {
     if (running == 0 && now < it.aim) {
       return false;
     }
     long end = it.k.lateWorth() > 0 && !bound(now) ? it.due - MARGIN_US : it.aim;
     boolean hopeless = now + RUN_PART * expected(it) >= end;
-    toldRuns[it.q.klass()] -= hopeless && now < end && toldRuns[it.q.klass()] > 0 ? 1 : 0; // it may be wrong
+    toldRuns[it.q.klass()] -=
+        hopeless && now < end && toldRuns[it.q.klass()] > 0 ? 1 : 0; // it may be wrong
     return hopeless;
   }
 
@@ -730,16 +822,20 @@
     }
     it.owed = false;
     boolean shut = shut();
-    double stay = shut ? 1
-        : behind() ? 0.5 + 0.5 * random.nextDouble()
-        : Math.min(1, AWAY * reading) * random.nextDouble();
+    double stay =
+        shut
+            ? 1
+            : behind()
+                ? 0.5 + 0.5 * random.nextDouble()
+                : Math.min(1, AWAY * reading) * random.nextDouble();
     out.refuse(it.q.id(), (long) (stay * s.maxHoldOffUs()), !shut && !mayGoOn(it));
     letGo(it);
   }
 
   /**
-   * A first try may go on elsewhere once, where further tries are marked and this server refuses seldom:
-   * then its trouble is likely its own. Harm: where all servers are that full, each such try costs a read.
+   * A first try may go on elsewhere once, where further tries are marked and this server refuses
+   * seldom: then its trouble is likely its own. Harm: where all servers are that full, each such
+   * try costs a read.
    */
   private boolean mayGoOn(Item it) {
     return s.marksRetry() && !it.q.retry() && refusal <= SELDOM && !behind();
@@ -754,7 +850,9 @@
     }
   }
 
-  /** Frees the cores of work nobody waits for; a keyed run goes on, its result may answer a repeat. */
+  /**
+   * Frees the cores of work nobody waits for; a keyed run goes on, its result may answer a repeat.
+   */
   private void stopWork(Item it) {
     if (s.halt() != Halt.OFF && it.k.effect() != Effect.KEYED && !it.halted) {
       it.halted = true;
@@ -772,8 +870,13 @@
     }
     for (int i = 0; i < busy.size(); i++) {
       Item it = busy.get(i);
-      boolean useless = it.state == State.RUNNING && it.k.effect() == Effect.SAFE && it.k.lateWorth() == 0
-          && now > it.aim && s.halt() != Halt.OFF && !held.isEmpty();
+      boolean useless =
+          it.state == State.RUNNING
+              && it.k.effect() == Effect.SAFE
+              && it.k.lateWorth() == 0
+              && now > it.aim
+              && s.halt() != Halt.OFF
+              && !held.isEmpty();
       if (it.owed && (now >= it.due - MARGIN_US || useless)) {
         int size = busy.size();
         answer(it);
@@ -787,8 +890,9 @@
   // ---- calls below ------------------------------------------------------------------------------
 
   /**
-   * Makes the calls that fit into this server's share, dearest first; what must wait long goes without.
-   * Guards against a dependency that is slow, crowded or dead. Harm: where its room is far over all shares.
+   * Makes the calls that fit into this server's share, dearest first; what must wait long goes
+   * without. Guards against a dependency that is slow, crowded or dead. Harm: where its room is far
+   * over all shares.
    */
   private void calls(long now) {
     Item best;
@@ -815,13 +919,15 @@
   }
 
   /**
-   * The calls out at a time follow their length. Guards a dependency that does less the more it holds: all
-   * servers' calls jam it, and where servers are many one from each is a jam. Harm: where it is slow for
-   * another cause, calls wait that it could have taken.
+   * The calls out at a time follow their length. Guards a dependency that does less the more it
+   * holds: all servers' calls jam it, and where servers are many one from each is a jam. Harm:
+   * where it is slow for another cause, calls wait that it could have taken.
    */
   private void adaptCalls() {
-    double part = s.below() == Below.SHARED ? Math.min(1, CALLS_PART * s.callsOut() / CALLS_LEAST) : 1;
-    double least = CALLS_LEAST * part; // the smaller its part, the less the length of calls is its doing
+    double part =
+        s.below() == Below.SHARED ? Math.min(1, CALLS_PART * s.callsOut() / CALLS_LEAST) : 1;
+    double least =
+        CALLS_LEAST * part; // the smaller its part, the less the length of calls is its doing
     if (turnedAway || callTook > CALLS_SLOW * callUsual) {
       callLimit = Math.max(least, CALLS_SHRINK * Math.min(callLimit, callsOut()));
       callUsual *= callLimit > least ? 1 : Math.pow(CALLS_DRIFT, part); // not slow by so few
@@ -860,7 +966,10 @@
     return worthOf(it) * (1 - it.k.worthWithoutCall());
   }
 
-  /** Until when its call may take, so that an answer without it is in time, where that is worth anything. */
+  /**
+   * Until when its call may take, so that an answer without it is in time, where that is worth
+   * anything.
+   */
   private double inTime(Item it) {
     if (it.k.worthWithoutCall() <= 0) {
       return it.due - MARGIN_US;
@@ -871,11 +980,12 @@
   }
 
   /**
-   * A call much shorter than the run is made in any case; none is awaited many times its usual length, but
-   * for one that all depends on. None books more than half of the room there is, unless that is a few usual
-   * lengths only, nor more than half of the whole share: one that booked more than there is could never be
-   * made, kept all behind it back, and a slow moment left no room for as long as the span. Harm: where many
-   * servers share and calls take long, those that would end after that are given up.
+   * A call much shorter than the run is made in any case; none is awaited many times its usual
+   * length, but for one that all depends on. None books more than half of the room there is, unless
+   * that is a few usual lengths only, nor more than half of the whole share: one that booked more
+   * than there is could never be made, kept all behind it back, and a slow moment left no room for
+   * as long as the span. Harm: where many servers share and calls take long, those that would end
+   * after that are given up.
    */
   private long callUntil(long now, Item it, double room) {
     double end = Math.max(inTime(it), now + QUICK * expected(it));
@@ -891,17 +1001,22 @@
   }
 
   /**
-   * How long one more call may take (us) within this server's share of what the dependency survives: that
-   * bounds the time at calls in the span that ends now, with all that may still follow, so any later one too.
+   * How long one more call may take (us) within this server's share of what the dependency
+   * survives: that bounds the time at calls in the span that ends now, with all that may still
+   * follow, so any later one too.
    */
   private double callsRoom(long now) {
-    return s.below() != Below.SHARED ? Double.MAX_VALUE : now < callsFrom ? 0
-        : s.callsOut() * callsSpan() - callsTaken(now, callsSpan()) - s.callLingerUs();
+    return s.below() != Below.SHARED
+        ? Double.MAX_VALUE
+        : now < callsFrom
+            ? 0
+            : s.callsOut() * callsSpan() - callsTaken(now, callsSpan()) - s.callLingerUs();
   }
 
   /**
-   * The span over which calls are counted: the settings', or a longer one where not even a short call and its
-   * lingering fit into the share of that. Guards servers so many that none could call. Harm: calls may meet.
+   * The span over which calls are counted: the settings', or a longer one where not even a short
+   * call and its lingering fit into the share of that. Guards servers so many that none could call.
+   * Harm: calls may meet.
    */
   private double callsSpan() {
     double span = s.callsOut() <= 0 ? 0 : 2.0 * s.callLingerUs() / s.callsOut();
@@ -991,7 +1106,12 @@
     boolean many = running >= s.cores() && missed > MISSED;
     if (!hung && many && now - lastEnd > HANG_US) {
       hung = true;
-      out.log("work stands still with " + running + " on the cores, " + Math.round(100 * coreUse) + "% busy");
+      out.log(
+          "work stands still with "
+              + running
+              + " on the cores, "
+              + Math.round(100 * coreUse)
+              + "% busy");
       for (Item it : List.copyOf(held)) {
         answer(it);
       }
@@ -1014,10 +1134,11 @@
   }
 
   /**
-   * Moves the span after which idle connections close; said when it has moved by a quarter. It rises also
-   * while reading and new connections swamp the cores: a full table turns callers away at no cost, also
-   * while the span falls slowly. Guards against storms of new connections, of any cause. Harm: the full
-   * table is blind to worth and taxes the cores, and outlasts the storm by some seconds.
+   * Moves the span after which idle connections close; said when it has moved by a quarter. It
+   * rises also while reading and new connections swamp the cores: a full table turns callers away
+   * at no cost, also while the span falls slowly. Guards against storms of new connections, of any
+   * cause. Harm: the full table is blind to worth and taxes the cores, and outlasts the storm by
+   * some seconds.
    */
   private void idle(boolean keep) {
     double moved = idle * (keep ? IDLE_UP : IDLE_DOWN);
@@ -1036,7 +1157,8 @@
     return hung || drainAt >= 0;
   }
 
-  // credit is for many limits: callers with none left refuse blindly, the hold picks by worth; harm: more
+  // credit is for many limits: callers with none left refuse blindly, the hold picks by worth;
+  // harm: more
   // reads, so a server far slower than it was has none to spare
   private void signal() {
     boolean shut = shut();
@@ -1044,14 +1166,19 @@
       healthy = !shut;
       out.health(healthy, true);
     }
-    double value = switch (s.say()) {
-      case OFF -> Double.NaN;
-      case LEVEL -> shut ? 1 : level;
-      case CREDIT -> shut ? 0
-          : (1 - refusal) * Math.max(refusal > SELDOM ? 0 : 1,
-              (slowness() > LAME ? 1 : CREDIT) * limit / Math.max(1, s.callers()));
-      case WEIGHT -> shut ? 0 : slowness() > SLOW ? 1 / slowness() : 1;
-    };
+    double value =
+        switch (s.say()) {
+          case OFF -> Double.NaN;
+          case LEVEL -> shut ? 1 : level;
+          case CREDIT ->
+              shut
+                  ? 0
+                  : (1 - refusal)
+                      * Math.max(
+                          refusal > SELDOM ? 0 : 1,
+                          (slowness() > LAME ? 1 : CREDIT) * limit / Math.max(1, s.callers()));
+          case WEIGHT -> shut ? 0 : slowness() > SLOW ? 1 / slowness() : 1;
+        };
     if (s.say() != Say.OFF && !(Math.abs(value - said) < 0.01)) {
       said = value;
       out.say(value);
--- a/src/main/java/rosecleat/pool/Pool.java
+++ b/src/main/java/rosecleat/pool/Pool.java
@@ -7,8 +7,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The instances of one service, and what is out at each. Power of two choices (Mitzenmacher 2001) over outstanding work by
- * weight: the process's own zone first, others once its choice has as much out as it has places. For one thread.
+ * The instances of one service, and what is out at each. Power of two choices (Mitzenmacher 2001)
+ * over outstanding work by weight: the process's own zone first, others once its choice has as much
+ * out as it has places. For one thread.
  */
 public final class Pool {
   /** Places of an instance that does not say how many it has. */
@@ -55,7 +56,8 @@
   }
 
   /** How an instance is to stand from now on. */
-  public record Listed(String name, String host, int port, String zone, double weight, int places, boolean takes) { }
+  public record Listed(
+      String name, String host, int port, String zone, double weight, int places, boolean takes) {}
 
   private final String zone;
   private final RandomGenerator random;
@@ -115,8 +117,13 @@
     Place chosen = better(near, workUs);
     if (chosen == null || chosen.out >= chosen.places) {
       Place other = better(far, workUs);
-      chosen = chosen == null || other != null && other.out < other.places && other.load(workUs) < chosen.load(workUs)
-          ? other : chosen;
+      chosen =
+          chosen == null
+                  || other != null
+                      && other.out < other.places
+                      && other.load(workUs) < chosen.load(workUs)
+              ? other
+              : chosen;
     }
     if (chosen != null) {
       chosen.out++;
@@ -128,7 +135,8 @@
   /** What was booked is done. */
   public void give(Place place, double workUs) {
     place.out--;
-    place.workUs = place.out == 0 ? 0 : Math.max(0, place.workUs - workUs); // rounding must not grow
+    place.workUs =
+        place.out == 0 ? 0 : Math.max(0, place.workUs - workUs); // rounding must not grow
   }
 
   private Place better(List<Place> of, double workUs) {
--- a/src/main/java/rosecleat/roster/RosterClient.java
+++ b/src/main/java/rosecleat/roster/RosterClient.java
@@ -13,15 +13,25 @@
 import rosecleat.net.EventLoop;
 import rosecleat.net.LineBuffer;
 
-/** Reports this node to the roster once a second over HTTP/1.1, on one connection for as long as it lasts. */
+/**
+ * Reports this node to the roster once a second over HTTP/1.1, on one connection for as long as it
+ * lasts.
+ */
 public final class RosterClient {
   private static final long EACH_US = 1_000_000;
   private static final long REPLY_US = 900_000;
-  /** A roster that can't be reached is tried again so soon: the notice to leave sooner than other reports (us). */
+
+  /**
+   * A roster that can't be reached is tried again so soon: the notice to leave sooner than other
+   * reports (us).
+   */
   private static final long REDIAL_US = 200_000;
+
   private static final long REDIAL_LEAVING_US = 100_000;
+
   /** How long the notice to leave waits for the answer to an earlier report (us). */
   private static final long HURRY_US = 100_000;
+
   private static final int LONGEST = 16 << 10;
 
   private final EventLoop loop;
@@ -48,7 +58,8 @@
   }
 
   /** A client for the node of this name; it reports nothing while the address is null. */
-  public RosterClient(EventLoop loop, InetSocketAddress address, String name, Counters counters, Log log) {
+  public RosterClient(
+      EventLoop loop, InetSocketAddress address, String name, Counters counters, Log log) {
     this.loop = loop;
     this.address = address;
     this.name = name;
@@ -93,11 +104,13 @@
       if (!on && !again) { // the notice to leave must not wait a second for its turn
         again = true;
         Connection used = connection;
-        loop.after(HURRY_US, () -> {
-          if (again && connection == used && used != null) {
-            used.abort("the roster does not answer, and the notice to leave waits");
-          }
-        });
+        loop.after(
+            HURRY_US,
+            () -> {
+              if (again && connection == used && used != null) {
+                used.abort("the roster does not answer, and the notice to leave waits");
+              }
+            });
       }
       return;
     }
@@ -110,78 +123,104 @@
 
   private void dial(InetSocketAddress to) {
     dialling = true;
-    Connection.dial(loop, to, REPLY_US, Connection.Limits.SMALL, new Connection.ConnectHandler() {
-      @Override public void connected(Connection fresh) {
-        dialling = false;
-        if (!to.equals(address)) { // it has moved meanwhile
-          fresh.abort("the roster has moved");
-          report();
-          return;
-        }
-        adopt(fresh);
-        send();
-      }
+    Connection.dial(
+        loop,
+        to,
+        REPLY_US,
+        Connection.Limits.SMALL,
+        new Connection.ConnectHandler() {
+          @Override
+          public void connected(Connection fresh) {
+            dialling = false;
+            if (!to.equals(address)) { // it has moved meanwhile
+              fresh.abort("the roster has moved");
+              report();
+              return;
+            }
+            adopt(fresh);
+            send();
+          }
 
-      @Override public void failed(Fault fault) {
-        dialling = false;
-        counters.add("roster.failed");
-        if (!to.equals(address)) {
-          report();
-        } else {
-          redial();
-        }
-      }
-    });
+          @Override
+          public void failed(Fault fault) {
+            dialling = false;
+            counters.add("roster.failed");
+            if (!to.equals(address)) {
+              report();
+            } else {
+              redial();
+            }
+          }
+        });
   }
 
-  /** One attempt at a time, and never one that anything waits for: the node serves and leaves without its roster. */
+  /**
+   * One attempt at a time, and never one that anything waits for: the node serves and leaves
+   * without its roster.
+   */
   private void redial() {
     if (!redialling) {
       redialling = true;
-      loop.after(on ? REDIAL_US : REDIAL_LEAVING_US, () -> {
-        redialling = false;
-        if (!waiting && !dialling) {
-          report();
-        }
-      });
+      loop.after(
+          on ? REDIAL_US : REDIAL_LEAVING_US,
+          () -> {
+            redialling = false;
+            if (!waiting && !dialling) {
+              report();
+            }
+          });
     }
   }
 
   private void adopt(Connection fresh) {
     connection = fresh;
     lines = new LineBuffer(LONGEST);
-    fresh.start(new Connection.Owner() {
-      @Override public void received(ByteBuffer bytes) {
-        if (connection != fresh) {
-          return; // an answer to a report that nobody waits for any more
-        }
-        if (!lines.add(bytes) || lines.tooLong()) {
-          fresh.abort("the roster sent too much");
-          return;
-        }
-        read(fresh);
-      }
+    fresh.start(
+        new Connection.Owner() {
+          @Override
+          public void received(ByteBuffer bytes) {
+            if (connection != fresh) {
+              return; // an answer to a report that nobody waits for any more
+            }
+            if (!lines.add(bytes) || lines.tooLong()) {
+              fresh.abort("the roster sent too much");
+              return;
+            }
+            read(fresh);
+          }
 
-      @Override public void closed(Fault fault, boolean atEnd) {
-        if (connection == fresh) {
-          connection = null;
-          if (waiting) {
-            counters.add("roster.failed");
-            done(false);
+          @Override
+          public void closed(Fault fault, boolean atEnd) {
+            if (connection == fresh) {
+              connection = null;
+              if (waiting) {
+                counters.add("roster.failed");
+                done(false);
+              }
+            }
           }
-        }
-      }
-    });
+        });
   }
 
   private void send() {
-    byte[] body = ("{\"duty\":\"" + (on ? "on" : "off") + "\"}").getBytes(StandardCharsets.US_ASCII);
-    String head = "PUT /roster/" + name + " HTTP/1.1\r\nHost: " + address.getHostString() + ":" + address.getPort()
-        + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length + "\r\n\r\n";
+    byte[] body =
+        ("{\"duty\":\"" + (on ? "on" : "off") + "\"}").getBytes(StandardCharsets.US_ASCII);
+    String head =
+        "PUT /roster/"
+            + name
+            + " HTTP/1.1\r\nHost: "
+            + address.getHostString()
+            + ":"
+            + address.getPort()
+            + "\r\nContent-Type: application/json\r\nContent-Length: "
+            + body.length
+            + "\r\n\r\n";
     byte[] start = head.getBytes(StandardCharsets.US_ASCII);
     Connection used = connection;
     if (!used.write(ByteBuffer.allocate(start.length + body.length).put(start).put(body).flip())) {
-      connection = null; // it has ended, and that is still to be told: another one is dialled, and nothing waited for
+      connection =
+          null; // it has ended, and that is still to be told: another one is dialled, and nothing
+      // waited for
       report();
       return;
     }
@@ -213,7 +252,9 @@
   private boolean head(String line) {
     if (reply.status == 0) {
       String[] words = line.split(" ");
-      if (words.length < 2 || !words[0].startsWith("HTTP/1.") || !words[1].matches("[1-5][0-9][0-9]")) {
+      if (words.length < 2
+          || !words[0].startsWith("HTTP/1.")
+          || !words[1].matches("[1-5][0-9][0-9]")) {
         return false;
       }
       reply.status = Integer.parseInt(words[1]);
@@ -243,14 +284,18 @@
     if (reply.status != 204) {
       log.warn("the roster answered " + reply.status);
     }
-    if (reply.closes || reply.status != 204) { // what comes behind another answer is not worth reading
+    if (reply.closes
+        || reply.status != 204) { // what comes behind another answer is not worth reading
       connection = null;
       from.closeGracefully();
     }
     done(reply.status == 204);
   }
 
-  /** A report has come to its end: one that failed is made again before the second is over, as the list drops who keeps silent. */
+  /**
+   * A report has come to its end: one that failed is made again before the second is over, as the
+   * list drops who keeps silent.
+   */
   private void done(boolean good) {
     waiting = false;
     patience.cancel(false);
--- a/src/main/java/rosecleat/routes/Book.java
+++ b/src/main/java/rosecleat/routes/Book.java
@@ -7,13 +7,15 @@
 import java.util.Map;
 
 /**
- * What a process holds of routes, as its fleet writes them: each entry with its time and author, removed ones with them,
- * so that a removal does not come back. For one thread.
+ * What a process holds of routes, as its fleet writes them: each entry with its time and author,
+ * removed ones with them, so that a removal does not come back. For one thread.
  */
 public final class Book {
   /** Entries at the most, and removed ones kept. */
   static final int MOST = 200_000;
+
   static final int MOST_REMOVED = 20_000;
+
   /** States kept so that a follower may be told only what has changed since. */
   static final int HISTORY = 256;
 
@@ -83,23 +85,25 @@
   }
 
   /**
-   * What an author writes: all of its file, all at once. Entries that say what is in force already are left alone, whoever
-   * wrote them; those of its own that the file lacks are removed.
+   * What an author writes: all of its file, all at once. Entries that say what is in force already
+   * are left alone, whoever wrote them; those of its own that the file lacks are removed.
    */
   public boolean publish(String author, Map<Entry.Key, Instance> file) {
     List<Entry> news = new ArrayList<>();
     long next = time + 1;
-    file.forEach((key, instance) -> {
-      Entry mine = trie.get(key);
-      if (mine == null || !instance.equals(mine.instance())) {
-        news.add(new Entry(key, instance, next, author));
-      }
-    });
-    trie.each(e -> {
-      if (e.author().equals(author) && e.instance() != null && !file.containsKey(e.key())) {
-        news.add(new Entry(e.key(), null, next, author));
-      }
-    });
+    file.forEach(
+        (key, instance) -> {
+          Entry mine = trie.get(key);
+          if (mine == null || !instance.equals(mine.instance())) {
+            news.add(new Entry(key, instance, next, author));
+          }
+        });
+    trie.each(
+        e -> {
+          if (e.author().equals(author) && e.instance() != null && !file.containsKey(e.key())) {
+            news.add(new Entry(e.key(), null, next, author));
+          }
+        });
     return merge(news);
   }
 
@@ -110,11 +114,13 @@
       return null;
     }
     List<Entry> changed = new ArrayList<>();
-    before.compare(trie, (old, now) -> {
-      if (now != null) {
-        changed.add(now);
-      }
-    });
+    before.compare(
+        trie,
+        (old, now) -> {
+          if (now != null) {
+            changed.add(now);
+          }
+        });
     return changed;
   }
 
