--- a/src/main/java/rosecleat/routes/Follow.java
+++ b/src/main/java/rosecleat/routes/Follow.java
@@ -13,9 +13,10 @@
 import rosecleat.routes.wire.Stamped;
 
 /**
- * Two processes make what they hold of routes equal, whichever of them has more. The opener says what it holds; the other
- * tells what changed since, where it remembers that state, or else all of the parts that differ; what the other lacks
- * comes last. What is torn, doubled or late changes nothing that a later exchange does not mend.
+ * Two processes make what they hold of routes equal, whichever of them has more. The opener says
+ * what it holds; the other tells what changed since, where it remembers that state, or else all of
+ * the parts that differ; what the other lacks comes last. What is torn, doubled or late changes
+ * nothing that a later exchange does not mend.
  */
 public final class Follow implements Dialogue {
   private static final int LONGEST = 64;
@@ -30,7 +31,13 @@
   private int step;
 
   /** One side; {@code changed} is told of news, {@code over} when it has ended, well or not. */
-  public Follow(Book book, boolean opener, String cluster, Supplier<MemberNews> self, Runnable changed, Runnable over) {
+  public Follow(
+      Book book,
+      boolean opener,
+      String cluster,
+      Supplier<MemberNews> self,
+      Runnable changed,
+      Runnable over) {
     this.book = book;
     this.opener = opener;
     this.cluster = cluster;
@@ -39,11 +46,13 @@
     this.over = over;
   }
 
-  @Override public void broken() {
+  @Override
+  public void broken() {
     over.run();
   }
 
-  @Override public byte[] next(byte[] received, long nowUs) {
+  @Override
+  public byte[] next(byte[] received, long nowUs) {
     Routes in = received == null ? null : read(Seal.open(received, cluster));
     step++;
     if (received != null && in == null) {
@@ -96,12 +105,14 @@
   /** What is held here of the differing parts and holds against what the other told of them. */
   private List<Entry> lacked(Routes in) {
     Map<Entry.Key, Entry> theirs = new HashMap<>();
-    in.getEntriesList().forEach(s -> {
-      Entry entry = read(s);
-      if (entry != null) {
-        theirs.put(entry.key(), entry);
-      }
-    });
+    in.getEntriesList()
+        .forEach(
+            s -> {
+              Entry entry = read(s);
+              if (entry != null) {
+                theirs.put(entry.key(), entry);
+              }
+            });
     List<Entry> lacked = new ArrayList<>();
     for (int part : in.getDifferingList()) {
       for (Entry mine : part < 0 || part > 255 ? List.<Entry>of() : book.trie().part(part)) {
@@ -144,28 +155,59 @@
   }
 
   private static Stamped write(Entry e) {
-    Stamped.Builder s = Stamped.newBuilder().setService(e.key().service()).setName(e.key().name()).setTime(e.time())
-        .setAuthor(e.author());
+    Stamped.Builder s =
+        Stamped.newBuilder()
+            .setService(e.key().service())
+            .setName(e.key().name())
+            .setTime(e.time())
+            .setAuthor(e.author());
     Instance i = e.instance();
-    return i == null ? s.setRemoved(true).build() : s.setHost(i.host()).setPort(i.port()).setZone(i.zone())
-        .setWeight(i.weight()).setState(i.state().ordinal()).setPlaces(i.places()).build();
+    return i == null
+        ? s.setRemoved(true).build()
+        : s.setHost(i.host())
+            .setPort(i.port())
+            .setZone(i.zone())
+            .setWeight(i.weight())
+            .setState(i.state().ordinal())
+            .setPlaces(i.places())
+            .build();
   }
 
   private static Entry read(Stamped s) {
-    if (s.getService().isEmpty() || s.getService().length() > LONGEST || s.getName().isEmpty()
-        || s.getName().length() > LONGEST || s.getTime() <= 0 || s.getTime() > 1L << 56 || s.getAuthor().length() > LONGEST) {
+    if (s.getService().isEmpty()
+        || s.getService().length() > LONGEST
+        || s.getName().isEmpty()
+        || s.getName().length() > LONGEST
+        || s.getTime() <= 0
+        || s.getTime() > 1L << 56
+        || s.getAuthor().length() > LONGEST) {
       return null;
     }
     Entry.Key key = new Entry.Key(s.getService(), s.getName());
     if (s.getRemoved()) {
       return new Entry(key, null, s.getTime(), s.getAuthor());
     }
-    if (s.getPort() <= 0 || s.getPort() > 0xffff || s.getHost().length() > LONGEST || !(s.getWeight() > 0)
-        || s.getWeight() > 1e6 || s.getState() < 0 || s.getState() >= STATES.length || s.getPlaces() < 0
+    if (s.getPort() <= 0
+        || s.getPort() > 0xffff
+        || s.getHost().length() > LONGEST
+        || !(s.getWeight() > 0)
+        || s.getWeight() > 1e6
+        || s.getState() < 0
+        || s.getState() >= STATES.length
+        || s.getPlaces() < 0
         || s.getZone().length() > LONGEST) {
       return null;
     }
-    return new Entry(key, new Instance(s.getHost(), s.getPort(), s.getZone(), s.getWeight(), STATES[s.getState()],
-        s.getPlaces()), s.getTime(), s.getAuthor());
+    return new Entry(
+        key,
+        new Instance(
+            s.getHost(),
+            s.getPort(),
+            s.getZone(),
+            s.getWeight(),
+            STATES[s.getState()],
+            s.getPlaces()),
+        s.getTime(),
+        s.getAuthor());
   }
 }
--- a/src/main/java/rosecleat/routes/Table.java
+++ b/src/main/java/rosecleat/routes/Table.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The instances of all services at a moment. Known by what it holds: equal content has an equal digest everywhere. */
+/**
+ * The instances of all services at a moment. Known by what it holds: equal content has an equal
+ * digest everywhere.
+ */
 public final class Table {
   /** No service has any. */
   public static final Table EMPTY = new Table(Trie.EMPTY);
@@ -24,11 +27,14 @@
   /** By service, each with its instances by name. */
   public Map<String, Map<String, Instance>> services() {
     Map<String, Map<String, Instance>> services = new TreeMap<>();
-    trie.each(e -> {
-      if (e.instance() != null) {
-        services.computeIfAbsent(e.key().service(), s -> new TreeMap<>()).put(e.key().name(), e.instance());
-      }
-    });
+    trie.each(
+        e -> {
+          if (e.instance() != null) {
+            services
+                .computeIfAbsent(e.key().service(), s -> new TreeMap<>())
+                .put(e.key().name(), e.instance());
+          }
+        });
     return services;
   }
 
@@ -39,20 +45,24 @@
     }
   }
 
-  /** The fewest steps to another table: what is new first, then what changes, and last what goes. */
+  /**
+   * The fewest steps to another table: what is new first, then what changes, and last what goes.
+   */
   public List<Step> diff(Table to) {
     List<Step> put = new ArrayList<>();
     List<Step> changed = new ArrayList<>();
     List<Step> removed = new ArrayList<>();
-    trie.compare(to.trie, (mine, theirs) -> {
-      Instance before = mine == null ? null : mine.instance();
-      Instance after = theirs == null ? null : theirs.instance();
-      if (before == null ? after == null : before.equals(after)) {
-        return; // written again with the same content
-      }
-      (before == null ? put : after == null ? removed : changed)
-          .add(new Step((mine == null ? theirs : mine).key(), before, after));
-    });
+    trie.compare(
+        to.trie,
+        (mine, theirs) -> {
+          Instance before = mine == null ? null : mine.instance();
+          Instance after = theirs == null ? null : theirs.instance();
+          if (before == null ? after == null : before.equals(after)) {
+            return; // written again with the same content
+          }
+          (before == null ? put : after == null ? removed : changed)
+              .add(new Step((mine == null ? theirs : mine).key(), before, after));
+        });
     put.addAll(changed);
     put.addAll(removed);
     return put;
--- a/src/main/java/rosecleat/routes/Trie.java
+++ b/src/main/java/rosecleat/routes/Trie.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * A persistent map of entries by the hash of their key, 16 ways a level. Each part knows the digest of all below it: what
- * two tries share is skipped in no time, so that a comparison costs as much as they differ. Digests are sums of mixed
- * entries, so they do not depend on the shape.
+ * A persistent map of entries by the hash of their key, 16 ways a level. Each part knows the digest
+ * of all below it: what two tries share is skipped in no time, so that a comparison costs as much
+ * as they differ. Digests are sums of mixed entries, so they do not depend on the shape.
  */
 final class Trie {
   static final Trie EMPTY = new Trie(null, null, 0, 0, 0);
@@ -145,7 +145,10 @@
     }
   }
 
-  /** Tells each key whose entry differs, with the entry there and the one in another trie; null where there is none. */
+  /**
+   * Tells each key whose entry differs, with the entry there and the one in another trie; null
+   * where there is none.
+   */
   void compare(Trie other, BiConsumer<Entry, Entry> told) {
     compare(this, other, 60, told);
   }
@@ -165,7 +168,8 @@
     }
     if (a.leaf != null && b.leaf != null) {
       for (Entry mine : a.leaf) {
-        Entry theirs = b.leaf.stream().filter(e -> e.key().equals(mine.key())).findFirst().orElse(null);
+        Entry theirs =
+            b.leaf.stream().filter(e -> e.key().equals(mine.key())).findFirst().orElse(null);
         if (!mine.equals(theirs)) {
           told.accept(mine, theirs);
         }
@@ -199,11 +203,12 @@
   /** All entries of one of the 256 parts. */
   List<Entry> part(int which) {
     List<Entry> found = new ArrayList<>();
-    each256((at, part) -> {
-      if (at == which) {
-        part.each(found::add);
-      }
-    });
+    each256(
+        (at, part) -> {
+          if (at == which) {
+            part.each(found::add);
+          }
+        });
     return found;
   }
 
--- a/src/main/java/rosecleat/runtime/NoRuntime.java
+++ b/src/main/java/rosecleat/runtime/NoRuntime.java
@@ -1,7 +1,7 @@
 package rosecleat.runtime;
 
-import rosecleat.core.Request;
 import rosecleat.core.Core;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.net.EventLoop;
 
@@ -16,13 +16,17 @@
     this.core = core;
   }
 
-  @Override public void start(Request request, long dueUs) {
+  @Override
+  public void start(Request request, long dueUs) {
     loop.execute(() -> core.ended(request.id(), End.UNREACHED, null, 0));
   }
 
-  @Override public void stop(String id) { }
+  @Override
+  public void stop(String id) {}
 
-  @Override public void give(String id, byte[] reply) { }
+  @Override
+  public void give(String id, byte[] reply) {}
 
-  @Override public void omit(String id, long notice) { }
+  @Override
+  public void omit(String id, long notice) {}
 }
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeLink.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Fault;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
@@ -22,25 +22,39 @@
 import rosecleat.net.LineBuffer;
 
 /**
- * The link to the machine's runtime: commands out, notices in, each notice applied once. A link that
- * breaks is made anew with the number of the last notice read.
+ * The link to the machine's runtime: commands out, notices in, each notice applied once. A link
+ * that breaks is made anew with the number of the last notice read.
  */
 public final class RuntimeLink implements Runner {
   private static final long DIAL_US = 2_000_000;
   private static final long RETRY_US = 100_000;
   private static final long GAUGES_US = 200_000;
-  /** A link that stood and brought nothing for so long, though gauges were asked for, is taken for dead (us). */
+
+  /**
+   * A link that stood and brought nothing for so long, though gauges were asked for, is taken for
+   * dead (us).
+   */
   private static final long SILENT_US = 3_000_000;
+
   private static final long STOOD_US = 500_000;
   private static final int LONGEST = 1 << 20;
   private static final int WAITING = 4_096;
-  /** A broken link loses no command older than 50 ms; so much earlier than we hear of the break is surely older (us). */
+
+  /**
+   * A broken link loses no command older than 50 ms; so much earlier than we hear of the break is
+   * surely older (us).
+   */
   private static final long DOUBT_US = 1_000_000;
+
   private static final String RESUMED = "resumed";
-  private static final Connection.Limits LIMITS = new Connection.Limits(16 << 10, 1 << 20, 4 << 20, 10_000_000);
+  private static final Connection.Limits LIMITS =
+      new Connection.Limits(16 << 10, 1 << 20, 4 << 20, 10_000_000);
 
-  /** A command for a run, sent at a time or still to be sent, and whether sending it again is no harm where it had arrived. */
-  private record Command(String id, String line, boolean repeatable, long atUs) { }
+  /**
+   * A command for a run, sent at a time or still to be sent, and whether sending it again is no
+   * harm where it had arrived.
+   */
+  private record Command(String id, String line, boolean repeatable, long atUs) {}
 
   private final EventLoop loop;
   private final Core core;
@@ -48,10 +62,15 @@
   private final Counters counters;
   private final Log log;
   private final ArrayDeque<Command> unsent = new ArrayDeque<>();
-  /** The last command of each run, sent on the link in use, that the runtime has shown no effect of. */
+
+  /**
+   * The last command of each run, sent on the link in use, that the runtime has shown no effect of.
+   */
   private final Map<String, Command> unproven = new LinkedHashMap<>();
+
   /** Those of links before, which may have swallowed them. */
   private final Map<String, Command> suspect = new LinkedHashMap<>();
+
   private final Set<String> repeated = new HashSet<>();
   private InetSocketAddress address;
   private Connection link;
@@ -64,7 +83,8 @@
   private boolean gaugesOut;
 
   /** A link to an address; {@link #connect} opens it. */
-  public RuntimeLink(EventLoop loop, InetSocketAddress address, Core core, LongSupplier clock, Log log) {
+  public RuntimeLink(
+      EventLoop loop, InetSocketAddress address, Core core, LongSupplier clock, Log log) {
     this.loop = loop;
     this.address = address;
     this.core = core;
@@ -80,28 +100,36 @@
     }
     dialling = true;
     InetSocketAddress to = address;
-    Connection.dial(loop, to, DIAL_US, LIMITS, new Connection.ConnectHandler() {
-      @Override public void connected(Connection connection) {
-        dialling = false;
-        if (to.equals(address)) {
-          adopt(connection);
-        } else { // it has moved meanwhile
-          connection.abort("the runtime has moved"); // nothing was said on it
-          connect();
-        }
-      }
+    Connection.dial(
+        loop,
+        to,
+        DIAL_US,
+        LIMITS,
+        new Connection.ConnectHandler() {
+          @Override
+          public void connected(Connection connection) {
+            dialling = false;
+            if (to.equals(address)) {
+              adopt(connection);
+            } else { // it has moved meanwhile
+              connection.abort("the runtime has moved"); // nothing was said on it
+              connect();
+            }
+          }
 
-      @Override public void failed(Fault fault) {
-        dialling = false;
-        counters.add("runtime.unreached");
-        loop.after(to.equals(address) ? RETRY_US : 0, RuntimeLink.this::connect);
-      }
-    });
+          @Override
+          public void failed(Fault fault) {
+            dialling = false;
+            counters.add("runtime.unreached");
+            loop.after(to.equals(address) ? RETRY_US : 0, RuntimeLink.this::connect);
+          }
+        });
   }
 
   /**
-   * The runtime is reached elsewhere from now on. The link in use gets no further command, but its notices are read
-   * until the new one stands; the runs go on, and the new link tells all that the old one did not.
+   * The runtime is reached elsewhere from now on. The link in use gets no further command, but its
+   * notices are read until the new one stands; the runs go on, and the new link tells all that the
+   * old one did not.
    */
   public void moveTo(InetSocketAddress to) {
     if (!to.equals(address)) {
@@ -112,10 +140,14 @@
     }
   }
 
-  /** No further command goes by the link in use: the last ones may be lost with it, all earlier ones have arrived. */
+  /**
+   * No further command goes by the link in use: the last ones may be lost with it, all earlier ones
+   * have arrived.
+   */
   private void suspectLast() {
     long sinceUs = clock.getAsLong() - DOUBT_US;
-    unproven.values().stream().filter(command -> command.atUs >= sinceUs)
+    unproven.values().stream()
+        .filter(command -> command.atUs >= sinceUs)
         .forEach(command -> suspect.put(command.id, command));
     unproven.clear();
   }
@@ -129,77 +161,107 @@
     ready = false;
     gaugesOut = false;
     LineBuffer lines = new LineBuffer(LONGEST);
-    connection.start(new Connection.Owner() {
-      @Override public void received(ByteBuffer bytes) {
-        if (link != connection) {
-          return; // replaced by a newer link
-        }
-        heardUs = clock.getAsLong();
-        if (!lines.add(bytes) || lines.tooLong()) {
-          connection.abort("the runtime sent a line that is too long");
-          return;
-        }
-        for (String line = lines.line(); line != null; line = lines.line()) {
-          notice(line);
-        }
-      }
+    connection.start(
+        new Connection.Owner() {
+          @Override
+          public void received(ByteBuffer bytes) {
+            if (link != connection) {
+              return; // replaced by a newer link
+            }
+            heardUs = clock.getAsLong();
+            if (!lines.add(bytes) || lines.tooLong()) {
+              connection.abort("the runtime sent a line that is too long");
+              return;
+            }
+            for (String line = lines.line(); line != null; line = lines.line()) {
+              notice(line);
+            }
+          }
 
-      @Override public void closed(Fault fault, boolean atEnd) {
-        if (link != connection) {
-          return;
-        }
-        log.warn("the link to the runtime ended: " + fault.why());
-        boolean stood = ready;
-        link = null;
-        ready = false;
-        suspectLast();
-        // at once, as the runtime goes on meanwhile; a link that never stood must not be made again in a whirl
-        loop.after(stood ? 0 : RETRY_US, () -> {
-          if (link == null) {
-            connect();
+          @Override
+          public void closed(Fault fault, boolean atEnd) {
+            if (link != connection) {
+              return;
+            }
+            log.warn("the link to the runtime ended: " + fault.why());
+            boolean stood = ready;
+            link = null;
+            ready = false;
+            suspectLast();
+            // at once, as the runtime goes on meanwhile; a link that never stood must not be made
+            // again in a whirl
+            loop.after(
+                stood ? 0 : RETRY_US,
+                () -> {
+                  if (link == null) {
+                    connect();
+                  }
+                });
           }
         });
-      }
-    });
     write("{\"type\":\"sync\",\"n\":" + lastNotice + "}");
   }
 
   // ---- commands
 
   /**
-   * A start that a broken link may have swallowed is sent again once all earlier notices were read: for a run that goes
-   * on, nothing happens then. One that had ended between that reading and the repeat would run twice, which a keyed
-   * request must not. Where each run stands still at a call first, it can't end unseen; elsewhere it is not repeated.
+   * A start that a broken link may have swallowed is sent again once all earlier notices were read:
+   * for a run that goes on, nothing happens then. One that had ended between that reading and the
+   * repeat would run twice, which a keyed request must not. Where each run stands still at a call
+   * first, it can't end unseen; elsewhere it is not repeated.
    */
-  @Override public void start(Request request, long dueUs) {
-    String command = "{\"type\":\"start\",\"job\":\"" + request.id() + "\",\"kind\":\"" + request.kind() + "\",\"data\":\""
-        + base64(request.body()) + "\"}";
+  @Override
+  public void start(Request request, long dueUs) {
+    String command =
+        "{\"type\":\"start\",\"job\":\""
+            + request.id()
+            + "\",\"kind\":\""
+            + request.kind()
+            + "\",\"data\":\""
+            + base64(request.body())
+            + "\"}";
     if (!send(request.id(), command, request.once() == null || core.calls(request.klass()))) {
-      loop.execute(() -> core.ended(request.id(), End.UNREACHED, null, 0)); // told like any other end, not inside the order
+      loop.execute(
+          () ->
+              core.ended(
+                  request.id(),
+                  End.UNREACHED,
+                  null,
+                  0)); // told like any other end, not inside the order
     }
   }
 
-  @Override public void stop(String id) {
+  @Override
+  public void stop(String id) {
     send(id, "{\"type\":\"stop\",\"job\":\"" + id + "\"}", true);
   }
 
-  @Override public void give(String id, byte[] reply) {
+  @Override
+  public void give(String id, byte[] reply) {
     send(id, "{\"type\":\"give\",\"job\":\"" + id + "\",\"data\":\"" + base64(reply) + "\"}", true);
   }
 
-  @Override public void omit(String id, long notice) {
+  @Override
+  public void omit(String id, long notice) {
     send(id, "{\"type\":\"omit\",\"job\":\"" + id + "\",\"n\":" + notice + "}", true);
   }
 
-  @Override public void askGauges() {
+  @Override
+  public void askGauges() {
     long now = clock.getAsLong();
-    if (now - askedUs > STOOD_US) { // this process itself stood still: what came meanwhile has not been read yet
+    if (now - askedUs
+        > STOOD_US) { // this process itself stood still: what came meanwhile has not been read yet
       heardUs = now;
     }
     askedUs = now;
-    if (ready && now - heardUs > SILENT_US) { // open, and nothing comes: runs go on, and a new link tells of them
+    if (ready
+        && now - heardUs
+            > SILENT_US) { // open, and nothing comes: runs go on, and a new link tells of them
       counters.add("runtime.silent");
-      log.warn("the runtime has been silent for " + (now - heardUs) / 1000 + " ms: its link is made anew");
+      log.warn(
+          "the runtime has been silent for "
+              + (now - heardUs) / 1000
+              + " ms: its link is made anew");
       heardUs = now;
       link.abort("the runtime is silent");
       return;
@@ -216,8 +278,8 @@
   }
 
   /**
-   * Sends a command, or keeps it for the next link: it has not been sent, so sending it then is no repeat. False where
-   * too many wait already, and it is neither.
+   * Sends a command, or keeps it for the next link: it has not been sent, so sending it then is no
+   * repeat. False where too many wait already, and it is neither.
    */
   private boolean send(String id, String line, boolean repeatable) {
     counters.add("runtime.commands");
@@ -240,7 +302,8 @@
     if (link == null || !write(command.line)) {
       return false;
     }
-    unproven.put(command.id, new Command(command.id, command.line, command.repeatable, clock.getAsLong()));
+    unproven.put(
+        command.id, new Command(command.id, command.line, command.repeatable, clock.getAsLong()));
     return true;
   }
 
@@ -275,7 +338,11 @@
       case "ready" -> ready(message);
       case "end" -> {
         byte[] result = data(message);
-        core.ended(job, result == null ? End.CUT : end(message.text("state")), result, message.micros("took"));
+        core.ended(
+            job,
+            result == null ? End.CUT : end(message.text("state")),
+            result,
+            message.micros("took"));
       }
       case "wants" -> {
         byte[] body = data(message);
@@ -296,13 +363,18 @@
         log.warn("the runtime did not carry out " + message.text("state") + " for " + job);
         nacked(message.text("state"), job);
       }
-      default -> { } // a remark with no meaning
+      default -> {} // a remark with no meaning
     }
   }
 
   private void ready(Message message) {
     ready = true;
-    log.info("the runtime is up, " + message.text("state") + ", since " + message.micros("took") / 1000 + " ms");
+    log.info(
+        "the runtime is up, "
+            + message.text("state")
+            + ", since "
+            + message.micros("took") / 1000
+            + " ms");
     core.begin(this, message.text("state").equals("cold"), message.micros("took"));
     if (!suspect.isEmpty()) {
       write("{\"type\":\"gauges\",\"ref\":\"" + RESUMED + "\"}");
@@ -313,26 +385,29 @@
   }
 
   /**
-   * The notices missed while there was no link have been read. Guards against commands that the broken link
-   * swallowed: those of runs that still show no effect are sent again, which is no harm where they did arrive.
+   * The notices missed while there was no link have been read. Guards against commands that the
+   * broken link swallowed: those of runs that still show no effect are sent again, which is no harm
+   * where they did arrive.
    */
   private void resumed() {
     repeated.clear();
     List<Command> last = List.copyOf(suspect.values());
     suspect.clear();
-    last.forEach(command -> {
-      String id = command.id;
-      if (command.repeatable) {
-        counters.add("runtime.resent");
-        repeated.add(id);
-        if (!sent(command)) {
-          suspect.put(id, command); // this link has ended too: the next one tells
-        }
-      } else {
-        counters.add("runtime.unproven");
-        core.ended(id, End.CUT, null, 0); // answered now: nothing more will prove whether it runs
-      }
-    });
+    last.forEach(
+        command -> {
+          String id = command.id;
+          if (command.repeatable) {
+            counters.add("runtime.resent");
+            repeated.add(id);
+            if (!sent(command)) {
+              suspect.put(id, command); // this link has ended too: the next one tells
+            }
+          } else {
+            counters.add("runtime.unproven");
+            core.ended(
+                id, End.CUT, null, 0); // answered now: nothing more will prove whether it runs
+          }
+        });
   }
 
   private void nacked(String command, String job) {
@@ -344,7 +419,7 @@
     switch (command) {
       case "start" -> core.nacked(job, true);
       case "give", "omit" -> core.nacked(job, false);
-      default -> { } // a stop of what is over
+      default -> {} // a stop of what is over
     }
   }
 
--- a/src/main/java/rosecleat/state/FactCodec.java
+++ b/src/main/java/rosecleat/state/FactCodec.java
@@ -12,23 +12,36 @@
 import rosecleat.state.wire.FactsV1;
 import rosecleat.store.Entry;
 
-/** Facts as entries of a store. Writes version 2; reads that, and version 1, which had milliseconds and no terms. */
+/**
+ * Facts as entries of a store. Writes version 2; reads that, and version 1, which had milliseconds
+ * and no terms.
+ */
 final class FactCodec {
   /** The type of an entry that holds facts of one node. */
   static final int TYPE = 1;
+
   /** The version that is written. */
   static final int VERSION = 2;
 
-  /** Facts of one node as they were read; {@code unread} of them are of a kind this program does not know. */
-  record Read(String node, List<Fact> facts, int unread) { }
+  /**
+   * Facts of one node as they were read; {@code unread} of them are of a kind this program does not
+   * know.
+   */
+  record Read(String node, List<Fact> facts, int unread) {}
 
-  private FactCodec() { }
+  private FactCodec() {}
 
   static Entry entry(String node, Collection<Fact> facts) {
     Facts.Builder all = Facts.newBuilder().setNode(node);
     for (Fact f : facts) {
-      all.addFacts(rosecleat.state.wire.Fact.newBuilder().setKind(f.kind().word()).setSubject(f.subject())
-          .setValue(f.value()).setWeight(f.weight()).setAtUs(f.atUs()).setTerms(f.terms()));
+      all.addFacts(
+          rosecleat.state.wire.Fact.newBuilder()
+              .setKind(f.kind().word())
+              .setSubject(f.subject())
+              .setValue(f.value())
+              .setWeight(f.weight())
+              .setAtUs(f.atUs())
+              .setTerms(f.terms()));
     }
     return new Entry(TYPE, VERSION, all.build().toByteArray());
   }
@@ -43,8 +56,17 @@
       node = old.getNode();
       for (FactV1 f : old.getFactsList()) {
         all++;
-        Kind.of(f.getKind()).ifPresent(kind ->
-            facts.add(new Fact(kind, f.getSubject(), f.getValue(), f.getWeight(), micros(f.getAtMs()), "")));
+        Kind.of(f.getKind())
+            .ifPresent(
+                kind ->
+                    facts.add(
+                        new Fact(
+                            kind,
+                            f.getSubject(),
+                            f.getValue(),
+                            f.getWeight(),
+                            micros(f.getAtMs()),
+                            "")));
       }
     } else {
       Facts now = Facts.parseFrom(entry.payload());
@@ -52,8 +74,16 @@
       for (rosecleat.state.wire.Fact f : now.getFactsList()) {
         all++;
         Optional<Kind> kind = Kind.of(f.getKind());
-        kind.ifPresent(k ->
-            facts.add(new Fact(k, f.getSubject(), f.getValue(), f.getWeight(), f.getAtUs(), f.getTerms())));
+        kind.ifPresent(
+            k ->
+                facts.add(
+                    new Fact(
+                        k,
+                        f.getSubject(),
+                        f.getValue(),
+                        f.getWeight(),
+                        f.getAtUs(),
+                        f.getTerms())));
       }
     }
     return new Read(node, facts, all - facts.size());
--- a/src/main/java/rosecleat/state/FactOwner.java
+++ b/src/main/java/rosecleat/state/FactOwner.java
@@ -15,18 +15,21 @@
 public final class FactOwner implements Owner {
   /** So many facts are kept at the most; the one that was written longest ago goes first. */
   static final int MOST = 20_000;
+
   private static final int IN_ONE = 500;
 
-  private record Name(String node, Fact.Name fact) { }
+  private record Name(String node, Fact.Name fact) {}
 
   /** A fact of a node. */
-  public record Kept(String node, Fact fact) { }
+  public record Kept(String node, Fact fact) {}
 
-  @Override public int reads(int type) {
+  @Override
+  public int reads(int type) {
     return type == FactCodec.TYPE ? FactCodec.VERSION : 0;
   }
 
-  @Override public Fold fold() {
+  @Override
+  public Fold fold() {
     return new Facts();
   }
 
@@ -35,7 +38,8 @@
     private final Map<Name, Fact> last = new LinkedHashMap<>();
     private int unread;
 
-    @Override public void add(Entry entry) {
+    @Override
+    public void add(Entry entry) {
       try {
         FactCodec.Read read = FactCodec.read(entry);
         unread += read.unread();
@@ -52,21 +56,24 @@
       }
     }
 
-    @Override public void forEach(Consumer<Entry> taker) {
+    @Override
+    public void forEach(Consumer<Entry> taker) {
       Map<String, List<Fact>> byNode = new LinkedHashMap<>();
-      last.forEach((name, fact) -> {
-        List<Fact> some = byNode.computeIfAbsent(name.node, n -> new ArrayList<>());
-        some.add(fact);
-        if (some.size() == IN_ONE) {
-          taker.accept(FactCodec.entry(name.node, some));
-          some.clear();
-        }
-      });
-      byNode.forEach((node, some) -> {
-        if (!some.isEmpty()) {
-          taker.accept(FactCodec.entry(node, some));
-        }
-      });
+      last.forEach(
+          (name, fact) -> {
+            List<Fact> some = byNode.computeIfAbsent(name.node, n -> new ArrayList<>());
+            some.add(fact);
+            if (some.size() == IN_ONE) {
+              taker.accept(FactCodec.entry(name.node, some));
+              some.clear();
+            }
+          });
+      byNode.forEach(
+          (node, some) -> {
+            if (!some.isEmpty()) {
+              taker.accept(FactCodec.entry(node, some));
+            }
+          });
     }
 
     /** All facts, the one written last at the end. */
--- a/src/main/java/rosecleat/state/Memory.java
+++ b/src/main/java/rosecleat/state/Memory.java
@@ -21,27 +21,38 @@
 import rosecleat.store.Store;
 
 /**
- * What a node has learnt, kept in a folder that outlasts it. Until that is open, or where it can't be, the node works as one
- * without. A process beside one that writes begins with what it read. For the loop, but for {@link #close}.
+ * What a node has learnt, kept in a folder that outlasts it. Until that is open, or where it can't
+ * be, the node works as one without. A process beside one that writes begins with what it read. For
+ * the loop, but for {@link #close}.
  */
 public final class Memory {
   /** How facts are kept (us). */
-  public record Settings(long everyUs, long halfLifeUs) { }
+  public record Settings(long everyUs, long halfLifeUs) {}
 
-  /** The node's side: its settings as terms, the names in force, its decisions, its clock and its one thread. */
-  public record Node(Supplier<Terms> terms, Supplier<Decisions.Names> names, Decisions decisions, LongSupplier clock,
-      Consumer<Runnable> loop) { }
+  /**
+   * The node's side: its settings as terms, the names in force, its decisions, its clock and its
+   * one thread.
+   */
+  public record Node(
+      Supplier<Terms> terms,
+      Supplier<Decisions.Names> names,
+      Decisions decisions,
+      LongSupplier clock,
+      Consumer<Runnable> loop) {}
 
   private final Node node;
   private final Counters counters;
   private final Log log;
   private final Changes changes = new Changes(); // the saver's
-  private final AtomicBoolean saving = new AtomicBoolean(); // one at a time: a slow one costs the next
-  private final ExecutorService saver = Executors.newSingleThreadExecutor(task -> {
-    Thread thread = new Thread(task, "state saver");
-    thread.setDaemon(true);
-    return thread;
-  });
+  private final AtomicBoolean saving =
+      new AtomicBoolean(); // one at a time: a slow one costs the next
+  private final ExecutorService saver =
+      Executors.newSingleThreadExecutor(
+          task -> {
+            Thread thread = new Thread(task, "state saver");
+            thread.setDaemon(true);
+            return thread;
+          });
   private final Opener opener;
   private Settings settings;
   private boolean opened;
@@ -84,13 +95,25 @@
     kept.forEach(each -> knowledge.take(each.node(), List.of(each.fact()), nowUs));
     List<Fact> facts = knowledge.at(nowUs);
     counters.add("state.taken", facts.size());
-    knowledge.dropped().forEach((why, count) -> counters.add("state.dropped." + why.name().toLowerCase(java.util.Locale.ROOT),
-        count));
+    knowledge
+        .dropped()
+        .forEach(
+            (why, count) ->
+                counters.add(
+                    "state.dropped." + why.name().toLowerCase(java.util.Locale.ROOT), count));
     if (!kept.isEmpty()) {
-      log.info("state: begins with " + facts.size() + " facts of " + kept.size() + (knowledge.dropped().isEmpty() ? ""
-          : ", dropped " + knowledge.dropped()));
+      log.info(
+          "state: begins with "
+              + facts.size()
+              + " facts of "
+              + kept.size()
+              + (knowledge.dropped().isEmpty() ? "" : ", dropped " + knowledge.dropped()));
     }
-    return facts.stream().map(f -> new Lesson(Decisions.Topic.valueOf(f.kind().name()), f.subject(), f.value(), f.weight()))
+    return facts.stream()
+        .map(
+            f ->
+                new Lesson(
+                    Decisions.Topic.valueOf(f.kind().name()), f.subject(), f.value(), f.weight()))
         .toList();
   }
 
@@ -102,33 +125,50 @@
     }
   }
 
-  /** Writes down what has changed, now. Only what was learnt is copied here: all else is done on a thread of its own. */
+  /**
+   * Writes down what has changed, now. Only what was learnt is copied here: all else is done on a
+   * thread of its own.
+   */
   public void save(long nowUs) {
     Store to = opener.store();
-    if (to == null || !given || !node.decisions.begun() || saver.isShutdown() || !saving.compareAndSet(false, true)) {
+    if (to == null
+        || !given
+        || !node.decisions.begun()
+        || saver.isShutdown()
+        || !saving.compareAndSet(false, true)) {
       return;
     }
     List<Lesson> lessons = node.decisions.learnt(node.names.get());
     Terms terms = node.terms.get();
     double halfLifeUs = settings.halfLifeUs();
-    saver.execute(() -> {
-      try {
-        write(to, lessons, terms, halfLifeUs, nowUs);
-      } finally {
-        saving.set(false);
-      }
-    });
+    saver.execute(
+        () -> {
+          try {
+            write(to, lessons, terms, halfLifeUs, nowUs);
+          } finally {
+            saving.set(false);
+          }
+        });
   }
 
   private void write(Store to, List<Lesson> lessons, Terms terms, double halfLifeUs, long nowUs) {
-    List<Fact> facts = lessons.stream().map(l -> fact(l, terms, nowUs))
-        .filter(f -> terms.of(f.kind(), f.subject()) != null && f.kind().possible(f.value()) && f.weight() > 0).toList();
+    List<Fact> facts =
+        lessons.stream()
+            .map(l -> fact(l, terms, nowUs))
+            .filter(
+                f ->
+                    terms.of(f.kind(), f.subject()) != null
+                        && f.kind().possible(f.value())
+                        && f.weight() > 0)
+            .toList();
     List<Fact> news = changes.of(facts, halfLifeUs);
     if (news.isEmpty()) {
       return;
     }
-    Store.Taken taken = to.append(List.of(FactCodec.entry(terms.node(), news)),
-        fault -> node.loop.accept(() -> saved(news, fault)));
+    Store.Taken taken =
+        to.append(
+            List.of(FactCodec.entry(terms.node(), news)),
+            fault -> node.loop.accept(() -> saved(news, fault)));
     if (taken == Store.Taken.FULL) {
       node.loop.accept(() -> counters.add("state.full"));
     }
@@ -137,7 +177,12 @@
   private static Fact fact(Lesson lesson, Terms terms, long nowUs) {
     Kind kind = Kind.valueOf(lesson.topic().name());
     String digest = terms.of(kind, lesson.of());
-    return new Fact(kind, lesson.of(), lesson.value(), Math.min(lesson.samples(), kind.mostWeight()), nowUs,
+    return new Fact(
+        kind,
+        lesson.of(),
+        lesson.value(),
+        Math.min(lesson.samples(), kind.mostWeight()),
+        nowUs,
         digest == null ? "" : digest);
   }
 
@@ -148,7 +193,10 @@
     }
     if (behind != (fault != null)) {
       behind = fault != null;
-      log.warn(behind ? "state: what is learnt is not written down: " + fault : "state: written down again");
+      log.warn(
+          behind
+              ? "state: what is learnt is not written down: " + fault
+              : "state: written down again");
     }
   }
 
--- a/src/main/java/rosecleat/state/Opener.java
+++ b/src/main/java/rosecleat/state/Opener.java
@@ -10,16 +10,21 @@
 import rosecleat.store.Store;
 
 /**
- * Opens a node's folder on a thread of its own, from before the node stands. Where another process writes to it, it is read
- * beside that and opened once it is free; where it can't be used, that is tried again.
+ * Opens a node's folder on a thread of its own, from before the node stands. Where another process
+ * writes to it, it is read beside that and opened once it is free; where it can't be used, that is
+ * tried again.
  */
 public final class Opener {
   private static final int WAITING = 64;
   private static final long WAITING_BYTES = 4 << 20;
   private static final long LOCKED_MS = 100;
   private static final long FAILED_MS = 5_000;
-  /** A look at a folder in which another process writes is tried so often, as files may go under it. */
+
+  /**
+   * A look at a folder in which another process writes is tried so often, as files may go under it.
+   */
   private static final int LOOKS = 3;
+
   private static final FactOwner OWNER = new FactOwner();
 
   private final Path path;
@@ -72,10 +77,16 @@
           opened(opened);
           return;
         } else if (opening instanceof Store.Refused refused) {
-          log.warn("state: nothing is kept: " + refused.why() + "; start the program that wrote it, or name another folder");
+          log.warn(
+              "state: nothing is kept: "
+                  + refused.why()
+                  + "; start the program that wrote it, or name another folder");
           return;
         } else if (opening instanceof Store.Locked) {
-          what = "another process writes to " + path + ": this one reads it, and writes once that has left";
+          what =
+              "another process writes to "
+                  + path
+                  + ": this one reads it, and writes once that has left";
           pauseMs = LOCKED_MS;
           peek();
         } else if (opening instanceof Store.Failed failed) {
@@ -94,7 +105,10 @@
 
   private Store.Opening attempt() {
     try {
-      return Store.open(Folder.made(path), OWNER, new Store.Limits(maxBytes, WAITING, WAITING_BYTES),
+      return Store.open(
+          Folder.made(path),
+          OWNER,
+          new Store.Limits(maxBytes, WAITING, WAITING_BYTES),
           line -> log.warn("state: " + line));
     } catch (IOException e) {
       return new Store.Failed(String.valueOf(e));
--- a/src/main/java/rosecleat/store/Bytes.java
+++ b/src/main/java/rosecleat/store/Bytes.java
@@ -50,7 +50,8 @@
     window.flip();
   }
 
-  @Override public void close() throws IOException {
+  @Override
+  public void close() throws IOException {
     in.close();
   }
 }
--- a/src/main/java/rosecleat/store/Disk.java
+++ b/src/main/java/rosecleat/store/Disk.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * One folder of plain files, as the store needs it. Nothing written is known to outlast a loss of power until the file
- * has been synced, and no name until the folder has. Any call may fail; a file in which a write or a sync has failed is
- * in doubt from then on.
+ * One folder of plain files, as the store needs it. Nothing written is known to outlast a loss of
+ * power until the file has been synced, and no name until the folder has. Any call may fail; a file
+ * in which a write or a sync has failed is in doubt from then on.
  */
 public interface Disk {
   /** The names of all files. */
@@ -39,7 +39,8 @@
     /** Reads at a place, some bytes or all that fit; negative at the end. */
     int read(long at, ByteBuffer into) throws IOException;
 
-    @Override void close() throws IOException;
+    @Override
+    void close() throws IOException;
   }
 
   /** A file that is written, at its end. */
@@ -50,6 +51,7 @@
     /** Makes what was written last. */
     void sync() throws IOException;
 
-    @Override void close() throws IOException;
+    @Override
+    void close() throws IOException;
   }
 }
--- a/src/main/java/rosecleat/store/Engine.java
+++ b/src/main/java/rosecleat/store/Engine.java
@@ -9,15 +9,19 @@
 import rosecleat.store.wire.SnapshotEnd;
 
 /**
- * The writing side of a store, without threads. What {@link #write} has returned from is on disk. After a failed write the
- * log is given up and the next write begins another: a file in which a write or a sync has failed is never trusted again.
+ * The writing side of a store, without threads. What {@link #write} has returned from is on disk.
+ * After a failed write the log is given up and the next write begins another: a file in which a
+ * write or a sync has failed is never trusted again.
  */
 final class Engine implements AutoCloseable {
   /** Files set aside that are kept for people; together no more than a part of the whole. */
   private static final int MOST_ASIDE = 4;
+
   private static final int ASIDE_PART = 4;
+
   /** Logs are as long as this part of the whole, and compacted when they make up such a part. */
   private static final int LOG_PART = 16;
+
   private static final int LOGS_PART = 4;
   private static final long SHORTEST_LOG = 1 << 16;
   private static final int MOST_LOGS = 32;
@@ -36,7 +40,8 @@
   private long snapshotBytes;
   private long olderBytes;
   private long asideBytes;
-  private long strayBytes; // snapshots of compactions that failed: the manifest on disk may name one
+  private long
+      strayBytes; // snapshots of compactions that failed: the manifest on disk may name one
   private ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
 
   /** Goes on from what a recovery found. The caller holds the folder's lock. */
@@ -83,7 +88,9 @@
   private void setAside(List<String> names) throws IOException {
     List<String> there = new ArrayList<>(Names.asides(disk.names()));
     long k = there.isEmpty() ? 0 : Names.asideNumber(there.get(there.size() - 1));
-    for (int i = names.size() - 1; i >= 0; i--) { // the first is what is damaged, others only follow it: it is kept longest
+    for (int i = names.size() - 1;
+        i >= 0;
+        i--) { // the first is what is damaged, others only follow it: it is kept longest
       String to = Names.aside(++k, names.get(i));
       disk.rename(names.get(i), to);
       there.add(to);
@@ -118,7 +125,9 @@
     long next = highest + 1;
     Disk.Out fresh = disk.create(Names.log(next));
     try {
-      fresh.write(new Format.Header('L', Format.VERSION, next, number, number == snapshot ? 0 : good).bytes());
+      fresh.write(
+          new Format.Header('L', Format.VERSION, next, number, number == snapshot ? 0 : good)
+              .bytes());
       fresh.sync();
       disk.syncFolder();
     } catch (IOException e) {
@@ -143,8 +152,9 @@
   }
 
   /**
-   * Writes entries, all of which are on disk when this returns. Where it throws none of them counts once a later write has
-   * returned; should the process end before that, the first of them may count, in order.
+   * Writes entries, all of which are on disk when this returns. Where it throws none of them counts
+   * once a later write has returned; should the process end before that, the first of them may
+   * count, in order.
    */
   void write(List<Entry> entries) throws IOException {
     long length = 0;
@@ -236,7 +246,9 @@
       this.logs = logs;
     }
 
-    /** Folds the snapshot and the sealed logs into a new snapshot, and makes it the one that stands. */
+    /**
+     * Folds the snapshot and the sealed logs into a new snapshot, and makes it the one that stands.
+     */
     void run() throws IOException {
       Fold fold = owner.fold();
       if (base > 0) {
@@ -291,10 +303,14 @@
   }
 
   private void manifest(long fresh, long base) throws IOException {
-    Entry entry = new Entry(Format.MANIFEST, 1,
-        Manifest.newBuilder().setSnapshot(fresh).setOlderSnapshot(base).build().toByteArray());
-    ByteBuffer bytes = ByteBuffer.allocate(Format.HEADER + Format.length(entry))
-        .put(new Format.Header('M', Format.VERSION, 0, 0, 0).bytes());
+    Entry entry =
+        new Entry(
+            Format.MANIFEST,
+            1,
+            Manifest.newBuilder().setSnapshot(fresh).setOlderSnapshot(base).build().toByteArray());
+    ByteBuffer bytes =
+        ByteBuffer.allocate(Format.HEADER + Format.length(entry))
+            .put(new Format.Header('M', Format.VERSION, 0, 0, 0).bytes());
     Format.put(bytes, entry, 0, Format.HEADER, 0);
     Disk.Out out = disk.create(Names.MANIFEST + Names.NEW);
     try {
@@ -355,7 +371,11 @@
     }
 
     void end() throws IOException {
-      put(new Entry(Format.SNAPSHOT_END, 1, SnapshotEnd.newBuilder().setEntries(entries).build().toByteArray()));
+      put(
+          new Entry(
+              Format.SNAPSHOT_END,
+              1,
+              SnapshotEnd.newBuilder().setEntries(entries).build().toByteArray()));
       if (failed != null) {
         throw failed;
       }
@@ -365,7 +385,8 @@
   }
 
   /** Ends the log with a mark that vouches for all before it. */
-  @Override public void close() {
+  @Override
+  public void close() {
     try {
       if (log != null && good > Format.HEADER) {
         put(List.of(new Entry(Format.CLOSED, 1, new byte[0])), Format.HEAD);
--- a/src/main/java/rosecleat/store/Folder.java
+++ b/src/main/java/rosecleat/store/Folder.java
@@ -17,7 +17,10 @@
 
 /** A folder of the machine's own file system. */
 public final class Folder implements Disk {
-  /** Locked in this process. Guards against closing a second channel to such a file: that would free the lock. */
+  /**
+   * Locked in this process. Guards against closing a second channel to such a file: that would free
+   * the lock.
+   */
   private static final Set<Path> HELD = ConcurrentHashMap.newKeySet();
 
   private final Path path;
@@ -42,7 +45,8 @@
     return new Folder(path);
   }
 
-  @Override public Set<String> names() throws IOException {
+  @Override
+  public Set<String> names() throws IOException {
     Set<String> names = new TreeSet<>();
     try (Stream<Path> files = Files.list(path)) {
       files.filter(Files::isRegularFile).forEach(file -> names.add(file.getFileName().toString()));
@@ -50,58 +54,74 @@
     return names;
   }
 
-  @Override public In open(String name) throws IOException {
+  @Override
+  public In open(String name) throws IOException {
     FileChannel channel = FileChannel.open(path.resolve(name), StandardOpenOption.READ);
     return new In() {
-      @Override public long size() throws IOException {
+      @Override
+      public long size() throws IOException {
         return channel.size();
       }
 
-      @Override public int read(long at, ByteBuffer into) throws IOException {
+      @Override
+      public int read(long at, ByteBuffer into) throws IOException {
         return channel.read(into, at);
       }
 
-      @Override public void close() throws IOException {
+      @Override
+      public void close() throws IOException {
         channel.close();
       }
     };
   }
 
-  @Override public Out create(String name) throws IOException {
-    FileChannel channel = FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-        StandardOpenOption.TRUNCATE_EXISTING);
+  @Override
+  public Out create(String name) throws IOException {
+    FileChannel channel =
+        FileChannel.open(
+            path.resolve(name),
+            StandardOpenOption.CREATE,
+            StandardOpenOption.WRITE,
+            StandardOpenOption.TRUNCATE_EXISTING);
     return new Out() {
-      @Override public void write(ByteBuffer bytes) throws IOException {
+      @Override
+      public void write(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
           channel.write(bytes);
         }
       }
 
-      @Override public void sync() throws IOException {
+      @Override
+      public void sync() throws IOException {
         channel.force(false);
       }
 
-      @Override public void close() throws IOException {
+      @Override
+      public void close() throws IOException {
         channel.close();
       }
     };
   }
 
-  @Override public void rename(String from, String to) throws IOException {
+  @Override
+  public void rename(String from, String to) throws IOException {
     Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  @Override public void delete(String name) throws IOException {
+  @Override
+  public void delete(String name) throws IOException {
     Files.deleteIfExists(path.resolve(name));
   }
 
-  @Override public void syncFolder() throws IOException {
+  @Override
+  public void syncFolder() throws IOException {
     try (FileChannel folder = FileChannel.open(path, StandardOpenOption.READ)) {
       folder.force(true);
     }
   }
 
-  @Override public AutoCloseable lock(String name) throws IOException {
+  @Override
+  public AutoCloseable lock(String name) throws IOException {
     Path file = path.toRealPath().resolve(name);
     if (!HELD.add(file)) {
       return null;
--- a/src/main/java/rosecleat/store/Names.java
+++ b/src/main/java/rosecleat/store/Names.java
@@ -12,7 +12,7 @@
   private static final String SNAPSHOT = "snapshot-";
   private static final String ASIDE = "damaged-";
 
-  private Names() { }
+  private Names() {}
 
   static String log(long number) {
     return LOG + number;
@@ -33,13 +33,17 @@
   }
 
   private static List<Long> numbers(Collection<String> names, String kind) {
-    return names.stream().filter(n -> n.matches(kind + "[1-9][0-9]{0,17}")).map(n -> Long.parseLong(n.substring(kind.length())))
-        .sorted().toList();
+    return names.stream()
+        .filter(n -> n.matches(kind + "[1-9][0-9]{0,17}"))
+        .map(n -> Long.parseLong(n.substring(kind.length())))
+        .sorted()
+        .toList();
   }
 
   /** Whether a file is one of a store's; others in the folder are left alone. */
   static boolean ours(String name) {
-    return name.matches("(MANIFEST|(log|snapshot)-[1-9][0-9]{0,17})(\\.new)?") || asideNumber(name) > 0;
+    return name.matches("(MANIFEST|(log|snapshot)-[1-9][0-9]{0,17})(\\.new)?")
+        || asideNumber(name) > 0;
   }
 
   /** Whether a file was written aside and never finished. */
@@ -54,13 +58,16 @@
 
   /** Files set aside, the oldest first. */
   static List<String> asides(Collection<String> names) {
-    return names.stream().filter(n -> asideNumber(n) > 0)
-        .sorted((a, b) -> Long.compare(asideNumber(a), asideNumber(b))).toList();
+    return names.stream()
+        .filter(n -> asideNumber(n) > 0)
+        .sorted((a, b) -> Long.compare(asideNumber(a), asideNumber(b)))
+        .toList();
   }
 
   /** The number a file was set aside under, 0 for any other. */
   static long asideNumber(String name) {
     return name.matches(ASIDE + "[1-9][0-9]{0,17}-.+")
-        ? Long.parseLong(name.substring(ASIDE.length(), name.indexOf('-', ASIDE.length()))) : 0;
+        ? Long.parseLong(name.substring(ASIDE.length(), name.indexOf('-', ASIDE.length())))
+        : 0;
   }
 }
--- a/src/main/java/rosecleat/store/Recovered.java
+++ b/src/main/java/rosecleat/store/Recovered.java
@@ -12,7 +12,8 @@
  * @param bytes what all files of the store take on disk
  * @param plan how the writing goes on, null with a refusal
  */
-public record Recovered(String refusal, Fold fold, List<Finding> findings, long entries, long bytes, Plan plan) {
+public record Recovered(
+    String refusal, Fold fold, List<Finding> findings, long entries, long bytes, Plan plan) {
   /** Whether something that had been written whole is lost. */
   public boolean damaged() {
     return findings.stream().anyMatch(Finding::damage);
@@ -34,9 +35,16 @@
    * @param leftovers names to be deleted
    * @param rebase whether what counts must be written down anew, as the files no longer lead to it
    */
-  record Plan(boolean fresh, long snapshot, long olderSnapshot, List<Log> logs, long highest, List<String> aside,
-      List<String> leftovers, boolean rebase) { }
+  record Plan(
+      boolean fresh,
+      long snapshot,
+      long olderSnapshot,
+      List<Log> logs,
+      long highest,
+      List<String> aside,
+      List<String> leftovers,
+      boolean rebase) {}
 
   /** A log and how many of its bytes count. */
-  record Log(long number, long good) { }
+  record Log(long number, long good) {}
 }
--- a/src/main/java/rosecleat/store/Recovery.java
+++ b/src/main/java/rosecleat/store/Recovery.java
@@ -15,9 +15,9 @@
 import rosecleat.store.wire.SnapshotEnd;
 
 /**
- * Reads a folder and finds what counts, changing nothing. Each file is checked whole before any of it reaches the owner. A
- * folder that another process writes to meanwhile may lose files under the reader: that is an {@link IOException}, and a
- * second reading will do.
+ * Reads a folder and finds what counts, changing nothing. Each file is checked whole before any of
+ * it reaches the owner. A folder that another process writes to meanwhile may lose files under the
+ * reader: that is an {@link IOException}, and a second reading will do.
  */
 final class Recovery {
   /** Something in a file is of a later program: nothing of the folder may be used or changed. */
@@ -30,7 +30,7 @@
   }
 
   /** How far a file counts; {@code bad} says what is wrong from there on, null where nothing is. */
-  private record Checked(long good, long entries, boolean ended, String bad, boolean vouched) { }
+  private record Checked(long good, long entries, boolean ended, String bad, boolean vouched) {}
 
   private final Disk disk;
   private final Owner owner;
@@ -83,7 +83,8 @@
     }
     Manifest manifest = manifest();
     long snapshot = snapshot(manifest, snapshots);
-    long older = manifest == null || snapshot != manifest.getSnapshot() ? 0 : manifest.getOlderSnapshot();
+    long older =
+        manifest == null || snapshot != manifest.getSnapshot() ? 0 : manifest.getOlderSnapshot();
     for (long number : snapshots) {
       if (number != snapshot && number != older && !aside.contains(Names.snapshot(number))) {
         leftovers.add(Names.snapshot(number));
@@ -92,7 +93,14 @@
     boolean usable = logsCount;
     chain(snapshot, logNumbers, usable);
     boolean rebase = manifest == null || !aside.isEmpty();
-    return new Plan(false, snapshot, older, List.copyOf(logs), highest, List.copyOf(aside), List.copyOf(leftovers),
+    return new Plan(
+        false,
+        snapshot,
+        older,
+        List.copyOf(logs),
+        highest,
+        List.copyOf(aside),
+        List.copyOf(leftovers),
         rebase);
   }
 
@@ -116,7 +124,8 @@
     }
     try (Bytes bytes = new Bytes(disk.open(name))) {
       Format.Header header = header(name, bytes);
-      Format.Read read = header == null || header.kind() != 'M' ? null : Format.read(bytes, 0, Format.HEADER);
+      Format.Read read =
+          header == null || header.kind() != 'M' ? null : Format.read(bytes, 0, Format.HEADER);
       if (read == null || read.entry().type() != Format.MANIFEST) {
         damage(name, 0, bytes.size(), "it can't be read");
         return null;
@@ -132,7 +141,12 @@
     ByteBuffer head = bytes.at(0, Format.HEADER);
     Format.Header header = head == null ? null : Format.header(head);
     if (header != null && header.version() > Format.VERSION) {
-      throw new Newer(name + " is of format " + header.version() + ", and this program reads up to " + Format.VERSION);
+      throw new Newer(
+          name
+              + " is of format "
+              + header.version()
+              + ", and this program reads up to "
+              + Format.VERSION);
     }
     return header;
   }
@@ -155,13 +169,16 @@
       } else {
         try (Bytes bytes = new Bytes(disk.open(name))) {
           Format.Header header = header(name, bytes);
-          Checked checked = header == null || header.kind() != 'S' || header.number() != number ? null
-              : check(name, bytes, number, bytes.size());
+          Checked checked =
+              header == null || header.kind() != 'S' || header.number() != number
+                  ? null
+                  : check(name, bytes, number, bytes.size());
           if (checked != null && checked.bad == null && checked.ended) {
             entries += checked.entries;
             return number;
           }
-          damage(name, checked == null ? 0 : checked.good, bytes.size(), "the snapshot is not whole");
+          damage(
+              name, checked == null ? 0 : checked.good, bytes.size(), "the snapshot is not whole");
         }
       }
       logsCount = false; // they begin behind a snapshot that is lost
@@ -169,7 +186,9 @@
     return 0;
   }
 
-  /** The logs behind the snapshot, in order, as far as each one's header leads to the one before. */
+  /**
+   * The logs behind the snapshot, in order, as far as each one's header leads to the one before.
+   */
   private void chain(long snapshot, List<Long> numbers, boolean usable) throws IOException, Newer {
     Map<Long, Format.Header> headers = new HashMap<>();
     List<Long> readable = new ArrayList<>();
@@ -212,8 +231,13 @@
     }
   }
 
-  private static Format.Header next(long number, List<Long> readable, Map<Long, Format.Header> headers) {
-    return readable.stream().map(headers::get).filter(h -> h.before() == number).findFirst().orElse(null);
+  private static Format.Header next(
+      long number, List<Long> readable, Map<Long, Format.Header> headers) {
+    return readable.stream()
+        .map(headers::get)
+        .filter(h -> h.before() == number)
+        .findFirst()
+        .orElse(null);
   }
 
   /** Checks one log; false where it is damaged. */
@@ -230,7 +254,9 @@
         return false;
       }
       if (checked.bad != null) {
-        findings.add(new Finding(false, name, checked.good, end - checked.good, "an unfinished write was cut off"));
+        findings.add(
+            new Finding(
+                false, name, checked.good, end - checked.good, "an unfinished write was cut off"));
       }
       entries += checked.entries;
       logs.add(new Log(number, checked.good));
@@ -252,7 +278,11 @@
     while (at < end) {
       Format.Read read = ended ? null : Format.read(bytes, number, at);
       if (read == null || read.next() > end) {
-        return new Checked(at, count, false, ended ? "something stands behind its end" : "an entry can't be read",
+        return new Checked(
+            at,
+            count,
+            false,
+            ended ? "something stands behind its end" : "an entry can't be read",
             vouched(bytes, number, at, end));
       }
       Entry entry = read.entry();
@@ -263,8 +293,15 @@
         ended = true;
       } else if (entry.type() != Format.CLOSED) {
         if (entry.type() > Entry.MOST_TYPE || entry.version() > owner.reads(entry.type())) {
-          throw new Newer(name + " at byte " + at + " has an entry of type " + entry.type() + ", version "
-              + entry.version() + ", which this program does not know");
+          throw new Newer(
+              name
+                  + " at byte "
+                  + at
+                  + " has an entry of type "
+                  + entry.type()
+                  + ", version "
+                  + entry.version()
+                  + ", which this program does not know");
         }
         count++;
       }
@@ -273,7 +310,9 @@
     return new Checked(at, count, ended, null, false);
   }
 
-  /** Whether a good entry behind a bad place says that the place was on disk when it was written. */
+  /**
+   * Whether a good entry behind a bad place says that the place was on disk when it was written.
+   */
   private static boolean vouched(Bytes bytes, long number, long bad, long end) throws IOException {
     for (long at = bad + 1; at <= end - Format.HEAD; at++) {
       Format.Read read = Format.read(bytes, number, at);
@@ -285,7 +324,8 @@
   }
 
   /** Hands the owner's entries of a file over, up to a place; fails where one can't be read. */
-  static void feed(Disk disk, String name, long number, long end, Consumer<Entry> taker) throws IOException {
+  static void feed(Disk disk, String name, long number, long end, Consumer<Entry> taker)
+      throws IOException {
     try (Bytes bytes = new Bytes(disk.open(name))) {
       long at = Format.HEADER;
       long stop = Math.min(end, bytes.size());
--- a/src/main/java/rosecleat/store/Store.java
+++ b/src/main/java/rosecleat/store/Store.java
@@ -9,9 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * A store that is open for writing. One thread writes: whatever waits when it comes round is written in one go and synced
- * once, so callers share syncs under load and nobody waits when there is none. Callers never wait for the disk; the queue
- * is bounded, and a full one is a value. A disk that fails costs the records that wait, and is tried again.
+ * A store that is open for writing. One thread writes: whatever waits when it comes round is
+ * written in one go and synced once, so callers share syncs under load and nobody waits when there
+ * is none. Callers never wait for the disk; the queue is bounded, and a full one is a value. A disk
+ * that fails costs the records that wait, and is tried again.
  */
 public final class Store implements AutoCloseable {
   /** What became of an append when it was made. */
@@ -31,19 +32,19 @@
   }
 
   /** What a folder answers to being opened. */
-  public sealed interface Opening { }
+  public sealed interface Opening {}
 
   /** It is open, with what was found in it; the store is null where it was only compacted. */
-  public record Opened(Store store, Recovered found) implements Opening { }
+  public record Opened(Store store, Recovered found) implements Opening {}
 
   /** Another process writes to it. */
-  public record Locked() implements Opening { }
+  public record Locked() implements Opening {}
 
   /** It is of a later program, and was left as it is. */
-  public record Refused(String why) implements Opening { }
+  public record Refused(String why) implements Opening {}
 
   /** The disk did not let it be read or written. */
-  public record Failed(String why) implements Opening { }
+  public record Failed(String why) implements Opening {}
 
   /**
    * Bounds.
@@ -58,7 +59,8 @@
   }
 
   /** Counts since the store was opened; {@code longestSyncNs} of one write with its sync. */
-  public record Figures(long appends, long syncs, long failures, long compactions, long bytes, long longestSyncNs) { }
+  public record Figures(
+      long appends, long syncs, long failures, long compactions, long bytes, long longestSyncNs) {}
 
   private static final int BATCH_BYTES = 1 << 20;
   private static final long POLL_MS = 100;
@@ -66,7 +68,7 @@
   private static final long LONGEST_PAUSE_NS = 2_000_000_000;
   private static final long COMPACT_AGAIN_NS = 5_000_000_000L;
 
-  private record Waiting(List<Entry> entries, long bytes, Done done) { }
+  private record Waiting(List<Entry> entries, long bytes, Done done) {}
 
   private final Engine engine;
   private final AutoCloseable lock;
@@ -113,14 +115,19 @@
         unlock(lock);
         return new Refused(found.refusal());
       }
-      return new Opened(new Store(new Engine(disk, owner, limits.mostBytes(), found), lock, limits, events), found);
+      return new Opened(
+          new Store(new Engine(disk, owner, limits.mostBytes(), found), lock, limits, events),
+          found);
     } catch (IOException | RuntimeException e) {
       unlock(lock);
       return new Failed(String.valueOf(e));
     }
   }
 
-  /** Reads a folder without its lock, changing nothing; fails where a writer took files away under the reading. */
+  /**
+   * Reads a folder without its lock, changing nothing; fails where a writer took files away under
+   * the reading.
+   */
   public static Recovered look(Disk disk, Owner owner) throws IOException {
     return Recovery.read(disk, owner);
   }
@@ -165,8 +172,8 @@
   }
 
   /**
-   * Has entries written, in the order of appends. Each is there whole or not at all; of several in one append the first may
-   * outlast a crash without the rest. For any thread, and never waits.
+   * Has entries written, in the order of appends. Each is there whole or not at all; of several in
+   * one append the first may outlast a crash without the rest. For any thread, and never waits.
    */
   public Taken append(List<Entry> entries, Done done) {
     if (closing) {
@@ -179,7 +186,8 @@
       }
       bytes += Format.length(entry);
     }
-    if (queued.addAndGet(bytes) > limits.waitingBytes() || !queue.offer(new Waiting(List.copyOf(entries), bytes, done))) {
+    if (queued.addAndGet(bytes) > limits.waitingBytes()
+        || !queue.offer(new Waiting(List.copyOf(entries), bytes, done))) {
       queued.addAndGet(-bytes);
       return Taken.FULL;
     }
@@ -261,9 +269,14 @@
       }
     }
     Figures f = figures;
-    figures = new Figures(f.appends + (fault == null ? batch.size() : 0), f.syncs + (fault == null ? 1 : 0),
-        f.failures + (fault == null ? 0 : batch.size()), f.compactions, engine.bytes(),
-        fault == null ? Math.max(f.longestSyncNs, System.nanoTime() - from) : f.longestSyncNs);
+    figures =
+        new Figures(
+            f.appends + (fault == null ? batch.size() : 0),
+            f.syncs + (fault == null ? 1 : 0),
+            f.failures + (fault == null ? 0 : batch.size()),
+            f.compactions,
+            engine.bytes(),
+            fault == null ? Math.max(f.longestSyncNs, System.nanoTime() - from) : f.longestSyncNs);
     for (Waiting each : batch) {
       each.done.done(fault);
     }
@@ -274,7 +287,10 @@
     if (compacted != null) {
       join();
     }
-    if (compacting != null || closing || !engine.wantsCompaction() || System.nanoTime() < compactAtNs) {
+    if (compacting != null
+        || closing
+        || !engine.wantsCompaction()
+        || System.nanoTime() < compactAtNs) {
       return;
     }
     try {
@@ -290,20 +306,29 @@
   private void run(Engine.Compaction next) {
     try {
       next.run();
-      compacted = () -> {
-        try {
-          engine.finish(next);
-          Figures f = figures;
-          figures = new Figures(f.appends, f.syncs, f.failures, f.compactions + 1, engine.bytes(), f.longestSyncNs);
-        } catch (IOException e) {
-          failed(e); // files that are left over go at the next start
-        }
-      };
+      compacted =
+          () -> {
+            try {
+              engine.finish(next);
+              Figures f = figures;
+              figures =
+                  new Figures(
+                      f.appends,
+                      f.syncs,
+                      f.failures,
+                      f.compactions + 1,
+                      engine.bytes(),
+                      f.longestSyncNs);
+            } catch (IOException e) {
+              failed(e); // files that are left over go at the next start
+            }
+          };
     } catch (IOException | RuntimeException e) {
-      compacted = () -> {
-        engine.abandon(next);
-        failed(e);
-      };
+      compacted =
+          () -> {
+            engine.abandon(next);
+            failed(e);
+          };
     }
   }
 
@@ -331,12 +356,16 @@
     return !writer.isAlive();
   }
 
-  /** Takes nothing more; what waits is written, then the lock is given up. Does not wait for that. */
+  /**
+   * Takes nothing more; what waits is written, then the lock is given up. Does not wait for that.
+   */
   public void end() {
     closing = true;
   }
 
-  /** Ends, and waits for it so long at the most (ms); true once all is written and the lock is free. */
+  /**
+   * Ends, and waits for it so long at the most (ms); true once all is written and the lock is free.
+   */
   public boolean close(long mostMs) {
     end();
     try {
@@ -347,7 +376,8 @@
     return closed();
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     close(5_000);
   }
 }
--- a/src/test/java/rosecleat/ArchitectureTest.java
+++ b/src/test/java/rosecleat/ArchitectureTest.java
@@ -10,10 +10,14 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: the core knows no wire, and the wires know nothing of the module. */
+/**
+ * Which package may know which: the core knows no wire, and the wires know nothing of the module.
+ */
 class ArchitectureTest {
-  private static final JavaClasses ALL = new ClassFileImporter()
-      .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("rosecleat");
+  private static final JavaClasses ALL =
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("rosecleat");
 
   private static String[] packages(String... names) {
     return Arrays.stream(names).map(name -> "rosecleat." + name + "..").toArray(String[]::new);
@@ -23,54 +27,160 @@
     rule.check(ALL);
   }
 
-  @Test void theCoreKnowsNoFrontAndNoNetwork() {
-    hold(noClasses().that().resideInAnyPackage(packages("core", "policy")).should().dependOnClassesThat()
-        .resideInAnyPackage(packages("front", "net", "runtime", "index", "roster", "mgmt", "cli", "node", "config", "benchlink",
-            "state", "store", "knowledge")));
-    hold(noClasses().that().resideInAnyPackage(packages("core", "policy")).should().dependOnClassesThat()
-        .resideInAnyPackage("java.nio.channels..", "java.net.."));
+  @Test
+  void theCoreKnowsNoFrontAndNoNetwork() {
+    hold(
+        noClasses()
+            .that()
+            .resideInAnyPackage(packages("core", "policy"))
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                packages(
+                    "front",
+                    "net",
+                    "runtime",
+                    "index",
+                    "roster",
+                    "mgmt",
+                    "cli",
+                    "node",
+                    "config",
+                    "benchlink",
+                    "state",
+                    "store",
+                    "knowledge")));
+    hold(
+        noClasses()
+            .that()
+            .resideInAnyPackage(packages("core", "policy"))
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage("java.nio.channels..", "java.net.."));
   }
 
-  @Test void theNetworkKnowsNothingOfTheModule() {
-    hold(noClasses().that().resideInAnyPackage(packages("net", "front", "runtime", "index", "roster", "mgmt")).should()
-        .dependOnClassesThat().resideInAnyPackage(packages("policy", "state", "store", "knowledge")));
+  @Test
+  void theNetworkKnowsNothingOfTheModule() {
+    hold(
+        noClasses()
+            .that()
+            .resideInAnyPackage(packages("net", "front", "runtime", "index", "roster", "mgmt"))
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(packages("policy", "state", "store", "knowledge")));
   }
 
-  @Test void theStoreKnowsNothingOfWhatItKeeps() {
-    hold(classes().that().resideInAPackage("rosecleat.store..").should().onlyDependOnClassesThat()
-        .resideInAnyPackage("rosecleat.store..", "java..", "com.google.protobuf.."));
+  @Test
+  void theStoreKnowsNothingOfWhatItKeeps() {
+    hold(
+        classes()
+            .that()
+            .resideInAPackage("rosecleat.store..")
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage("rosecleat.store..", "java..", "com.google.protobuf.."));
   }
 
-  @Test void decisionsOnFactsAreFreeOfInputAndOutput() {
-    hold(classes().that().resideInAPackage("rosecleat.knowledge..").should().onlyDependOnClassesThat()
-        .resideInAnyPackage("rosecleat.knowledge..", "java.lang..", "java.util.."));
+  @Test
+  void decisionsOnFactsAreFreeOfInputAndOutput() {
+    hold(
+        classes()
+            .that()
+            .resideInAPackage("rosecleat.knowledge..")
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage("rosecleat.knowledge..", "java.lang..", "java.util.."));
   }
 
-  @Test void theViewOfTheFleetIsFreeOfInputAndOutputAndItsTaskKnowsNoNode() {
-    hold(classes().that().resideInAPackage("rosecleat.fleet").should().onlyDependOnClassesThat()
-        .resideInAnyPackage("rosecleat.fleet", "rosecleat.fleet.wire..", "java.lang..", "java.util..", "java.nio", "java.nio.charset..",
-            "com.google.protobuf.."));
-    hold(classes().that().resideInAPackage("rosecleat.fleet.link..").should().onlyDependOnClassesThat()
-        .resideInAnyPackage("rosecleat.fleet..", "rosecleat.log..", "java.."));
+  @Test
+  void theViewOfTheFleetIsFreeOfInputAndOutputAndItsTaskKnowsNoNode() {
+    hold(
+        classes()
+            .that()
+            .resideInAPackage("rosecleat.fleet")
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage(
+                "rosecleat.fleet",
+                "rosecleat.fleet.wire..",
+                "java.lang..",
+                "java.util..",
+                "java.nio",
+                "java.nio.charset..",
+                "com.google.protobuf.."));
+    hold(
+        classes()
+            .that()
+            .resideInAPackage("rosecleat.fleet.link..")
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage("rosecleat.fleet..", "rosecleat.log..", "java.."));
   }
 
-  @Test void routesAndPoolsDecideWithoutInputAndOutput() {
-    hold(classes().that().resideInAPackage("rosecleat.routes").should().onlyDependOnClassesThat()
-        .resideInAnyPackage("rosecleat.routes..", "rosecleat.fleet", "rosecleat.fleet.wire..", "java.lang..", "java.util..",
-            "java.nio", "java.nio.charset..", "java.security..", "com.google.protobuf.."));
-    hold(classes().that().resideInAPackage("rosecleat.pool..").should().onlyDependOnClassesThat()
-        .resideInAnyPackage("rosecleat.pool..", "java.lang..", "java.util.."));
+  @Test
+  void routesAndPoolsDecideWithoutInputAndOutput() {
+    hold(
+        classes()
+            .that()
+            .resideInAPackage("rosecleat.routes")
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage(
+                "rosecleat.routes..",
+                "rosecleat.fleet",
+                "rosecleat.fleet.wire..",
+                "java.lang..",
+                "java.util..",
+                "java.nio",
+                "java.nio.charset..",
+                "java.security..",
+                "com.google.protobuf.."));
+    hold(
+        classes()
+            .that()
+            .resideInAPackage("rosecleat.pool..")
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage("rosecleat.pool..", "java.lang..", "java.util.."));
   }
 
-  @Test void nothingKnowsTheCommandLineAndOnlyThatKnowsTheProcess() {
-    hold(noClasses().that().resideOutsideOfPackage("rosecleat.cli..").should().dependOnClassesThat()
-        .resideInAPackage("rosecleat.cli.."));
-    hold(noClasses().that().resideOutsideOfPackages("rosecleat.cli..", "rosecleat.node..").should().dependOnClassesThat()
-        .resideInAPackage("rosecleat.node.."));
+  @Test
+  void nothingKnowsTheCommandLineAndOnlyThatKnowsTheProcess() {
+    hold(
+        noClasses()
+            .that()
+            .resideOutsideOfPackage("rosecleat.cli..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAPackage("rosecleat.cli.."));
+    hold(
+        noClasses()
+            .that()
+            .resideOutsideOfPackages("rosecleat.cli..", "rosecleat.node..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAPackage("rosecleat.node.."));
   }
 
-  @Test void whatANodeKeepsKnowsNoWire() {
-    hold(noClasses().that().resideInAPackage("rosecleat.state..").should().dependOnClassesThat()
-        .resideInAnyPackage(packages("front", "net", "runtime", "index", "roster", "mgmt", "cli", "node", "config", "benchlink")));
+  @Test
+  void whatANodeKeepsKnowsNoWire() {
+    hold(
+        noClasses()
+            .that()
+            .resideInAPackage("rosecleat.state..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                packages(
+                    "front",
+                    "net",
+                    "runtime",
+                    "index",
+                    "roster",
+                    "mgmt",
+                    "cli",
+                    "node",
+                    "config",
+                    "benchlink")));
   }
 }
--- a/src/test/java/rosecleat/benchlink/LinkTest.java
+++ b/src/test/java/rosecleat/benchlink/LinkTest.java
@@ -22,7 +22,8 @@
 
 /** The wire both ways, settings, and bad input. */
 class LinkTest {
-  private static final String SETTINGS = """
+  private static final String SETTINGS =
+      """
       {"unheard-of": [1, {"a": 2}], "servers": 3, "worth-by": "work", "over-share-worth": 0.25,
        "bounds": {"max-retry-after-us": 900000, "retry-after": true}, "clients": {"marks-retry": true},
        "grades": [{"credit": 2.5, "deadline-us": 3000000, "effect": "token", "late-worth": 0.1,
@@ -37,34 +38,46 @@
                  "gauges": ["core_use", "on_cores", "mystery", "links"], "halt": "pause", "heeded-us": 1000000,
                  "idle-us": 15000000, "key-kb": 12.5, "lingers-us": 200000, "mem-limit-kb": 9000, "readiness": true,
                  "passes-deadline": true, "run-factor": 4, "say": "credit", "share-for-us": 50000, "tells-gone": true,
-                 "worth-without": [0.5, 0, 0]}}""";
+                 "worth-without": [0.5, 0, 0]}}\
+      """;
 
   /** Events as calls in text; each arrival is answered with the given actions. */
   private static final class Recorder implements Link.Maker {
     final List<String> calls = new ArrayList<>();
     PolicyApi.Settings settings;
-    java.util.function.Consumer<PolicyApi.Actions> onArrival = a -> { };
+    java.util.function.Consumer<PolicyApi.Actions> onArrival = a -> {};
 
-    @Override public PolicyApi make(PolicyApi.Settings s, long seed, PolicyApi.Actions actions) {
+    @Override
+    public PolicyApi make(PolicyApi.Settings s, long seed, PolicyApi.Actions actions) {
       settings = s;
       calls.add("make " + seed);
-      return (PolicyApi) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {PolicyApi.class},
-          (proxy, method, args) -> {
-            StringBuilder line = new StringBuilder(method.getName());
-            for (Object arg : args) {
-              if (arg instanceof PolicyApi.Gauges g) {
-                line.append(" [").append(g.coreUse).append(' ').append(g.onCores).append(' ').append(g.memory)
-                    .append(' ').append(g.connections).append(']');
-              } else {
-                line.append(' ').append(arg);
-              }
-            }
-            calls.add(line.toString());
-            if (method.getName().equals("arrived")) {
-              onArrival.accept(actions);
-            }
-            return null;
-          });
+      return (PolicyApi)
+          Proxy.newProxyInstance(
+              getClass().getClassLoader(),
+              new Class<?>[] {PolicyApi.class},
+              (proxy, method, args) -> {
+                StringBuilder line = new StringBuilder(method.getName());
+                for (Object arg : args) {
+                  if (arg instanceof PolicyApi.Gauges g) {
+                    line.append(" [")
+                        .append(g.coreUse)
+                        .append(' ')
+                        .append(g.onCores)
+                        .append(' ')
+                        .append(g.memory)
+                        .append(' ')
+                        .append(g.connections)
+                        .append(']');
+                  } else {
+                    line.append(' ').append(arg);
+                  }
+                }
+                calls.add(line.toString());
+                if (method.getName().equals("arrived")) {
+                  onArrival.accept(actions);
+                }
+                return null;
+              });
     }
   }
 
@@ -81,13 +94,18 @@
 
   private static byte[] start(int server, int from, int length) {
     byte[] r = record(1000, server);
-    ByteBuffer.wrap(r).order(ByteOrder.LITTLE_ENDIAN).putLong(4, 77).putInt(12, from).putInt(16, length);
+    ByteBuffer.wrap(r)
+        .order(ByteOrder.LITTLE_ENDIAN)
+        .putLong(4, 77)
+        .putInt(12, from)
+        .putInt(16, length);
     return r;
   }
 
   private static byte[] frame(long clock, String tail, byte[]... records) {
     byte[] text = tail.getBytes(StandardCharsets.UTF_8);
-    ByteBuffer b = ByteBuffer.allocate(16 + 64 * records.length + text.length).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer b =
+        ByteBuffer.allocate(16 + 64 * records.length + text.length).order(ByteOrder.LITTLE_ENDIAN);
     b.putInt(64 * records.length + text.length).putInt(records.length).putLong(clock);
     for (byte[] r : records) {
       b.put(r);
@@ -113,11 +131,13 @@
     return out.toByteArray();
   }
 
-  @Test void anEmptyBatchHasAnEmptyReply() throws IOException {
+  @Test
+  void anEmptyBatchHasAnEmptyReply() throws IOException {
     assertArrayEquals(new byte[8], serve(new Recorder(), frame(5, "")));
   }
 
-  @Test void everyEventReachesTheModuleWithItsFields() throws IOException {
+  @Test
+  void everyEventReachesTheModuleWithItsFields() throws IOException {
     Recorder rec = new Recorder();
     byte[] unknown = record(1777, 3);
     byte[] settled = hex("fc03 0300 c4913a5dbd9d0e00 fa 44480000");
@@ -125,16 +145,41 @@
     byte[] needs = hex("0604 0300 0900000000000000");
     byte[] drain = hex("1a04 0300 40420f00");
     byte[] gone = hex("2404 0300 0900000000000000");
-    byte[] accept = hex("f203 0300 c4913a5dbd9d0e00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c441 0000203f"
-        + "0700 11000000 3a070000 192b6f0e54f20100");
+    byte[] accept =
+        hex(
+            "f203 0300 c4913a5dbd9d0e00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c441"
+                + " 0000203f0700 11000000 3a070000 192b6f0e54f20100");
     byte[] timer = hex("2e04 0300 4d00000000000000 04 52b81e3f 00004040 85ebd13e 0000f042");
-    serve(rec, join(first(), frame(2000, "", unknown, accept, settled, needs, called, drain, gone, timer,
-        record(1080, 3), gone, record(1060, 9))));
+    serve(
+        rec,
+        join(
+            first(),
+            frame(
+                2000,
+                "",
+                unknown,
+                accept,
+                settled,
+                needs,
+                called,
+                drain,
+                gone,
+                timer,
+                record(1080, 3),
+                gone,
+                record(1060, 9))));
     assertEquals("make 77", rec.calls.get(0));
     assertEquals("begin 1000", rec.calls.get(1));
-    assertEquals("arrived 2000 Request[id=" + 0x0e9dbd5d3a91c4L + ", klass=0, tenant=0, key=" + 0x91f03b7c55d20a64L
-        + ", leftUs=240000, hintUs=12000, heldKb=24.5, rank=0.625, retry=true, write=true, caller=17, ageUs=1850, "
-        + "original=" + 0x0001f2540e6f2b19L + "]", rec.calls.get(2));
+    assertEquals(
+        "arrived 2000 Request[id="
+            + 0x0e9dbd5d3a91c4L
+            + ", klass=0, tenant=0, key="
+            + 0x91f03b7c55d20a64L
+            + ", leftUs=240000, hintUs=12000, heldKb=24.5, rank=0.625, retry=true, write=true,"
+            + " caller=17, ageUs=1850, original="
+            + 0x0001f2540e6f2b19L
+            + "]",
+        rec.calls.get(2));
     assertEquals("ended 2000 " + 0x0e9dbd5d3a91c4L + " HALTED 18500", rec.calls.get(3));
     assertEquals("needsCall 2000 9", rec.calls.get(4));
     assertEquals("called 2000 9 FULL 1", rec.calls.get(5));
@@ -145,11 +190,14 @@
     assertEquals(9, rec.calls.size()); // nothing after the stop, nothing for a server never started
   }
 
-  @Test void settingsAreReadAndUnknownKeysSkipped() throws IOException {
+  @Test
+  void settingsAreReadAndUnknownKeysSkipped() throws IOException {
     Recorder rec = new Recorder();
     serve(rec, first());
     PolicyApi.Settings s = rec.settings;
-    assertEquals(new PolicyApi.Klass(2.5, 0.1, 800_000, 1.5, 3_000_000, PolicyApi.Effect.KEYED, 7_000_000, true, 0.5),
+    assertEquals(
+        new PolicyApi.Klass(
+            2.5, 0.1, 800_000, 1.5, 3_000_000, PolicyApi.Effect.KEYED, 7_000_000, true, 0.5),
         s.classes().get(0));
     assertEquals(PolicyApi.Effect.UNSAFE, s.classes().get(1).effect());
     assertEquals(30, s.tenants().get(0).quotaPerS());
@@ -159,14 +207,20 @@
     assertEquals(0.7, s.callsOut());
     assertEquals(900_000, s.maxHoldOffUs());
     assertEquals(1_500_000, s.graceUs());
-    assertTrue(s.cold() && s.worthByWork() && s.passesDeadline() && s.marksRetry() && s.deepChecks());
+    assertTrue(
+        s.cold() && s.worthByWork() && s.passesDeadline() && s.marksRetry() && s.deepChecks());
   }
 
-  @Test void whatSettingsMayLeaveOutIsReadAsNone() throws IOException {
+  @Test
+  void whatSettingsMayLeaveOutIsReadAsNone() throws IOException {
     Recorder rec = new Recorder();
-    String bare = SETTINGS.replaceAll("\"parties\": \\[[^\\]]*\\],", "").replaceAll("\"worth-without\": \\[[^\\]]*\\]",
-        "\"worth-without\": [0.5]").replaceAll("\"class-calls\": \\[[^\\]]*\\]", "\"class-calls\": []")
-        .replaceAll("\"clients-total\": 5,", "").replaceAll("\"calls-out\": 0.7", "\"calls-out\": 0");
+    String bare =
+        SETTINGS
+            .replaceAll("\"parties\": \\[[^\\]]*\\],", "")
+            .replaceAll("\"worth-without\": \\[[^\\]]*\\]", "\"worth-without\": [0.5]")
+            .replaceAll("\"class-calls\": \\[[^\\]]*\\]", "\"class-calls\": []")
+            .replaceAll("\"clients-total\": 5,", "")
+            .replaceAll("\"calls-out\": 0.7", "\"calls-out\": 0");
     serve(rec, settings(bare));
     PolicyApi.Settings s = rec.settings;
     assertTrue(s.tenants().isEmpty());
@@ -174,69 +228,120 @@
     assertEquals(0, s.callsOut());
     assertEquals(0, s.classes().get(2).worthWithoutCall());
     assertFalse(s.classes().get(0).calls());
-    new Link(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream()).serve(); // the module takes them
+    new Link(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream())
+        .serve(); // the module takes them
   }
 
-  @Test void everyActionIsWrittenAsTheWireSays() throws IOException {
+  @Test
+  void everyActionIsWrittenAsTheWireSays() throws IOException {
     Recorder rec = new Recorder();
-    rec.onArrival = a -> {
-      a.run(1);
-      a.refuse(2, 250_000, true);
-      a.fail(3);
-      a.halt(4);
-      a.call(5, 123_456);
-      a.skipCall(6);
-      a.keep(7, 10);
-      a.forget(8);
-      a.reuse(9);
-      a.health(true, true);
-      a.say(0.25);
-      a.idle(20);
-      a.wake(500_000, 0x4d);
-      a.log("two servers known");
-    };
+    rec.onArrival =
+        a -> {
+          a.run(1);
+          a.refuse(2, 250_000, true);
+          a.fail(3);
+          a.halt(4);
+          a.call(5, 123_456);
+          a.skipCall(6);
+          a.keep(7, 10);
+          a.forget(8);
+          a.reuse(9);
+          a.health(true, true);
+          a.say(0.25);
+          a.idle(20);
+          a.wake(500_000, 0x4d);
+          a.log("two servers known");
+        };
     byte[] out = serve(rec, join(first(), frame(2000, "", record(1010, 3))));
     String got = HexFormat.of().formatHex(out, 8, out.length);
-    String want = "61010000" + "0e000000"
-        + "e8030300" + "0100000000000000" + "000000000000000000000000"
-        + "f2030300" + "0200000000000000" + "90d00300" + "01" + "00000000000000"
-        + "fc030300" + "0300000000000000" + "000000000000000000000000"
-        + "06040300" + "0400000000000000" + "000000000000000000000000"
-        + "10040300" + "0500000000000000" + "40e2010000000000" + "00000000"
-        + "1a040300" + "0600000000000000" + "000000000000000000000000"
-        + "24040300" + "0700000000000000" + "0a000000" + "0000000000000000"
-        + "2e040300" + "0800000000000000" + "000000000000000000000000"
-        + "38040300" + "0900000000000000" + "000000000000000000000000"
-        + "42040300" + "0101" + "000000000000000000000000000000000000"
-        + "4c040300" + "0000803e" + "00000000000000000000000000000000"
-        + "56040300" + "14000000" + "00000000000000000000000000000000"
-        + "60040300" + "20a10700" + "4d00000000000000" + "0000000000000000"
-        + "6a040300" + "00000000" + "11000000" + "000000000000000000000000"
-        + HexFormat.of().formatHex("two servers known".getBytes(StandardCharsets.UTF_8));
+    String want =
+        "61010000"
+            + "0e000000"
+            + "e8030300"
+            + "0100000000000000"
+            + "000000000000000000000000"
+            + "f2030300"
+            + "0200000000000000"
+            + "90d00300"
+            + "01"
+            + "00000000000000"
+            + "fc030300"
+            + "0300000000000000"
+            + "000000000000000000000000"
+            + "06040300"
+            + "0400000000000000"
+            + "000000000000000000000000"
+            + "10040300"
+            + "0500000000000000"
+            + "40e2010000000000"
+            + "00000000"
+            + "1a040300"
+            + "0600000000000000"
+            + "000000000000000000000000"
+            + "24040300"
+            + "0700000000000000"
+            + "0a000000"
+            + "0000000000000000"
+            + "2e040300"
+            + "0800000000000000"
+            + "000000000000000000000000"
+            + "38040300"
+            + "0900000000000000"
+            + "000000000000000000000000"
+            + "42040300"
+            + "0101"
+            + "000000000000000000000000000000000000"
+            + "4c040300"
+            + "0000803e"
+            + "00000000000000000000000000000000"
+            + "56040300"
+            + "14000000"
+            + "00000000000000000000000000000000"
+            + "60040300"
+            + "20a10700"
+            + "4d00000000000000"
+            + "0000000000000000"
+            + "6a040300"
+            + "00000000"
+            + "11000000"
+            + "000000000000000000000000"
+            + HexFormat.of().formatHex("two servers known".getBytes(StandardCharsets.UTF_8));
     assertEquals(want, got);
   }
 
-  @Test void aReplyGrowsAndTheNextOneIsClean() throws IOException {
+  @Test
+  void aReplyGrowsAndTheNextOneIsClean() throws IOException {
     Recorder rec = new Recorder();
     int[] left = {3000};
-    rec.onArrival = a -> {
-      for (int i = 0; i < left[0]; i++) {
-        a.keep(5, 6);
-        a.say(2);
-      }
-      left[0] = 1;
-    };
-    byte[] out = serve(rec, join(first(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
+    rec.onArrival =
+        a -> {
+          for (int i = 0; i < left[0]; i++) {
+            a.keep(5, 6);
+            a.say(2);
+          }
+          left[0] = 1;
+        };
+    byte[] out =
+        serve(rec, join(first(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
     assertEquals(8 + 8 + 6000 * 24 + 8 + 48, out.length);
-    assertEquals("24040300" + "0500000000000000" + "06000000" + "0000000000000000" + "4c040300" + "00000040"
-        + "00000000000000000000000000000000", HexFormat.of().formatHex(out, out.length - 48, out.length));
+    assertEquals(
+        "24040300"
+            + "0500000000000000"
+            + "06000000"
+            + "0000000000000000"
+            + "4c040300"
+            + "00000040"
+            + "00000000000000000000000000000000",
+        HexFormat.of().formatHex(out, out.length - 48, out.length));
   }
 
-  @Test void anExceptionInTheModuleIsReported() throws IOException {
+  @Test
+  void anExceptionInTheModuleIsReported() throws IOException {
     Recorder rec = new Recorder();
-    rec.onArrival = a -> {
-      throw new IllegalStateException("boom");
-    };
+    rec.onArrival =
+        a -> {
+          throw new IllegalStateException("boom");
+        };
     byte[] out = serve(rec, join(first(), frame(1, "", record(1010, 3))));
     assertEquals(1140, out[16] & 0xff | (out[17] & 0xff) << 8);
     assertTrue(new String(out, StandardCharsets.UTF_8).contains("boom"));
@@ -251,7 +356,8 @@
     return frame(1, text, start(3, 0, text.getBytes(StandardCharsets.UTF_8).length));
   }
 
-  @Test void badInputIsNamed() {
+  @Test
+  void badInputIsNamed() {
     bad("input ends inside a frame header", new byte[7]);
     bad("input ends inside a frame", java.util.Arrays.copyOf(first(), 40));
     byte[] tooLong = new byte[16];
@@ -266,10 +372,13 @@
     bad("settings lack grades", settings("{}"));
     bad("settings lack cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
     bad("settings lack deadline-us", settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
-    bad("settings have an unknown word for halt", settings(SETTINGS.replace("\"pause\"", "\"nap\"")));
+    bad(
+        "settings have an unknown word for halt",
+        settings(SETTINGS.replace("\"pause\"", "\"nap\"")));
   }
 
-  @Test void theProcessEndsWithOnePlainLineAndNothingOnStandardOutput() {
+  @Test
+  void theProcessEndsWithOnePlainLineAndNothingOnStandardOutput() {
     PrintStream err = System.err;
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -277,7 +386,8 @@
     try {
       String[] word = {"benchlink"};
       assertEquals(2, Main.run(word, new ByteArrayInputStream(new byte[3]), out));
-      assertEquals("rosecleat: input ends inside a frame header" + System.lineSeparator(),
+      assertEquals(
+          "rosecleat: input ends inside a frame header" + System.lineSeparator(),
           lines.toString(StandardCharsets.UTF_8));
       assertEquals(0, Main.run(word, new ByteArrayInputStream(new byte[0]), out));
       assertEquals(2, Main.run(new String[0], new ByteArrayInputStream(new byte[0]), out));
--- a/src/test/java/rosecleat/cli/MainTest.java
+++ b/src/test/java/rosecleat/cli/MainTest.java
@@ -36,7 +36,8 @@
     assertTrue(line.startsWith("rosecleat: ") && line.strip().lines().count() == 1, line);
   }
 
-  @Test void wrongWordsAndFilesEndWithOneLine(@TempDir Path folder) throws IOException {
+  @Test
+  void wrongWordsAndFilesEndWithOneLine(@TempDir Path folder) throws IOException {
     refused(Map.of());
     refused(Map.of(), "dance");
     refused(Map.of(), "serve", "--no-such");
@@ -44,23 +45,40 @@
     refused(Map.of("PROXY_CONFIG", "/no/such/file"), "serve");
     String good = Files.readString(Path.of(EXAMPLE));
     int round = 0;
-    for (String bad : new String[] {"", "[]", "{", good.replace("127.0.0.1:7001", "here"),
-        good.replace("\"seed\": \"1f\"", "\"seed\": \"zz\""), good.replace("\"stop_ms\": 4000", "\"stop_ms\": 0"),
-        good.replace("\"runtime\"", "\"ruin\""),
-        good.replace("\"grades\"", "\"grapes\""), good.replace("\"token\"", "\"tokens\"")}) {
+    for (String bad :
+        new String[] {
+          "",
+          "[]",
+          "{",
+          good.replace("127.0.0.1:7001", "here"),
+          good.replace("\"seed\": \"1f\"", "\"seed\": \"zz\""),
+          good.replace("\"stop_ms\": 4000", "\"stop_ms\": 0"),
+          good.replace("\"runtime\"", "\"ruin\""),
+          good.replace("\"grades\"", "\"grapes\""),
+          good.replace("\"token\"", "\"tokens\"")
+        }) {
       Path file = Files.writeString(folder.resolve("bad" + ++round), bad);
       refused(Map.of("PROXY_CONFIG", file.toString()), "check");
     }
-    for (String bad : new String[] {"", "uwsgi: {}", "uwsgi: {listen: '127.0.0.1:0'}",
-        "uwsgi: {listen: '127.0.0.1:0'}\ndescriptions: [{openapi: none.yaml}]",
-        "uwsgi: {listen: '127.0.0.1:0'}\nservices: {a: {contract: {x: {class: y}}}}"}) {
+    for (String bad :
+        new String[] {
+          "",
+          "uwsgi: {}",
+          "uwsgi: {listen: '127.0.0.1:0'}",
+          "uwsgi: {listen: '127.0.0.1:0'}\ndescriptions: [{openapi: none.yaml}]",
+          "uwsgi: {listen: '127.0.0.1:0'}\nservices: {a: {contract: {x: {class: y}}}}"
+        }) {
       Path file = Files.writeString(folder.resolve("broker" + ++round), bad);
       refused(Map.of("PROXY_CONFIG", EXAMPLE), "check", "--broker", file.toString());
     }
   }
 
-  @Test void theFilesUnderDeployCanBeUsed() {
-    assertEquals(0, run(Map.of("PROXY_CONFIG", EXAMPLE), "check", "--broker", "deploy/broker.yaml"), err.toString());
+  @Test
+  void theFilesUnderDeployCanBeUsed() {
+    assertEquals(
+        0,
+        run(Map.of("PROXY_CONFIG", EXAMPLE), "check", "--broker", "deploy/broker.yaml"),
+        err.toString());
     assertTrue(out.toString().contains("its 4 contracts"), out.toString());
     assertEquals(0, run(Map.of(), "version"));
     assertEquals(0, run(Map.of(), "help"));
--- a/src/test/java/rosecleat/cli/RunScriptTest.java
+++ b/src/test/java/rosecleat/cli/RunScriptTest.java
@@ -12,11 +12,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** `run` of the deploy file on a machine that refuses forks and has no other program: one process, by exec. */
+/**
+ * `run` of the deploy file on a machine that refuses forks and has no other program: one process,
+ * by exec.
+ */
 class RunScriptTest {
-  // what a process waited for leaves its page faults in the eleventh field, and they stay over an exec
-  private static final String JAVA = "#!/bin/sh\nread -r a b c d e f g h i j faults rest < /proc/$$/stat\n"
-      + "echo \"$$ $faults\"\nfor word; do echo \"$word\"; done\n";
+  // what a process waited for leaves its page faults in the eleventh field, and they stay over an
+  // exec
+  private static final String JAVA =
+      "#!/bin/sh\nread -r a b c d e f g h i j faults rest < /proc/$$/stat\n"
+          + "echo \"$$ $faults\"\nfor word; do echo \"$word\"; done\n";
 
   @TempDir Path folder;
 
@@ -26,26 +31,37 @@
     assertTrue(java.toFile().setExecutable(true));
     Path file = folder.resolve("config.json");
     Files.writeString(file, config);
-    String command = Files.readString(Path.of("deploy/balancer.toml")).replaceAll("(?s).*\nrun = \"(.*?)\".*", "$1");
+    String command =
+        Files.readString(Path.of("deploy/balancer.toml"))
+            .replaceAll("(?s).*\nrun = \"(.*?)\".*", "$1");
     ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command).redirectErrorStream(true);
     builder.environment().put("PATH", folder.toString());
     builder.environment().put("PROXY_CONFIG", file.toString());
     Process process = builder.start();
-    List<String> lines = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).lines().toList();
+    List<String> lines =
+        new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+            .lines()
+            .toList();
     assertEquals(0, process.waitFor(), lines.toString());
-    assertEquals(process.pid() + " 0", lines.get(0), "not the process that was started, or it had children");
+    assertEquals(
+        process.pid() + " 0", lines.get(0), "not the process that was started, or it had children");
     return lines;
   }
 
   @ParameterizedTest
   @CsvSource({"192, 40", "96, 16", "64, 12", "1, 12", "4096, 40"})
   void startsOneProcessWithNoForkAndAHeapOfItsLimit(int memory, int heap) throws Exception {
-    List<String> lines = run("{\"name\":\"n\",\"limits\":{\"cores\":1.0,\"memory_mb\":" + memory + ",\"sockets\":9}}");
+    List<String> lines =
+        run(
+            "{\"name\":\"n\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
+                + memory
+                + ",\"sockets\":9}}");
     assertTrue(lines.contains("-Xmx" + heap + "m"), lines.toString());
     assertEquals("serve", lines.get(lines.size() - 1));
   }
 
-  @Test void readsAConfigurationLaidOutInLinesAndOneWithoutTheLimit() throws Exception {
+  @Test
+  void readsAConfigurationLaidOutInLinesAndOneWithoutTheLimit() throws Exception {
     assertTrue(run("{\n  \"limits\": {\n    \"memory_mb\" : 96\n  }\n}\n").contains("-Xmx16m"));
     assertTrue(run("{}").contains("-Xmx40m"));
   }
--- a/src/test/java/rosecleat/cli/StateCommandsTest.java
+++ b/src/test/java/rosecleat/cli/StateCommandsTest.java
@@ -30,11 +30,13 @@
   @TempDir Path temp;
   private Path folder;
 
-  @BeforeEach void fill() throws IOException {
+  @BeforeEach
+  void fill() throws IOException {
     folder = temp.resolve("kept");
     long now = System.currentTimeMillis() * 1000;
     for (int i = 0; i < 20; i++) {
-      StateFiles.learnt(folder, "n1", new Fact(Kind.RUN_TIME, "read", 20_000 + i, 8, now - 60_000_000, "t"));
+      StateFiles.learnt(
+          folder, "n1", new Fact(Kind.RUN_TIME, "read", 20_000 + i, 8, now - 60_000_000, "t"));
     }
   }
 
@@ -61,16 +63,20 @@
     Files.write(log, bytes);
   }
 
-  @Test void showListsWhatCounts() throws IOException {
+  @Test
+  void showListsWhatCounts() throws IOException {
     assertEquals(0, run("state", "show", folder.toString()));
-    assertTrue(out.toString().contains("run-time") && out.toString().contains("2.002e+04"), out.toString());
+    assertTrue(
+        out.toString().contains("run-time") && out.toString().contains("2.002e+04"),
+        out.toString());
     assertEquals(0, run("state", "show", "--json", folder.toString()));
     JsonNode fact = json().path("facts").get(0);
     assertEquals(20_019, fact.path("value").asDouble());
     assertEquals(60, fact.path("age_s").asDouble(), 30);
   }
 
-  @Test void verifyTellsWhatIsDamagedAndWhere() throws IOException {
+  @Test
+  void verifyTellsWhatIsDamagedAndWhere() throws IOException {
     assertEquals(0, run("state", "verify", folder.toString()));
     assertTrue(out.toString().contains("is whole"), out.toString());
     damage();
@@ -87,12 +93,15 @@
     assertTrue(out.toString().contains("is empty"), out.toString());
   }
 
-  @Test void compactKeepsWhatCountsInLessAndMendsWhatCanBe() throws IOException {
+  @Test
+  void compactKeepsWhatCountsInLessAndMendsWhatCanBe() throws IOException {
     assertEquals(0, run("state", "compact", "--json", folder.toString()));
     assertTrue(json().path("after").asLong() < json().path("before").asLong(), out.toString());
     assertEquals(0, run("state", "show", "--json", folder.toString()));
     assertEquals(20_019, json().path("facts").get(0).path("value").asDouble());
-    Store.Opening open = Store.open(Folder.of(folder), new FactOwner(), new Store.Limits(1 << 20, 8, 1 << 20), l -> { });
+    Store.Opening open =
+        Store.open(
+            Folder.of(folder), new FactOwner(), new Store.Limits(1 << 20, 8, 1 << 20), l -> {});
     try (Store store = assertInstanceOf(Store.Opened.class, open).store()) {
       assertEquals(2, run("state", "compact", folder.toString()));
       assertTrue(err.toString().contains("a running node writes"), err.toString());
@@ -100,17 +109,21 @@
     }
   }
 
-  @Test void compactOfADamagedFolderSaysSo() throws IOException {
+  @Test
+  void compactOfADamagedFolderSaysSo() throws IOException {
     damage();
     assertEquals(3, run("state", "compact", folder.toString()));
     assertTrue(out.toString().contains("set aside"), out.toString());
     assertEquals(0, run("state", "verify", folder.toString()));
     String[] aside = folder.toFile().list((in, name) -> name.startsWith("damaged-"));
     assertEquals(4, aside.length, "no more are kept");
-    assertTrue(java.util.Arrays.stream(aside).anyMatch(name -> name.endsWith("-log-1")), "the one with the damage is");
+    assertTrue(
+        java.util.Arrays.stream(aside).anyMatch(name -> name.endsWith("-log-1")),
+        "the one with the damage is");
   }
 
-  @Test void helpHasExamplesAndWrongWordsEndWithTwo() {
+  @Test
+  void helpHasExamplesAndWrongWordsEndWithTwo() {
     assertEquals(0, run("state"));
     assertTrue(out.toString().contains("Examples:"));
     assertEquals(0, run("state", "show", "--help"));
--- a/src/test/java/rosecleat/config/BrokerSchemaTest.java
+++ b/src/test/java/rosecleat/config/BrokerSchemaTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The broker's file against its schema: what is not known is refused, with its line and what was meant. */
+/**
+ * The broker's file against its schema: what is not known is refused, with its line and what was
+ * meant.
+ */
 class BrokerSchemaTest {
   private static final Path SAMPLE = Path.of("deploy/broker.yaml");
 
@@ -26,19 +29,24 @@
     assertTrue(text.contains(from), from);
     Path descriptions = Files.createDirectories(folder.resolve("descriptions"));
     for (String name : new String[] {"cards.yaml", "loads.yaml"}) {
-      Files.writeString(descriptions.resolve(name), Files.readString(Path.of("deploy/descriptions", name)));
+      Files.writeString(
+          descriptions.resolve(name), Files.readString(Path.of("deploy/descriptions", name)));
     }
     Path file = Files.writeString(folder.resolve("broker.yaml"), text.replace(from, to));
     return assertThrows(ConfigException.class, () -> BrokerConfig.read(file, start())).getMessage();
   }
 
-  @Test void theSampleHolds() {
+  @Test
+  void theSampleHolds() {
     assertEquals(4, BrokerConfig.read(SAMPLE, start()).operations().size());
   }
 
-  @Test void aMisspeltKeyIsRefusedWithItsLineAndTheNearestKnown() throws IOException {
+  @Test
+  void aMisspeltKeyIsRefusedWithItsLineAndTheNearestKnown() throws IOException {
     String message = refusal("  connections: 128", "  conections: 128");
-    assertTrue(message.contains("line 10: /uwsgi has no key conections; did you mean connections?"), message);
+    assertTrue(
+        message.contains("line 10: /uwsgi has no key conections; did you mean connections?"),
+        message);
     message = refusal("effect: pure}", "efect: pure}");
     assertTrue(message.contains("has no key efect; did you mean effect?"), message);
     message = refusal("services:", "state: {folder: x, every_sm: 5}\nservices:");
@@ -47,14 +55,26 @@
     assertTrue(message.contains("has no key zebra") && !message.contains("did you mean"), message);
   }
 
-  @Test void allFindingsComeAtOnce() throws IOException {
-    String message = refusal("  connections: 128", "  connections: many\n  conections: 1\n  lissen: x");
-    assertTrue(message.contains("/uwsgi/connections") && message.contains("conections") && message.contains("lissen"), message);
+  @Test
+  void allFindingsComeAtOnce() throws IOException {
+    String message =
+        refusal("  connections: 128", "  connections: many\n  conections: 1\n  lissen: x");
+    assertTrue(
+        message.contains("/uwsgi/connections")
+            && message.contains("conections")
+            && message.contains("lissen"),
+        message);
   }
 
-  @Test void aFigureOutOfRangeIsRefused() throws IOException {
-    assertTrue(refusal("packet_bytes: 16384", "packet_bytes: 70000").contains("/uwsgi/limits/packet_bytes"));
-    assertTrue(refusal("backend: sample ", "backend: tcp://x ").contains("/services/cards/backend"));
-    assertTrue(refusal("effect: token", "effect: maybe").contains("/services/loads/contract/receiveLoad/effect"));
+  @Test
+  void aFigureOutOfRangeIsRefused() throws IOException {
+    assertTrue(
+        refusal("packet_bytes: 16384", "packet_bytes: 70000")
+            .contains("/uwsgi/limits/packet_bytes"));
+    assertTrue(
+        refusal("backend: sample ", "backend: tcp://x ").contains("/services/cards/backend"));
+    assertTrue(
+        refusal("effect: token", "effect: maybe")
+            .contains("/services/loads/contract/receiveLoad/effect"));
   }
 }
--- a/src/test/java/rosecleat/core/CoreTest.java
+++ b/src/test/java/rosecleat/core/CoreTest.java
@@ -16,7 +16,9 @@
 import rosecleat.policy.Decisions;
 import rosecleat.standin.TestSite;
 
-/** The life of requests in the core, on a clock of the test's own: no wire, no thread, no waiting. */
+/**
+ * The life of requests in the core, on a clock of the test's own: no wire, no thread, no waiting.
+ */
 class CoreTest {
   private static final long WINDOW_US = 4_000_000;
 
@@ -27,7 +29,8 @@
     Core.Handle handle;
     String id;
 
-    @Override public void answer(Answer answer) {
+    @Override
+    public void answer(Answer answer) {
       answers.add(answer);
     }
 
@@ -51,35 +54,44 @@
   private Core core;
   private int ids;
 
-  private final Runner runner = new Runner() {
-    @Override public void start(Request request, long dueUs) {
-      orders.add("start " + request.id());
-    }
-
-    @Override public void stop(String id) {
-      orders.add("stop " + id);
-    }
-
-    @Override public void give(String id, byte[] reply) {
-      orders.add("give " + id);
-    }
-
-    @Override public void omit(String id, long notice) {
-      orders.add("omit " + id + " " + notice);
-    }
-  };
-
-  private final Ledger ledger = new Ledger() {
-    @Override public void call(String id, long untilUs, byte[] body) {
-      orders.add("call " + id);
-    }
-
-    @Override public void cancel(String id) {
-      orders.add("cancel " + id);
-    }
-  };
-
-  @BeforeEach void start() {
+  private final Runner runner =
+      new Runner() {
+        @Override
+        public void start(Request request, long dueUs) {
+          orders.add("start " + request.id());
+        }
+
+        @Override
+        public void stop(String id) {
+          orders.add("stop " + id);
+        }
+
+        @Override
+        public void give(String id, byte[] reply) {
+          orders.add("give " + id);
+        }
+
+        @Override
+        public void omit(String id, long notice) {
+          orders.add("omit " + id + " " + notice);
+        }
+      };
+
+  private final Ledger ledger =
+      new Ledger() {
+        @Override
+        public void call(String id, long untilUs, byte[] body) {
+          orders.add("call " + id);
+        }
+
+        @Override
+        public void cancel(String id) {
+          orders.add("cancel " + id);
+        }
+      };
+
+  @BeforeEach
+  void start() {
     start(1 << 20);
   }
 
@@ -90,22 +102,54 @@
 
   private Core fresh(long resultBytes) {
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
-    List<Core.RequestClass> classes = List.of(new Core.RequestClass("balance-check", false, false, 0, 1_200_000),
-        new Core.RequestClass("card-refresh", false, true, 0, 1_200_000),
-        new Core.RequestClass("card-load", true, false, WINDOW_US, 1_200_000));
-    return new Core(new Core.Rules(TestSite.CORES, classes, List.of("big", "small"), 80_000, 1_500_000, 30_000_000, resultBytes),
-        new Decisions(config.start().settings(), config.start().gauges(), 5), ledger, () -> now, new Counters(), log);
+    List<Core.RequestClass> classes =
+        List.of(
+            new Core.RequestClass("balance-check", false, false, 0, 1_200_000),
+            new Core.RequestClass("card-refresh", false, true, 0, 1_200_000),
+            new Core.RequestClass("card-load", true, false, WINDOW_US, 1_200_000));
+    return new Core(
+        new Core.Rules(
+            TestSite.CORES,
+            classes,
+            List.of("big", "small"),
+            80_000,
+            1_500_000,
+            30_000_000,
+            resultBytes),
+        new Decisions(config.start().settings(), config.start().gauges(), 5),
+        ledger,
+        () -> now,
+        new Counters(),
+        log);
   }
 
-  @AfterEach void stop() {
+  @AfterEach
+  void stop() {
     log.close();
   }
 
   private Try send(int klass, String once, String body) {
     Try one = new Try();
     one.id = "id" + ++ids;
-    one.handle = core.submit(new Request(one.id, now, 1_200_000, klass, List.of("balance-check", "card-refresh",
-        "card-load").get(klass), 0, 1, false, 10, 0.5, once, 0, body.getBytes(), Map.of(), runner, one));
+    one.handle =
+        core.submit(
+            new Request(
+                one.id,
+                now,
+                1_200_000,
+                klass,
+                List.of("balance-check", "card-refresh", "card-load").get(klass),
+                0,
+                1,
+                false,
+                10,
+                0.5,
+                once,
+                0,
+                body.getBytes(),
+                Map.of(),
+                runner,
+                one));
     return one;
   }
 
@@ -127,7 +171,8 @@
     return orders.stream().filter(o -> o.startsWith("start")).count();
   }
 
-  @Test void aRepeatWaitsForTheFirstAndGetsItsBytes() {
+  @Test
+  void aRepeatWaitsForTheFirstAndGetsItsBytes() {
     Try first = load("a");
     Try second = load("a");
     assertEquals(1, starts());
@@ -139,7 +184,8 @@
     assertEquals(1, starts());
   }
 
-  @Test void anotherBodyUnderAKeyIsRefusedHoweverMuchItLooksTheSame() {
+  @Test
+  void anotherBodyUnderAKeyIsRefusedHoweverMuchItLooksTheSame() {
     Try first = send(2, "k", "Aa");
     Try held = send(2, "k", "BB"); // of one hash code
     assertEquals(Progress.NOT_SENT, held.failed());
@@ -149,7 +195,8 @@
     assertEquals(1, starts());
   }
 
-  @Test void aRunThatFailedIsNotRunAgain() {
+  @Test
+  void aRunThatFailedIsNotRunAgain() {
     Try first = load("a");
     Try second = load("a");
     end(first, Runner.End.FAILED, null);
@@ -159,7 +206,8 @@
     assertEquals(1, starts());
   }
 
-  @Test void aWithdrawnLoadRunsOnForItsRepeat() {
+  @Test
+  void aWithdrawnLoadRunsOnForItsRepeat() {
     Try first = load("a");
     first.handle.gone();
     Try second = load("a");
@@ -169,7 +217,8 @@
     assertEquals(List.of("start id1"), orders);
   }
 
-  @Test void theWindowCountsFromTheArrivalOfTheTryThatRan() {
+  @Test
+  void theWindowCountsFromTheArrivalOfTheTryThatRan() {
     Try first = load("a");
     end(first, Runner.End.OK, "done");
     pass(WINDOW_US - 100_000);
@@ -180,18 +229,36 @@
     assertEquals(2, starts());
   }
 
-  @Test void aTryReadLateCountsByItsArrival() {
+  @Test
+  void aTryReadLateCountsByItsArrival() {
     end(load("a"), Runner.End.OK, "done");
     long arrived = now + WINDOW_US;
     pass(WINDOW_US + 600_000); // the entry has lapsed by the clock, but not when this try came
     Try late = new Try();
-    core.submit(new Request("late", arrived, 1_200_000, 2, "card-load", 0, 1, false, 10, 0.5, "a", 0,
-        "load a".getBytes(), Map.of(), runner, late));
+    core.submit(
+        new Request(
+            "late",
+            arrived,
+            1_200_000,
+            2,
+            "card-load",
+            0,
+            1,
+            false,
+            10,
+            0.5,
+            "a",
+            0,
+            "load a".getBytes(),
+            Map.of(),
+            runner,
+            late));
     assertArrayEquals("done".getBytes(), late.served());
     assertEquals(1, starts());
   }
 
-  @Test void aResultThatHadToGoFailsItsRepeatsRatherThanRunAgain() {
+  @Test
+  void aResultThatHadToGoFailsItsRepeatsRatherThanRunAgain() {
     start(10);
     end(load("a"), Runner.End.OK, "12345678");
     end(load("b"), Runner.End.OK, "12345678");
@@ -200,7 +267,8 @@
     assertEquals(2, starts());
   }
 
-  @Test void aRunnerThatWasNotReachedLeavesTheKeyFree() {
+  @Test
+  void aRunnerThatWasNotReachedLeavesTheKeyFree() {
     Try first = load("a");
     end(first, Runner.End.UNREACHED, null);
     assertEquals(Progress.NOT_SENT, first.failed());
@@ -209,7 +277,8 @@
     assertArrayEquals("done".getBytes(), second.served());
   }
 
-  @Test void whatIsGivenUpOnIsAnsweredAtOnceAndNeverAsRefusedOnceItRan() {
+  @Test
+  void whatIsGivenUpOnIsAnsweredAtOnceAndNeverAsRefusedOnceItRan() {
     Try first = send(0, null, "x");
     Try second = send(0, null, "y");
     Try held = send(0, null, "z");
@@ -219,13 +288,16 @@
     }
     assertEquals(Progress.MAY_HAVE_RUN, first.failed());
     assertEquals(Progress.MAY_HAVE_RUN, second.failed());
-    assertTrue(orders.contains("stop " + first.id) && orders.contains("stop " + second.id), orders.toString());
+    assertTrue(
+        orders.contains("stop " + first.id) && orders.contains("stop " + second.id),
+        orders.toString());
     assertTrue(now <= 1_800_000_000_000_000L + 1_200_000 + 130_000, "late");
     pass(1_500_000);
     assertInstanceOf(Answer.Refused.class, held.only()); // it never ran
   }
 
-  @Test void aWithdrawnCallIsGivenUpAndItsRunStopped() {
+  @Test
+  void aWithdrawnCallIsGivenUpAndItsRunStopped() {
     Try one = send(1, null, "x");
     core.wants(one.id, 7, "call".getBytes());
     assertEquals("call id1", orders.get(1));
@@ -238,7 +310,8 @@
     assertTrue(one.answers.isEmpty());
   }
 
-  @Test void aNoticeToLeaveThatComesBeforeTheCoresAreUpHolds() {
+  @Test
+  void aNoticeToLeaveThatComesBeforeTheCoresAreUpHolds() {
     core = fresh(1 << 20);
     assertTrue(core.good());
     core.drain(now, 3_000_000);
@@ -249,7 +322,8 @@
     assertEquals(0, starts());
   }
 
-  @Test void aRunWhoseEndIsLostIsForgottenInTheEnd() {
+  @Test
+  void aRunWhoseEndIsLostIsForgottenInTheEnd() {
     Try first = load("a"); // of a keyed class: not stopped when it is given up on
     Try second = load("b");
     pass(1_500_000);
@@ -263,7 +337,8 @@
     assertArrayEquals("done".getBytes(), third.served());
   }
 
-  @Test void anIdInHandIsNotTakenTwice() {
+  @Test
+  void anIdInHandIsNotTakenTwice() {
     Try first = send(0, null, "x");
     ids--;
     assertEquals(Progress.NOT_SENT, send(0, null, "x").failed());
@@ -271,7 +346,8 @@
     assertArrayEquals("done".getBytes(), first.served());
   }
 
-  @Test void afterTheGraceNothingIsRunAndAtTheEndAllIsAnswered() {
+  @Test
+  void afterTheGraceNothingIsRunAndAtTheEndAllIsAnswered() {
     Try running = send(0, null, "x");
     core.drain(now, 3_000_000);
     end(running, Runner.End.OK, "done");
@@ -281,8 +357,12 @@
     assertEquals(1, starts());
   }
 
-  /** Guards the grace against a loop that hears of the notice late: it is reckoned from when the notice came. */
-  @Test void whatComesAfterTheGraceIsNotRunThoughTheNoticeWasHeardLate() {
+  /**
+   * Guards the grace against a loop that hears of the notice late: it is reckoned from when the
+   * notice came.
+   */
+  @Test
+  void whatComesAfterTheGraceIsNotRunThoughTheNoticeWasHeardLate() {
     long toldUs = now;
     now += 200_000; // the loop was busy
     core.drain(toldUs, 3_000_000);
--- a/src/test/java/rosecleat/core/NumbersTest.java
+++ b/src/test/java/rosecleat/core/NumbersTest.java
@@ -13,9 +13,13 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The numbers of names over many lists, against a model: what a number in use stands for must not change. */
+/**
+ * The numbers of names over many lists, against a model: what a number in use stands for must not
+ * change.
+ */
 class NumbersTest {
-  @Property(tries = 300, seed = "20261202") void aNumberInUseKeepsItsNameAndListsDoNotGrow(
+  @Property(tries = 300, seed = "20261202")
+  void aNumberInUseKeepsItsNameAndListsDoNotGrow(
       @ForAll @Size(min = 1, max = 30) List<@Size(max = 4) Set<@IntRange(max = 40) Integer>> lists,
       @ForAll @Size(min = 30, max = 30) List<Boolean> holds) {
     Numbers<String> numbers = new Numbers<>();
@@ -32,10 +36,11 @@
         assertEquals(name, numbers.names().get(number));
         assertEquals("terms of " + name, numbers.terms().get(number));
       }
-      used.forEach((number, name) -> {
-        assertTrue(!renamed.contains(number), "a number in use was given away");
-        assertEquals("terms of " + name, numbers.terms().get(number));
-      });
+      used.forEach(
+          (number, name) -> {
+            assertTrue(!renamed.contains(number), "a number in use was given away");
+            assertEquals("terms of " + name, numbers.terms().get(number));
+          });
       if (!holds.get(round)) {
         used.clear();
       }
--- a/src/test/java/rosecleat/fleet/FleetTest.java
+++ b/src/test/java/rosecleat/fleet/FleetTest.java
@@ -17,7 +17,10 @@
 
 /** The view on virtual time: what breaks, and that it settles again. */
 class FleetTest {
-  /** Loss, splits, pauses, crashes, joins and restarts from a seed; then calm, and all must hold exactly who is there. */
+  /**
+   * Loss, splits, pauses, crashes, joins and restarts from a seed; then calm, and all must hold
+   * exactly who is there.
+   */
   @ParameterizedTest
   @CsvSource({"5, 60", "24, 24", "60, 6", "200, 1"})
   void viewsAgreeAgainAfterAnything(int size, int seeds) {
@@ -51,30 +54,43 @@
       world.loss = 0;
       world.link = (a, b) -> true;
       World of = world;
-      double took = world.until(120, () -> of.agree() && of.living().stream().allMatch(p ->
-          p.fleet.settled(of.nowUs) || 2 * of.living().size() <= size));
+      double took =
+          world.until(
+              120,
+              () ->
+                  of.agree()
+                      && of.living().stream()
+                          .allMatch(
+                              p -> p.fleet.settled(of.nowUs) || 2 * of.living().size() <= size));
       assertTrue(took >= 0, "size " + size + " seed " + seed + ": " + world.counts);
       assertTrue(world.largest <= 1_400, "a datagram of " + world.largest + " bytes");
     }
   }
 
   /** How long settled may be wrong after a crash, and how soon it is right again. */
-  @Test void settledIsWrongNoLongerThanDetectionTakes() {
+  @Test
+  void settledIsWrongNoLongerThanDetectionTakes() {
     for (long seed = 1; seed <= 20; seed++) {
       World world = new World(20, seed).acquainted();
       world.run(10);
       assertTrue(world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
       MemberId id = world.peers.get(7).fleet.self();
       world.peers.get(7).crash();
-      double doubted = world.until(20, () -> world.living().stream().noneMatch(p -> p.fleet.settled(world.nowUs)));
+      double doubted =
+          world.until(
+              20, () -> world.living().stream().noneMatch(p -> p.fleet.settled(world.nowUs)));
       double known = doubted + world.until(20, () -> world.gone(id));
-      double settled = world.until(20, () -> world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
-      assertTrue(doubted >= 0 && doubted < 4 && known < 9 && settled >= 0 && settled < 4, seed + ": " + doubted + " " + known
-          + " " + settled);
+      double settled =
+          world.until(
+              20, () -> world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
+      assertTrue(
+          doubted >= 0 && doubted < 4 && known < 9 && settled >= 0 && settled < 4,
+          seed + ": " + doubted + " " + known + " " + settled);
     }
   }
 
-  @Test void aProcessWhoseClockWasSetBackIsNewAllTheSame() {
+  @Test
+  void aProcessWhoseClockWasSetBackIsNewAllTheSame() {
     World world = new World(4, 9).acquainted();
     long before = world.peers.get(3).fleet.self().epoch();
     world.peers.get(3).crash();
@@ -83,30 +99,50 @@
     world.nowUs = 1; // its epoch is taken from this clock
     world.peers.get(3).start(0);
     world.nowUs = now;
-    double took = world.until(30, () -> world.peers.get(3).fleet.self().epoch() > before && world.agree());
+    double took =
+        world.until(30, () -> world.peers.get(3).fleet.self().epoch() > before && world.agree());
     assertTrue(took >= 0, "it is not seen as a later start");
   }
 
-  /** Records: the newest holds whatever the order and however often they come; equal everywhere, also after a split. */
-  @Test void recordsConvergeAndAgeOutWithTheirOwners() {
+  /**
+   * Records: the newest holds whatever the order and however often they come; equal everywhere,
+   * also after a split.
+   */
+  @Test
+  void recordsConvergeAndAgeOutWithTheirOwners() {
     World world = new World(12, 4).acquainted();
     world.link = (a, b) -> a % 2 == b % 2;
     world.run(20);
     for (World.Peer peer : world.peers) {
       for (int k = 0; k < 5; k++) {
-        peer.fleet.publish("costs", "k" + k % 3, new byte[] {(byte) k, (byte) peer.index}, 20_000, world.nowUs);
+        peer.fleet.publish(
+            "costs", "k" + k % 3, new byte[] {(byte) k, (byte) peer.index}, 20_000, world.nowUs);
       }
       peer.run();
     }
     byte[] large = new byte[Tuning.RECORD_BYTES]; // no rumour, but an exchange brings it
     world.peers.get(1).fleet.publish("costs", "large", large, 20_000, world.nowUs);
-    assertFalse(world.peers.get(1).fleet.publish("costs", "larger", new byte[Tuning.RECORD_BYTES + 1], 20_000, world.nowUs));
+    assertFalse(
+        world
+            .peers
+            .get(1)
+            .fleet
+            .publish("costs", "larger", new byte[Tuning.RECORD_BYTES + 1], 20_000, world.nowUs));
     world.run(5);
     world.link = (a, b) -> true;
-    double took = world.until(60, () -> world.peers.stream().allMatch(p -> p.fleet.records("costs").size() == 12 * 3 + 1));
+    double took =
+        world.until(
+            60,
+            () ->
+                world.peers.stream().allMatch(p -> p.fleet.records("costs").size() == 12 * 3 + 1));
     assertTrue(took >= 0);
     world.peers.get(11).crash();
-    took = world.until(80, () -> world.living().stream().allMatch(p -> p.fleet.records("costs").size() == 11 * 3 + 1));
+    took =
+        world.until(
+            80,
+            () ->
+                world.living().stream()
+                    .allMatch(p -> p.fleet.records("costs").size() == 11 * 3 + 1));
     assertTrue(took > 18, "aged out after " + took);
   }
 
@@ -114,8 +150,15 @@
   void anyOrderOfRecordsEndsTheSame(@ForAll @Size(min = 1, max = 12) List<Long> choices) {
     List<FleetRecord> all = new ArrayList<>();
     for (long c : choices) {
-      all.add(new FleetRecord("o" + Math.floorMod(c, 2), 1 + Math.floorMod(c / 2, 2), "k", "", Math.floorMod(c / 4, 4), 1_000,
-          new byte[] {(byte) Math.floorMod(c / 4, 4)}));
+      all.add(
+          new FleetRecord(
+              "o" + Math.floorMod(c, 2),
+              1 + Math.floorMod(c / 2, 2),
+              "k",
+              "",
+              Math.floorMod(c / 4, 4),
+              1_000,
+              new byte[] {(byte) Math.floorMod(c / 4, 4)}));
     }
     Records one = new Records();
     all.forEach(r -> one.take(r, 0, 1));
@@ -130,7 +173,8 @@
   }
 
   /** Whatever comes, nothing is thrown, and nobody is held for dead on its ground. */
-  @Test void garbageAndLiesCostACount() {
+  @Test
+  void garbageAndLiesCostACount() {
     World world = new World(6, 2).acquainted();
     World.Peer victim = world.peers.get(0);
     Random random = new Random(3);
@@ -152,31 +196,68 @@
     for (int i = 0; i < 20_000 && good != null; i++) {
       byte[] spoilt = good.clone();
       spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
-      other.fleet.datagram(random.nextBoolean() ? spoilt : java.util.Arrays.copyOf(spoilt, random.nextInt(spoilt.length)),
+      other.fleet.datagram(
+          random.nextBoolean()
+              ? spoilt
+              : java.util.Arrays.copyOf(spoilt, random.nextInt(spoilt.length)),
           world.nowUs);
     }
-    rosecleat.fleet.wire.Datagram.Builder lie = rosecleat.fleet.wire.Datagram.newBuilder().setCluster("test")
-        .setFrom(Codec.news(new MemberId("liar", 5), new Endpoint("10.9.9.9", 1), "", State.ALIVE, 1, 0));
+    rosecleat.fleet.wire.Datagram.Builder lie =
+        rosecleat.fleet.wire.Datagram.newBuilder()
+            .setCluster("test")
+            .setFrom(
+                Codec.news(
+                    new MemberId("liar", 5), new Endpoint("10.9.9.9", 1), "", State.ALIVE, 1, 0));
     for (World.Peer peer : world.peers) {
       lie.addMembers(Codec.news(peer.fleet.self(), peer.at(), "z", State.DEAD, 1, 0));
-      lie.addRecords(RecordNews.newBuilder().setOwner(peer.fleet.self().name()).setEpoch(peer.fleet.self().epoch()).setKind("x")
-          .setVersion(1L << 40).setTtlMs(1_000));
+      lie.addRecords(
+          RecordNews.newBuilder()
+              .setOwner(peer.fleet.self().name())
+              .setEpoch(peer.fleet.self().epoch())
+              .setKind("x")
+              .setVersion(1L << 40)
+              .setTtlMs(1_000));
     }
     other.fleet.datagram(Seal.seal(lie.build().toByteArray(), "test"), world.nowUs);
     other.run();
-    double took = world.until(60, () -> world.agree() && world.living().stream().allMatch(p -> p.fleet.size() < 40));
+    double took =
+        world.until(
+            60, () -> world.agree() && world.living().stream().allMatch(p -> p.fleet.size() < 40));
     assertTrue(took >= 0, "they do not agree any more: " + world.counts);
-    other.fleet.datagram(Seal.seal(lie.setCluster("other").build().toByteArray(), "test"), world.nowUs);
+    other.fleet.datagram(
+        Seal.seal(lie.setCluster("other").build().toByteArray(), "test"), world.nowUs);
     other.run();
-    assertTrue(world.counts.get("garbage") > 1_000 && world.counts.get("foreign") >= 1, world.counts.toString());
+    assertTrue(
+        world.counts.get("garbage") > 1_000 && world.counts.get("foreign") >= 1,
+        world.counts.toString());
   }
 
-  @Test void members2048AreHeldAndThoseOverTheBoundRefused() {
-    Fleet fleet = new Fleet(new Fleet.Self("test", new MemberId("a", 1), new Endpoint("10.0.0.1", 1), "", List.of()),
-        Tuning.of(World.PERIOD), new java.util.SplittableRandom(1), 1);
+  @Test
+  void members2048AreHeldAndThoseOverTheBoundRefused() {
+    Fleet fleet =
+        new Fleet(
+            new Fleet.Self(
+                "test", new MemberId("a", 1), new Endpoint("10.0.0.1", 1), "", List.of()),
+            Tuning.of(World.PERIOD),
+            new java.util.SplittableRandom(1),
+            1);
     for (int i = 0; i < 5_000; i++) {
-      fleet.datagram(Seal.seal(rosecleat.fleet.wire.Datagram.newBuilder().setCluster("test").setFrom(Codec.news(new MemberId("m" + i, 1),
-          new Endpoint("10.1." + i / 250 + "." + i % 250, 7), "", State.ALIVE, 1, 0)).build().toByteArray(), "test"), 2);
+      fleet.datagram(
+          Seal.seal(
+              rosecleat.fleet.wire.Datagram.newBuilder()
+                  .setCluster("test")
+                  .setFrom(
+                      Codec.news(
+                          new MemberId("m" + i, 1),
+                          new Endpoint("10.1." + i / 250 + "." + i % 250, 7),
+                          "",
+                          State.ALIVE,
+                          1,
+                          0))
+                  .build()
+                  .toByteArray(),
+              "test"),
+          2);
       if (i % 100 == 0) {
         fleet.effects();
       }
--- a/src/test/java/rosecleat/fleet/World.java
+++ b/src/test/java/rosecleat/fleet/World.java
@@ -11,11 +11,14 @@
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 
-/** Many processes' parts in a fleet on one virtual clock, with a network between them that loses, delays and splits. */
+/**
+ * Many processes' parts in a fleet on one virtual clock, with a network between them that loses,
+ * delays and splits.
+ */
 public final class World {
   public static final long PERIOD = 1_000_000;
 
-  private record Event(long atUs, long nr, Runnable what) { }
+  private record Event(long atUs, long nr, Runnable what) {}
 
   /** One process. */
   public final class Peer {
@@ -43,8 +46,17 @@
         at.add(peers.get(seed).at());
       }
       dead = false;
-      fleet = new Fleet(new Fleet.Self("test", new MemberId("n" + index, Math.max(nowUs, 1) + ++epochs), at(), "z" + index % 3,
-          at), tuning, random.split(), nowUs);
+      fleet =
+          new Fleet(
+              new Fleet.Self(
+                  "test",
+                  new MemberId("n" + index, Math.max(nowUs, 1) + ++epochs),
+                  at(),
+                  "z" + index % 3,
+                  at),
+              tuning,
+              random.split(),
+              nowUs);
       run();
     }
 
@@ -54,14 +66,16 @@
 
     public void pause(long us) {
       pausedUntil = nowUs + us;
-      World.this.schedule(pausedUntil, () -> {
-        if (nowUs >= pausedUntil) {
-          List<Runnable> all = List.copyOf(queued);
-          queued.clear();
-          all.forEach(Runnable::run);
-          run();
-        }
-      });
+      World.this.schedule(
+          pausedUntil,
+          () -> {
+            if (nowUs >= pausedUntil) {
+              List<Runnable> all = List.copyOf(queued);
+              queued.clear();
+              all.forEach(Runnable::run);
+              run();
+            }
+          });
     }
 
     /** Runs what is due, and carries out what comes of it. */
@@ -79,12 +93,14 @@
         wakeAt = Math.max(next, nowUs + 1);
         long mine = wakeAt;
         Fleet of = fleet;
-        World.this.schedule(mine, () -> {
-          if (wakeAt == mine && of == fleet && nowUs >= pausedUntil) {
-            wakeAt = Long.MAX_VALUE;
-            run();
-          }
-        });
+        World.this.schedule(
+            mine,
+            () -> {
+              if (wakeAt == mine && of == fleet && nowUs >= pausedUntil) {
+                wakeAt = Long.MAX_VALUE;
+                run();
+              }
+            });
       }
     }
 
@@ -99,7 +115,11 @@
           deliver(this, send.to(), send.bytes());
         } else if (effect instanceof Effect.Meet meet) {
           Peer with = byAddress.get(meet.with());
-          if (with != null && with != this && link.test(index, with.index) && link.test(with.index, index) && !with.dead) {
+          if (with != null
+              && with != this
+              && link.test(index, with.index)
+              && link.test(with.index, index)
+              && !with.dead) {
             exchanges++;
             talk(this, fleet.talk(true), with, with.fleet.talk(false), null, true, with.fleet);
           }
@@ -109,7 +129,9 @@
             deadSeen++;
           }
         } else if (effect instanceof Effect.Recorded r) {
-          records.put(r.record().owner() + "/" + r.record().kind() + "/" + r.record().key(), r.record().payload());
+          records.put(
+              r.record().owner() + "/" + r.record().kind() + "/" + r.record().key(),
+              r.record().payload());
         }
       }
     }
@@ -125,8 +147,10 @@
   public long nowUs = 1_000_000;
   public double loss;
   public double twice;
+
   /** Whether something can pass from one to another. */
   public BiPredicate<Integer, Integer> link = (a, b) -> true;
+
   public long messages;
   public long bytes;
   public long exchanges;
@@ -157,14 +181,16 @@
   public World acquainted() {
     started(0);
     for (Peer peer : peers) {
-      rosecleat.fleet.wire.Exchange.Builder all = rosecleat.fleet.wire.Exchange.newBuilder().setCluster("test");
+      rosecleat.fleet.wire.Exchange.Builder all =
+          rosecleat.fleet.wire.Exchange.newBuilder().setCluster("test");
       Peer first = peer.index == 0 ? peers.get(1) : peers.get(0);
       all.setFrom(news(first));
-      peers.forEach(other -> {
-        if (other != peer) {
-          all.addMembers(news(other));
-        }
-      });
+      peers.forEach(
+          other -> {
+            if (other != peer) {
+              all.addMembers(news(other));
+            }
+          });
       peer.fleet.talk(false).next(Seal.seal(all.build().toByteArray(), "test"), nowUs);
       peer.fleet.effects();
     }
@@ -187,14 +213,21 @@
 
   void deliver(Peer from, Endpoint to, byte[] bytes) {
     Peer peer = byAddress.get(to);
-    if (peer == null || !link.test(from.index, peer.index) || loss > 0 && random.nextDouble() < loss) {
+    if (peer == null
+        || !link.test(from.index, peer.index)
+        || loss > 0 && random.nextDouble() < loss) {
       return;
     }
     for (int copies = twice > 0 && random.nextDouble() < twice ? 2 : 1; copies > 0; copies--) {
-      schedule(nowUs + delay(), () -> arrive(peer, () -> {
-        peer.fleet.datagram(bytes, nowUs);
-        peer.run();
-      }));
+      schedule(
+          nowUs + delay(),
+          () ->
+              arrive(
+                  peer,
+                  () -> {
+                    peer.fleet.datagram(bytes, nowUs);
+                    peer.run();
+                  }));
     }
   }
 
@@ -211,22 +244,36 @@
     what.run();
   }
 
-  private void talk(Peer one, Fleet.Talk mine, Peer other, Fleet.Talk theirs, byte[] frame, boolean myTurn, Fleet with) {
-    schedule(nowUs + delay(), () -> {
-      Peer turn = myTurn ? one : other;
-      if (one.dead || other.dead || other.fleet != with || !link.test(one.index, other.index)
-          || !link.test(other.index, one.index)) {
-        return;
-      }
-      arrive(turn, () -> {
-        byte[] next = (myTurn ? mine : theirs).next(frame, nowUs);
-        turn.run();
-        if (next != null) {
-          bytes += next.length;
-          talk(one, mine, other, theirs, next, !myTurn, with);
-        }
-      });
-    });
+  private void talk(
+      Peer one,
+      Fleet.Talk mine,
+      Peer other,
+      Fleet.Talk theirs,
+      byte[] frame,
+      boolean myTurn,
+      Fleet with) {
+    schedule(
+        nowUs + delay(),
+        () -> {
+          Peer turn = myTurn ? one : other;
+          if (one.dead
+              || other.dead
+              || other.fleet != with
+              || !link.test(one.index, other.index)
+              || !link.test(other.index, one.index)) {
+            return;
+          }
+          arrive(
+              turn,
+              () -> {
+                byte[] next = (myTurn ? mine : theirs).next(frame, nowUs);
+                turn.run();
+                if (next != null) {
+                  bytes += next.length;
+                  talk(one, mine, other, theirs, next, !myTurn, with);
+                }
+              });
+        });
   }
 
   /** Lets so many periods pass. */
@@ -240,7 +287,10 @@
     nowUs = end;
   }
 
-  /** Runs until something holds, looking ten times a period; the periods that took, or -1 after so many. */
+  /**
+   * Runs until something holds, looking ten times a period; the periods that took, or -1 after so
+   * many.
+   */
   public double until(double most, BooleanSupplier holds) {
     for (double waited = 0; waited <= most; waited += 0.1) {
       if (holds.getAsBoolean()) {
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
@@ -26,18 +26,24 @@
 
 /** How long the front waits for what a connection owes it, on a clock of the test's own. */
 class PatienceTest {
-  private static final Ledger NONE = new Ledger() {
-    @Override public void call(String id, long untilUs, byte[] body) { }
+  private static final Ledger NONE =
+      new Ledger() {
+        @Override
+        public void call(String id, long untilUs, byte[] body) {}
 
-    @Override public void cancel(String id) { }
-  };
+        @Override
+        public void cancel(String id) {}
+      };
 
-  @Test void whoSaysNothingOrHalfIsClosedAndWhoAskedOnceMayStay() throws Exception {
+  @Test
+  void whoSaysNothingOrHalfIsClosedAndWhoAskedOnceMayStay() throws Exception {
     AtomicLong now = new AtomicLong(1_800_000_000_000_000L);
-    try (Log log = new Log(System.err); EventLoop loop = new EventLoop(log)) {
+    try (Log log = new Log(System.err);
+        EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 30_000_000, log);
       RespFront front = front(loop, core, now, log);
-      try (RespClient silent = new RespClient(front.port(), null); RespClient half = new RespClient(front.port(), null);
+      try (RespClient silent = new RespClient(front.port(), null);
+          RespClient half = new RespClient(front.port(), null);
           RespClient once = new RespClient(front.port(), null)) {
         half.send("*5\r\n$2\r\nDO\r\n$1\r\n1\r\n".getBytes(StandardCharsets.UTF_8));
         ask(once, 1);
@@ -57,21 +63,36 @@
     }
   }
 
-  /** Guards honest slow senders: one that has brought a good request may take its time, above all while it is owed. */
-  @Test void whoHasAskedWellMayBeSlowAndIsNotCutOffFromItsAnswer() throws Exception {
+  /**
+   * Guards honest slow senders: one that has brought a good request may take its time, above all
+   * while it is owed.
+   */
+  @Test
+  void whoHasAskedWellMayBeSlowAndIsNotCutOffFromItsAnswer() throws Exception {
     AtomicLong now = new AtomicLong(1_800_000_000_000_000L);
-    try (Log log = new Log(System.err); EventLoop loop = new EventLoop(log)) {
+    try (Log log = new Log(System.err);
+        EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 30_000_000, log);
       RespFront front = front(loop, core, now, log, new Hold());
       byte[] half = "*5\r\n$2\r\nDO\r\n".getBytes(StandardCharsets.UTF_8);
-      try (RespClient slow = new RespClient(front.port(), null); RespClient owed = new RespClient(front.port(), null)) {
+      try (RespClient slow = new RespClient(front.port(), null);
+          RespClient owed = new RespClient(front.port(), null)) {
         ask(slow, 1);
-        on(loop, () -> {
-          core.begin(null, false, 0);
-          return 0;
-        });
-        owed.send(RespClient.array("DO", 1, "balance-check",
-            "id=00000000000000b1,at=" + now.get() / 1000 + ",from=1,tenant=small,wait=900000,kb=1,rank=0", "b"));
+        on(
+            loop,
+            () -> {
+              core.begin(null, false, 0);
+              return 0;
+            });
+        owed.send(
+            RespClient.array(
+                "DO",
+                1,
+                "balance-check",
+                "id=00000000000000b1,at="
+                    + now.get() / 1000
+                    + ",from=1,tenant=small,wait=900000,kb=1,rank=0",
+                "b"));
         slow.send(half);
         owed.send(half);
         while (on(loop, front::receiving) < 2) {
@@ -83,10 +104,12 @@
         now.addAndGet(2_000_000);
         sweep(loop, front);
         assertNull(slow.read());
-        on(loop, () -> {
-          core.ended("00000000000000b1", Runner.End.OK, new byte[] {'r'}, 1);
-          return 0;
-        });
+        on(
+            loop,
+            () -> {
+              core.ended("00000000000000b1", Runner.End.OK, new byte[] {'r'}, 1);
+              return 0;
+            });
         assertEquals("r", owed.answer().get(3));
       }
     }
@@ -94,24 +117,36 @@
 
   /** A runner that begins all and ends nothing. */
   private static final class Hold implements Runner {
-    @Override public void start(Request request, long dueUs) { }
+    @Override
+    public void start(Request request, long dueUs) {}
 
-    @Override public void stop(String id) { }
+    @Override
+    public void stop(String id) {}
 
-    @Override public void give(String id, byte[] reply) { }
+    @Override
+    public void give(String id, byte[] reply) {}
 
-    @Override public void omit(String id, long notice) { }
+    @Override
+    public void omit(String id, long notice) {}
   }
 
   /** Guards a slow sender: half a message is no idle connection, and is not asked to close. */
-  @Test void whoIsInTheMiddleOfAMessageIsNotIdle() throws Exception {
+  @Test
+  void whoIsInTheMiddleOfAMessageIsNotIdle() throws Exception {
     AtomicLong now = new AtomicLong(1_800_000_000_000_000L);
-    try (Log log = new Log(System.err); EventLoop loop = new EventLoop(log)) {
+    try (Log log = new Log(System.err);
+        EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 50_000, log);
       RespFront front = front(loop, core, now, log);
-      byte[] request = RespClient.array("DO", 2, "balance-check",
-          RespClient.fields("00000000000000a2", "small", 900, null), "b");
-      try (RespClient slow = new RespClient(front.port(), null); RespClient idle = new RespClient(front.port(), null)) {
+      byte[] request =
+          RespClient.array(
+              "DO",
+              2,
+              "balance-check",
+              RespClient.fields("00000000000000a2", "small", 900, null),
+              "b");
+      try (RespClient slow = new RespClient(front.port(), null);
+          RespClient idle = new RespClient(front.port(), null)) {
         ask(slow, 1);
         ask(idle, 1);
         slow.send(Arrays.copyOf(request, 20));
@@ -127,15 +162,26 @@
     }
   }
 
-  /** Guards half a line from a balancer that was asked to close: its rest is answered, however late, until patience ends. */
-  @Test void whoWasAskedToCloseInTheMiddleOfAMessageMayFinishIt() throws Exception {
+  /**
+   * Guards half a line from a balancer that was asked to close: its rest is answered, however late,
+   * until patience ends.
+   */
+  @Test
+  void whoWasAskedToCloseInTheMiddleOfAMessageMayFinishIt() throws Exception {
     AtomicLong now = new AtomicLong(1_800_000_000_000_000L);
-    try (Log log = new Log(System.err); EventLoop loop = new EventLoop(log)) {
+    try (Log log = new Log(System.err);
+        EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 30_000_000, log);
       RespFront front = front(loop, core, now, log);
-      byte[] request = RespClient.array("DO", 2, "balance-check",
-          RespClient.fields("00000000000000a2", "small", 900, null), "b");
-      try (RespClient slow = new RespClient(front.port(), null); RespClient never = new RespClient(front.port(), null)) {
+      byte[] request =
+          RespClient.array(
+              "DO",
+              2,
+              "balance-check",
+              RespClient.fields("00000000000000a2", "small", 900, null),
+              "b");
+      try (RespClient slow = new RespClient(front.port(), null);
+          RespClient never = new RespClient(front.port(), null)) {
         ask(slow, 1);
         ask(never, 1);
         slow.send(Arrays.copyOf(request, 20));
@@ -151,20 +197,25 @@
         assertEquals("BUSY", slow.read().get(1));
         assertNull(slow.read());
         assertEquals("BYE", never.read().get(1));
-        on(loop, () -> {
-          front.closeAll(); // the time is up: half a message is not waited for, and not reset either
-          return 0;
-        });
+        on(
+            loop,
+            () -> {
+              front.closeAll(); // the time is up: half a message is not waited for, and not reset
+              // either
+              return 0;
+            });
         assertNull(never.read());
       }
     }
   }
 
   private static void leave(EventLoop loop, RespFront front) {
-    on(loop, () -> {
-      front.sweep(true);
-      return 0;
-    });
+    on(
+        loop,
+        () -> {
+          front.sweep(true);
+          return 0;
+        });
   }
 
   private static List<Core.RequestClass> classes() {
@@ -173,33 +224,53 @@
 
   private static Core core(AtomicLong now, long idleUs, Log log) {
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
-    return new Core(new Core.Rules(2, classes(), List.of("small"), 80_000, 1_500_000, idleUs, 1 << 20),
-        new Decisions(config.start().settings(), config.start().gauges(), 5), NONE, now::get, new Counters(), log);
+    return new Core(
+        new Core.Rules(2, classes(), List.of("small"), 80_000, 1_500_000, idleUs, 1 << 20),
+        new Decisions(config.start().settings(), config.start().gauges(), 5),
+        NONE,
+        now::get,
+        new Counters(),
+        log);
   }
 
-  private static RespFront front(EventLoop loop, Core core, AtomicLong now, Log log) throws Exception {
+  private static RespFront front(EventLoop loop, Core core, AtomicLong now, Log log)
+      throws Exception {
     return front(loop, core, now, log, new NoRuntime(loop, core));
   }
 
   private static RespFront front(EventLoop loop, Core core, AtomicLong now, Log log, Runner runner)
       throws Exception {
-    RespFront front = new RespFront(loop, new InetSocketAddress("127.0.0.1", 0), 100, core,
-        new RespFront.Names(classes(), List.of("small"), runner), now::get, log);
+    RespFront front =
+        new RespFront(
+            loop,
+            new InetSocketAddress("127.0.0.1", 0),
+            100,
+            core,
+            new RespFront.Names(classes(), List.of("small"), runner),
+            now::get,
+            log);
     front.listen();
     return front;
   }
 
   private static void ask(RespClient client, int tag) throws Exception {
-    client.send(RespClient.array("DO", tag, "balance-check",
-        RespClient.fields(String.format("%016x", tag), "small", 900, null), "b"));
+    client.send(
+        RespClient.array(
+            "DO",
+            tag,
+            "balance-check",
+            RespClient.fields(String.format("%016x", tag), "small", 900, null),
+            "b"));
     assertEquals("BUSY", client.answer().get(1)); // the cores are not up
   }
 
   private static void sweep(EventLoop loop, RespFront front) {
-    on(loop, () -> {
-      front.sweep(false);
-      return 0;
-    });
+    on(
+        loop,
+        () -> {
+          front.sweep(false);
+          return 0;
+        });
   }
 
   private static int on(EventLoop loop, java.util.function.Supplier<Integer> task) {
--- a/src/test/java/rosecleat/front/resp/ReadBuffersTest.java
+++ b/src/test/java/rosecleat/front/resp/ReadBuffersTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ReadBuffersTest {
-  /** Guards a small heap against the read buffers of as many connections as its descriptors allow (MiB of heap). */
+  /**
+   * Guards a small heap against the read buffers of as many connections as its descriptors allow
+   * (MiB of heap).
+   */
   @ParameterizedTest
   @CsvSource({"12, 28", "12, 960", "40, 448", "40, 960", "40, 4000"})
   void fitIntoAPartOfTheHeap(long heap, int most) {
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -23,10 +23,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import rosecleat.config.NodeConfig;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.Clock;
@@ -35,7 +35,10 @@
 import rosecleat.standin.RespClient;
 import rosecleat.standin.TestSite;
 
-/** A balancer's connection against a model of its states: random steps, and after each the answers are counted. */
+/**
+ * A balancer's connection against a model of its states: random steps, and after each the answers
+ * are counted.
+ */
 class RespModelTest {
   /** What the model knows of the requests on the connection. */
   private static final class Model {
@@ -48,23 +51,29 @@
   private static final class Orders implements Runner {
     final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
 
-    @Override public void start(Request request, long dueUs) {
+    @Override
+    public void start(Request request, long dueUs) {
       seen.add("start " + request.id() + " " + new String(request.body(), StandardCharsets.UTF_8));
     }
 
-    @Override public void stop(String id) {
+    @Override
+    public void stop(String id) {
       seen.add("stop " + id);
     }
 
-    @Override public void give(String id, byte[] reply) { }
+    @Override
+    public void give(String id, byte[] reply) {}
 
-    @Override public void omit(String id, long notice) { }
+    @Override
+    public void omit(String id, long notice) {}
   }
 
   private static final class NoLedger implements Ledger {
-    @Override public void call(String id, long untilUs, byte[] body) { }
+    @Override
+    public void call(String id, long untilUs, byte[] body) {}
 
-    @Override public void cancel(String id) { }
+    @Override
+    public void cancel(String id) {}
   }
 
   private final Orders orders = new Orders();
@@ -76,26 +85,50 @@
   private int lastId;
 
   @Property(tries = 60, seed = "20261201", shrinking = ShrinkingMode.OFF)
-  void everyAnswerIsTheModels(@ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 12) Integer> steps,
-      @ForAll int seed) throws Exception {
+  void everyAnswerIsTheModels(
+      @ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 12) Integer> steps,
+      @ForAll int seed)
+      throws Exception {
     random = new Random(seed);
     try (Log log = new Log(new java.io.PrintStream(java.io.OutputStream.nullOutputStream()))) {
       NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
       loop = new EventLoop(log);
       Clock clock = new Clock();
-      List<Core.RequestClass> classes = List.of(new Core.RequestClass("balance-check", false, false, 0, 60_000_000),
-          new Core.RequestClass("card-refresh", false, true, 0, 60_000_000),
-          new Core.RequestClass("card-load", true, false, 4_000_000, 60_000_000));
-      core = new Core(new Core.Rules(TestSite.CORES, classes, List.of("big", "small"), 80_000, 1_500_000, 30_000_000, 1 << 20),
-          new Decisions(config.start().settings(), config.start().gauges(), 5), new NoLedger(), clock,
-          new Counters(), log);
-      front = new RespFront(loop, new InetSocketAddress("127.0.0.1", 0), 100, core,
-          new RespFront.Names(classes, List.of("big", "small"), orders), clock, log);
+      List<Core.RequestClass> classes =
+          List.of(
+              new Core.RequestClass("balance-check", false, false, 0, 60_000_000),
+              new Core.RequestClass("card-refresh", false, true, 0, 60_000_000),
+              new Core.RequestClass("card-load", true, false, 4_000_000, 60_000_000));
+      core =
+          new Core(
+              new Core.Rules(
+                  TestSite.CORES,
+                  classes,
+                  List.of("big", "small"),
+                  80_000,
+                  1_500_000,
+                  30_000_000,
+                  1 << 20),
+              new Decisions(config.start().settings(), config.start().gauges(), 5),
+              new NoLedger(),
+              clock,
+              new Counters(),
+              log);
+      front =
+          new RespFront(
+              loop,
+              new InetSocketAddress("127.0.0.1", 0),
+              100,
+              core,
+              new RespFront.Names(classes, List.of("big", "small"), orders),
+              clock,
+              log);
       front.listen();
-      on(() -> {
-        core.begin(null, false, 0);
-        return null;
-      });
+      on(
+          () -> {
+            core.begin(null, false, 0);
+            return null;
+          });
       client = new RespClient(front.port(), random);
       Model model = new Model();
       for (int step : steps) {
@@ -115,7 +148,8 @@
   private void step(int step, Model model) throws Exception {
     List<Long> open = new ArrayList<>(model.open.keySet());
     if (step <= 2 && open.size() >= TestSite.CORES || step >= 3 && step <= 6 && open.isEmpty()) {
-      return; // the model speaks of requests that run at once, so it asks for no more than there are cores
+      return; // the model speaks of requests that run at once, so it asks for no more than there
+      // are cores
     }
     long some = open.isEmpty() ? 0 : open.get(random.nextInt(open.size()));
     String id = model.open.get(some);
@@ -140,16 +174,33 @@
       case 7 -> client.send(RespClient.array("UNDO", model.lastTag + 1_000));
       case 8 -> {
         if (model.lastTag > 0) { // used before: a failed answer, and nothing runs
-          client.send(RespClient.array("DO", model.lastTag, "balance-check", fields(newId()), "again"));
+          client.send(
+              RespClient.array("DO", model.lastTag, "balance-check", fields(newId()), "again"));
           model.expected.add(model.lastTag + " FAILED ");
         }
       }
       case 9 -> bad(model, "DO", "card-party", fields(newId()), "unknown class");
-      case 10 -> bad(model, "DO", "balance-check", List.of(fields(newId()) + ",kb=1", fields("0"),
-          fields(newId()).replace("small", "nobody"), fields(newId()).replace("at=", "at=x"), "id", "")
-          .get(random.nextInt(6)), "bad field");
-      case 11 -> bad(model, "DO", "balance-check", fields(newId()),
-          "o".repeat(random.nextBoolean() ? 2_049 : 20_000));
+      case 10 ->
+          bad(
+              model,
+              "DO",
+              "balance-check",
+              List.of(
+                      fields(newId()) + ",kb=1",
+                      fields("0"),
+                      fields(newId()).replace("small", "nobody"),
+                      fields(newId()).replace("at=", "at=x"),
+                      "id",
+                      "")
+                  .get(random.nextInt(6)),
+              "bad field");
+      case 11 ->
+          bad(
+              model,
+              "DO",
+              "balance-check",
+              fields(newId()),
+              "o".repeat(random.nextBoolean() ? 2_049 : 20_000));
       default -> broken(model);
     }
   }
@@ -161,27 +212,37 @@
 
   private void ask(Model model) throws Exception {
     String id = newId();
-    client.send(RespClient.array("DO", ++model.lastTag, "balance-check", fields(id), "body of " + id));
+    client.send(
+        RespClient.array("DO", ++model.lastTag, "balance-check", fields(id), "body of " + id));
     model.open.put(model.lastTag, id);
     assertEquals("start " + id + " body of " + id, next());
   }
 
-  private void bad(Model model, Object word, String klass, String fields, String body) throws IOException {
+  private void bad(Model model, Object word, String klass, String fields, String body)
+      throws IOException {
     client.send(RespClient.array(word, ++model.lastTag, klass, fields, body));
     model.expected.add(model.lastTag + " FAILED ");
   }
 
   /**
-   * Bytes that make no sense end this connection alone: nothing behind them is heard, what was read before them is still
-   * answered, and then the end comes in order. Sometimes the balancer goes first: then what is open is stopped.
+   * Bytes that make no sense end this connection alone: nothing behind them is heard, what was read
+   * before them is still answered, and then the end comes in order. Sometimes the balancer goes
+   * first: then what is open is stopped.
    */
   private void broken(Model model) throws Exception {
     try (RespClient other = new RespClient(front.port(), random)) {
-      String junk = List.of("GET / HTTP/1.1\r\n\r\n", "*2\r\n$1\r\nx\r\n$1\r\ny\r\n", "*99\r\n", "*1\r\n$-1\r\n")
-          .get(random.nextInt(4));
+      String junk =
+          List.of(
+                  "GET / HTTP/1.1\r\n\r\n",
+                  "*2\r\n$1\r\nx\r\n$1\r\ny\r\n",
+                  "*99\r\n",
+                  "*1\r\n$-1\r\n")
+              .get(random.nextInt(4));
       client.send(junk.getBytes(StandardCharsets.UTF_8));
-      if (junk.indexOf('y') < 0) { // the one that is an array, if one without a tag, spoils nothing behind it
-        client.send(RespClient.array("DO", ++model.lastTag, "balance-check", fields(newId()), "behind it"));
+      if (junk.indexOf('y')
+          < 0) { // the one that is an array, if one without a tag, spoils nothing behind it
+        client.send(
+            RespClient.array("DO", ++model.lastTag, "balance-check", fields(newId()), "behind it"));
       }
       assertEquals("BYE", client.read().get(1));
       if (random.nextBoolean()) {
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -21,29 +21,61 @@
 
 /** What the client makes of a request that its connection's queue would not have held. */
 class UwsgiRunnerTest {
-  private static final Ledger NONE = new Ledger() {
-    @Override public void call(String id, long untilUs, byte[] body) { }
+  private static final Ledger NONE =
+      new Ledger() {
+        @Override
+        public void call(String id, long untilUs, byte[] body) {}
 
-    @Override public void cancel(String id) { }
-  };
+        @Override
+        public void cancel(String id) {}
+      };
 
-  /** Guards large bodies, which the limits of the broker's file may allow: one over 1 MiB was never sent, and told as cut off. */
-  @Test void aBodyOfTwoMebibytesReachesItsBackend() throws Exception {
-    try (Log log = new Log(System.err); EventLoop loop = new EventLoop(log); LoopGate gate = new LoopGate(loop);
+  /**
+   * Guards large bodies, which the limits of the broker's file may allow: one over 1 MiB was never
+   * sent, and told as cut off.
+   */
+  @Test
+  void aBodyOfTwoMebibytesReachesItsBackend() throws Exception {
+    try (Log log = new Log(System.err);
+        EventLoop loop = new EventLoop(log);
+        LoopGate gate = new LoopGate(loop);
         UwsgiBackend backend = new UwsgiBackend()) {
       Clock clock = new Clock();
       Counters counters = new Counters();
       NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
-      Core core = new Core(new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
-          new Decisions(config.start().settings(), config.start().gauges(), 5), NONE, clock, counters, log);
+      Core core =
+          new Core(
+              new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
+              new Decisions(config.start().settings(), config.start().gauges(), 5),
+              NONE,
+              clock,
+              counters,
+              log);
       UwsgiRunner runner = new UwsgiRunner(loop, core, clock, 1 << 20, Instances.EMPTY);
       long now = System.currentTimeMillis() * 1000;
-      gate.on(() -> {
-        runner.start(new Request("00000000000000c1", now, 5_000_000, 0, "file-write", 0, 1, false, 1, 0, null, 0,
-            new byte[2 << 20], Map.of(UwsgiRunner.BACKEND, "127.0.0.1:" + backend.port()), runner, answer -> { }),
-            now + 5_000_000);
-        return 0;
-      });
+      gate.on(
+          () -> {
+            runner.start(
+                new Request(
+                    "00000000000000c1",
+                    now,
+                    5_000_000,
+                    0,
+                    "file-write",
+                    0,
+                    1,
+                    false,
+                    1,
+                    0,
+                    null,
+                    0,
+                    new byte[2 << 20],
+                    Map.of(UwsgiRunner.BACKEND, "127.0.0.1:" + backend.port()),
+                    runner,
+                    answer -> {}),
+                now + 5_000_000);
+            return 0;
+          });
       long end = System.nanoTime() + 10_000_000_000L;
       while (gate.on(() -> counters.get("backend.ok") + counters.get("backend.cut")) == 0) {
         assertTrue(System.nanoTime() < end, gate.on(counters::toString));
--- a/src/test/java/rosecleat/handover/FileClaimsTest.java
+++ b/src/test/java/rosecleat/handover/FileClaimsTest.java
@@ -30,20 +30,23 @@
 
   @TempDir Path folder;
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     first = new Marks(folder);
     second = new Marks(folder);
     a = new FileClaims(folder.resolve("keys"), first, new Counters(), log);
     b = new FileClaims(folder.resolve("keys"), second, new Counters(), log);
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     first.close();
     second.close();
     log.close();
   }
 
-  @Test void oneClaimsAndTheOtherGetsTheResultByteForByte() {
+  @Test
+  void oneClaimsAndTheOtherGetsTheResultByteForByte() {
     assertInstanceOf(Claims.Mine.class, a.claim("k", BODY, 10));
     Claims.Others others = assertInstanceOf(Claims.Others.class, b.claim("k", BODY, 20));
     assertArrayEquals(BODY, others.digest());
@@ -61,16 +64,23 @@
     assertInstanceOf(Claims.Mine.class, b.claim("k3", BODY, 10));
   }
 
-  /** Guards what a killed process may have run: nobody runs it again, and nobody waits for it for ever. */
-  @Test void aDeadOwnersRunStaysItsOwnAndHasNoResult() throws IOException {
+  /**
+   * Guards what a killed process may have run: nobody runs it again, and nobody waits for it for
+   * ever.
+   */
+  @Test
+  void aDeadOwnersRunStaysItsOwnAndHasNoResult() throws IOException {
     a.claim("k", BODY, 10);
     first.close();
     assertEquals(new Claims.Outcome(true, null), b.outcome("k"));
     assertInstanceOf(Claims.Others.class, b.claim("k", BODY, 20));
   }
 
-  /** Guards the node's memory, which files take part of: what has lapsed goes, a dead owner's too. */
-  @Test void lapsedClaimsGoAndAnewOnesStay() throws IOException {
+  /**
+   * Guards the node's memory, which files take part of: what has lapsed goes, a dead owner's too.
+   */
+  @Test
+  void lapsedClaimsGoAndAnewOnesStay() throws IOException {
     a.keepLate(5);
     b.keepLate(5);
     a.claim("old", BODY, 10);
@@ -91,7 +101,8 @@
     }
   }
 
-  @Test void claimsAreBoundedAndQuick() {
+  @Test
+  void claimsAreBoundedAndQuick() {
     long start = System.nanoTime();
     for (int i = 0; i < 8_192; i++) {
       assertInstanceOf(Claims.Mine.class, a.claim("k" + i, BODY, i));
@@ -107,7 +118,8 @@
     assertInstanceOf(Claims.Mine.class, a.claim("more", BODY, 10));
   }
 
-  @Test void aMarkTellsWhoLives() throws IOException {
+  @Test
+  void aMarkTellsWhoLives() throws IOException {
     assertTrue(first.lives(second.number()) && second.lives(first.number()));
     assertTrue(!first.serves(second.number()));
     second.serve();
--- a/src/test/java/rosecleat/handover/LoadsTest.java
+++ b/src/test/java/rosecleat/handover/LoadsTest.java
@@ -20,24 +20,36 @@
 
   @TempDir Path folder;
 
-  /** Guards the shared index: what a process that is gone took is still in the span over which calls are counted. */
-  @Test void whatAProcessTookCountsOnAsItLeavesTheSpan() throws IOException {
+  /**
+   * Guards the shared index: what a process that is gone took is still in the span over which calls
+   * are counted.
+   */
+  @Test
+  void whatAProcessTookCountsOnAsItLeavesTheSpan() throws IOException {
     Loads old = new Loads(folder, 1);
     Loads fresh = new Loads(folder, 2);
     fresh.look(1, 1);
-    assertEquals(Load.NONE, fresh.grant(WHOLE, Load.NONE, false, false, 1)); // the old one may take all as yet
+    assertEquals(
+        Load.NONE,
+        fresh.grant(WHOLE, Load.NONE, false, false, 1)); // the old one may take all as yet
     assertEquals(new Load(9, 600, 60), old.grant(WHOLE, new Load(8, 200, 20), true, false, 1));
     old.tell(List.of(8.0, 8.0, 7.5, 0.0));
     fresh.look(1, 2);
     assertEquals(new Load(1, 400, 40), fresh.grant(WHOLE, Load.NONE, false, false, 2));
-    assertEquals(new Load(2, 1_000, 100), fresh.grant(WHOLE, Load.NONE, false, false, 1_500_000)); // gone
+    assertEquals(
+        new Load(2, 1_000, 100), fresh.grant(WHOLE, Load.NONE, false, false, 1_500_000)); // gone
     assertEquals(new Load(2.5, 1_000, 100), fresh.grant(WHOLE, Load.NONE, false, false, 2_900_000));
     assertEquals(WHOLE, fresh.grant(WHOLE, Load.NONE, false, false, 4_100_000));
   }
 
-  /** Whatever is read how late, and though each takes all it may at once: together they keep to the whole. */
-  @Property(tries = 200, seed = "20261203") void theSumStaysWithinTheWhole(
-      @ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps, @ForAll @IntRange(max = 10) int had)
+  /**
+   * Whatever is read how late, and though each takes all it may at once: together they keep to the
+   * whole.
+   */
+  @Property(tries = 200, seed = "20261203")
+  void theSumStaysWithinTheWhole(
+      @ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps,
+      @ForAll @IntRange(max = 10) int had)
       throws IOException {
     Path shared = Files.createTempDirectory("loads");
     Loads old = new Loads(shared, 1);
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -20,7 +20,10 @@
 import rosecleat.standin.StandInIndex;
 import rosecleat.standin.TestSite;
 
-/** Calls that cross the end of the connection they would go by: the loop hears of that end behind the call, or just before. */
+/**
+ * Calls that cross the end of the connection they would go by: the loop hears of that end behind
+ * the call, or just before.
+ */
 class IndexClientTest {
   private final Log log = new Log(System.err);
   private final StandInIndex index = new StandInIndex();
@@ -29,17 +32,31 @@
   private LoopGate gate;
   private IndexClient client;
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     loop = new EventLoop(log);
     gate = new LoopGate(loop);
     Clock clock = new Clock();
-    client = new IndexClient(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), index.port()), clock, counters, log);
+    client =
+        new IndexClient(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), index.port()),
+            clock,
+            counters,
+            log);
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
-    client.tell(new Core(new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
-        new Decisions(config.start().settings(), config.start().gauges(), 5), client, clock, counters, log));
+    client.tell(
+        new Core(
+            new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
+            new Decisions(config.start().settings(), config.start().gauges(), 5),
+            client,
+            clock,
+            counters,
+            log));
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     gate.close();
     loop.close();
     index.close();
@@ -54,21 +71,24 @@
     long end = System.nanoTime() + 10_000_000_000L;
     while (gate.on(() -> counters.get(counter)) < count) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("it did not come to " + counter + "=" + count + ": " + gate.on(counters::toString));
+        throw new AssertionError(
+            "it did not come to " + counter + "=" + count + ": " + gate.on(counters::toString));
       }
       Thread.yield();
     }
   }
 
   /**
-   * Guards the proof that a call never ran. The idle connection's end and the call come in one turn of the loop: the
-   * connection has ended, and its owner is told of it only behind the call.
+   * Guards the proof that a call never ran. The idle connection's end and the call come in one turn
+   * of the loop: the connection has ended, and its owner is told of it only behind the call.
    */
-  @Test void aCallIsNotPutOnAConnectionWhoseEndIsStillToBeTold() throws Exception {
-    gate.on(() -> {
-      call("00000000000000a1");
-      return 0;
-    });
+  @Test
+  void aCallIsNotPutOnAConnectionWhoseEndIsStillToBeTold() throws Exception {
+    gate.on(
+        () -> {
+          call("00000000000000a1");
+          return 0;
+        });
     await("index.replies", 1);
     gate.hold();
     index.cut();
@@ -76,7 +96,10 @@
     loop.execute(() -> call("00000000000000a2"));
     gate.release();
     await("index.replies", 2);
-    assertEquals(0, gate.on(() -> counters.get("index.lost")), "a call that was never sent counts as cut off");
+    assertEquals(
+        0,
+        gate.on(() -> counters.get("index.lost")),
+        "a call that was never sent counts as cut off");
     assertEquals(2, gate.on(() -> counters.get("index.calls")));
     assertEquals(2, gate.on(() -> counters.get("index.connections")));
   }
--- a/src/test/java/rosecleat/log/LogTest.java
+++ b/src/test/java/rosecleat/log/LogTest.java
@@ -12,17 +12,20 @@
 import org.junit.jupiter.api.Test;
 
 class LogTest {
-  @Test void aStuckStreamCostsLinesNotTime() throws Exception {
+  @Test
+  void aStuckStreamCostsLinesNotTime() throws Exception {
     CountDownLatch stuck = new CountDownLatch(1);
-    OutputStream stream = new OutputStream() {
-      @Override public void write(int b) {
-        try {
-          stuck.await();
-        } catch (InterruptedException e) {
-          Thread.currentThread().interrupt();
-        }
-      }
-    };
+    OutputStream stream =
+        new OutputStream() {
+          @Override
+          public void write(int b) {
+            try {
+              stuck.await();
+            } catch (InterruptedException e) {
+              Thread.currentThread().interrupt();
+            }
+          }
+        };
     Log log = new Log(new PrintStream(stream, true), 8);
     for (int i = 0; i < 100; i++) {
       log.info("line " + i);
@@ -33,7 +36,8 @@
   }
 
   /** Guards the start of a node: its warm-up logs to nowhere, and makes no thread for that. */
-  @Test void aSilentLogHasNoThread() {
+  @Test
+  void aSilentLogHasNoThread() {
     List<Thread> before = threads();
     try (Log silent = Log.silent()) {
       silent.info("unheard");
@@ -45,10 +49,13 @@
   }
 
   private static List<Thread> threads() {
-    return Thread.getAllStackTraces().keySet().stream().filter(thread -> thread.getName().equals("log")).toList();
+    return Thread.getAllStackTraces().keySet().stream()
+        .filter(thread -> thread.getName().equals("log"))
+        .toList();
   }
 
-  @Test void callersCannotForgeLines() {
+  @Test
+  void callersCannotForgeLines() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Log log = new Log(new PrintStream(out, true));
     log.warn("a\nb");
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -8,9 +8,11 @@
 import rosecleat.fleet.Tuning;
 import rosecleat.fleet.World;
 
-/** What docs/measurements/fleet-view.md keeps of the view on virtual time: {@code FleetView SEEDS}. */
+/**
+ * What docs/measurements/fleet-view.md keeps of the view on virtual time: {@code FleetView SEEDS}.
+ */
 public final class FleetView {
-  private FleetView() { }
+  private FleetView() {}
 
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
@@ -27,7 +29,10 @@
       pauses(health, 25);
     }
     for (int n : new int[] {120, 1_000}) {
-      row("views equal after a split of 30, n=" + n, n == 1_000 ? seeds / 8 : seeds / 2, seed -> heal(n, seed));
+      row(
+          "views equal after a split of 30, n=" + n,
+          n == 1_000 ? seeds / 8 : seeds / 2,
+          seed -> heal(n, seed));
     }
   }
 
@@ -46,7 +51,8 @@
     MemberId id = victim.fleet.self();
     victim.crash();
     world.until(60, () -> world.gone(id));
-    return world.until(60, () -> world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
+    return world.until(
+        60, () -> world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
   }
 
   private static double heal(int n, long seed) {
@@ -63,46 +69,62 @@
     world.messages = 0;
     world.bytes = 0;
     world.run(40);
-    System.out.printf(Locale.ROOT, "idle, n=%d: %.2f messages, %.0f bytes by member and period%n", n,
-        world.messages / 40.0 / n, world.bytes / 40.0 / n);
+    System.out.printf(
+        Locale.ROOT,
+        "idle, n=%d: %.2f messages, %.0f bytes by member and period%n",
+        n,
+        world.messages / 40.0 / n,
+        world.bytes / 40.0 / n);
   }
 
   /** A tenth of the members pause up to 5 periods again and again, 5% of all is lost. */
   private static void pauses(boolean health, int seeds) {
     int n = 100;
     int periods = 400;
-    long[] sums = IntStream.range(0, seeds).parallel().mapToObj(seed -> {
-      World world = new World(n, seed + 100, new Tuning(World.PERIOD, health)).acquainted();
-      world.loss = 0.05;
-      long wrong = 0;
-      long paused = 0;
-      boolean[][] held = new boolean[n][n];
-      for (int p = 0; p < periods; p++) {
-        for (int k = 0; k < n / 10; k++) {
-          World.Peer peer = world.peers.get(k);
-          if (world.nowUs > peer.pausedUntil && world.random.nextInt(8) == 0) {
-            peer.pause(World.PERIOD + world.random.nextLong(4 * World.PERIOD));
-          }
-        }
-        world.run(1);
-        for (World.Peer a : world.peers) {
-          for (World.Peer b : world.peers) {
-            boolean dead = !a.fleet.state(b.fleet.self()).here();
-            if (dead && !held[a.index][b.index]) {
-              if (b.index >= n / 10) {
-                wrong++;
-              } else {
-                paused++;
-              }
-            }
-            held[a.index][b.index] = dead;
-          }
-        }
-      }
-      return new long[] {wrong, paused};
-    }).reduce(new long[2], (a, b) -> new long[] {a[0] + b[0], a[1] + b[1]});
-    System.out.printf(Locale.ROOT, "pauses, local health %s, %d member periods: healthy ones held for dead %d, pausing ones %d%n",
-        health ? "on" : "off", (long) n * periods * seeds, sums[0], sums[1]);
+    long[] sums =
+        IntStream.range(0, seeds)
+            .parallel()
+            .mapToObj(
+                seed -> {
+                  World world =
+                      new World(n, seed + 100, new Tuning(World.PERIOD, health)).acquainted();
+                  world.loss = 0.05;
+                  long wrong = 0;
+                  long paused = 0;
+                  boolean[][] held = new boolean[n][n];
+                  for (int p = 0; p < periods; p++) {
+                    for (int k = 0; k < n / 10; k++) {
+                      World.Peer peer = world.peers.get(k);
+                      if (world.nowUs > peer.pausedUntil && world.random.nextInt(8) == 0) {
+                        peer.pause(World.PERIOD + world.random.nextLong(4 * World.PERIOD));
+                      }
+                    }
+                    world.run(1);
+                    for (World.Peer a : world.peers) {
+                      for (World.Peer b : world.peers) {
+                        boolean dead = !a.fleet.state(b.fleet.self()).here();
+                        if (dead && !held[a.index][b.index]) {
+                          if (b.index >= n / 10) {
+                            wrong++;
+                          } else {
+                            paused++;
+                          }
+                        }
+                        held[a.index][b.index] = dead;
+                      }
+                    }
+                  }
+                  return new long[] {wrong, paused};
+                })
+            .reduce(new long[2], (a, b) -> new long[] {a[0] + b[0], a[1] + b[1]});
+    System.out.printf(
+        Locale.ROOT,
+        "pauses, local health %s, %d member periods: healthy ones held for dead %d, pausing ones"
+            + " %d%n",
+        health ? "on" : "off",
+        (long) n * periods * seeds,
+        sums[0],
+        sums[1]);
   }
 
   private interface Trial {
@@ -111,10 +133,20 @@
 
   private static void row(String what, int seeds, Trial trial) {
     long begun = System.nanoTime();
-    double[] all = IntStream.range(0, Math.max(3, seeds)).parallel().mapToDouble(trial::of).sorted().toArray();
-    List<Double> shown = List.of(all[all.length / 2], all[(int) Math.ceil(0.99 * all.length) - 1], all[all.length - 1]);
-    System.out.printf(Locale.ROOT, "%s, %d seeds: median %.1f, p99 %.1f, most %.1f periods; never %d (%.0f s)%n", what, all.length,
-        shown.get(0), shown.get(1), shown.get(2), Arrays.stream(all).filter(x -> x < 0).count(),
+    double[] all =
+        IntStream.range(0, Math.max(3, seeds)).parallel().mapToDouble(trial::of).sorted().toArray();
+    List<Double> shown =
+        List.of(
+            all[all.length / 2], all[(int) Math.ceil(0.99 * all.length) - 1], all[all.length - 1]);
+    System.out.printf(
+        Locale.ROOT,
+        "%s, %d seeds: median %.1f, p99 %.1f, most %.1f periods; never %d (%.0f s)%n",
+        what,
+        all.length,
+        shown.get(0),
+        shown.get(1),
+        shown.get(2),
+        Arrays.stream(all).filter(x -> x < 0).count(),
         (System.nanoTime() - begun) / 1e9);
   }
 }
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -12,12 +12,15 @@
 import rosecleat.routes.Instance;
 import rosecleat.routes.Table;
 
-/** What docs/measurements/routes.md keeps: what a change in a large table costs against the whole of it. */
+/**
+ * What docs/measurements/routes.md keeps: what a change in a large table costs against the whole of
+ * it.
+ */
 public final class RoutesSpeed {
   private static final MemberNews SELF = MemberNews.getDefaultInstance();
   private static final int ROUNDS = 21;
 
-  private RoutesSpeed() { }
+  private RoutesSpeed() {}
 
   public static void main(String[] args) {
     for (int size : new int[] {1_000, 10_000, 100_000}) {
@@ -56,13 +59,29 @@
     Arrays.sort(diff);
     Arrays.sort(full);
     Arrays.sort(apply);
-    System.out.printf(Locale.ROOT, "%d entries, %d changes: diff %.3f ms, whole comparison %.3f ms (%.0fx), told and applied %.3f ms, "
-        + "%d bytes, whole table %d bytes (%.0fx)%n", size, changes, diff[ROUNDS / 2] / 1e6, full[ROUNDS / 2] / 1e6,
-        (double) full[ROUNDS / 2] / diff[ROUNDS / 2], apply[ROUNDS / 2] / 1e6, bytes, whole, (double) whole / bytes);
+    System.out.printf(
+        Locale.ROOT,
+        "%d entries, %d changes: diff %.3f ms, whole comparison %.3f ms (%.0fx), told and applied"
+            + " %.3f ms, %d bytes, whole table %d bytes (%.0fx)%n",
+        size,
+        changes,
+        diff[ROUNDS / 2] / 1e6,
+        full[ROUNDS / 2] / 1e6,
+        (double) full[ROUNDS / 2] / diff[ROUNDS / 2],
+        apply[ROUNDS / 2] / 1e6,
+        bytes,
+        whole,
+        (double) whole / bytes);
   }
 
   private static Instance instance(int i, int round) {
-    return new Instance("10.0." + i % 250 + "." + round % 250, 1 + i % 60_000, "zone" + i % 3, 1, Instance.State.ON, 4);
+    return new Instance(
+        "10.0." + i % 250 + "." + round % 250,
+        1 + i % 60_000,
+        "zone" + i % 3,
+        1,
+        Instance.State.ON,
+        4);
   }
 
   /** The baseline: both tables as maps, each key looked up. */
@@ -89,8 +108,8 @@
 
   /** An exchange; returns the bytes of the answer. */
   private static int meet(Book one, Book other) {
-    Follow opener = new Follow(one, true, "c", () -> SELF, () -> { }, () -> { });
-    Follow answers = new Follow(other, false, "c", () -> SELF, () -> { }, () -> { });
+    Follow opener = new Follow(one, true, "c", () -> SELF, () -> {}, () -> {});
+    Follow answers = new Follow(other, false, "c", () -> SELF, () -> {}, () -> {});
     byte[] told = answers.next(opener.next(null, 0), 0);
     opener.next(told, 0);
     return told.length;
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -27,19 +27,23 @@
 import rosecleat.state.StateFiles;
 
 /**
- * A broker killed with SIGKILL under load and started again: its first five seconds with what it kept, with nothing, and
- * with files that are old or wrong. Each start gets the same arrivals, from its own seed's source; the ways take turns.
+ * A broker killed with SIGKILL under load and started again: its first five seconds with what it
+ * kept, with nothing, and with files that are old or wrong. Each start gets the same arrivals, from
+ * its own seed's source; the ways take turns.
  */
 public final class StateStart {
   private static final int LEARN_MS = 12_000;
   private static final int WATCH_MS = 5_000;
   private static final int AIM_MS = 800;
+
   /** Requests that waited for the broker while it was down, and come at once. */
   private static final int WAITED = 40;
+
   private static final int REST_MS = 1_500;
 
   /** What came of one start. */
-  private record Outcome(int sent, int inAim, double p99, Map<String, Integer> answers, String when) {
+  private record Outcome(
+      int sent, int inAim, double p99, Map<String, Integer> answers, String when) {
     int missed() {
       return sent - inAim;
     }
@@ -58,7 +62,8 @@
   /** Arguments: the jar, a folder to work in, the number of seeds, requests a second. */
   public static void main(String[] args) throws Exception {
     Path work = Files.createDirectories(Path.of(args[1]));
-    new StateStart(Path.of(args[0]), work, Double.parseDouble(args[3])).all(Integer.parseInt(args[2]));
+    new StateStart(Path.of(args[0]), work, Double.parseDouble(args[3]))
+        .all(Integer.parseInt(args[2]));
     System.exit(0); // stand-ins have threads
   }
 
@@ -70,13 +75,31 @@
     ways.put("cold", null);
     ways.put("warm", fact -> fact);
     ways.put("3 days old", fact -> with(fact, fact.value(), fact.atUs() - 3 * 86_400_000_000L));
-    ways.put("20 minutes old, runs 4 times shorter then", fact -> with(fact,
-        fact.kind() == Kind.RUN_TIME ? fact.value() / 4 : fact.value(), fact.atUs() - 1_200_000_000L));
-    ways.put("poisoned: runs 10 times longer", fact -> with(fact,
-        fact.kind() == Kind.RUN_TIME ? Math.min(799_000, fact.value() * 10) : fact.value(), fact.atUs()));
-    ways.put("poisoned: limit 1000", fact -> with(fact, fact.kind() == Kind.LIMIT ? 1_000 : fact.value(), fact.atUs()));
-    ways.put("poisoned: not finite, zero, huge", fact -> with(fact,
-        new double[] {Double.NaN, 0, 1e300, Double.POSITIVE_INFINITY, -1}[fact.kind().ordinal()], fact.atUs()));
+    ways.put(
+        "20 minutes old, runs 4 times shorter then",
+        fact ->
+            with(
+                fact,
+                fact.kind() == Kind.RUN_TIME ? fact.value() / 4 : fact.value(),
+                fact.atUs() - 1_200_000_000L));
+    ways.put(
+        "poisoned: runs 10 times longer",
+        fact ->
+            with(
+                fact,
+                fact.kind() == Kind.RUN_TIME ? Math.min(799_000, fact.value() * 10) : fact.value(),
+                fact.atUs()));
+    ways.put(
+        "poisoned: limit 1000",
+        fact -> with(fact, fact.kind() == Kind.LIMIT ? 1_000 : fact.value(), fact.atUs()));
+    ways.put(
+        "poisoned: not finite, zero, huge",
+        fact ->
+            with(
+                fact,
+                new double[] {Double.NaN, 0, 1e300, Double.POSITIVE_INFINITY, -1}
+                    [fact.kind().ordinal()],
+                fact.atUs()));
     Map<String, List<Outcome>> outcomes = new LinkedHashMap<>();
     for (int seed = 1; seed <= seeds; seed++) {
       for (Map.Entry<String, UnaryOperator<Fact>> way : ways.entrySet()) {
@@ -104,32 +127,66 @@
 
   private void print(Map<String, List<Outcome>> outcomes, int seeds) {
     double cold = outcomes.get("cold").stream().mapToInt(Outcome::missed).sum();
-    System.out.printf(Locale.ROOT, "%d starts each, %d requests at once and %.0f a second for %d s, aim %d ms%n%n", seeds,
-        WAITED, ratePerS, WATCH_MS / 1000, AIM_MS);
-    System.out.println("| start | in aim | missed aims to cold's | p99, median of starts (ms) | missed by start |");
+    System.out.printf(
+        Locale.ROOT,
+        "%d starts each, %d requests at once and %.0f a second for %d s, aim %d ms%n%n",
+        seeds,
+        WAITED,
+        ratePerS,
+        WATCH_MS / 1000,
+        AIM_MS);
+    System.out.println(
+        "| start | in aim | missed aims to cold's | p99, median of starts (ms) | missed by start"
+            + " |");
     System.out.println("| --- | --- | --- | --- | --- |");
-    outcomes.forEach((way, all) -> {
-      int sent = all.stream().mapToInt(Outcome::sent).sum();
-      int in = all.stream().mapToInt(Outcome::inAim).sum();
-      double[] p99 = all.stream().mapToDouble(Outcome::p99).sorted().toArray();
-      System.out.printf(Locale.ROOT, "| %s | %.3f | %.2f | %.0f | %s |%n", way, (double) in / sent, (sent - in) / cold,
-          p99[p99.length / 2], all.stream().map(o -> String.valueOf(o.missed())).toList());
-    });
+    outcomes.forEach(
+        (way, all) -> {
+          int sent = all.stream().mapToInt(Outcome::sent).sum();
+          int in = all.stream().mapToInt(Outcome::inAim).sum();
+          double[] p99 = all.stream().mapToDouble(Outcome::p99).sorted().toArray();
+          System.out.printf(
+              Locale.ROOT,
+              "| %s | %.3f | %.2f | %.0f | %s |%n",
+              way,
+              (double) in / sent,
+              (sent - in) / cold,
+              p99[p99.length / 2],
+              all.stream().map(o -> String.valueOf(o.missed())).toList());
+        });
   }
 
   /** Starts a broker on a folder and loads it from its first moment on; kills it at the end. */
   private Outcome play(Path state, int ms, int restMs, long seed) throws Exception {
-    try (StandInRuntime runtime = new StandInRuntime(3); UwsgiBackend backend = new UwsgiBackend()) {
+    try (StandInRuntime runtime = new StandInRuntime(3);
+        UwsgiBackend backend = new UwsgiBackend()) {
       runtime.takes.put("balance-check", new int[] {3, 40});
       runtime.takes.put("card-load", new int[] {8, 150});
       int port = freePort();
-      Path config = Files.writeString(work.resolve("config.json"), TestSite.config(runtime.port(), 0, 0, 2_000, 500).file()
-          .toString().replace("127.0.0.1:0", "127.0.0.1:" + port));
-      Path broker = Files.writeString(work.resolve("broker.yaml"), BROKER.formatted(freePort(), backend.port(), state.toAbsolutePath()));
+      Path config =
+          Files.writeString(
+              work.resolve("config.json"),
+              TestSite.config(runtime.port(), 0, 0, 2_000, 500)
+                  .file()
+                  .toString()
+                  .replace("127.0.0.1:0", "127.0.0.1:" + port));
+      Path broker =
+          Files.writeString(
+              work.resolve("broker.yaml"),
+              BROKER.formatted(freePort(), backend.port(), state.toAbsolutePath()));
       Files.writeString(work.resolve("files.yaml"), FILES);
-      ProcessBuilder command = new ProcessBuilder("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-jar",
-          jar.toString(), "serve", "--broker", broker.toString()).redirectErrorStream(true)
-          .redirectOutput(work.resolve("broker.log").toFile());
+      ProcessBuilder command =
+          new ProcessBuilder(
+                  "java",
+                  "-XX:+UseSerialGC",
+                  "-XX:TieredStopAtLevel=1",
+                  "-Xmx64m",
+                  "-jar",
+                  jar.toString(),
+                  "serve",
+                  "--broker",
+                  broker.toString())
+              .redirectErrorStream(true)
+              .redirectOutput(work.resolve("broker.log").toFile());
       command.environment().put("PROXY_CONFIG", config.toString());
       Process process = command.start();
       try {
@@ -163,9 +220,17 @@
       tag++;
       boolean load = random.nextInt(10) == 0;
       sent.put(tag, next); // when it should have been sent
-      client.send(RespClient.array("DO", tag, load ? "card-load" : "balance-check", RespClient.fields(
-          String.format("%016x", seed << 32 | tag), random.nextInt(3) == 0 ? "small" : "big", 1_200,
-          load ? "k" + seed + "-" + tag : null), "body"));
+      client.send(
+          RespClient.array(
+              "DO",
+              tag,
+              load ? "card-load" : "balance-check",
+              RespClient.fields(
+                  String.format("%016x", seed << 32 | tag),
+                  random.nextInt(3) == 0 ? "small" : "big",
+                  1_200,
+                  load ? "k" + seed + "-" + tag : null),
+              "body"));
       next += tag < WAITED ? 0 : (long) (-Math.log(1 - random.nextDouble()) / ratePerS * 1e9);
     }
     Thread.sleep(restMs);
@@ -176,7 +241,8 @@
       for (int i = sent.size(); i > 0; i--) {
         latency.recordValue(60_000_000L); // no answer
       }
-      return new Outcome(tag, inAim[0], latency.getValueAtPercentile(99) / 1000.0, answers, Arrays.toString(when));
+      return new Outcome(
+          tag, inAim[0], latency.getValueAtPercentile(99) / 1000.0, answers, Arrays.toString(when));
     }
   }
 
@@ -200,8 +266,13 @@
 
   private long started;
 
-  private void read(RespClient client, Map<Integer, Long> sent, Histogram latency, int[] inAim,
-      Map<String, Integer> answers, int[] when) {
+  private void read(
+      RespClient client,
+      Map<Integer, Long> sent,
+      Histogram latency,
+      int[] inAim,
+      Map<String, Integer> answers,
+      int[] when) {
     try {
       for (List<String> words = client.answer(); words != null; words = client.answer()) {
         Long at = sent.remove(Integer.parseInt(words.get(0)));
@@ -211,7 +282,10 @@
         long us = (System.nanoTime() - at) / 1000;
         boolean served = words.get(1).equals("OK");
         synchronized (latency) {
-          latency.recordValue(served ? Math.min(us, 60_000_000L) : 1_200_000); // one that failed cost its whole time
+          latency.recordValue(
+              served
+                  ? Math.min(us, 60_000_000L)
+                  : 1_200_000); // one that failed cost its whole time
           boolean in = served && us <= AIM_MS * 1000L;
           inAim[0] += in ? 1 : 0;
           answers.merge(served && !in ? "late" : words.get(1), 1, Integer::sum);
@@ -234,18 +308,21 @@
   private static void wipe(Path folder) throws IOException {
     if (Files.exists(folder)) {
       try (Stream<Path> all = Files.walk(folder)) {
-        all.sorted((a, b) -> b.compareTo(a)).forEach(path -> {
-          try {
-            Files.delete(path);
-          } catch (IOException e) {
-            throw new UncheckedIOException(e);
-          }
-        });
+        all.sorted((a, b) -> b.compareTo(a))
+            .forEach(
+                path -> {
+                  try {
+                    Files.delete(path);
+                  } catch (IOException e) {
+                    throw new UncheckedIOException(e);
+                  }
+                });
       }
     }
   }
 
-  private static final String BROKER = """
+  private static final String BROKER =
+      """
       uwsgi: {listen: "127.0.0.1:%d"}
       descriptions: [openapi: files.yaml]
       services:
@@ -256,7 +333,8 @@
       state: {folder: %s, every_ms: 500}
       """;
 
-  private static final String FILES = """
+  private static final String FILES =
+      """
       openapi: 3.0.3
       info: {title: files, version: "1"}
       paths:
