--- a/src/test/java/rosecleat/measure/StoreSpeed.java
+++ b/src/test/java/rosecleat/measure/StoreSpeed.java
@@ -33,8 +33,9 @@
 import rosecleat.store.Store;
 
 /**
- * The store against a plain write and sync for each record, on the same folder in one run: appends a second and their
- * latency by how many are in flight; how long the appending thread is held up; and how long 100 MB take to recover.
+ * The store against a plain write and sync for each record, on the same folder in one run: appends
+ * a second and their latency by how many are in flight; how long the appending thread is held up;
+ * and how long 100 MB take to recover.
  */
 public final class StoreSpeed {
   private static final int BYTES = 200;
@@ -45,29 +46,35 @@
   private static final class Counting implements Owner, Fold {
     private long entries;
 
-    @Override public int reads(int type) {
+    @Override
+    public int reads(int type) {
       return 1;
     }
 
-    @Override public Fold fold() {
+    @Override
+    public Fold fold() {
       return new Counting();
     }
 
-    @Override public void add(Entry entry) {
+    @Override
+    public void add(Entry entry) {
       entries++;
     }
 
-    @Override public void forEach(Consumer<Entry> taker) {
+    @Override
+    public void forEach(Consumer<Entry> taker) {
       return; // a compaction leaves nothing
     }
   }
 
-  private StoreSpeed() { }
+  private StoreSpeed() {}
 
   /** Argument: a folder to work in. */
   public static void main(String[] args) throws Exception {
     Path work = Files.createDirectories(Path.of(args[0]));
-    System.out.println("| way | in flight | appends/s | to plain | p50 us | p99 us | syncs per append | held up p99.9 us | held up longest us |");
+    System.out.println(
+        "| way | in flight | appends/s | to plain | p50 us | p99 us | syncs per append | held up"
+            + " p99.9 us | held up longest us |");
     System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     plain(work.resolve("plain"), false);
     double base = plain(work.resolve("plain"), true);
@@ -84,8 +91,12 @@
   private static double plain(Path file, boolean told) throws IOException {
     Histogram latency = new Histogram(60_000_000L, 3);
     long count = 0;
-    try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-        StandardOpenOption.TRUNCATE_EXISTING)) {
+    try (FileChannel channel =
+        FileChannel.open(
+            file,
+            StandardOpenOption.CREATE,
+            StandardOpenOption.WRITE,
+            StandardOpenOption.TRUNCATE_EXISTING)) {
       long begin = System.nanoTime();
       for (long at = begin; at - begin < RUN_NS; count++) {
         channel.write(ByteBuffer.allocate(BYTES));
@@ -97,8 +108,13 @@
     }
     double perS = count * 1e9 / RUN_NS;
     if (told) {
-      System.out.printf(Locale.ROOT, "| plain write and sync | 1 | %.0f | 1.0 | %d | %d | 1.000 | %d | %d |%n", perS,
-          latency.getValueAtPercentile(50), latency.getValueAtPercentile(99), latency.getValueAtPercentile(99.9),
+      System.out.printf(
+          Locale.ROOT,
+          "| plain write and sync | 1 | %.0f | 1.0 | %d | %d | 1.000 | %d | %d |%n",
+          perS,
+          latency.getValueAtPercentile(50),
+          latency.getValueAtPercentile(99),
+          latency.getValueAtPercentile(99.9),
           latency.getMaxValue());
     }
     return perS;
@@ -116,11 +132,14 @@
     while (System.nanoTime() - begin < RUN_NS) {
       places.acquire();
       long from = System.nanoTime();
-      Store.Taken taken = store.append(List.of(new Entry(1, 1, payload)), fault -> {
-        latency.recordValue((System.nanoTime() - from) / 1000);
-        count[0] += fault == null ? 1 : 0;
-        places.release();
-      });
+      Store.Taken taken =
+          store.append(
+              List.of(new Entry(1, 1, payload)),
+              fault -> {
+                latency.recordValue((System.nanoTime() - from) / 1000);
+                count[0] += fault == null ? 1 : 0;
+                places.release();
+              });
       held.recordValue(System.nanoTime() - from);
       if (taken != Store.Taken.QUEUED) {
         throw new IOException("not taken: " + taken);
@@ -131,13 +150,24 @@
     store.close();
     if (told) {
       double perS = count[0] * 1e9 / RUN_NS;
-      System.out.printf(Locale.ROOT, "| store | %d | %.0f | %.1f | %d | %d | %.3f | %.1f | %.0f |%n", inFlight, perS, perS / base,
-          latency.getValueAtPercentile(50), latency.getValueAtPercentile(99), (double) figures.syncs() / figures.appends(),
-          held.getValueAtPercentile(99.9) / 1e3, held.getMaxValue() / 1e3);
+      System.out.printf(
+          Locale.ROOT,
+          "| store | %d | %.0f | %.1f | %d | %d | %.3f | %.1f | %.0f |%n",
+          inFlight,
+          perS,
+          perS / base,
+          latency.getValueAtPercentile(50),
+          latency.getValueAtPercentile(99),
+          (double) figures.syncs() / figures.appends(),
+          held.getValueAtPercentile(99.9) / 1e3,
+          held.getMaxValue() / 1e3);
     }
   }
 
-  /** How long a node's loop is held up by a look at what it learnt, of which all has moved: the dearest there is. */
+  /**
+   * How long a node's loop is held up by a look at what it learnt, of which all has moved: the
+   * dearest there is.
+   */
   private static void save(Path folder, int tenants) throws Exception {
     wipe(folder);
     StringBuilder parties = new StringBuilder();
@@ -146,10 +176,19 @@
     for (int t = 0; t < tenants; t++) {
       names.add("team" + t);
       digests.put("team" + t, "0123456789abcdef");
-      parties.append(t == 0 ? "" : ",").append("{\"name\":\"team").append(t).append("\",\"quota-per-s\":5}");
+      parties
+          .append(t == 0 ? "" : ",")
+          .append("{\"name\":\"team")
+          .append(t)
+          .append("\",\"quota-per-s\":5}");
     }
-    NodeConfig config = NodeConfig.parse(TestSite.config(1, 0, 0, 2_000, 500).file().toString()
-        .replaceAll("\"parties\":\\[.*?]", "\"parties\":[" + parties + "]"), Map.of());
+    NodeConfig config =
+        NodeConfig.parse(
+            TestSite.config(1, 0, 0, 2_000, 500)
+                .file()
+                .toString()
+                .replaceAll("\"parties\":\\[.*?]", "\"parties\":[" + parties + "]"),
+            Map.of());
     Decisions decisions = new Decisions(config.start().settings(), List.of(), 1);
     long[] now = {System.currentTimeMillis() * 1000};
     decisions.begin(now[0], false);
@@ -158,12 +197,25 @@
     Opener opener = new Opener(folder, 64 << 20, log);
     Counters counters = new Counters();
     ConcurrentLinkedQueue<Runnable> loop = new ConcurrentLinkedQueue<>();
-    Memory memory = new Memory(new Memory.Settings(1, 600_000_000), opener, new Memory.Node(() -> terms,
-        () -> new Decisions.Names(config.start().classes(), names), decisions, () -> now[0], loop::add), counters, log);
+    Memory memory =
+        new Memory(
+            new Memory.Settings(1, 600_000_000),
+            opener,
+            new Memory.Node(
+                () -> terms,
+                () -> new Decisions.Names(config.start().classes(), names),
+                decisions,
+                () -> now[0],
+                loop::add),
+            counters,
+            log);
     Histogram held = new Histogram(60_000_000_000L, 3);
     for (int i = 1; i <= 3_000; i++) {
       now[0] += 100_000_000; // so long that all is written again
-      decisions.report(now[0], new Decisions.Report.Arrived(i, 0, i % tenants, 0, 1_000_000, 8, 0.5, false, false, 1, 0, 0));
+      decisions.report(
+          now[0],
+          new Decisions.Report.Arrived(
+              i, 0, i % tenants, 0, 1_000_000, 8, 0.5, false, false, 1, 0, 0));
       while (decisions.pick() != null) {
         continue;
       }
@@ -178,12 +230,19 @@
       Thread.sleep(1);
     }
     memory.close(5_000);
-    System.out.printf(Locale.ROOT, "%na look that writes %d tenants holds the loop up %.0f us at p50, %.0f at p99.9 (%d saves)%n",
-        tenants, held.getValueAtPercentile(50) / 1e3, held.getValueAtPercentile(99.9) / 1e3, counters.get("state.saves"));
+    System.out.printf(
+        Locale.ROOT,
+        "%na look that writes %d tenants holds the loop up %.0f us at p50, %.0f at p99.9 (%d"
+            + " saves)%n",
+        tenants,
+        held.getValueAtPercentile(50) / 1e3,
+        held.getValueAtPercentile(99.9) / 1e3,
+        counters.get("state.saves"));
   }
 
   private static Store.Opened open(Path folder) throws IOException {
-    Store.Opening opening = Store.open(Folder.made(folder), new Counting(), LIMITS, System.err::println);
+    Store.Opening opening =
+        Store.open(Folder.made(folder), new Counting(), LIMITS, System.err::println);
     if (opening instanceof Store.Opened opened) {
       return opened;
     }
@@ -195,7 +254,7 @@
     Store store = open(folder).store();
     byte[] payload = new byte[1_000];
     for (int i = 0; i < 100_000; i++) {
-      while (store.append(List.of(new Entry(1, 1, payload)), fault -> { }) != Store.Taken.QUEUED) {
+      while (store.append(List.of(new Entry(1, 1, payload)), fault -> {}) != Store.Taken.QUEUED) {
         Thread.sleep(1);
       }
     }
@@ -203,8 +262,13 @@
     for (int i = 0; i < 3; i++) {
       long from = System.nanoTime();
       Recovered found = Store.look(Folder.of(folder), new Counting());
-      System.out.printf(Locale.ROOT, "%nrecovery %d of %d MB, %d records: %.0f ms%n", i + 1, found.bytes() >> 20,
-          found.entries(), (System.nanoTime() - from) / 1e6);
+      System.out.printf(
+          Locale.ROOT,
+          "%nrecovery %d of %d MB, %d records: %.0f ms%n",
+          i + 1,
+          found.bytes() >> 20,
+          found.entries(),
+          (System.nanoTime() - from) / 1e6);
     }
     wipe(folder);
   }
@@ -212,13 +276,14 @@
   private static void wipe(Path folder) throws IOException {
     if (Files.exists(folder)) {
       try (Stream<Path> all = Files.list(folder)) {
-        all.forEach(path -> {
-          try {
-            Files.delete(path);
-          } catch (IOException e) {
-            throw new UncheckedIOException(e);
-          }
-        });
+        all.forEach(
+            path -> {
+              try {
+                Files.delete(path);
+              } catch (IOException e) {
+                throw new UncheckedIOException(e);
+              }
+            });
       }
     }
   }
--- a/src/test/java/rosecleat/mgmt/DoorTest.java
+++ b/src/test/java/rosecleat/mgmt/DoorTest.java
@@ -31,24 +31,35 @@
   private EventLoop loop;
   private Door door;
 
-  @BeforeEach void open() throws IOException {
+  @BeforeEach
+  void open() throws IOException {
     loop = new EventLoop(log);
-    door = new Door(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Operations() {
-      @Override public boolean ready() {
-        return ready;
-      }
+    door =
+        new Door(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            new Operations() {
+              @Override
+              public boolean ready() {
+                return ready;
+              }
 
-      @Override public void drain() {
-        told.add("drain");
-      }
+              @Override
+              public void drain() {
+                told.add("drain");
+              }
 
-      @Override public void activate() {
-        told.add("activate");
-      }
-    }, new Counters(), log);
+              @Override
+              public void activate() {
+                told.add("activate");
+              }
+            },
+            new Counters(),
+            log);
   }
 
-  @AfterEach void close() throws IOException {
+  @AfterEach
+  void close() throws IOException {
     for (Socket client : clients) {
       client.close();
     }
@@ -75,11 +86,13 @@
     return call(method + " " + path + " HTTP/1.1\r\nHost: here\r\n\r\n");
   }
 
-  @Test void eachCallIsAnsweredAsThePageSays() throws IOException {
+  @Test
+  void eachCallIsAnsweredAsThePageSays() throws IOException {
     assertEquals(503, ask("GET", "/v1/readyz"));
     ready = true;
     assertEquals(200, ask("GET", "/v1/readyz"));
-    assertEquals(200, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: here\r\nContent-Length: 2\r\n\r\n{}"));
+    assertEquals(
+        200, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: here\r\nContent-Length: 2\r\n\r\n{}"));
     assertEquals(200, ask("PUT", "/v1/card-node/activate"));
     assertEquals(List.of("drain", "activate"), told);
     assertEquals(405, ask("GET", "/v1/card-node/drain"));
@@ -88,21 +101,30 @@
     assertEquals(2, told.size());
   }
 
-  @Test void whatIsNoCallIsAnsweredAsThat() throws IOException {
+  @Test
+  void whatIsNoCallIsAnsweredAsThat() throws IOException {
     assertEquals(400, call("PUT /v1/card-node/drain\r\n\r\n"));
     assertEquals(400, call("PUT /v1/card-node/drain HTTP/1.1\r\n\r\n")); // no host
     assertEquals(400, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost : here\r\n\r\n"));
-    assertEquals(400, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n"));
-    assertEquals(413, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 999999\r\n\r\n"));
-    assertEquals(501, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"));
+    assertEquals(
+        400, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n"));
+    assertEquals(
+        413, call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 999999\r\n\r\n"));
+    assertEquals(
+        501,
+        call("PUT /v1/card-node/drain HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"));
     assertEquals(505, call("PUT /v1/card-node/drain HTTP/2.0\r\nHost: a\r\n\r\n"));
     assertEquals(431, call("GET /" + "x".repeat(6_000)));
     assertEquals(431, call("GET / HTTP/1.1\r\n" + "a: b\r\n".repeat(100)));
     assertEquals(List.of(), told);
   }
 
-  /** Guards callers against others that connect and say nothing, or never all: those take every place there is. */
-  @Test void whoNeverFinishesHoldsUpNobody() throws Exception {
+  /**
+   * Guards callers against others that connect and say nothing, or never all: those take every
+   * place there is.
+   */
+  @Test
+  void whoNeverFinishesHoldsUpNobody() throws Exception {
     for (int i = 0; i < 20; i++) {
       Socket silent = connect();
       if (i % 2 == 0) {
@@ -117,11 +139,15 @@
     assertTrue(System.nanoTime() - start < 4_000_000_000L, "callers were held up");
   }
 
-  /** A call reads the same in whatever pieces it comes: a model of the reader against random cuts. */
-  @Property(tries = 200, seed = "20261201") void piecesChangeNothing(
+  /**
+   * A call reads the same in whatever pieces it comes: a model of the reader against random cuts.
+   */
+  @Property(tries = 200, seed = "20261201")
+  void piecesChangeNothing(
       @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 40) Integer> cuts) {
-    byte[] text = "PUT /v1/card-node/drain HTTP/1.1\r\nHost: here\r\nContent-Length: 5\r\n\r\nabcde"
-        .getBytes(StandardCharsets.UTF_8);
+    byte[] text =
+        "PUT /v1/card-node/drain HTTP/1.1\r\nHost: here\r\nContent-Length: 5\r\n\r\nabcde"
+            .getBytes(StandardCharsets.UTF_8);
     HttpCall call = new HttpCall();
     int at = 0;
     for (int cut : cuts) {
--- a/src/test/java/rosecleat/net/ClockTest.java
+++ b/src/test/java/rosecleat/net/ClockTest.java
@@ -7,10 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 class ClockTest {
-  @Test void timeNeverGoesBack() {
+  @Test
+  void timeNeverGoesBack() {
     Iterator<Long> wall = List.of(10L, 20L, 5L, 19L, 21L).iterator();
     Clock clock = new Clock(wall::next);
-    assertEquals(List.of(10L, 20L, 20L, 20L, 21L),
-        List.of(clock.getAsLong(), clock.getAsLong(), clock.getAsLong(), clock.getAsLong(), clock.getAsLong()));
+    assertEquals(
+        List.of(10L, 20L, 20L, 20L, 21L),
+        List.of(
+            clock.getAsLong(),
+            clock.getAsLong(),
+            clock.getAsLong(),
+            clock.getAsLong(),
+            clock.getAsLong()));
   }
 }
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -19,7 +19,10 @@
 import rosecleat.core.Progress;
 import rosecleat.log.Log;
 
-/** Ends of connections that cross what their peers do: the loop stands still until the peer has done it. */
+/**
+ * Ends of connections that cross what their peers do: the loop stands still until the peer has done
+ * it.
+ */
 class ConnectionTest {
   private final Log log = new Log(System.err);
   private EventLoop loop;
@@ -29,7 +32,10 @@
   private final CompletableFuture<Fault> ended = new CompletableFuture<>();
   private boolean owes;
 
-  /** Echoes what comes; a "q" is taken and owed an answer, which {@link #answer} gives, and a "c" is a reason to close. */
+  /**
+   * Echoes what comes; a "q" is taken and owed an answer, which {@link #answer} gives, and a "c" is
+   * a reason to close.
+   */
   private final class Echo implements Connection.Owner {
     private final Connection connection;
 
@@ -39,11 +45,13 @@
       taken.complete(connection);
     }
 
-    @Override public boolean owed() {
+    @Override
+    public boolean owed() {
       return owes;
     }
 
-    @Override public void received(ByteBuffer bytes) {
+    @Override
+    public void received(ByteBuffer bytes) {
       while (bytes.hasRemaining()) {
         byte word = bytes.get();
         owes |= word == 'q';
@@ -55,27 +63,36 @@
       }
     }
 
-    @Override public void closed(Fault fault, boolean atEnd) {
+    @Override
+    public void closed(Fault fault, boolean atEnd) {
       listener.released(connection);
       ended.complete(fault);
     }
   }
 
   private void answer() {
-    gate.on(() -> {
-      owes = false;
-      return taken.join().write(ByteBuffer.wrap(new byte[] {'a'}));
-    });
+    gate.on(
+        () -> {
+          owes = false;
+          return taken.join().write(ByteBuffer.wrap(new byte[] {'a'}));
+        });
   }
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     loop = new EventLoop(log);
     gate = new LoopGate(loop);
-    listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4,
-        Connection.Limits.SMALL, Echo::new);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            4,
+            Connection.Limits.SMALL,
+            Echo::new);
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     gate.close();
     loop.close();
     log.close();
@@ -92,8 +109,12 @@
     loop.execute(() -> taken.join().closeGracefully());
   }
 
-  /** Guards a request that had come before its connection was closed, and of which the loop had not heard. */
-  @Test void whatHadArrivedWhenTheCloseCameIsAnswered() throws Exception {
+  /**
+   * Guards a request that had come before its connection was closed, and of which the loop had not
+   * heard.
+   */
+  @Test
+  void whatHadArrivedWhenTheCloseCameIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       gate.hold();
       closeGracefully(); // the loop will do this first,
@@ -105,8 +126,12 @@
     }
   }
 
-  /** Guards what stands behind the reason for a close, in the same bytes: it has come, and its owner is about to read it. */
-  @Test void whatStandsBehindTheReasonToCloseIsAnswered() throws Exception {
+  /**
+   * Guards what stands behind the reason for a close, in the same bytes: it has come, and its owner
+   * is about to read it.
+   */
+  @Test
+  void whatStandsBehindTheReasonToCloseIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write(new byte[] {'c', 'x'});
       assertEquals('x', peer.getInputStream().read());
@@ -114,8 +139,11 @@
     }
   }
 
-  /** Guards requests that run while their connection is closed, and those that still come meanwhile. */
-  @Test void aCloseWaitsForWhatIsOwedAndHearsWhatComesMeanwhile() throws Exception {
+  /**
+   * Guards requests that run while their connection is closed, and those that still come meanwhile.
+   */
+  @Test
+  void aCloseWaitsForWhatIsOwedAndHearsWhatComesMeanwhile() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('q');
       gate.settle();
@@ -129,7 +157,8 @@
   }
 
   /** Guards answers against a reset: what comes behind the end is read, though nobody hears it. */
-  @Test void whatCrossesTheEndIsNotHeardAndResetsNothing() throws Exception {
+  @Test
+  void whatCrossesTheEndIsNotHeardAndResetsNothing() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('z');
       gate.settle();
@@ -138,7 +167,8 @@
       peer.getOutputStream().write("late".getBytes());
       gate.settle();
       gate.on(() -> 0);
-      peer.getOutputStream().write("later".getBytes()); // a reset would fail this write, or the reading
+      peer.getOutputStream()
+          .write("later".getBytes()); // a reset would fail this write, or the reading
       assertEquals('z', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
       assertFalse(ended.isDone(), "it waits for its peer");
@@ -146,15 +176,18 @@
     assertEquals(Progress.SENT, ended.get(5, TimeUnit.SECONDS).progress());
   }
 
-  @Test void closingTwiceIsClosingOnceAndNothingIsWrittenBehindTheEnd() throws Exception {
+  @Test
+  void closingTwiceIsClosingOnceAndNothingIsWrittenBehindTheEnd() throws Exception {
     try (Socket peer = connect()) {
-      gate.on(() -> {
-        Connection connection = taken.join();
-        connection.write(ByteBuffer.wrap(new byte[] {'1'}));
-        connection.closeGracefully();
-        connection.closeGracefully();
-        return connection.write(ByteBuffer.wrap(new byte[] {'2'})); // the end was not told yet: this still goes
-      });
+      gate.on(
+          () -> {
+            Connection connection = taken.join();
+            connection.write(ByteBuffer.wrap(new byte[] {'1'}));
+            connection.closeGracefully();
+            connection.closeGracefully();
+            return connection.write(
+                ByteBuffer.wrap(new byte[] {'2'})); // the end was not told yet: this still goes
+          });
       assertEquals('1', peer.getInputStream().read());
       assertEquals('2', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
@@ -163,7 +196,8 @@
   }
 
   /** Guards descriptors: a peer that never closes in its turn is not waited for for ever. */
-  @Test void aPeerThatNeverClosesIsLetGo() throws Exception {
+  @Test
+  void aPeerThatNeverClosesIsLetGo() throws Exception {
     try (Socket peer = connect()) {
       closeGracefully();
       assertEquals(-1, peer.getInputStream().read());
@@ -172,25 +206,37 @@
   }
 
   /**
-   * Guards owners against a connection that was closed before they got it: a time-out that the loop hears of before the
-   * connect, which had come to pass, makes the attempt a failed one, and nothing was sent.
+   * Guards owners against a connection that was closed before they got it: a time-out that the loop
+   * hears of before the connect, which had come to pass, makes the attempt a failed one, and
+   * nothing was sent.
    */
-  @Test void aTimeOutThatCrossesTheConnectIsAFailedAttempt() throws Exception {
+  @Test
+  void aTimeOutThatCrossesTheConnectIsAFailedAttempt() throws Exception {
     CompletableFuture<String> outcome = new CompletableFuture<>();
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       gate.hold();
-      Connection.dial(loop, new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), 0,
-          Connection.Limits.SMALL, new Connection.ConnectHandler() {
-            @Override public void connected(Connection connection) {
-              connection.start(new Connection.Owner() {
-                @Override public void received(ByteBuffer bytes) { }
-
-                @Override public void closed(Fault fault, boolean atEnd) { }
-              });
-              outcome.complete("connected, and can be written to: " + connection.write(ByteBuffer.allocate(1)));
+      Connection.dial(
+          loop,
+          new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
+          0,
+          Connection.Limits.SMALL,
+          new Connection.ConnectHandler() {
+            @Override
+            public void connected(Connection connection) {
+              connection.start(
+                  new Connection.Owner() {
+                    @Override
+                    public void received(ByteBuffer bytes) {}
+
+                    @Override
+                    public void closed(Fault fault, boolean atEnd) {}
+                  });
+              outcome.complete(
+                  "connected, and can be written to: " + connection.write(ByteBuffer.allocate(1)));
             }
 
-            @Override public void failed(Fault fault) {
+            @Override
+            public void failed(Fault fault) {
               outcome.complete("failed, never ran: " + fault.progress().neverRan());
             }
           });
@@ -202,7 +248,8 @@
   }
 
   /** Guards the proof in an error: a connection that ended takes not a byte, and says so. */
-  @Test void whatIsWrittenBehindTheEndIsRefused() throws Exception {
+  @Test
+  void whatIsWrittenBehindTheEndIsRefused() throws Exception {
     connect().close();
     ended.get(5, TimeUnit.SECONDS);
     assertFalse(gate.on(() -> taken.join().write(ByteBuffer.allocate(1))));
--- a/src/test/java/rosecleat/net/ListenerTest.java
+++ b/src/test/java/rosecleat/net/ListenerTest.java
@@ -34,17 +34,20 @@
       connection.start(this);
     }
 
-    @Override public Connection.Use use() {
+    @Override
+    public Connection.Use use() {
       return use;
     }
 
-    @Override public void received(ByteBuffer bytes) {
+    @Override
+    public void received(ByteBuffer bytes) {
       byte word = bytes.get();
       use = word == 'b' || use == Connection.Use.BUSY ? Connection.Use.BUSY : Connection.Use.IDLE;
       connection.write(ByteBuffer.wrap(new byte[] {word}));
     }
 
-    @Override public void closed(Fault fault, boolean atEnd) {
+    @Override
+    public void closed(Fault fault, boolean atEnd) {
       listener.released(connection);
     }
   }
@@ -61,7 +64,8 @@
     return socket.getInputStream().read();
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     for (Socket client : clients) {
       client.close();
     }
@@ -69,18 +73,31 @@
     log.close();
   }
 
-  /** Guards callers in an upgrade: of those that connect while one of two sockets closes, none may be turned back. */
-  @Test void aSharedAddressLosesNobodyWhileOneOfTwoCloses() throws Exception {
+  /**
+   * Guards callers in an upgrade: of those that connect while one of two sockets closes, none may
+   * be turned back.
+   */
+  @Test
+  void aSharedAddressLosesNobodyWhileOneOfTwoCloses() throws Exception {
     loop = new EventLoop(log);
-    listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2_000,
-        Connection.Limits.SMALL, Echo::new, true);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            2_000,
+            Connection.Limits.SMALL,
+            Echo::new,
+            true);
     InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
-    Listener other = new Listener(loop, at, 1 << 20, Connection.Limits.SMALL, Echo::new, true); // gets none released
+    Listener other =
+        new Listener(
+            loop, at, 1 << 20, Connection.Limits.SMALL, Echo::new, true); // gets none released
     boolean[] closed = new boolean[1];
     loop.after(50_000, () -> closeWhenEmpty(closed));
     int asked = 0;
     for (long end = System.nanoTime() + 300_000_000; System.nanoTime() < end; asked++) {
-      try (Socket socket = new Socket(at.getAddress(), at.getPort())) { // a storm: it never is quiet
+      try (Socket socket =
+          new Socket(at.getAddress(), at.getPort())) { // a storm: it never is quiet
         socket.setSoTimeout(5_000);
         assertEquals('x', say(socket, 'x'), "turned back after " + asked);
       }
@@ -96,10 +113,16 @@
     }
   }
 
-  @Test void connectionsThatNobodyUsesMakeRoomTheLongestUnusedFirst() throws Exception {
+  @Test
+  void connectionsThatNobodyUsesMakeRoomTheLongestUnusedFirst() throws Exception {
     loop = new EventLoop(log);
-    listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4,
-        Connection.Limits.SMALL, Echo::new);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            4,
+            Connection.Limits.SMALL,
+            Echo::new);
     Socket busy = connect();
     assertEquals('b', say(busy, 'b'));
     Socket older = connect();
@@ -113,11 +136,20 @@
     assertEquals('x', say(busy, 'x'));
   }
 
-  /** Guards a first request against its place being needed: a silent connection on which bytes are on their way. */
-  @Test void whoseFirstBytesCrossTheNeedForItsPlaceIsAnswered() throws Exception {
+  /**
+   * Guards a first request against its place being needed: a silent connection on which bytes are
+   * on their way.
+   */
+  @Test
+  void whoseFirstBytesCrossTheNeedForItsPlaceIsAnswered() throws Exception {
     loop = new EventLoop(log);
-    listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2,
-        Connection.Limits.SMALL, Echo::new);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            2,
+            Connection.Limits.SMALL,
+            Echo::new);
     try (LoopGate gate = new LoopGate(loop)) {
       Socket first = connect();
       Thread.sleep(300); // a while in which it might have spoken
@@ -132,11 +164,20 @@
     }
   }
 
-  /** Guards what waits unaccepted while all places are taken: a node that leaves takes it before it shuts the door. */
-  @Test void whatWaitsForAPlaceIsTakenBeforeTheListenerCloses() throws Exception {
+  /**
+   * Guards what waits unaccepted while all places are taken: a node that leaves takes it before it
+   * shuts the door.
+   */
+  @Test
+  void whatWaitsForAPlaceIsTakenBeforeTheListenerCloses() throws Exception {
     loop = new EventLoop(log);
-    listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2,
-        Connection.Limits.SMALL, Echo::new);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            2,
+            Connection.Limits.SMALL,
+            Echo::new);
     try (LoopGate gate = new LoopGate(loop)) {
       int port = listener.port();
       Socket busy = connect();
@@ -150,15 +191,25 @@
       while (!gate.on(() -> listener.closeWhenQuiet(0))) {
         Thread.yield();
       }
-      assertThrows(ConnectException.class, () -> new Socket(InetAddress.getLoopbackAddress(), port).close());
+      assertThrows(
+          ConnectException.class, () -> new Socket(InetAddress.getLoopbackAddress(), port).close());
     }
   }
 
-  /** Guards newcomers: where all others are in use, the one whose first bytes are on their way is not the one to go. */
-  @Test void whoHasJustComeIsNoUnusedConnection() throws Exception {
+  /**
+   * Guards newcomers: where all others are in use, the one whose first bytes are on their way is
+   * not the one to go.
+   */
+  @Test
+  void whoHasJustComeIsNoUnusedConnection() throws Exception {
     loop = new EventLoop(log);
-    listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2,
-        Connection.Limits.SMALL, Echo::new);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            2,
+            Connection.Limits.SMALL,
+            Echo::new);
     try (LoopGate gate = new LoopGate(loop)) {
       assertEquals('b', say(connect(), 'b'));
       Socket newcomer = connect();
@@ -168,12 +219,21 @@
     }
   }
 
-  /** Guards callers against peers that hold a place and never close it: they are told the end, and not waited for. */
-  @Test void placesOfThoseThatNeverCloseAreFreeInTime() throws Exception {
+  /**
+   * Guards callers against peers that hold a place and never close it: they are told the end, and
+   * not waited for.
+   */
+  @Test
+  void placesOfThoseThatNeverCloseAreFreeInTime() throws Exception {
     loop = new EventLoop(log);
     int most = 64;
-    listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), most,
-        Connection.Limits.SMALL, Echo::new);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            most,
+            Connection.Limits.SMALL,
+            Echo::new);
     for (int i = 0; i < most; i++) {
       connect();
     }
@@ -181,6 +241,8 @@
     for (int i = 0; i < most - 1; i++) { // the last place is always on its way to be free
       assertEquals('b', say(connect(), 'b'));
     }
-    assertTrue(System.nanoTime() - began < 5_000_000_000L, "took " + (System.nanoTime() - began) / 1_000_000 + " ms");
+    assertTrue(
+        System.nanoTime() - began < 5_000_000_000L,
+        "took " + (System.nanoTime() - began) / 1_000_000 + " ms");
   }
 }
--- a/src/test/java/rosecleat/net/LoopGate.java
+++ b/src/test/java/rosecleat/net/LoopGate.java
@@ -11,7 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Holds a loop still while peers act, so that a test says in which order the loop learns of what they did. */
+/**
+ * Holds a loop still while peers act, so that a test says in which order the loop learns of what
+ * they did.
+ */
 public final class LoopGate implements AutoCloseable {
   private final EventLoop loop;
   private final ServerSocket server;
@@ -28,10 +31,11 @@
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch mine = new CountDownLatch(1);
     gate = mine;
-    loop.execute(() -> {
-      held.countDown();
-      await(mine);
-    });
+    loop.execute(
+        () -> {
+          held.countDown();
+          await(mine);
+        });
     await(held);
   }
 
@@ -41,20 +45,25 @@
   }
 
   /**
-   * Returns once the thread of the channels has dealt with all that peers had done before: it takes events in their order,
-   * and this waits for one of its own, and then for another, as the first may come by the same look as theirs.
+   * Returns once the thread of the channels has dealt with all that peers had done before: it takes
+   * events in their order, and this waits for one of its own, and then for another, as the first
+   * may come by the same look as theirs.
    */
   public void settle() throws Exception {
     for (int turn = 0; turn < 2; turn++) {
       CompletableFuture<Void> turned = new CompletableFuture<>();
       try (AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group())) {
-        channel.connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), null,
+        channel.connect(
+            new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
+            null,
             new CompletionHandler<Void, Void>() {
-              @Override public void completed(Void done, Void none) {
+              @Override
+              public void completed(Void done, Void none) {
                 turned.complete(null);
               }
 
-              @Override public void failed(Throwable e, Void none) {
+              @Override
+              public void failed(Throwable e, Void none) {
                 turned.completeExceptionally(e);
               }
             });
@@ -81,7 +90,8 @@
     }
   }
 
-  @Override public void close() throws IOException {
+  @Override
+  public void close() throws IOException {
     if (gate != null) {
       gate.countDown();
     }
--- a/src/test/java/rosecleat/node/BadClientsTest.java
+++ b/src/test/java/rosecleat/node/BadClientsTest.java
@@ -17,7 +17,10 @@
 import rosecleat.standin.StandInRuntime;
 import rosecleat.standin.TestSite;
 
-/** Clients that mean harm or know no better: each is refused or closed in time, and a balancer goes on. */
+/**
+ * Clients that mean harm or know no better: each is refused or closed in time, and a balancer goes
+ * on.
+ */
 class BadClientsTest {
   private final StandInRuntime runtime = new StandInRuntime(20);
   private final Log log = new Log(System.err);
@@ -25,7 +28,8 @@
   private Node node;
   private RespClient balancer;
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     node = new Node(TestSite.config(runtime.port(), 0, 0, 2_000, 500), null, log);
     node.start();
     balancer = connect();
@@ -34,7 +38,8 @@
     }
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     for (RespClient client : clients) {
       client.close();
     }
@@ -55,13 +60,18 @@
     boolean all = true;
     for (int i = 0; i < requests; i++) {
       String id = String.format("%016x", ++tag);
-      balancer.send(RespClient.array("DO", tag, "balance-check", RespClient.fields(id, "small", 1_100, null), "b"));
+      balancer.send(
+          RespClient.array(
+              "DO", tag, "balance-check", RespClient.fields(id, "small", 1_100, null), "b"));
       all &= balancer.answer().get(1).equals("OK");
     }
     return all;
   }
 
-  /** Reads until the connection ends, which must be in order: a reset could cost answers. The words are the answers'. */
+  /**
+   * Reads until the connection ends, which must be in order: a reset could cost answers. The words
+   * are the answers'.
+   */
   private static List<String> answersUntilClosed(RespClient client) throws IOException {
     List<String> answers = new ArrayList<>();
     for (List<String> words = client.read(); words != null; words = client.read()) {
@@ -70,7 +80,8 @@
     return answers;
   }
 
-  @Test void whoOnlyErrsIsShutOut() throws IOException {
+  @Test
+  void whoOnlyErrsIsShutOut() throws IOException {
     RespClient errant = connect();
     for (int i = 0; i < 64; i++) {
       errant.send(RespClient.array("DO", 1 + i, "no-such-class", "id=1", "b"));
@@ -82,15 +93,31 @@
     assertTrue(served(3));
   }
 
-  /** Guards what was read well: one who errs too often is shut out, and still gets the answers that are owed to it. */
-  @Test void whatWasAskedBeforeTheMistakesIsAnsweredAndWhatCameBehindThemToo() throws IOException {
+  /**
+   * Guards what was read well: one who errs too often is shut out, and still gets the answers that
+   * are owed to it.
+   */
+  @Test
+  void whatWasAskedBeforeTheMistakesIsAnsweredAndWhatCameBehindThemToo() throws IOException {
     RespClient errant = connect();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    all.writeBytes(RespClient.array("DO", 1, "balance-check", RespClient.fields("00000000000000e1", "small", 1_100, null), "b"));
+    all.writeBytes(
+        RespClient.array(
+            "DO",
+            1,
+            "balance-check",
+            RespClient.fields("00000000000000e1", "small", 1_100, null),
+            "b"));
     for (int i = 0; i < 64; i++) {
       all.writeBytes(RespClient.array("DO", 2 + i, "no-such-class", "id=1", "b"));
     }
-    all.writeBytes(RespClient.array("DO", 66, "balance-check", RespClient.fields("00000000000000e2", "small", 1_100, null), "b"));
+    all.writeBytes(
+        RespClient.array(
+            "DO",
+            66,
+            "balance-check",
+            RespClient.fields("00000000000000e2", "small", 1_100, null),
+            "b"));
     errant.send(all.toByteArray());
     List<String> answers = answersUntilClosed(errant);
     assertEquals(2, Collections.frequency(answers, "OK"));
@@ -98,32 +125,54 @@
     assertTrue(served(3));
   }
 
-  /** Guards what was read well on a connection whose bytes make no sense later: it is answered before the end. */
-  @Test void whatWasAskedBeforeBytesWithoutSenseIsAnswered() throws IOException {
+  /**
+   * Guards what was read well on a connection whose bytes make no sense later: it is answered
+   * before the end.
+   */
+  @Test
+  void whatWasAskedBeforeBytesWithoutSenseIsAnswered() throws IOException {
     RespClient spoilt = connect();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    all.writeBytes(RespClient.array("DO", 1, "balance-check", RespClient.fields("00000000000000e3", "small", 1_100, null), "b"));
+    all.writeBytes(
+        RespClient.array(
+            "DO",
+            1,
+            "balance-check",
+            RespClient.fields("00000000000000e3", "small", 1_100, null),
+            "b"));
     all.writeBytes("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8));
     spoilt.send(all.toByteArray());
     assertEquals(List.of("BYE", "OK"), answersUntilClosed(spoilt));
     assertTrue(served(3));
   }
 
-  /** Guards what stands behind an array that can't be answered, as it has no tag: the stream goes on there. */
-  @Test void whatStandsBehindAnArrayWithoutTagIsAnswered() throws IOException {
+  /**
+   * Guards what stands behind an array that can't be answered, as it has no tag: the stream goes on
+   * there.
+   */
+  @Test
+  void whatStandsBehindAnArrayWithoutTagIsAnswered() throws IOException {
     RespClient untagged = connect();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(RespClient.array("DO", "x", "balance-check", "id", "b"));
-    all.writeBytes(RespClient.array("DO", 1, "balance-check", RespClient.fields("00000000000000e4", "small", 1_100, null), "b"));
+    all.writeBytes(
+        RespClient.array(
+            "DO",
+            1,
+            "balance-check",
+            RespClient.fields("00000000000000e4", "small", 1_100, null),
+            "b"));
     untagged.send(all.toByteArray());
     assertEquals(List.of("BYE", "OK"), answersUntilClosed(untagged));
     assertTrue(served(3));
   }
 
-  @Test void hugeBodiesAreNotKept() throws IOException {
+  @Test
+  void hugeBodiesAreNotKept() throws IOException {
     RespClient huge = connect();
-    huge.send("*5\r\n$2\r\nDO\r\n$1\r\n1\r\n$13\r\nbalance-check\r\n$2\r\nid\r\n$60000000\r\n"
-        .getBytes(StandardCharsets.UTF_8));
+    huge.send(
+        "*5\r\n$2\r\nDO\r\n$1\r\n1\r\n$13\r\nbalance-check\r\n$2\r\nid\r\n$60000000\r\n"
+            .getBytes(StandardCharsets.UTF_8));
     assertEquals(List.of("BYE"), answersUntilClosed(huge));
     RespClient large = connect();
     large.send(RespClient.array("DO", 1, "balance-check", "id", new byte[10_000_000]));
--- a/src/test/java/rosecleat/node/DescriptorsTest.java
+++ b/src/test/java/rosecleat/node/DescriptorsTest.java
@@ -25,23 +25,49 @@
 import rosecleat.standin.StandInRuntime;
 import rosecleat.standin.TestSite;
 
-/** A process whose descriptors the system itself limits, under clients that take all they can get and say nothing. */
+/**
+ * A process whose descriptors the system itself limits, under clients that take all they can get
+ * and say nothing.
+ */
 class DescriptorsTest {
   @TempDir Path folder;
   private final List<Socket> idle = new ArrayList<>();
   private int tag;
 
-  /** What the platform starts, but with classes from where the tests have them, and as few open jars. */
-  private Process process(int descriptors, int runtime, int index, int roster, int listen) throws IOException {
+  /**
+   * What the platform starts, but with classes from where the tests have them, and as few open
+   * jars.
+   */
+  private Process process(int descriptors, int runtime, int index, int roster, int listen)
+      throws IOException {
     Path config = folder.resolve("config.json");
-    Files.writeString(config, TestSite.config(runtime, index, roster, 2_000, 500).file().toString()
-        .replace("127.0.0.1:0\"", "127.0.0.1:" + listen + "\"").replace("\"sockets\":1024", "\"sockets\":" + descriptors));
-    String classes = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
-        .filter(part -> part.endsWith("target/classes") || part.matches(".*/(jackson-(core|databind|annotations)|jcommander)-.*"))
-        .collect(Collectors.joining(File.pathSeparator));
-    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + descriptors + " && exec "
-        + Path.of(System.getProperty("java.home"), "bin", "java") + " -Xmx40m -cp '" + classes + "' rosecleat.cli.Main serve")
-        .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
+    Files.writeString(
+        config,
+        TestSite.config(runtime, index, roster, 2_000, 500)
+            .file()
+            .toString()
+            .replace("127.0.0.1:0\"", "127.0.0.1:" + listen + "\"")
+            .replace("\"sockets\":1024", "\"sockets\":" + descriptors));
+    String classes =
+        Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
+            .filter(
+                part ->
+                    part.endsWith("target/classes")
+                        || part.matches(".*/(jackson-(core|databind|annotations)|jcommander)-.*"))
+            .collect(Collectors.joining(File.pathSeparator));
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                "ulimit -n "
+                    + descriptors
+                    + " && exec "
+                    + Path.of(System.getProperty("java.home"), "bin", "java")
+                    + " -Xmx40m -cp '"
+                    + classes
+                    + "' rosecleat.cli.Main serve")
+            .redirectErrorStream(true)
+            .redirectOutput(folder.resolve("log").toFile());
     builder.environment().put("PROXY_CONFIG", config.toString());
     builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
     return builder.start();
@@ -56,7 +82,7 @@
   }
 
   private void await(String what, BooleanSupplier condition) throws InterruptedException {
-    for (long end = System.nanoTime() + 20_000_000_000L; !condition.getAsBoolean();) {
+    for (long end = System.nanoTime() + 20_000_000_000L; !condition.getAsBoolean(); ) {
       assertTrue(System.nanoTime() < end, what + "\n" + log());
       TimeUnit.MILLISECONDS.sleep(5);
     }
@@ -64,7 +90,8 @@
 
   private String answer(RespClient client, String klass) throws IOException {
     String id = String.format("%016x", ++tag);
-    client.send(RespClient.array("DO", tag, klass, RespClient.fields(id, "small", 1_100, null), "b"));
+    client.send(
+        RespClient.array("DO", tag, klass, RespClient.fields(id, "small", 1_100, null), "b"));
     List<String> words = client.answer();
     return words == null ? "closed" : words.get(1);
   }
@@ -74,13 +101,18 @@
   void idleClientsKeepNoDescriptorFromTheLinks(int descriptors) throws Exception {
     Process process = null;
     int listen = freePort();
-    try (StandInRuntime runtime = new StandInRuntime(5); StandInIndex index = new StandInIndex();
+    try (StandInRuntime runtime = new StandInRuntime(5);
+        StandInIndex index = new StandInIndex();
         StandInRoster roster = new StandInRoster()) {
       int rosterPort = roster.port();
       roster.down(); // discovery is away from before the start
       process = process(descriptors, runtime.port(), index.port(), rosterPort, listen);
-      await("it does not listen", () -> log().contains("listens on") && log().contains("the runtime is up"));
-      for (int i = 0; i < 2 * descriptors; i++) { // as many as can be, twice; they never close, whatever they are told
+      await(
+          "it does not listen",
+          () -> log().contains("listens on") && log().contains("the runtime is up"));
+      for (int i = 0;
+          i < 2 * descriptors;
+          i++) { // as many as can be, twice; they never close, whatever they are told
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), listen);
         idle.add(socket);
         if (i % 2 == 0) {
@@ -96,7 +128,8 @@
         roster.up();
         long backNs = System.nanoTime();
         await("not listed again", () -> !roster.reports.isEmpty());
-        assertTrue(System.nanoTime() - backNs < 1_000_000_000L, "listed again after more than a second");
+        assertTrue(
+            System.nanoTime() - backNs < 1_000_000_000L, "listed again after more than a second");
         assertEquals("OK", answer(balancer, "card-refresh"));
       }
       assertFalse(log().contains("Too many open files") || log().contains("no socket"), log());
@@ -111,7 +144,8 @@
   }
 
   private static int freePort() throws IOException {
-    try (java.net.ServerSocket server = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    try (java.net.ServerSocket server =
+        new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return server.getLocalPort();
     }
   }
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
+import rosecleat.core.Request;
 import rosecleat.core.Runner;
 import rosecleat.handover.Handover;
 import rosecleat.log.Log;
@@ -38,7 +38,9 @@
   private int tag;
 
   private void start() throws IOException {
-    node = new Node(TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null, log);
+    node =
+        new Node(
+            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null, log);
     node.start();
     client = new RespClient(node.port(), null);
   }
@@ -48,7 +50,8 @@
     await(() -> count("") >= 0 && ready());
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     client.close();
     node.close();
     runtime.close();
@@ -81,7 +84,9 @@
 
   private String send(String klass, String once) throws IOException {
     String id = String.format("%016x", ++tag);
-    client.send(RespClient.array("DO", tag, klass, RespClient.fields(id, "small", 1_100, once), "body " + tag));
+    client.send(
+        RespClient.array(
+            "DO", tag, klass, RespClient.fields(id, "small", 1_100, once), "body " + tag));
     return id;
   }
 
@@ -91,7 +96,8 @@
   }
 
   /** Guards all that is done by time: one beat that fails must not be the last. */
-  @Test void aBeatThatFailsIsFollowedByOthers() throws Exception {
+  @Test
+  void aBeatThatFailsIsFollowedByOthers() throws Exception {
     startReady();
     AtomicBoolean thrown = new AtomicBoolean();
     node.onLoop(() -> node.core().begin(new FailingOnce(thrown), false, 0));
@@ -104,15 +110,20 @@
 
   /** A runner that throws when it is first asked for gauges. */
   private record FailingOnce(AtomicBoolean thrown) implements Runner {
-    @Override public void start(Request ask, long dueUs) { }
+    @Override
+    public void start(Request ask, long dueUs) {}
 
-    @Override public void stop(String id) { }
+    @Override
+    public void stop(String id) {}
 
-    @Override public void give(String id, byte[] reply) { }
+    @Override
+    public void give(String id, byte[] reply) {}
 
-    @Override public void omit(String id, long notice) { }
+    @Override
+    public void omit(String id, long notice) {}
 
-    @Override public void askGauges() {
+    @Override
+    public void askGauges() {
       if (!thrown.getAndSet(true)) {
         throw new IllegalStateException("thrown by the test");
       }
@@ -121,7 +132,8 @@
 
   // ---- the runtime
 
-  @Test void healthChecksAreAnsweredWhileTheRuntimeComesUp() throws IOException {
+  @Test
+  void healthChecksAreAnsweredWhileTheRuntimeComesUp() throws IOException {
     runtime.readyAfterMs = 500;
     start();
     client.send(RespClient.array("PING", 1, ""));
@@ -132,7 +144,8 @@
     assertEquals(StandInRuntime.result("body 2"), answer("balance-check").get(3));
   }
 
-  @Test void aNewLinkTellsWhatTheOldOneMissedAndNothingTwice() throws IOException {
+  @Test
+  void aNewLinkTellsWhatTheOldOneMissedAndNothingTwice() throws IOException {
     startReady();
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
@@ -144,7 +157,8 @@
     assertTrue(runtime.commands.contains("sync "), "no sync");
   }
 
-  @Test void runsAndNumbersCarryOnWhenTheRuntimeMoves() throws IOException {
+  @Test
+  void runsAndNumbersCarryOnWhenTheRuntimeMoves() throws IOException {
     startReady();
     for (int round = 0; round < 3; round++) { // reloads in a row, each with a run in hand
       send("balance-check", null);
@@ -158,7 +172,8 @@
     assertEquals(3, runtime.starts.size());
   }
 
-  @Test void aReloadInTheMiddleOfADialGoesToTheLastAddress() throws IOException {
+  @Test
+  void aReloadInTheMiddleOfADialGoesToTheLastAddress() throws IOException {
     startReady();
     runtime.moveAway();
     node.reload(new Setup(TestSite.config(1, 1, 1, 2_000, 500), null)); // nobody listens there
@@ -167,7 +182,8 @@
     assertEquals("OK", answer("card-refresh").get(1));
   }
 
-  @Test void theIndexAndTheRosterMoveAndOldCallsMayEnd() throws IOException {
+  @Test
+  void theIndexAndTheRosterMoveAndOldCallsMayEnd() throws IOException {
     startReady();
     index.answers.add("wait");
     send("card-refresh", null);
@@ -184,47 +200,70 @@
     assertEquals(2, count("calls.hit"));
   }
 
-  @Test void aReloadInADrainCarriesOn() throws IOException {
+  @Test
+  void aReloadInADrainCarriesOn() throws IOException {
     startReady();
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
-    node.leave(() -> { });
+    node.leave(() -> {});
     runtime.moveAway();
     reload();
     assertEquals(StandInRuntime.result("body 1"), client.answer().get(3));
   }
 
-  /** Guards requests against new settings: what is open keeps its class, only new requests go by the new names. */
-  @Test void newSettingsTakeEffectForWhatComesAfterThem() throws IOException {
+  /**
+   * Guards requests against new settings: what is open keeps its class, only new requests go by the
+   * new names.
+   */
+  @Test
+  void newSettingsTakeEffectForWhatComesAfterThem() throws IOException {
     startReady();
     send("card-load", "k");
     await(() -> runtime.starts.size() == 1);
-    String file = TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500).file().toString();
-    for (int round = 1; round <= 30; round++) { // many reloads, each with another name for two classes
-      NodeConfig fresh = NodeConfig.parse(file.replace("card-load", "load-" + round)
-          .replace("balance-check", "check-" + round).replace("\"name\":\"big\"", "\"name\":\"big-" + round + "\""),
-          Map.of());
+    String file =
+        TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500).file().toString();
+    for (int round = 1;
+        round <= 30;
+        round++) { // many reloads, each with another name for two classes
+      NodeConfig fresh =
+          NodeConfig.parse(
+              file.replace("card-load", "load-" + round)
+                  .replace("balance-check", "check-" + round)
+                  .replace("\"name\":\"big\"", "\"name\":\"big-" + round + "\""),
+              Map.of());
       node.reload(new Setup(fresh, null));
     }
-    assertEquals(StandInRuntime.result("body 1"), client.answer().get(3)); // it runs on, as what it came as
+    assertEquals(
+        StandInRuntime.result("body 1"), client.answer().get(3)); // it runs on, as what it came as
     assertEquals("FAILED", answer("card-load").get(1));
     assertEquals("FAILED", answer("balance-check").get(1));
     assertEquals("OK", answer("check-30").get(1));
     assertEquals("OK", answer("card-refresh").get(1));
     send("load-30", "k2");
     assertEquals("OK", client.answer().get(1));
-    assertTrue(runtime.starts.get(runtime.starts.size() - 1).contains("load-30"), runtime.starts.toString());
+    assertTrue(
+        runtime.starts.get(runtime.starts.size() - 1).contains("load-30"),
+        runtime.starts.toString());
     node.reload(new Setup(NodeConfig.parse(file, Map.of()), null));
     send("card-load", "k");
-    client.send(RespClient.array("DO", 90, "card-load", RespClient.fields("00000000000000f9", "small", 900, "k"),
-        "body 1")); // the first of them has another body under that key, this one the first's
+    client.send(
+        RespClient.array(
+            "DO",
+            90,
+            "card-load",
+            RespClient.fields("00000000000000f9", "small", 900, "k"),
+            "body 1")); // the first of them has another body under that key, this one the first's
     assertEquals("FAILED", client.answer().get(1));
     assertEquals(StandInRuntime.result("body 1"), client.answer().get(3));
     assertEquals(1, runtime.startsOf("body 1"));
   }
 
-  /** Guards an honest balancer that a reload left with a name too many: its other requests are no mistakes. */
-  @Test void whoAlsoSendsWhatIsRightIsNotShutOut() throws IOException {
+  /**
+   * Guards an honest balancer that a reload left with a name too many: its other requests are no
+   * mistakes.
+   */
+  @Test
+  void whoAlsoSendsWhatIsRightIsNotShutOut() throws IOException {
     startReady();
     for (int i = 0; i < 200; i++) {
       assertEquals("FAILED", answer("no-such-class").get(1));
@@ -235,10 +274,12 @@
   }
 
   private void reload() {
-    node.reload(new Setup(TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null));
+    node.reload(
+        new Setup(TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null));
   }
 
-  @Test void aCommandThatTheBrokenLinkSwallowedIsSentAgain() throws IOException {
+  @Test
+  void aCommandThatTheBrokenLinkSwallowedIsSentAgain() throws IOException {
     startReady();
     runtime.swallow = 1;
     send("balance-check", null);
@@ -248,7 +289,8 @@
     assertEquals(1, count("runtime.resent"));
   }
 
-  @Test void aKeyedStartThatMayHaveArrivedIsNotSentAgainAndFailsAtOnce() throws IOException {
+  @Test
+  void aKeyedStartThatMayHaveArrivedIsNotSentAgainAndFailsAtOnce() throws IOException {
     startReady();
     runtime.swallow = 1;
     long sentNs = System.nanoTime();
@@ -260,8 +302,13 @@
     assertEquals(0, runtime.starts.size());
   }
 
-  @Test void aKeyedStartWhoseRunMustCallFirstIsSentAgain() throws IOException {
-    node = new Node(TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500, true), null, log);
+  @Test
+  void aKeyedStartWhoseRunMustCallFirstIsSentAgain() throws IOException {
+    node =
+        new Node(
+            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500, true),
+            null,
+            log);
     node.start();
     client = new RespClient(node.port(), null);
     await(this::ready);
@@ -275,10 +322,12 @@
     assertEquals(1, runtime.startsOf("body 1"));
   }
 
-  @Test void whatCannotBeReadOnTheLinkCostsNoOtherRun() throws IOException {
+  @Test
+  void whatCannotBeReadOnTheLinkCostsNoOtherRun() throws IOException {
     startReady();
-    runtime.spoil = "{\"type\":\"info\",\"n\":true,\"state\":\"x\"}\n[]\n{\"type\":\"end\"\n"
-        + "{\"type\":\"end\",\"job\":\"0000000000000001\",\"state\":\"ok\",\"data\":\"?!\"}\n";
+    runtime.spoil =
+        "{\"type\":\"info\",\"n\":true,\"state\":\"x\"}\n[]\n{\"type\":\"end\"\n"
+            + "{\"type\":\"end\",\"job\":\"0000000000000001\",\"state\":\"ok\",\"data\":\"?!\"}\n";
     send("balance-check", null);
     assertEquals("FAILED", client.answer().get(1)); // its end came, its result can't be read
     assertEquals("OK", answer("balance-check").get(1));
@@ -286,20 +335,30 @@
     assertEquals(1, count("runs.cut"));
   }
 
-  @Test void aStartThatIsNotCarriedOutFailsAndLeavesTheKeyFree() throws IOException {
+  @Test
+  void aStartThatIsNotCarriedOutFailsAndLeavesTheKeyFree() throws IOException {
     startReady();
     runtime.nackStarts = true;
     send("card-load", "k");
     assertEquals("FAILED", client.answer().get(1));
     runtime.nackStarts = false;
-    client.send(RespClient.array("DO", 9, "card-load", RespClient.fields("00000000000000f9", "small", 900, "k"),
-        "body 1"));
+    client.send(
+        RespClient.array(
+            "DO",
+            9,
+            "card-load",
+            RespClient.fields("00000000000000f9", "small", 900, "k"),
+            "body 1"));
     assertEquals("OK", client.answer().get(1));
     assertEquals(1, runtime.startsOf("body 1"));
   }
 
-  /** Guards a node against a link that stays open and brings nothing: it must not wait for that for ever. */
-  @Test void aLinkThatFallsSilentIsMadeAnew() throws IOException {
+  /**
+   * Guards a node against a link that stays open and brings nothing: it must not wait for that for
+   * ever.
+   */
+  @Test
+  void aLinkThatFallsSilentIsMadeAnew() throws IOException {
     startReady();
     assertEquals("OK", answer("balance-check").get(1));
     runtime.mute();
@@ -320,14 +379,18 @@
 
   // ---- the index
 
-  @Test void aCallIsMadeWithTheRunsBodyAndItsReplyGoesBack() throws IOException {
+  @Test
+  void aCallIsMadeWithTheRunsBodyAndItsReplyGoesBack() throws IOException {
     startReady();
     assertEquals("OK", answer("card-refresh").get(1));
-    assertTrue(index.lines.get(0).matches("GET 0000000000000001 [0-9]+ 25"), index.lines.toString());
-    assertEquals(List.of("call for 0000000000000001 -> reply to call for 0000000000000001"), runtime.gives);
+    assertTrue(
+        index.lines.get(0).matches("GET 0000000000000001 [0-9]+ 25"), index.lines.toString());
+    assertEquals(
+        List.of("call for 0000000000000001 -> reply to call for 0000000000000001"), runtime.gives);
   }
 
-  @Test void eachOutcomeIsWhatItProves() throws IOException {
+  @Test
+  void eachOutcomeIsWhatItProves() throws IOException {
     startReady();
     index.answers.addAll(List.of("SHED", "HIT", "BROKEN", "HIT", "NOBODY", "SLOW", "cut", "HIT"));
     for (int i = 0; i < 4; i++) { // reads may call again after any failure; all end well
@@ -339,7 +402,8 @@
     }
   }
 
-  @Test void anIndexThatIsDownProvesThatNoCallRan() throws IOException {
+  @Test
+  void anIndexThatIsDownProvesThatNoCallRan() throws IOException {
     startReady();
     index.close();
     assertEquals("OK", answer("card-refresh").get(1)); // served without the call
@@ -347,7 +411,8 @@
     assertEquals(0, count("calls.cut"));
   }
 
-  @Test void aWithdrawnRequestsCallIsStopped() throws IOException {
+  @Test
+  void aWithdrawnRequestsCallIsStopped() throws IOException {
     startReady();
     index.answers.add("");
     String id = send("card-refresh", null);
@@ -355,16 +420,28 @@
     client.send(RespClient.array("UNDO", tag));
     await(() -> index.lines.contains("STOP " + id) && runtime.commands.contains("stop " + id));
     assertEquals("OK", answer("card-refresh").get(1));
-    assertEquals(2, count("index.connections")); // a reply that never came may still come on the first
+    assertEquals(
+        2, count("index.connections")); // a reply that never came may still come on the first
     assertEquals(0, ask(Core::inHand));
   }
 
-  @Test void aSpoiltReplyCostsNoOtherCall() throws IOException {
+  @Test
+  void aSpoiltReplyCostsNoOtherCall() throws IOException {
     startReady();
-    List<String> spoilt = List.of("noise\u0000\u00ff\n", "ID HIT 3000000000\r\nxxxx", "ID HIT -4\r\n", "ID HIT many\r\n",
-        "ID HIT 2\r\nabcd\r\n", "ID MAYBE\r\n", "ID HIT\r\n", "x".repeat(100), "nobody SHED\r\n");
+    List<String> spoilt =
+        List.of(
+            "noise\u0000\u00ff\n",
+            "ID HIT 3000000000\r\nxxxx",
+            "ID HIT -4\r\n",
+            "ID HIT many\r\n",
+            "ID HIT 2\r\nabcd\r\n",
+            "ID MAYBE\r\n",
+            "ID HIT\r\n",
+            "x".repeat(100),
+            "nobody SHED\r\n");
     for (String text : spoilt) {
-      index.answers.addAll(List.of("wait", "raw " + text)); // the first is out while the second is spoilt
+      index.answers.addAll(
+          List.of("wait", "raw " + text)); // the first is out while the second is spoilt
       send("card-refresh", null);
       await(() -> index.answers.size() == 1);
       send("card-refresh", null);
@@ -378,12 +455,19 @@
     assertEquals(2 * spoilt.size(), count("calls.hit"));
   }
 
-  @Test void copiesAndStrangersInFrontAreNoReplies() throws IOException {
+  @Test
+  void copiesAndStrangersInFrontAreNoReplies() throws IOException {
     startReady();
     String hit = "ID HIT 2\r\nok\r\n";
-    index.answers.addAll(List.of("raw 00000000000000ff HIT 3\r\nbad\r\n" + hit, "raw ID SHED\r\nID HIT 3\r\nbad\r\n",
-        "raw " + hit + hit, "HIT"));
-    for (int i = 0; i < 3; i++) { // the second calls twice: the surplus reply to its first call is not the second's
+    index.answers.addAll(
+        List.of(
+            "raw 00000000000000ff HIT 3\r\nbad\r\n" + hit,
+            "raw ID SHED\r\nID HIT 3\r\nbad\r\n",
+            "raw " + hit + hit,
+            "HIT"));
+    for (int i = 0;
+        i < 3;
+        i++) { // the second calls twice: the surplus reply to its first call is not the second's
       assertEquals("OK", answer("card-refresh").get(1));
     }
     assertTrue(runtime.gives.stream().noneMatch(g -> g.contains("bad")), runtime.gives.toString());
@@ -391,7 +475,8 @@
     assertEquals(1, count("calls.shed"));
   }
 
-  @Test void aConnectionThatStoodIdleIsNotUsedAgain() throws Exception {
+  @Test
+  void aConnectionThatStoodIdleIsNotUsedAgain() throws Exception {
     startReady();
     assertEquals("OK", answer("card-refresh").get(1));
     Thread.sleep(300);
@@ -401,10 +486,14 @@
 
   // ---- the roster
 
-  @Test void theNodeReportsEachSecondWhateverTheRosterDoes() throws IOException {
+  @Test
+  void theNodeReportsEachSecondWhateverTheRosterDoes() throws IOException {
     roster.mood = "";
     startReady();
-    await(() -> roster.reports.size() == 2); // the first got no answer: it was given up, and a new link made
+    await(
+        () ->
+            roster.reports.size()
+                == 2); // the first got no answer: it was given up, and a new link made
     roster.mood = "503";
     await(() -> roster.reports.size() == 3);
     roster.mood = "204";
@@ -412,14 +501,26 @@
     assertEquals("PUT /roster/t1 HTTP/1.1 {\"duty\":\"on\"}", roster.reports.get(0));
   }
 
-  /** Guards a drain by call against that of SIGTERM: only health checks may hear of it, and nothing is turned away. */
-  @Test void whatOperatorsSayReachesHealthChecksAloneAndEndsWithTheirWord() throws IOException {
+  /**
+   * Guards a drain by call against that of SIGTERM: only health checks may hear of it, and nothing
+   * is turned away.
+   */
+  @Test
+  void whatOperatorsSayReachesHealthChecksAloneAndEndsWithTheirWord() throws IOException {
     Counters counters = new Counters();
     Handover handover = new Handover(null, counters, log);
     Operators operators = new Operators(handover, null);
     operators.drain(); // before the node stands
-    node = new Node(TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null, new EventLoop(log),
-        handover, counters, null, null, log);
+    node =
+        new Node(
+            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500),
+            null,
+            new EventLoop(log),
+            handover,
+            counters,
+            null,
+            null,
+            log);
     node.start();
     node.onLoop(() -> operators.serve(node));
     client = new RespClient(node.port(), null);
@@ -436,7 +537,8 @@
     node.onLoop(operators::activate);
     assertEquals("UP", check());
     assertEquals(1, count("operators.drains"));
-    assertTrue(roster.reports.stream().noneMatch(r -> r.contains("off")), roster.reports.toString());
+    assertTrue(
+        roster.reports.stream().noneMatch(r -> r.contains("off")), roster.reports.toString());
   }
 
   private String check() throws IOException {
@@ -444,8 +546,12 @@
     return client.answer().get(1);
   }
 
-  /** Guards a release while the roster is down: the node serves and leaves without it, and tells it when it is back. */
-  @Test void aRosterThatIsDownHoldsNothingUpAndIsToldWhenItIsBack() throws Exception {
+  /**
+   * Guards a release while the roster is down: the node serves and leaves without it, and tells it
+   * when it is back.
+   */
+  @Test
+  void aRosterThatIsDownHoldsNothingUpAndIsToldWhenItIsBack() throws Exception {
     roster.down();
     startReady();
     assertEquals("OK", answer("balance-check").get(1));
@@ -461,7 +567,8 @@
     left.get(2, TimeUnit.SECONDS);
   }
 
-  @Test void theNoticeToLeaveIsReportedAtOnce() throws Exception {
+  @Test
+  void theNoticeToLeaveIsReportedAtOnce() throws Exception {
     startReady();
     await(() -> count("roster.reports") > 0);
     CompletableFuture<Void> left = new CompletableFuture<>();
@@ -472,7 +579,8 @@
     assertEquals("OK", answer("balance-check").get(1)); // within the grace
     await(() -> ask(Core::pastGrace));
     Thread.sleep(5); // requests tell whole milliseconds
-    assertEquals("BUSY", answer("balance-check").get(1)); // behind it: nothing is run, all is answered
+    assertEquals(
+        "BUSY", answer("balance-check").get(1)); // behind it: nothing is run, all is answered
     assertTrue(client.byes > 0);
     client.close();
     left.get(2, TimeUnit.SECONDS);
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -36,7 +36,10 @@
 import rosecleat.standin.TestSite;
 import rosecleat.standin.UwsgiBackend;
 
-/** A node that keeps what it learnt: started again, with other settings, beside another process, on a bad folder. */
+/**
+ * A node that keeps what it learnt: started again, with other settings, beside another process, on
+ * a bad folder.
+ */
 class MemoryTest {
   private static final String STATE = "\nstate: {folder: kept, every_ms: 100}\n";
   private final StandInRuntime runtime = new StandInRuntime(30);
@@ -46,7 +49,8 @@
 
   @TempDir Path folder;
 
-  @AfterEach void stop() {
+  @AfterEach
+  void stop() {
     if (node != null) {
       node.close();
     }
@@ -66,8 +70,16 @@
   private Node start(NodeConfig config, Path shared) throws IOException {
     Counters counters = new Counters();
     BrokerConfig broker = Rig.broker(folder, backend.port(), config, STATE);
-    Node fresh = new Node(config, broker, new EventLoop(log), new Handover(shared, counters, log), counters,
-        Learning.of(broker, log), null, log);
+    Node fresh =
+        new Node(
+            config,
+            broker,
+            new EventLoop(log),
+            new Handover(shared, counters, log),
+            counters,
+            Learning.of(broker, log),
+            null,
+            log);
     fresh.start();
     return fresh;
   }
@@ -93,8 +105,13 @@
   private void serve(Node by, int count) throws Exception {
     try (RespClient client = new RespClient(by.port(), null)) {
       for (int i = 1; i <= count; i++) {
-        client.send(RespClient.array("DO", "" + i, "balance-check", RespClient.fields(
-            String.format("%016x", System.nanoTime()), "small", 1_000, null), "body"));
+        client.send(
+            RespClient.array(
+                "DO",
+                "" + i,
+                "balance-check",
+                RespClient.fields(String.format("%016x", System.nanoTime()), "small", 1_000, null),
+                "body"));
         assertTrue(client.answer() != null);
       }
     }
@@ -102,8 +119,13 @@
 
   private JsonNode facts() throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    assertEquals(0, Main.run(new String[] {"state", "show", "--json", folder.resolve("kept").toString()}, Map.of(),
-        new ByteArrayInputStream(new byte[0]), out));
+    assertEquals(
+        0,
+        Main.run(
+            new String[] {"state", "show", "--json", folder.resolve("kept").toString()},
+            Map.of(),
+            new ByteArrayInputStream(new byte[0]),
+            out));
     return new ObjectMapper().readTree(out.toString()).path("facts");
   }
 
@@ -130,27 +152,39 @@
     node = null;
   }
 
-  @Test void theNextProcessBeginsWithWhatTheLastOneKnew() throws Exception {
+  @Test
+  void theNextProcessBeginsWithWhatTheLastOneKnew() throws Exception {
     before();
     node = start(config(), null);
     await(() -> count(node, "state.taken") >= 3);
     List<rosecleat.policy.Decisions.Lesson> lessons = node.lessons().get(5, TimeUnit.SECONDS);
-    double us = lessons.stream().filter(l -> l.of().equals("balance-check")).findFirst().orElseThrow().value();
+    double us =
+        lessons.stream()
+            .filter(l -> l.of().equals("balance-check"))
+            .findFirst()
+            .orElseThrow()
+            .value();
     assertTrue(us > 20_000 && us < 100_000, "a run of 30 ms is known before any was seen: " + us);
   }
 
-  @Test void otherSettingsDropWhatWasLearntUnderTheOld() throws Exception {
+  @Test
+  void otherSettingsDropWhatWasLearntUnderTheOld() throws Exception {
     before();
-    String other = config().file().toString().replace("\"deadline-us\":1200000", "\"deadline-us\":1300000");
+    String other =
+        config().file().toString().replace("\"deadline-us\":1200000", "\"deadline-us\":1300000");
     node = start(NodeConfig.parse(other, Map.of()), null);
     await(() -> count(node, "state.dropped.other_terms") > 0);
     node.close();
-    node = start(NodeConfig.parse(config().file().toString().replace("\"t1\"", "\"t2\""), Map.of()), null);
+    node =
+        start(
+            NodeConfig.parse(config().file().toString().replace("\"t1\"", "\"t2\""), Map.of()),
+            null);
     await(() -> count(node, "state.dropped.other_node") > 0);
     assertEquals(0, count(node, "state.taken"));
   }
 
-  @Test void aDamagedOrNewerFileIsNoWorseThanNone() throws Exception {
+  @Test
+  void aDamagedOrNewerFileIsNoWorseThanNone() throws Exception {
     before();
     Path kept = folder.resolve("kept");
     try (Stream<Path> files = Files.list(kept)) {
@@ -162,27 +196,52 @@
         Files.write(file, bytes);
       }
     }
-    assertEquals(3, Main.run(new String[] {"state", "verify", kept.toString()}, Map.of(), null, new ByteArrayOutputStream()));
+    assertEquals(
+        3,
+        Main.run(
+            new String[] {"state", "verify", kept.toString()},
+            Map.of(),
+            null,
+            new ByteArrayOutputStream()));
     node = start(config(), null);
     await(() -> count(node, "state.opened") == 1);
     serve(node, 5);
     await(() -> knows("run-time"));
-    assertEquals(0, Main.run(new String[] {"state", "verify", kept.toString()}, Map.of(), null, new ByteArrayOutputStream()));
+    assertEquals(
+        0,
+        Main.run(
+            new String[] {"state", "verify", kept.toString()},
+            Map.of(),
+            null,
+            new ByteArrayOutputStream()));
   }
 
-  @Test void aFolderThatCantBeUsedKeepsTheNodeServing() throws Exception {
-    Files.createFile(folder.resolve("kept")); // a file where the folder should be; root may write anywhere else
+  @Test
+  void aFolderThatCantBeUsedKeepsTheNodeServing() throws Exception {
+    Files.createFile(
+        folder.resolve("kept")); // a file where the folder should be; root may write anywhere else
     node = start(config(), null);
     await(() -> ask(node, Core::ready));
     serve(node, 3);
     assertEquals(0, count(node, "state.opened"));
   }
 
-  @Test void aNodeThatLeavesWritesDownWhatItLearntLast() throws Exception {
-    BrokerConfig broker = Rig.broker(folder, backend.port(), config(), "\nstate: {folder: kept, every_ms: 3600000}\n");
+  @Test
+  void aNodeThatLeavesWritesDownWhatItLearntLast() throws Exception {
+    BrokerConfig broker =
+        Rig.broker(
+            folder, backend.port(), config(), "\nstate: {folder: kept, every_ms: 3600000}\n");
     Counters counters = new Counters();
-    node = new Node(config(), broker, new EventLoop(log), new Handover(null, counters, log), counters,
-        Learning.of(broker, log), null, log);
+    node =
+        new Node(
+            config(),
+            broker,
+            new EventLoop(log),
+            new Handover(null, counters, log),
+            counters,
+            Learning.of(broker, log),
+            null,
+            log);
     node.start();
     await(() -> count(node, "state.opened") == 1 && ask(node, Core::ready));
     serve(node, 12);
@@ -194,7 +253,8 @@
     assertTrue(knows("run-time"));
   }
 
-  @Test void theOlderProcessHandsTheFolderOver() throws Exception {
+  @Test
+  void theOlderProcessHandsTheFolderOver() throws Exception {
     Path shared = Files.createDirectory(folder.resolve("shared"));
     Node older = start(config(), shared);
     node = older;
@@ -203,8 +263,11 @@
     await(() -> knows("run-time"));
     StandInRuntime second = new StandInRuntime(30);
     try {
-      String same = TestSite.config(second.port(), 0, 0, 2_000, 500).file().toString()
-          .replace("127.0.0.1:0", "127.0.0.1:" + older.port());
+      String same =
+          TestSite.config(second.port(), 0, 0, 2_000, 500)
+              .file()
+              .toString()
+              .replace("127.0.0.1:0", "127.0.0.1:" + older.port());
       Node newer = start(NodeConfig.parse(same, Map.of()), shared);
       node = newer;
       await(() -> count(newer, "state.taken") >= 3);
@@ -224,29 +287,50 @@
     }
   }
 
-  @Test void aReloadMayChangeAllButTheFolder() throws Exception {
+  @Test
+  void aReloadMayChangeAllButTheFolder() throws Exception {
     Setup first = setup(STATE);
     setup("\nstate: {folder: kept, every_ms: 500, max_mb: 4, half_life_s: 60}\n").checkAfter(first);
-    assertThrows(ConfigException.class, () -> setup("\nstate: {folder: elsewhere}\n").checkAfter(first));
+    assertThrows(
+        ConfigException.class, () -> setup("\nstate: {folder: elsewhere}\n").checkAfter(first));
     assertThrows(ConfigException.class, () -> setup("").checkAfter(first));
-    for (String bad : List.of("{folder: kept, every: 5}", "{every_ms: 5}", "{folder: kept, max_mb: 0}",
-        "{folder: kept, every_ms: often}", "kept", "{folder: 5}")) {
-      String message = assertThrows(ConfigException.class, () -> setup("\nstate: " + bad + "\n")).getMessage();
+    for (String bad :
+        List.of(
+            "{folder: kept, every: 5}",
+            "{every_ms: 5}",
+            "{folder: kept, max_mb: 0}",
+            "{folder: kept, every_ms: often}",
+            "kept",
+            "{folder: 5}")) {
+      String message =
+          assertThrows(ConfigException.class, () -> setup("\nstate: " + bad + "\n")).getMessage();
       assertTrue(message.contains("state"), message);
     }
     assertEquals(folder.resolve("kept"), first.broker().state().folder());
   }
 
-  @Test void whereItIsOffNothingOfItIsLoaded() throws Exception {
+  @Test
+  void whereItIsOffNothingOfItIsLoaded() throws Exception {
     Path loaded = folder.resolve("loaded");
-    ProcessBuilder command = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-Xlog:class+load:file=" + loaded, "-cp", System.getProperty("java.class.path"), "rosecleat.cli.Main", "rehearse")
-        .redirectError(ProcessBuilder.Redirect.INHERIT).redirectOutput(ProcessBuilder.Redirect.DISCARD);
+    ProcessBuilder command =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xlog:class+load:file=" + loaded,
+                "-cp",
+                System.getProperty("java.class.path"),
+                "rosecleat.cli.Main",
+                "rehearse")
+            .redirectError(ProcessBuilder.Redirect.INHERIT)
+            .redirectOutput(ProcessBuilder.Redirect.DISCARD);
     command.environment().put("PROXY_CONFIG", "deploy/example.json");
     assertEquals(0, command.start().waitFor());
     List<String> classes = Files.readAllLines(loaded);
     assertTrue(classes.stream().anyMatch(l -> l.contains("rosecleat.node.Node ")));
-    assertFalse(classes.stream().anyMatch(
-        l -> l.matches(".*(rosecleat\\.(store|state|knowledge)\\.|rosecleat\\.(cli\\.StateCommands|node\\.Learning)|com\\.(google\\.protobuf|networknt)).*")));
+    assertFalse(
+        classes.stream()
+            .anyMatch(
+                l ->
+                    l.matches(
+                        ".*(rosecleat\\.(store|state|knowledge)\\.|rosecleat\\.(cli\\.StateCommands|node\\.Learning)|com\\.(google\\.protobuf|networknt)).*")));
   }
 }
--- a/src/test/java/rosecleat/node/MixedLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedLoadTest.java
@@ -22,18 +22,23 @@
 import rosecleat.standin.TestSite;
 import rosecleat.standin.UwsgiClient;
 
-/** Both protocols at once at 150% of what the cores can do, with every rule counted after each request. */
+/**
+ * Both protocols at once at 150% of what the cores can do, with every rule counted after each
+ * request.
+ */
 class MixedLoadTest {
   private static final int WORK_MS = 20;
   private static final int WAIT_MS = 900;
+
   /** The rule's slack of 130 ms, and room for a busy machine that runs this test (ms). */
   private static final long SLACK_MS = 130 + 500;
+
   private static final int GRACE_MS = 600;
   private static final int STOP_MS = 3_000;
   private static final int OPEN = 32;
 
   /** One request as sent, and the words that came back for it. */
-  private record Sent(String body, boolean uwsgi, long dueMs, boolean afterGrace) { }
+  private record Sent(String body, boolean uwsgi, long dueMs, boolean afterGrace) {}
 
   /** The rules, counted after each answer. */
   private final class Book {
@@ -64,7 +69,9 @@
           breach("served with what no run made", sent);
         }
       }
-      if (word.equals("BUSY") && starts > 0 && !sent.body.startsWith("load")) { // of a load another try may run
+      if (word.equals("BUSY")
+          && starts > 0
+          && !sent.body.startsWith("load")) { // of a load another try may run
         breach("refused after it ran", sent);
       }
       if (sent.afterGrace && starts > 0 && !sent.body.startsWith("load")) {
@@ -118,8 +125,13 @@
       long tag = ++lastTag;
       open.put(tag, sent);
       try {
-        client.send(RespClient.array("DO", tag, klass,
-            RespClient.fields(String.format("%016x", ids++), "small", WAIT_MS, key), sent.body));
+        client.send(
+            RespClient.array(
+                "DO",
+                tag,
+                klass,
+                RespClient.fields(String.format("%016x", ids++), "small", WAIT_MS, key),
+                sent.body));
       } catch (IOException e) {
         book.breach("connection closed under", sent);
       }
@@ -133,7 +145,8 @@
   private Rig rig;
   private long ids = 1;
 
-  @Test void bothProtocolsKeepTheRulesAndNeitherStarves() throws Exception {
+  @Test
+  void bothProtocolsKeepTheRulesAndNeitherStarves() throws Exception {
     rig = new Rig(WORK_MS, STOP_MS, GRACE_MS, folder);
     try {
       List<Balancer> balancers = List.of(new Balancer(), new Balancer());
@@ -152,7 +165,9 @@
       double uwsgi = (double) book.served.getOrDefault("uwsgi", 0) / askedUwsgi;
       assertTrue(resp > 0.25 && uwsgi > 0.25, "served: resp " + resp + ", uwsgi " + uwsgi);
       assertTrue(resp < 0.95 && uwsgi < 0.95, "no overload: resp " + resp + ", uwsgi " + uwsgi);
-      assertTrue(Math.max(resp, uwsgi) < 2 * Math.min(resp, uwsgi), "served: resp " + resp + ", uwsgi " + uwsgi);
+      assertTrue(
+          Math.max(resp, uwsgi) < 2 * Math.min(resp, uwsgi),
+          "served: resp " + resp + ", uwsgi " + uwsgi);
 
       Semaphore left = new Semaphore(0);
       long notice = System.nanoTime();
@@ -165,7 +180,9 @@
       assertTrue(left.tryAcquire(STOP_MS, TimeUnit.MILLISECONDS), "it does not leave in time");
       pool.shutdown();
       assertTrue(pool.awaitTermination(10, TimeUnit.SECONDS));
-      all.stream().filter(sent -> !book.answers.containsKey(sent)).forEach(sent -> book.breach("lost", sent));
+      all.stream()
+          .filter(sent -> !book.answers.containsKey(sent))
+          .forEach(sent -> book.breach("lost", sent));
       assertEquals(Map.of(), book.broken);
     } finally {
       pool.shutdownNow();
@@ -200,16 +217,20 @@
   }
 
   private void uwsgi(Sent sent, boolean load, String key) {
-    Map<String, String> vars = new LinkedHashMap<>(load
-        ? UwsgiClient.vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", key)
-        : UwsgiClient.vars("GET", "/cards/x/balance", "till"));
+    Map<String, String> vars =
+        new LinkedHashMap<>(
+            load
+                ? UwsgiClient.vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", key)
+                : UwsgiClient.vars("GET", "/cards/x/balance", "till"));
     vars.put("HTTP_X_DEADLINE_MS", Integer.toString(WAIT_MS));
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       book.asked.merge("uwsgi", 1, Integer::sum);
       socket.getOutputStream().write(UwsgiClient.packet(vars, sent.body));
       UwsgiClient.Reply reply = UwsgiClient.read(socket);
       boolean neverRan = reply.header("X-Progress").equals("never-ran");
-      book.answered(sent, reply.status() == 200 ? "OK" : reply.status() == 503 || neverRan ? "BUSY" : "FAILED",
+      book.answered(
+          sent,
+          reply.status() == 200 ? "OK" : reply.status() == 503 || neverRan ? "BUSY" : "FAILED",
           reply.body());
       if (reply.status() != 200 && reply.status() != 503 && reply.status() != 504) {
         book.breach("answered " + reply.status(), sent);
--- a/src/test/java/rosecleat/node/PlacesTest.java
+++ b/src/test/java/rosecleat/node/PlacesTest.java
@@ -7,11 +7,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class PlacesTest {
-  /** Balancers open connections up to half of the limit; a node with a large share of the index can use it. */
+  /**
+   * Balancers open connections up to half of the limit; a node with a large share of the index can
+   * use it.
+   */
   @ParameterizedTest
-  @CsvSource({"1024, 0.2, 960, 32", "512, 0.91, 448, 32", "1024, 500, 512, 480", "128, 500, 64, 32", "96, 5, 48, 16",
-      "64, 5, 32, 4", "32, 5, 12, 4", "16, 5, 1, 4", "65536, 500, 64504, 1000", "1024, 1e12, 512, 480"})
-  void descriptorsAreSharedOutByLimitsAndSettings(int sockets, double callsOut, int balancers, int index) {
+  @CsvSource({
+    "1024, 0.2, 960, 32",
+    "512, 0.91, 448, 32",
+    "1024, 500, 512, 480",
+    "128, 500, 64, 32",
+    "96, 5, 48, 16",
+    "64, 5, 32, 4",
+    "32, 5, 12, 4",
+    "16, 5, 1, 4",
+    "65536, 500, 64504, 1000",
+    "1024, 1e12, 512, 480"
+  })
+  void descriptorsAreSharedOutByLimitsAndSettings(
+      int sockets, double callsOut, int balancers, int index) {
     assertEquals(new Places(balancers, index), Places.of(sockets, 0, callsOut, false));
   }
 
@@ -19,6 +33,8 @@
   @CsvSource({"1024, 0", "1024, 13", "512, 77", "64, 13"})
   void twoProcessesTogetherKeepToTheLimit(int sockets, int others) {
     Places half = Places.of(sockets, others, 500, true);
-    assertTrue(2 * (half.balancers() + half.index() + others) <= sockets || half.balancers() == 1, half.toString());
+    assertTrue(
+        2 * (half.balancers() + half.index() + others) <= sockets || half.balancers() == 1,
+        half.toString());
   }
 }
--- a/src/test/java/rosecleat/node/ReloadTest.java
+++ b/src/test/java/rosecleat/node/ReloadTest.java
@@ -18,7 +18,8 @@
 
 /** SIGHUP, as a process gets it: the virtual machine that runs this test would end on it. */
 class ReloadTest {
-  @Test void theSignalBringsTheNewFileAndABadOneChangesNothing(@TempDir Path folder) throws Exception {
+  @Test
+  void theSignalBringsTheNewFileAndABadOneChangesNothing(@TempDir Path folder) throws Exception {
     String good = Files.readString(Path.of("deploy/example.json"));
     Path file = Files.writeString(folder.resolve("config.json"), good);
     Map<String, String> env = Map.of("PROXY_CONFIG", file.toString());
@@ -29,16 +30,25 @@
       hangUp();
       reload.tell(taken::add); // the signal that came before is made up for, or comes now
       assertEquals(4400, taken.poll(10, TimeUnit.SECONDS).node().runtime().getPort());
-      for (String bad : List.of("", "{", good.replace("4400", "none"), good.replace("\"example\"", "\"other\""),
-          good.replace("\"runtime\"", "\"ruin\""), good.substring(0, good.length() / 2), good + "}",
-          good.replace("\"deadline-us\": 3400000", "\"deadline-us\": -5"),
-          good.replace("\"deadline-us\": 3400000", "\"deadline-us\": \"3400000\""),
-          good.replace("\"deadline-us\": 3400000", "\"deadline-us\": 0"),
-          good.replace("\"deadline-us\": 3400000", "\"deadline\": 1"),
-          good.replace("\"card-status\"", "\"card-refresh\""), good.replace("\"lingers-us\": 200000,", ""),
-          good.replace("[true, false, true, true]", "[true, false, true]"),
-          good.replace("\"quota-per-s\": 60", "\"quota-per-s\": \"many\""),
-          good.replace("\"cores\": 1.0, ", ""), good.replace("\"memory_mb\": 192", "\"memory_mb\": null"))) {
+      for (String bad :
+          List.of(
+              "",
+              "{",
+              good.replace("4400", "none"),
+              good.replace("\"example\"", "\"other\""),
+              good.replace("\"runtime\"", "\"ruin\""),
+              good.substring(0, good.length() / 2),
+              good + "}",
+              good.replace("\"deadline-us\": 3400000", "\"deadline-us\": -5"),
+              good.replace("\"deadline-us\": 3400000", "\"deadline-us\": \"3400000\""),
+              good.replace("\"deadline-us\": 3400000", "\"deadline-us\": 0"),
+              good.replace("\"deadline-us\": 3400000", "\"deadline\": 1"),
+              good.replace("\"card-status\"", "\"card-refresh\""),
+              good.replace("\"lingers-us\": 200000,", ""),
+              good.replace("[true, false, true, true]", "[true, false, true]"),
+              good.replace("\"quota-per-s\": 60", "\"quota-per-s\": \"many\""),
+              good.replace("\"cores\": 1.0, ", ""),
+              good.replace("\"memory_mb\": 192", "\"memory_mb\": null"))) {
         assertFalse(bad.equals(good));
         Files.writeString(file, bad);
         reload.reload();
--- a/src/test/java/rosecleat/node/Rig.java
+++ b/src/test/java/rosecleat/node/Rig.java
@@ -16,7 +16,8 @@
 
 /** A whole node on loopback between stand-ins: a runtime, a uwsgi backend, and both fronts. */
 final class Rig implements AutoCloseable {
-  private static final String CARDS = """
+  private static final String CARDS =
+      """
       openapi: 3.0.3
       info: {title: cards, version: "1"}
       paths:
@@ -28,13 +29,15 @@
           get: {operationId: getFile, responses: {"200": {description: ok}}}
           put: {operationId: putFile, responses: {"200": {description: ok}}}
       """;
-  private static final String LOADS = """
+  private static final String LOADS =
+      """
       asyncapi: 3.0.0
       info: {title: loads, version: "1"}
       channels: {loads: {address: cards/loads}}
       operations: {receiveLoad: {action: receive, channel: {$ref: '#/channels/loads'}}}
       """;
-  private static final String BROKER = """
+  private static final String BROKER =
+      """
       uwsgi:
         listen: 127.0.0.1:%d
         limits: {packet_bytes: 4096, body_bytes: 1024, reply_bytes: 8000000, replies_bytes: 12000000, read_ms: 700,
@@ -78,7 +81,8 @@
   }
 
   /** A broker's file in a folder, with more sections at its end, read over a node's settings. */
-  static BrokerConfig broker(Path folder, int backend, NodeConfig config, String more) throws IOException {
+  static BrokerConfig broker(Path folder, int backend, NodeConfig config, String more)
+      throws IOException {
     Files.writeString(folder.resolve("cards.yaml"), CARDS);
     Files.writeString(folder.resolve("loads.yaml"), LOADS);
     Files.writeString(folder.resolve("broker.yaml"), BROKER.formatted(0, backend) + more);
@@ -97,13 +101,15 @@
     long end = System.nanoTime() + 10_000_000_000L;
     while (!ask(condition)) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("it did not come to hold: " + ask(core -> core.counters().toString()));
+        throw new AssertionError(
+            "it did not come to hold: " + ask(core -> core.counters().toString()));
       }
       Thread.yield();
     }
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     node.close();
     runtime.close();
     backend.close();
--- a/src/test/java/rosecleat/node/ServingTest.java
+++ b/src/test/java/rosecleat/node/ServingTest.java
@@ -13,31 +13,39 @@
 
 /** The notice to leave against the making of the node. */
 class ServingTest {
-  /** Guards callers whom a starting node has accepted: the notice finds the node that listens, and lets it leave. */
-  @Test void aNoticeThatComesWhileTheNodeIsMadeWaitsForIt() throws Exception {
+  /**
+   * Guards callers whom a starting node has accepted: the notice finds the node that listens, and
+   * lets it leave.
+   */
+  @Test
+  void aNoticeThatComesWhileTheNodeIsMadeWaitsForIt() throws Exception {
     try (Log log = new Log(System.err);
         Node node = new Node(TestSite.config(0, 0, 0, 2_000, 500), null, log)) {
       Serving serving = new Serving(log);
       CountDownLatch making = new CountDownLatch(1);
       CountDownLatch made = new CountDownLatch(1);
-      Thread maker = new Thread(() -> {
-        try {
-          serving.stand(() -> {
-            making.countDown();
-            await(made);
-            return node;
-          });
-        } catch (java.io.IOException e) {
-          throw new java.io.UncheckedIOException(e);
-        }
-      });
+      Thread maker =
+          new Thread(
+              () -> {
+                try {
+                  serving.stand(
+                      () -> {
+                        making.countDown();
+                        await(made);
+                        return node;
+                      });
+                } catch (java.io.IOException e) {
+                  throw new java.io.UncheckedIOException(e);
+                }
+              });
       maker.start();
       await(making);
       CompletableFuture<Node> leaves = new CompletableFuture<>();
       Thread notice = new Thread(() -> leaves.complete(serving.told()));
       notice.start();
       while (notice.getState() != Thread.State.BLOCKED) {
-        assertEquals(false, leaves.isDone(), "the notice found nothing while a node was about to listen");
+        assertEquals(
+            false, leaves.isDone(), "the notice found nothing while a node was about to listen");
         Thread.yield();
       }
       made.countDown();
@@ -45,13 +53,16 @@
     }
   }
 
-  @Test void noNodeIsMadeBehindTheNotice() throws Exception {
+  @Test
+  void noNodeIsMadeBehindTheNotice() throws Exception {
     try (Log log = new Log(System.err)) {
       Serving serving = new Serving(log);
       assertNull(serving.told());
-      assertNull(serving.stand(() -> {
-        throw new AssertionError("it would listen and be killed under its callers");
-      }));
+      assertNull(
+          serving.stand(
+              () -> {
+                throw new AssertionError("it would listen and be killed under its callers");
+              }));
     }
   }
 
--- a/src/test/java/rosecleat/node/SizesTest.java
+++ b/src/test/java/rosecleat/node/SizesTest.java
@@ -18,13 +18,26 @@
 import rosecleat.standin.StandInRuntime;
 import rosecleat.standin.TestSite;
 
-/** Other deployments than the one at hand: each starts, serves every class of its first and last tenant, and ends. */
+/**
+ * Other deployments than the one at hand: each starts, serves every class of its first and last
+ * tenant, and ends.
+ */
 class SizesTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private static NodeConfig config(int runtime, int index, int classes, int tenants, int servers, int callers,
-      double callsOut, int sockets) throws Exception {
-    ObjectNode root = (ObjectNode) JSON.readTree(TestSite.config(runtime, index, 0, 2_000, 500).file().toString());
+  private static NodeConfig config(
+      int runtime,
+      int index,
+      int classes,
+      int tenants,
+      int servers,
+      int callers,
+      double callsOut,
+      int sockets)
+      throws Exception {
+    ObjectNode root =
+        (ObjectNode)
+            JSON.readTree(TestSite.config(runtime, index, 0, 2_000, 500).file().toString());
     ((ObjectNode) root.path("limits")).put("sockets", sockets);
     ObjectNode settings = (ObjectNode) root.path("settings");
     settings.put("servers", servers).remove("zones");
@@ -34,8 +47,14 @@
     ArrayNode calls = extra.putArray("class-calls");
     ArrayNode without = extra.putArray("worth-without");
     for (int i = 0; i < classes; i++) {
-      grades.addObject().put("name", name(i)).put("credit", 1).put("deadline-us", 3_000_000)
-          .put("effect", i % 2 == 1 ? "token" : "pure").put("promise-us", 2_000_000).put("window-us", 4_000_000);
+      grades
+          .addObject()
+          .put("name", name(i))
+          .put("credit", 1)
+          .put("deadline-us", 3_000_000)
+          .put("effect", i % 2 == 1 ? "token" : "pure")
+          .put("promise-us", 2_000_000)
+          .put("window-us", 4_000_000);
       calls.add(i == 0);
       without.add(0);
     }
@@ -47,17 +66,29 @@
   }
 
   private static String name(int klass) {
-    return klass == 0 ? "card-refresh" : "class-" + klass; // the stand-in's runs of this name call below
+    return klass == 0
+        ? "card-refresh"
+        : "class-" + klass; // the stand-in's runs of this name call below
   }
 
   @ParameterizedTest
-  @CsvSource({"1, 1, 1, 1, 0.2, 1024", "1100, 1500, 2000, 5000, 0.2, 1024", "40, 2, 300, 50, 500, 4096",
-      "4, 5, 93, 46, 0.91, 512", "2, 1, 120, 1, 0.2, 64", "3, 1500, 1, 1, 500, 32"})
-  void startsAndServes(int classes, int tenants, int servers, int callers, double callsOut, int sockets)
+  @CsvSource({
+    "1, 1, 1, 1, 0.2, 1024",
+    "1100, 1500, 2000, 5000, 0.2, 1024",
+    "40, 2, 300, 50, 500, 4096",
+    "4, 5, 93, 46, 0.91, 512",
+    "2, 1, 120, 1, 0.2, 64",
+    "3, 1500, 1, 1, 500, 32"
+  })
+  void startsAndServes(
+      int classes, int tenants, int servers, int callers, double callsOut, int sockets)
       throws Exception {
-    try (Log log = new Log(System.err); StandInIndex index = new StandInIndex();
+    try (Log log = new Log(System.err);
+        StandInIndex index = new StandInIndex();
         StandInRuntime runtime = new StandInRuntime(1)) {
-      NodeConfig config = config(runtime.port(), index.port(), classes, tenants, servers, callers, callsOut, sockets);
+      NodeConfig config =
+          config(
+              runtime.port(), index.port(), classes, tenants, servers, callers, callsOut, sockets);
       assertTrue(Warmup.play(config) > 0);
       try (Node node = new Node(config, null, log)) {
         node.start();
@@ -75,8 +106,16 @@
             for (int c = 0; c < classes; c += Math.max(1, classes / 20)) {
               tag++;
               String once = c % 2 == 1 ? ",once=" + "%032x".formatted(tag) : "";
-              client.send(RespClient.array("DO", String.valueOf(tag), name(c), "id=%016x,at=%d,from=%d,tenant=%s,"
-                  .formatted(tag, System.currentTimeMillis(), callers, tenant) + "wait=2900,kb=2,rank=0.5" + once, "b"));
+              client.send(
+                  RespClient.array(
+                      "DO",
+                      String.valueOf(tag),
+                      name(c),
+                      "id=%016x,at=%d,from=%d,tenant=%s,"
+                              .formatted(tag, System.currentTimeMillis(), callers, tenant)
+                          + "wait=2900,kb=2,rank=0.5"
+                          + once,
+                      "b"));
               List<String> answer = client.answer();
               assertEquals("OK", answer.get(1), "class " + c + " of " + tenant + ": " + answer);
             }
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -27,7 +27,10 @@
 import rosecleat.standin.StandInRuntime;
 import rosecleat.standin.TestSite;
 
-/** A new version beside a running one: two nodes that share a folder and an address, as two processes would. */
+/**
+ * A new version beside a running one: two nodes that share a folder and an address, as two
+ * processes would.
+ */
 class UpgradeTest {
   private final StandInRuntime oldRuntime = new StandInRuntime(300);
   private final StandInRuntime newRuntime = new StandInRuntime(300);
@@ -41,16 +44,28 @@
   @TempDir Path folder;
 
   private Node node(StandInRuntime runtime, int port) throws IOException {
-    String file = TestSite.config(runtime.port(), 0, roster.port(), 2_000, 500).file().toString()
-        .replace("127.0.0.1:0", "127.0.0.1:" + port);
+    String file =
+        TestSite.config(runtime.port(), 0, roster.port(), 2_000, 500)
+            .file()
+            .toString()
+            .replace("127.0.0.1:0", "127.0.0.1:" + port);
     Counters counters = new Counters();
-    Node node = new Node(NodeConfig.parse(file, Map.of()), null, new EventLoop(log),
-        new Handover(folder, counters, log), counters, null, null, log);
+    Node node =
+        new Node(
+            NodeConfig.parse(file, Map.of()),
+            null,
+            new EventLoop(log),
+            new Handover(folder, counters, log),
+            counters,
+            null,
+            null,
+            log);
     node.start();
     return node;
   }
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     older = node(oldRuntime, 0);
     await(() -> ask(older, Core::ready));
     client = new RespClient(older.port(), null);
@@ -65,7 +80,8 @@
     await(() -> ask(older, core -> core.counters().get("shares.two")) == 1);
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     client.close();
     older.close();
     if (newer != null) {
@@ -95,12 +111,21 @@
     }
   }
 
-  private void send(RespClient to, int tag, String klass, String once, String body) throws IOException {
-    to.send(RespClient.array("DO", tag, klass, RespClient.fields(String.format("%016x", ++ids), "small", 1_100, once),
-        body));
+  private void send(RespClient to, int tag, String klass, String once, String body)
+      throws IOException {
+    to.send(
+        RespClient.array(
+            "DO",
+            tag,
+            klass,
+            RespClient.fields(String.format("%016x", ++ids), "small", 1_100, once),
+            body));
   }
 
-  /** Connects until the connection leads to the wanted one: the system spreads them while both listen. */
+  /**
+   * Connects until the connection leads to the wanted one: the system spreads them while both
+   * listen.
+   */
   private RespClient clientOf(Node wanted) throws IOException {
     for (int i = 0; i < 100; i++) {
       int before = on(wanted, () -> (int) wanted.core().counters().get("resp.checks"));
@@ -115,7 +140,8 @@
     throw new AssertionError("no connection led there");
   }
 
-  @Test void whatTheOldOneHoldsIsServedAndWhatComesLaterComesToTheNewOne() throws Exception {
+  @Test
+  void whatTheOldOneHoldsIsServedAndWhatComesLaterComesToTheNewOne() throws Exception {
     startNewer();
     send(client, 1, "balance-check", null, "held");
     await(() -> oldRuntime.startsOf("held") == 1);
@@ -134,18 +160,24 @@
     left.get(3, TimeUnit.SECONDS);
     older.close();
     await(() -> ask(newer, core -> core.counters().get("shares.one")) == 1);
-    assertTrue(roster.reports.stream().noneMatch(r -> r.contains("off")), roster.reports.toString());
+    assertTrue(
+        roster.reports.stream().noneMatch(r -> r.contains("off")), roster.reports.toString());
     client = new RespClient(newer.port(), null);
-    newer.leave(() -> { }); // nobody takes over from this one: its notice to drain
+    newer.leave(() -> {}); // nobody takes over from this one: its notice to drain
     await(() -> roster.reports.get(roster.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 2, ""));
-    assertEquals("DOWN", client.answer().get(1)); // on a busy machine the wish to close may come first
+    assertEquals(
+        "DOWN", client.answer().get(1)); // on a busy machine the wish to close may come first
   }
 
-  /** Guards keyed requests, whose tries reach either process: one runs, the others get its bytes. */
-  @Test void aKeyRunsInOneProcessAlone() throws Exception {
+  /**
+   * Guards keyed requests, whose tries reach either process: one runs, the others get its bytes.
+   */
+  @Test
+  void aKeyRunsInOneProcessAlone() throws Exception {
     startNewer();
-    try (RespClient a = clientOf(older); RespClient b = clientOf(newer)) {
+    try (RespClient a = clientOf(older);
+        RespClient b = clientOf(newer)) {
       send(a, 2, "card-load", "k", "body");
       await(() -> oldRuntime.startsOf("body") == 1);
       send(b, 2, "card-load", "k", "body"); // while it runs
@@ -171,11 +203,16 @@
     assertEquals(0, ask(newer, Core::inHand));
   }
 
-  /** Guards the shared index: two modules, each by its own count, would make twice the calls that the node may. */
-  @Test void bothTogetherKeepToTheLimitsOfOne() throws Exception {
+  /**
+   * Guards the shared index: two modules, each by its own count, would make twice the calls that
+   * the node may.
+   */
+  @Test
+  void bothTogetherKeepToTheLimitsOfOne() throws Exception {
     startNewer();
     PolicyApi.Settings whole = TestSite.config(0, 0, 0, 2_000, 500).start().settings();
-    try (RespClient a = clientOf(older); RespClient b = clientOf(newer)) {
+    try (RespClient a = clientOf(older);
+        RespClient b = clientOf(newer)) {
       for (int tag = 2; tag < 26; tag++) {
         send(a, tag, "balance-check", null, "x");
         send(b, tag, "balance-check", null, "x");
@@ -190,11 +227,15 @@
     await(() -> on(newer, newer::limits).memoryKb() == whole.memoryKb());
   }
 
-  /** Guards clients of a node whose new process dies before it serves: the old one must drain as if it were alone. */
-  @Test void whenTheNewOneIsGoneTheOldOneDrains() throws Exception {
+  /**
+   * Guards clients of a node whose new process dies before it serves: the old one must drain as if
+   * it were alone.
+   */
+  @Test
+  void whenTheNewOneIsGoneTheOldOneDrains() throws Exception {
     newRuntime.readyAfterMs = 60_000;
     newer = node(newRuntime, older.port());
-    older.leave(() -> { });
+    older.leave(() -> {});
     client.send(RespClient.array("PING", 1, ""));
     assertEquals("UP", client.read().get(1));
     newer.close();
@@ -202,10 +243,12 @@
     assertEquals(List.of(), newRuntime.starts);
   }
 
-  @Test void whatOperatorsSayIsKnownToBoth() throws Exception {
+  @Test
+  void whatOperatorsSayIsKnownToBoth() throws Exception {
     startNewer();
     Counters counters = new Counters();
-    try (RespClient a = clientOf(older); RespClient b = clientOf(newer);
+    try (RespClient a = clientOf(older);
+        RespClient b = clientOf(newer);
         Handover told = new Handover(folder, counters, log)) {
       told.drain(true);
       for (RespClient each : List.of(a, b)) {
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -34,11 +34,13 @@
   @TempDir Path folder;
   private Rig rig;
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     rig = new Rig(20, 3_000, 1_500, folder);
   }
 
-  @AfterEach void stop() {
+  @AfterEach
+  void stop() {
     rig.close();
   }
 
@@ -47,41 +49,55 @@
   }
 
   private Reply load(String key, String body) throws IOException {
-    return exchange(rig.uwsgiPort, packet(vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", key), body));
+    return exchange(
+        rig.uwsgiPort,
+        packet(vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", key), body));
   }
 
   private Reply put(String key) throws IOException {
-    return exchange(rig.uwsgiPort, packet(vars("PUT", "/files/a", "till", "HTTP_IDEMPOTENCY_KEY", key), "new"));
+    return exchange(
+        rig.uwsgiPort, packet(vars("PUT", "/files/a", "till", "HTTP_IDEMPOTENCY_KEY", key), "new"));
   }
 
-  @Test void aReadIsServedWithItsParametersAndDescribedType() throws IOException {
+  @Test
+  void aReadIsServedWithItsParametersAndDescribedType() throws IOException {
     Reply reply = get("/cards/77/balance", "QUERY_STRING", "unit=cent%73&card=1");
     assertEquals(200, reply.status());
     assertEquals(StandInRuntime.result("{\"unit\":\"cents\",\"card\":\"77\"}"), reply.body());
     assertEquals("text/plain", reply.header("Content-Type"));
   }
 
-  /** Guards contracts against reloads: their classes and tenants go by other numbers in a file with other names. */
-  @Test void contractsGoOnUnderNewSettings() throws IOException {
+  /**
+   * Guards contracts against reloads: their classes and tenants go by other numbers in a file with
+   * other names.
+   */
+  @Test
+  void contractsGoOnUnderNewSettings() throws IOException {
     assertEquals(200, get("/files/a").status());
-    String file = TestSite.config(rig.runtime.port(), 0, 0, 3_000, 1_500).file().toString()
-        .replace("card-refresh", "card-status")
-        .replace("{\"name\":\"big\"", "{\"name\":\"new\",\"quota-per-s\":5},{\"name\":\"big\"");
+    String file =
+        TestSite.config(rig.runtime.port(), 0, 0, 3_000, 1_500)
+            .file()
+            .toString()
+            .replace("card-refresh", "card-status")
+            .replace("{\"name\":\"big\"", "{\"name\":\"new\",\"quota-per-s\":5},{\"name\":\"big\"");
     NodeConfig fresh = NodeConfig.parse(file, Map.of());
     assertEquals(3, fresh.start().tenants().size());
-    rig.node.reload(new Setup(fresh, BrokerConfig.read(folder.resolve("broker.yaml"), fresh.start())));
+    rig.node.reload(
+        new Setup(fresh, BrokerConfig.read(folder.resolve("broker.yaml"), fresh.start())));
     assertEquals(200, get("/cards/77/balance").status());
     assertEquals(200, get("/files/a").status());
     assertEquals(200, load("after", "x").status());
     assertEquals(1L, (long) rig.ask(core -> core.counters().get("reloads")));
   }
 
-  @Test void anyCutOfTheBytesIsTheSameRequest() throws Exception {
-    byte[] bytes = packet(vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", "cut"), "amount=5");
+  @Test
+  void anyCutOfTheBytesIsTheSameRequest() throws Exception {
+    byte[] bytes =
+        packet(vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", "cut"), "amount=5");
     Random random = new Random(11);
     for (int round = 0; round < 8; round++) {
       try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
-        for (int at = 0; at < bytes.length;) {
+        for (int at = 0; at < bytes.length; ) {
           int end = Math.min(bytes.length, at + 1 + random.nextInt(round == 0 ? 1 : 60));
           socket.getOutputStream().write(bytes, at, end - at);
           at = end;
@@ -93,14 +109,18 @@
     assertEquals(1, rig.runtime.startsOf("amount=5"));
   }
 
-  @Test void whatTheCallerGotWrongIsNamed() throws IOException {
+  @Test
+  void whatTheCallerGotWrongIsNamed() throws IOException {
     assertEquals(404, get("/cards/77").status());
     assertEquals(404, get("/elsewhere/1/balance").status());
     Reply method = exchange(rig.uwsgiPort, packet(vars("DELETE", "/files/a", "till"), ""));
     assertEquals(405, method.status());
     assertEquals("GET, HEAD, OPTIONS, PUT", method.header("Allow"));
-    assertEquals(403, exchange(rig.uwsgiPort, packet(vars("GET", "/cards/7/balance", "nobody"), "")).status());
-    assertEquals(400, exchange(rig.uwsgiPort, packet(vars("POST", "/cards/loads", "till"), "x")).status());
+    assertEquals(
+        403,
+        exchange(rig.uwsgiPort, packet(vars("GET", "/cards/7/balance", "nobody"), "")).status());
+    assertEquals(
+        400, exchange(rig.uwsgiPort, packet(vars("POST", "/cards/loads", "till"), "x")).status());
     assertEquals(400, load("spaces are none", "x").status());
     assertEquals(400, get("/cards/7/balance", "HTTP_X_DEADLINE_MS", "soon").status());
     assertEquals(400, get("/cards/7/balance", "QUERY_STRING", "a=%zz").status());
@@ -117,14 +137,16 @@
     assertEquals(0, rig.runtime.starts.size());
   }
 
-  @Test void aPingIsAnswered() throws IOException {
+  @Test
+  void aPingIsAnswered() throws IOException {
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(new byte[] {100, 0, 0, 0});
       assertTrue(Arrays.equals(new byte[] {100, 0, 0, 1}, socket.getInputStream().readAllBytes()));
     }
   }
 
-  @Test void whatIsNotDoneInTimeIsAGatewayTimeout() throws IOException {
+  @Test
+  void whatIsNotDoneInTimeIsAGatewayTimeout() throws IOException {
     rig.backend.mood = Mood.SLOW;
     long start = System.nanoTime();
     Reply reply = get("/files/a", "HTTP_X_DEADLINE_MS", "300");
@@ -134,16 +156,18 @@
     rig.await(core -> rig.backend.closedOnUs.get() == 1); // its run was stopped
   }
 
-  @Test void theContractsDeadlineHoldsWhereTheCallerNamesNone() throws IOException {
+  @Test
+  void theContractsDeadlineHoldsWhereTheCallerNamesNone() throws IOException {
     rig.backend.mood = Mood.SLOW;
     long start = System.nanoTime();
     assertEquals(504, get("/files/a").status());
     assertTrue(System.nanoTime() - start < 2_000_000_000L, "it came late");
   }
 
-  @Test void whatIsTurnedAwayIsToldWhenToComeBack() throws Exception {
+  @Test
+  void whatIsTurnedAwayIsToldWhenToComeBack() throws Exception {
     byte[] bytes = packet(vars("GET", "/cards/late/balance", "till"), "");
-    rig.node.leave(() -> { });
+    rig.node.leave(() -> {});
     assertEquals(200, get("/cards/2/balance").status(), "within the grace work is still done");
     rig.await(core -> core.draining());
     Thread.sleep(1_200);
@@ -162,18 +186,21 @@
     assertEquals(1, rig.runtime.starts.size());
   }
 
-  @Test void aBackendThatIsNotThereProvesThatNothingRan() throws IOException {
+  @Test
+  void aBackendThatIsNotThereProvesThatNothingRan() throws IOException {
     int before = rig.backend.requests.get();
     rig.backend.close();
     Reply reply = put("k1");
     assertEquals(502, reply.status());
     assertEquals("never-ran", reply.header("X-Progress"));
-    assertEquals(502, put("k1").status()); // so the key may run: it is tried again, not held for done
+    assertEquals(
+        502, put("k1").status()); // so the key may run: it is tried again, not held for done
     assertEquals(2L, rig.ask(core -> core.counters().get("backend.unreached")).longValue());
     assertEquals(before, rig.backend.requests.get());
   }
 
-  @Test void aBreakAfterTheRequestWasSentProvesNothing() throws IOException {
+  @Test
+  void aBreakAfterTheRequestWasSentProvesNothing() throws IOException {
     rig.backend.mood = Mood.BREAKS;
     Reply reply = put("k2");
     assertEquals(502, reply.status());
@@ -184,15 +211,32 @@
     assertEquals(200, put("k3").status());
   }
 
-  @Test void aServicesOwnAnswerReachesTheCallerUnchanged() throws IOException {
-    rig.backend.script = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 404 Nope\r\nContent-Type: application/json\r\n"
-        + "Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nConnection: X-Own, close\r\nX-Own: dropped\r\nKeep-Alive: 5\r\n"
-        + "ETag: \"7\"\r\nContent-Length: 5\r\n\r\n{\"a\"}";
+  @Test
+  void aServicesOwnAnswerReachesTheCallerUnchanged() throws IOException {
+    rig.backend.script =
+        "HTTP/1.1 100 Continue\r\n\r\n"
+            + "HTTP/1.1 404 Nope\r\n"
+            + "Content-Type: application/json\r\n"
+            + "Set-Cookie: a=1\r\n"
+            + "Set-Cookie: b=2\r\n"
+            + "Connection: X-Own, close\r\n"
+            + "X-Own: dropped\r\n"
+            + "Keep-Alive: 5\r\n"
+            + "ETag: \"7\"\r\n"
+            + "Content-Length: 5\r\n\r\n"
+            + "{\"a\"}";
     Reply reply = get("/files/a");
     assertEquals(404, reply.status());
     assertEquals("{\"a\"}", reply.body());
-    assertEquals("HTTP/1.1 404 Not Found\r\nContent-Type: application/json\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n"
-        + "ETag: \"7\"\r\nContent-Length: 5\r\nConnection: close", reply.head());
+    assertEquals(
+        "HTTP/1.1 404 Not Found\r\n"
+            + "Content-Type: application/json\r\n"
+            + "Set-Cookie: a=1\r\n"
+            + "Set-Cookie: b=2\r\n"
+            + "ETag: \"7\"\r\n"
+            + "Content-Length: 5\r\n"
+            + "Connection: close",
+        reply.head());
     rig.backend.script = "HTTP/1.1 500 Oops\r\n\r\nwhy";
     assertEquals(500, get("/files/a").status());
     rig.backend.script = "HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n";
@@ -201,7 +245,8 @@
     assertEquals("", empty.header("Content-Length"));
   }
 
-  @Test void whatIsKeptForAKeyIsTheWholeAnswer() throws IOException {
+  @Test
+  void whatIsKeptForAKeyIsTheWholeAnswer() throws IOException {
     rig.backend.script = "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
     Reply first = put("k7");
     assertEquals(409, first.status());
@@ -210,10 +255,15 @@
     assertEquals(1, rig.backend.requests.get());
   }
 
-  @Test void anAnswerThatCouldForgeAnotherIsABadGateway() throws IOException {
-    for (String bad : List.of("HTTP/1.1 200 OK\r\nX-A: b\rSet-Cookie: c\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nX A: b\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 101 Switching\r\n\r\n",
-        "HTTP/1.1 204 No Content\r\n\r\nbody", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nlong")) {
+  @Test
+  void anAnswerThatCouldForgeAnotherIsABadGateway() throws IOException {
+    for (String bad :
+        List.of(
+            "HTTP/1.1 200 OK\r\nX-A: b\rSet-Cookie: c\r\nContent-Length: 0\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nX A: b\r\nContent-Length: 0\r\n\r\n",
+            "HTTP/1.1 101 Switching\r\n\r\n",
+            "HTTP/1.1 204 No Content\r\n\r\nbody",
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nlong")) {
       rig.backend.script = bad;
       Reply reply = get("/files/a");
       assertEquals(502, reply.status(), bad);
@@ -221,30 +271,46 @@
     }
   }
 
-  @Test void headIsAnsweredLikeGetAndOptionsByTheBroker() throws IOException {
-    Reply head = UwsgiClient.exchange(rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("HEAD", "/files/a", "till"), ""));
+  @Test
+  void headIsAnsweredLikeGetAndOptionsByTheBroker() throws IOException {
+    Reply head =
+        UwsgiClient.exchange(
+            rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("HEAD", "/files/a", "till"), ""));
     assertEquals(200, head.status());
     assertEquals("10", head.header("Content-Length"));
     assertEquals("", head.body());
-    assertTrue(rig.backend.lastPacket.contains("GET"), "a service is asked by the method it describes");
+    assertTrue(
+        rig.backend.lastPacket.contains("GET"), "a service is asked by the method it describes");
     int before = rig.backend.requests.get();
-    Reply options = UwsgiClient.exchange(rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/files/a", ""), ""));
+    Reply options =
+        UwsgiClient.exchange(
+            rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/files/a", ""), ""));
     assertEquals(204, options.status());
     assertEquals("GET, HEAD, OPTIONS, PUT", options.header("Allow"));
-    assertEquals(404, UwsgiClient.exchange(rig.uwsgiPort,
-        UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/nowhere", ""), "")).status());
+    assertEquals(
+        404,
+        UwsgiClient.exchange(
+                rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/nowhere", ""), ""))
+            .status());
     assertEquals(before, rig.backend.requests.get());
   }
 
-  @Test void aBackendIsAskedInItsOwnProtocol() throws IOException {
+  @Test
+  void aBackendIsAskedInItsOwnProtocol() throws IOException {
     assertEquals("x".repeat(10), get("/files/a", "HTTP_X_OTHER", "kept").body());
-    for (String var : List.of("REQUEST_METHOD", "PATH_INFO", "HTTP_X_OTHER", "HTTP_X_DEADLINE_MS",
-        "HTTP_X_REQUEST_ID")) {
+    for (String var :
+        List.of(
+            "REQUEST_METHOD",
+            "PATH_INFO",
+            "HTTP_X_OTHER",
+            "HTTP_X_DEADLINE_MS",
+            "HTTP_X_REQUEST_ID")) {
       assertTrue(rig.backend.lastPacket.contains(var), var);
     }
   }
 
-  @Test void aBrokerNeedsNoRuntime() throws IOException {
+  @Test
+  void aBrokerNeedsNoRuntime() throws IOException {
     rig.close();
     rig = new Rig(20, 3_000, 1_500, folder, false);
     for (int i = 0; i < 30; i++) {
@@ -257,16 +323,22 @@
     assertEquals(0, rig.runtime.commands.size());
   }
 
-  @Test void aCallerThatClosesHasGone() throws IOException {
+  @Test
+  void aCallerThatClosesHasGone() throws IOException {
     rig.backend.mood = Mood.SLOW;
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
       rig.await(core -> rig.backend.requests.get() == 1);
     }
-    rig.await(core -> rig.backend.closedOnUs.get() == 1 && core.counters().get("gone") == 1 && core.inHand() == 0);
+    rig.await(
+        core ->
+            rig.backend.closedOnUs.get() == 1
+                && core.counters().get("gone") == 1
+                && core.inHand() == 0);
   }
 
-  @Test void aCallerThatNeverFinishesIsCutOff() throws IOException {
+  @Test
+  void aCallerThatNeverFinishesIsCutOff() throws IOException {
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/cards/1/balance", "till"), ""), 0, 9);
       assertEquals(-1, socket.getInputStream().read());
@@ -274,14 +346,17 @@
     rig.await(core -> core.counters().get("uwsgi.slow") == 1);
   }
 
-  @Test void aCallerThatTricklesIsCutOffToo() throws Exception {
+  @Test
+  void aCallerThatTricklesIsCutOffToo() throws Exception {
     rig.backend.bytes = 6_000_000;
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
       long start = System.nanoTime();
       long taken = 0;
       try {
-        for (int got = 0; got >= 0; taken += got) { // always some progress, but 6 MB would take over 6 s
+        for (int got = 0;
+            got >= 0;
+            taken += got) { // always some progress, but 6 MB would take over 6 s
           Thread.sleep(50);
           got = socket.getInputStream().read(new byte[50_000]);
         }
@@ -294,15 +369,26 @@
     rig.await(core -> rig.node.uwsgi().open() == 0 && rig.node.uwsgi().replying() == 0);
   }
 
-  @Test void oneLoadRunsOnceAcrossBothFronts() throws IOException {
+  @Test
+  void oneLoadRunsOnceAcrossBothFronts() throws IOException {
     String key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     assertEquals(StandInRuntime.result("load 5"), load(key, "load 5").body());
     try (RespClient resp = new RespClient(rig.node.port(), null)) {
-      resp.send(RespClient.array("DO", 1, "card-load", RespClient.fields("00000000000000a1", "small", 900, key),
-          "load 5"));
+      resp.send(
+          RespClient.array(
+              "DO",
+              1,
+              "card-load",
+              RespClient.fields("00000000000000a1", "small", 900, key),
+              "load 5"));
       assertEquals(StandInRuntime.result("load 5"), resp.answer().get(3));
-      resp.send(RespClient.array("DO", 2, "card-load", RespClient.fields("00000000000000a2", "small", 900, "other"),
-          "load 6"));
+      resp.send(
+          RespClient.array(
+              "DO",
+              2,
+              "card-load",
+              RespClient.fields("00000000000000a2", "small", 900, "other"),
+              "load 6"));
       assertEquals("OK", resp.answer().get(1));
     }
     assertEquals(StandInRuntime.result("load 6"), load("other", "load 6").body());
@@ -312,16 +398,25 @@
     assertEquals(0, rig.runtime.startsOf("load 7"));
   }
 
-  /** The hard case: a large reply half read, while the other front goes on; in bounded memory, closed in time. */
-  @Test void aCallerThatStopsReadingHarmsNobody() throws Exception {
+  /**
+   * The hard case: a large reply half read, while the other front goes on; in bounded memory,
+   * closed in time.
+   */
+  @Test
+  void aCallerThatStopsReadingHarmsNobody() throws Exception {
     rig.backend.bytes = 6_000_000;
     Map<Integer, Socket> stuck = new HashMap<>();
-    for (int i = 0; i < 4; i++) { // two fit into the bound on replies, the others are told there is no room
+    for (int i = 0;
+        i < 4;
+        i++) { // two fit into the bound on replies, the others are told there is no room
       Socket socket = UwsgiClient.open(rig.uwsgiPort);
       socket.getOutputStream().write(packet(vars("GET", "/files/" + i, "till"), ""));
       stuck.put(i, socket);
       int want = i + 1;
-      rig.await(core -> core.counters().get("uwsgi.status.200") + core.counters().get("uwsgi.noroom") == want);
+      rig.await(
+          core ->
+              core.counters().get("uwsgi.status.200") + core.counters().get("uwsgi.noroom")
+                  == want);
     }
     assertEquals(2L, rig.ask(core -> core.counters().get("uwsgi.noroom")).longValue());
     assertTrue(rig.ask(core -> rig.node.uwsgi().replying()) <= 12_000_000);
@@ -329,8 +424,13 @@
     long start = System.nanoTime();
     try (RespClient resp = new RespClient(rig.node.port(), null)) {
       for (int tag = 1; tag <= 40; tag++) {
-        resp.send(RespClient.array("DO", tag, "balance-check",
-            RespClient.fields(String.format("%016x", tag), "small", 900, null), "b" + tag));
+        resp.send(
+            RespClient.array(
+                "DO",
+                tag,
+                "balance-check",
+                RespClient.fields(String.format("%016x", tag), "small", 900, null),
+                "b" + tag));
         assertEquals(StandInRuntime.result("b" + tag), resp.answer().get(3));
       }
     }
--- a/src/test/java/rosecleat/node/WarmupTest.java
+++ b/src/test/java/rosecleat/node/WarmupTest.java
@@ -7,7 +7,8 @@
 
 /** The lives played before a node listens are whole ones: read, run, called for and served. */
 class WarmupTest {
-  @Test void madeUpRequestsAreServed() {
+  @Test
+  void madeUpRequestsAreServed() {
     long served = Warmup.play(TestSite.config(1, 0, 0, 2_000, 500));
     assertTrue(served > 100, "served " + served);
   }
--- a/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
+++ b/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
@@ -44,58 +44,106 @@
       policy.ended(ended, id, Outcome.OK, ended - started);
     }
 
-    @Override public void run(long id) {
+    @Override
+    public void run(long id) {
       toRun.add(id);
     }
 
-    @Override public void refuse(long id, long holdOffUs, boolean last) {
+    @Override
+    public void refuse(long id, long holdOffUs, boolean last) {
       answers.add("turned away " + id);
       work.remove(id);
     }
 
-    @Override public void fail(long id) {
+    @Override
+    public void fail(long id) {
       answers.add("failed " + id);
     }
 
-    @Override public void wake(long inUs, long tag) {
+    @Override
+    public void wake(long inUs, long tag) {
       wakeInUs = inUs; // the host calls policy.woken(now, tag, gauges) then
     }
 
-    @Override public void halt(long id) { }
+    @Override
+    public void halt(long id) {}
 
-    @Override public void call(long id, long untilUs) { }
+    @Override
+    public void call(long id, long untilUs) {}
 
-    @Override public void skipCall(long id) { }
+    @Override
+    public void skipCall(long id) {}
 
-    @Override public void keep(long id, long forUs) { }
+    @Override
+    public void keep(long id, long forUs) {}
 
-    @Override public void forget(long id) { }
+    @Override
+    public void forget(long id) {}
 
-    @Override public void reuse(long id) { }
+    @Override
+    public void reuse(long id) {}
 
-    @Override public void health(boolean good, boolean fromStore) { }
+    @Override
+    public void health(boolean good, boolean fromStore) {}
 
-    @Override public void say(double value) { }
+    @Override
+    public void say(double value) {}
 
-    @Override public void idle(long us) { }
+    @Override
+    public void idle(long us) {}
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
       System.err.println(line);
     }
   }
 
   static Settings settings() {
     Klass page = new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, false, 0);
-    return new Settings(4, 10, 3, false, 1, 0, 2_000_000, 8, 0, 6, 2_000_000, 2_000_000, 60_000, true, true,
-        false, false, 1, Halt.OFF, Say.OFF, 0, 0, false, false, 0, 0, Below.OFF, 0, 0, 0, 1_000,
-        List.of(page), List.of());
+    return new Settings(
+        4,
+        10,
+        3,
+        false,
+        1,
+        0,
+        2_000_000,
+        8,
+        0,
+        6,
+        2_000_000,
+        2_000_000,
+        60_000,
+        true,
+        true,
+        false,
+        false,
+        1,
+        Halt.OFF,
+        Say.OFF,
+        0,
+        0,
+        false,
+        false,
+        0,
+        0,
+        Below.OFF,
+        0,
+        0,
+        0,
+        1_000,
+        List.of(page),
+        List.of());
   }
+
   // README example ends
 
-  @Test void theExampleServesARequest() {
+  @Test
+  void theExampleServesARequest() {
     Server server = new Server(settings(), 42);
     server.policy.begin(0);
-    server.receive(1_000, new Request(1, 0, 0, 0, 3_000_000, 0, 16, 0, false, false, 1, 500, 0), () -> { });
+    server.receive(
+        1_000, new Request(1, 0, 0, 0, 3_000_000, 0, 16, 0, false, false, 1, 500, 0), () -> {});
     server.runNext(1_000, 41_000);
     assertEquals(List.of("served 1"), server.answers);
     assertEquals(20_000, server.wakeInUs);
--- a/src/test/java/rosecleat/policy/FleetRamp.java
+++ b/src/test/java/rosecleat/policy/FleetRamp.java
@@ -13,14 +13,20 @@
 import rosecleat.policy.PolicyApi.Say;
 
 /**
- * A fleet of modules that hear nothing of each other, and what they send together: to a dependency below that was away and
- * comes back cold, and as callers to one cold card node. {@code main} prints the table that docs/measurements keeps.
+ * A fleet of modules that hear nothing of each other, and what they send together: to a dependency
+ * below that was away and comes back cold, and as callers to one cold card node. {@code main}
+ * prints the table that docs/measurements keeps.
  */
 final class FleetRamp {
   private static final long STEP_US = 10_000;
   private static final long SPAN_US = 5_000_000;
-  /** The dependency works, is away, and is back; cold ones take so many times as long at first, and are warm after RAMP_US. */
+
+  /**
+   * The dependency works, is away, and is back; cold ones take so many times as long at first, and
+   * are warm after RAMP_US.
+   */
   private static final long AWAY_FROM_US = 10_000_000;
+
   private static final long BACK_US = 16_000_000;
   private static final long RAMP_US = 15_000_000;
   private static final long END_US = 36_000_000;
@@ -28,10 +34,15 @@
   private static final long CALL_US = 30_000;
   private static final long WORK_US = 20_000;
 
-  private static final Klass LESS = new Klass(1, 0, 5_000_000, 0, 17_000_000, Effect.SAFE, 0, true, 0.3);
-  private static final Klass NOTHING = new Klass(1, 0, 3_800_000, 0, 12_800_000, Effect.KEYED, 18_000_000, true, 0);
+  private static final Klass LESS =
+      new Klass(1, 0, 5_000_000, 0, 17_000_000, Effect.SAFE, 0, true, 0.3);
+  private static final Klass NOTHING =
+      new Klass(1, 0, 3_800_000, 0, 12_800_000, Effect.KEYED, 18_000_000, true, 0);
 
-  /** What a fleet sent below: the largest mean of calls held in one span, and its bound; both in calls. */
+  /**
+   * What a fleet sent below: the largest mean of calls held in one span, and its bound; both in
+   * calls.
+   */
   record Below5s(double most, double budget, int calls) {
     /** What the operators put down to chance beyond a budget. */
     double allowed() {
@@ -39,15 +50,28 @@
     }
   }
 
-  private FleetRamp() { }
+  private FleetRamp() {}
 
-  /** Plays so many processes that share a dependency which survives so many calls in the mean, each with its part. */
+  /**
+   * Plays so many processes that share a dependency which survives so many calls in the mean, each
+   * with its part.
+   */
   static Below5s below(int processes, double share, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Host> fleet = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
-      Host h = new Host(Sites.with(Halt.DROP, Say.CREDIT, Below.SHARED, share, 100_000, false, List.of(),
-          List.of(LESS, NOTHING)), random.nextLong());
+      Host h =
+          new Host(
+              Sites.with(
+                  Halt.DROP,
+                  Say.CREDIT,
+                  Below.SHARED,
+                  share,
+                  100_000,
+                  false,
+                  List.of(),
+                  List.of(LESS, NOTHING)),
+              random.nextLong());
       h.gauges.coreUse = 0.5;
       fleet.add(h);
     }
@@ -75,7 +99,11 @@
     return new Below5s(most, processes * share, calls);
   }
 
-  private static void step(Host h, long now, SplittableRandom random, Map<Host.Entry, Long> ends,
+  private static void step(
+      Host h,
+      long now,
+      SplittableRandom random,
+      Map<Host.Entry, Long> ends,
       Map<Host.Entry, Long> began) {
     h.pass(STEP_US);
     if (random.nextInt(8) == 0) { // some twelve a second, as many as one node of the fleet is sent
@@ -95,7 +123,8 @@
     h.entries.values().removeIf(e -> e.at == Host.At.OVER);
   }
 
-  private static void run(Host h, Host.Entry e, SplittableRandom random, Map<Host.Entry, Long> began) {
+  private static void run(
+      Host h, Host.Entry e, SplittableRandom random, Map<Host.Entry, Long> began) {
     if (e.halting) {
       h.end(e, Outcome.HALTED, 1);
     } else if (e.out == null && e.callUntil == 0) {
@@ -120,18 +149,28 @@
     }
   }
 
-  /** The largest mean over the overload's time of what a cold node ran, as a part of what it survives at that moment. */
+  /**
+   * The largest mean over the overload's time of what a cold node ran, as a part of what it
+   * survives at that moment.
+   */
   static double cold(int callers, int seed) {
-    Host h = new Host(Sites.with(Halt.OFF, Say.CREDIT, Below.OFF, 0, 100_000, true, List.of(), List.of(Sites.SAFE)), seed);
+    Host h =
+        new Host(
+            Sites.with(
+                Halt.OFF, Say.CREDIT, Below.OFF, 0, 100_000, true, List.of(), List.of(Sites.SAFE)),
+            seed);
     SplittableRandom random = new SplittableRandom(seed);
     List<Integer> running = new ArrayList<>();
     long overForUs = h.settings.fallSpanUs();
     double most = 0;
     for (long now = 0; now < h.settings.warmUs(); now += STEP_US) {
-      double share = h.settings.coldShare() + (1 - h.settings.coldShare()) * now / h.settings.warmUs();
+      double share =
+          h.settings.coldShare() + (1 - h.settings.coldShare()) * now / h.settings.warmUs();
       h.gauges.coreUse = h.running().isEmpty() ? 0.2 : 1;
       h.pass(STEP_US);
-      for (int caller = 0; caller < callers; caller++) { // each has as much out as it was told it may
+      for (int caller = 0;
+          caller < callers;
+          caller++) { // each has as much out as it was told it may
         h.caller = caller;
         int mine = caller;
         long out = h.entries.values().stream().filter(e -> e.q.caller() == mine && e.owed).count();
@@ -140,7 +179,8 @@
         }
       }
       for (Host.Entry e : h.running()) {
-        if (random.nextDouble() < share * STEP_US / 250_000.0 / Math.max(1, h.running().size() / 4.0)) {
+        if (random.nextDouble()
+            < share * STEP_US / 250_000.0 / Math.max(1, h.running().size() / 4.0)) {
           h.end(e, Outcome.OK, 250_000);
         }
       }
@@ -148,15 +188,23 @@
       running.add(h.running().size());
       int span = (int) (overForUs / STEP_US);
       if (running.size() >= span) {
-        double mean = running.subList(running.size() - span, running.size()).stream().mapToInt(n -> n).average().orElse(0);
-        most = Math.max(most, mean / (h.settings.cores() * (1 + (h.settings.fallMultiple() - 1) * share)));
+        double mean =
+            running.subList(running.size() - span, running.size()).stream()
+                .mapToInt(n -> n)
+                .average()
+                .orElse(0);
+        most =
+            Math.max(
+                most, mean / (h.settings.cores() * (1 + (h.settings.fallMultiple() - 1) * share)));
       }
     }
     return most;
   }
 
   public static void main(String[] args) {
-    System.out.println("| processes | share of each | budget N | most held, worst of 3 seeds | N + 2 root N + 2 | calls |");
+    System.out.println(
+        "| processes | share of each | budget N | most held, worst of 3 seeds | N + 2 root N + 2 |"
+            + " calls |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (int processes : new int[] {20, 30}) {
       for (double share : new double[] {0.02, 0.05, 0.3, 1, 5}) {
@@ -165,12 +213,15 @@
           Below5s one = below(processes, share, seed);
           worst = worst == null || one.most() > worst.most() ? one : worst;
         }
-        System.out.printf("| %d | %.2f | %.1f | %.2f | %.1f | %d |%n", processes, share, worst.budget(), worst.most(),
-            worst.allowed(), worst.calls());
+        System.out.printf(
+            "| %d | %.2f | %.1f | %.2f | %.1f | %d |%n",
+            processes, share, worst.budget(), worst.most(), worst.allowed(), worst.calls());
       }
     }
     for (int callers : new int[] {4, 20, 30}) {
-      System.out.printf("cold node, %d callers: at the most %.2f of what it survives, in the mean of its overload's time%n",
+      System.out.printf(
+          "cold node, %d callers: at the most %.2f of what it survives, in the mean of its"
+              + " overload's time%n",
           callers, cold(callers, 1));
     }
   }
--- a/src/test/java/rosecleat/policy/Host.java
+++ b/src/test/java/rosecleat/policy/Host.java
@@ -17,9 +17,19 @@
 import rosecleat.policy.PolicyApi.Request;
 import rosecleat.policy.PolicyApi.Settings;
 
-/** A host for tests: passes events on, records actions, keeps the books and asserts the four rules at each action. */
+/**
+ * A host for tests: passes events on, records actions, keeps the books and asserts the four rules
+ * at each action.
+ */
 final class Host implements Actions {
-  enum At { HELD, RUNNING, ATTACHED, NEEDS, CALLING, OVER }
+  enum At {
+    HELD,
+    RUNNING,
+    ATTACHED,
+    NEEDS,
+    CALLING,
+    OVER
+  }
 
   static final class Entry {
     Request q;
@@ -81,9 +91,24 @@
 
   Entry arrive(int klass, int tenant, long age, long left, long original) {
     Entry e = new Entry();
-    e.q = new Request(nextId++, klass, tenant, original == 0 ? 0 : 7, left, 0, 10, rank, retry, false, caller, age, original);
+    e.q =
+        new Request(
+            nextId++,
+            klass,
+            tenant,
+            original == 0 ? 0 : 7,
+            left,
+            0,
+            10,
+            rank,
+            retry,
+            false,
+            caller,
+            age,
+            original);
     e.arrived = now - age;
-    e.due = Math.max(now, left > 0 ? now + left : e.arrived + settings.classes().get(klass).dueUs());
+    e.due =
+        Math.max(now, left > 0 ? now + left : e.arrived + settings.classes().get(klass).dueUs());
     entries.put(e.q.id(), e);
     policy.arrived(now, e.q);
     check();
@@ -131,10 +156,14 @@
   double mostCallsOut() {
     double most = 0;
     for (Out last : outs) {
-      for (long end : new long[] {Math.min(now, last.until), Math.min(now, last.from + settings.callsSpanUs())}) {
+      for (long end :
+          new long[] {
+            Math.min(now, last.until), Math.min(now, last.from + settings.callsSpanUs())
+          }) {
         double sum = 0;
         for (Out o : outs) {
-          sum += Math.max(0, Math.min(end, o.until) - Math.max(o.from, end - settings.callsSpanUs()));
+          sum +=
+              Math.max(0, Math.min(end, o.until) - Math.max(o.from, end - settings.callsSpanUs()));
         }
         most = Math.max(most, sum / settings.callsSpanUs());
       }
@@ -192,7 +221,9 @@
   private void check() {
     assertTrue(memory() <= settings.memoryKb(), "memory " + memory());
     long onCores = entries.values().stream().filter(e -> e.at == At.RUNNING).count();
-    assertTrue(onCores <= settings.cores() * (1 + (settings.fallMultiple() - 1) * settings.coldShare()), "crowd");
+    assertTrue(
+        onCores <= settings.cores() * (1 + (settings.fallMultiple() - 1) * settings.coldShare()),
+        "crowd");
     for (Entry e : entries.values()) {
       assertFalse(e.owed && now > e.due + settings.slackUs(), "lost " + e.q.id());
     }
@@ -210,14 +241,17 @@
 
   // ---- actions, with the rules asserted
 
-  @Override public void run(long id) {
+  @Override
+  public void run(long id) {
     actions.add("run " + id);
     Entry e = of(id);
     assertTrue(e.at == At.HELD, "run of what is not held");
     assertFalse(e.ran && effect(e) != Effect.SAFE, "effect run twice");
     assertFalse(noticeAt >= 0 && e.arrived > noticeAt + settings.graceUs(), "run after the grace");
     if (effect(e) == Effect.KEYED) {
-      assertTrue(keptUntil.getOrDefault(id, 0L) >= e.arrived + settings.classes().get(e.q.klass()).windowUs(),
+      assertTrue(
+          keptUntil.getOrDefault(id, 0L)
+              >= e.arrived + settings.classes().get(e.q.klass()).windowUs(),
           "keyed run without its entry");
       for (long o = e.q.original(); o != 0; o = entries.get(o).q.original()) {
         assertFalse(entries.get(o).ran, "keyed effect run again");
@@ -227,7 +261,8 @@
     e.ran = true;
   }
 
-  @Override public void refuse(long id, long holdOffUs, boolean last) {
+  @Override
+  public void refuse(long id, long holdOffUs, boolean last) {
     actions.add("refuse " + id);
     Entry e = of(id);
     if (effect(e) != Effect.SAFE) {
@@ -241,7 +276,8 @@
     answer(e, "refuse");
   }
 
-  @Override public void fail(long id) {
+  @Override
+  public void fail(long id) {
     actions.add("fail " + id);
     answer(of(id), "fail");
   }
@@ -257,13 +293,15 @@
     }
   }
 
-  @Override public void halt(long id) {
+  @Override
+  public void halt(long id) {
     actions.add("halt " + id);
     assertTrue(settings.halt() != Halt.OFF, "halt where there is none");
     of(id).halting = true;
   }
 
-  @Override public void call(long id, long untilUs) {
+  @Override
+  public void call(long id, long untilUs) {
     actions.add("call " + id);
     Entry e = of(id);
     assertTrue(e.at == At.NEEDS);
@@ -278,45 +316,55 @@
     calling++;
   }
 
-  @Override public void skipCall(long id) {
+  @Override
+  public void skipCall(long id) {
     actions.add("skip " + id);
-    assertTrue(settings.classes().get(of(id).q.klass()).worthWithoutCall() > 0, "skip that is a fault");
+    assertTrue(
+        settings.classes().get(of(id).q.klass()).worthWithoutCall() > 0, "skip that is a fault");
     of(id).at = At.RUNNING;
   }
 
-  @Override public void keep(long id, long forUs) {
+  @Override
+  public void keep(long id, long forUs) {
     actions.add("keep " + id);
     keptUntil.put(id, now + forUs);
   }
 
-  @Override public void forget(long id) {
+  @Override
+  public void forget(long id) {
     assertFalse(of(id).ran, "forgotten what has run");
     keptUntil.remove(id);
   }
 
-  @Override public void reuse(long id) {
+  @Override
+  public void reuse(long id) {
     actions.add("reuse " + id);
     assertTrue(of(id).q.original() != 0, "reuse of nothing");
     of(id).at = At.ATTACHED;
   }
 
-  @Override public void health(boolean isGood, boolean fromStore) {
+  @Override
+  public void health(boolean isGood, boolean fromStore) {
     good = isGood;
   }
 
-  @Override public void say(double value) {
+  @Override
+  public void say(double value) {
     said = value;
   }
 
-  @Override public void idle(long us) {
+  @Override
+  public void idle(long us) {
     idle = us;
   }
 
-  @Override public void wake(long inUs, long tag) {
+  @Override
+  public void wake(long inUs, long tag) {
     wakeAt = now + inUs;
   }
 
-  @Override public void log(String line) {
+  @Override
+  public void log(String line) {
     logs.add(line);
   }
 }
--- a/src/test/java/rosecleat/policy/MechanismTest.java
+++ b/src/test/java/rosecleat/policy/MechanismTest.java
@@ -33,7 +33,8 @@
     h.policy.rhoAv = 90;
   }
 
-  @Test void averagesFollowTheHandWorkedSequence() {
+  @Test
+  void averagesFollowTheHandWorkedSequence() {
     Host h = busy(new Host(Sites.plain(List.of(LONG)), 1));
     h.arrive(0); // nothing ended yet: rho_c is u_s = 1
     assertEquals(0.1, h.policy.rhoAv, 1e-12);
@@ -45,7 +46,8 @@
     assertEquals(0.271, h.policy.uAv, 1e-12);
   }
 
-  @Test void filterCoefficientIsClamped() {
+  @Test
+  void filterCoefficientIsClamped() {
     Host h = new Host(Sites.plain(), 1);
     h.policy.rhoAv = 0.95;
     assertEquals(0.8, h.policy.fCf(1), 1e-12);
@@ -56,7 +58,8 @@
     assertEquals(0.75, h.policy.fCf(1.0 / 3), 1e-12);
   }
 
-  @Test void nothingIsRefusedBeforeRefusalBinds() {
+  @Test
+  void nothingIsRefusedBeforeRefusalBinds() {
     Host h = busy(new Host(Sites.plain(List.of(LONG)), 1));
     h.policy.uAv = 1;
     h.policy.rhoAv = 3;
@@ -73,7 +76,8 @@
     assertEquals("", h.arrive(0).answer);
   }
 
-  @Test void refusalsComeAsOftenAsTheCoefficientSays() {
+  @Test
+  void refusalsComeAsOftenAsTheCoefficientSays() {
     Host h = busy(new Host(Sites.plain(List.of(LONG)), 42));
     for (int i = 0; i < 6; i++) {
       h.arrive(0);
@@ -82,7 +86,8 @@
     int refused = 0;
     for (int i = 0; i < 2000; i++) {
       h.policy.uAv = 1;
-      h.policy.rhoAv = (1.15 - 0.1 * rhoNow(h)) / 0.9; // so that rho_av is 1.15 when the gate decides
+      h.policy.rhoAv =
+          (1.15 - 0.1 * rhoNow(h)) / 0.9; // so that rho_av is 1.15 when the gate decides
       Host.Entry e = h.arrive(0);
       assertEquals(1.15, h.policy.rhoAv, 0.05);
       refused += e.answer.equals("refuse") ? 1 : 0;
@@ -97,7 +102,8 @@
     return h.policy.coreUse; // nothing has ended: rho_c is u_s
   }
 
-  @Test void anArrivalCompetesOnlyWithWhatIsWorthAsMuch() {
+  @Test
+  void anArrivalCompetesOnlyWithWhatIsWorthAsMuch() {
     Klass dear = new Klass(5, 0, 60_000_000, 0, 60_000_000, PolicyApi.Effect.SAFE, 0, false, 0);
     Host h = busy(new Host(Sites.plain(List.of(LONG, dear)), 3));
     for (int i = 0; i < 60; i++) {
@@ -113,7 +119,8 @@
     }
   }
 
-  @Test void aMarkedFurtherTryGivesWayToAFirstOne() {
+  @Test
+  void aMarkedFurtherTryGivesWayToAFirstOne() {
     Host h = busy(new Host(Sites.plain(List.of(LONG)), 3));
     h.retry = true;
     for (int i = 0; i < 8; i++) {
@@ -131,13 +138,16 @@
     assertTrue(held.stream().noneMatch(e -> e.q.retry()));
   }
 
-  @Test void theLevelDoesNotRiseForRefusalsBelowIt() {
+  @Test
+  void theLevelDoesNotRiseForRefusalsBelowIt() {
     double[] said = new double[2];
     for (int all = 0; all < 2; all++) {
       Host h = busy(new Host(Sites.plain(List.of(LONG)), 3));
       drawsAll(h);
       h.rank = all == 0 ? 0.3 : 0.99;
-      for (int i = 0; i < 400; i++) { // far too many, of one rank: once under the level, they come unheeding
+      for (int i = 0;
+          i < 400;
+          i++) { // far too many, of one rank: once under the level, they come unheeding
         h.policy.uAv = 1;
         h.policy.rhoAv = 5;
         h.arrive(0);
@@ -149,7 +159,8 @@
     assertTrue(said[1] > 0.9, "said " + said[1]);
   }
 
-  @Test void aDearerArrivalThatWasDrawnTakesThePlaceOfTheCheapestHeld() {
+  @Test
+  void aDearerArrivalThatWasDrawnTakesThePlaceOfTheCheapestHeld() {
     Klass dear = new Klass(5, 0, 60_000_000, 0, 60_000_000, PolicyApi.Effect.SAFE, 0, false, 0);
     Host h = busy(new Host(Sites.plain(List.of(LONG, dear)), 3));
     drawsAll(h);
@@ -160,10 +171,15 @@
     assertEquals("", h.entries.get(6L).answer);
   }
 
-  @Test void tenantsInsideTheirSharesAreNotSetAgainstEachOtherByFurtherTries() {
+  @Test
+  void tenantsInsideTheirSharesAreNotSetAgainstEachOtherByFurtherTries() {
     List<Tenant> tenants = List.of(new Tenant(10), new Tenant(10));
-    Host h = busy(new Host(Sites.with(Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants,
-        List.of(LONG)), 3));
+    Host h =
+        busy(
+            new Host(
+                Sites.with(
+                    Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants, List.of(LONG)),
+                3));
     for (int i = 0; i < 80; i++) { // each at four times its quota a server, in equal parts
       h.arrive(0, i % 2, 0, 0, 0);
     }
@@ -181,27 +197,39 @@
     assertTrue(refused[0] > 60 && refused[1] > 60, refused[0] + " and " + refused[1]);
   }
 
-  @Test void aTenantWithoutAQuotaIsWhollyOverItsShare() {
+  @Test
+  void aTenantWithoutAQuotaIsWhollyOverItsShare() {
     List<Tenant> tenants = List.of(new Tenant(0), new Tenant(100));
-    Host h = busy(new Host(Sites.with(Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants,
-        List.of(LONG)), 3));
+    Host h =
+        busy(
+            new Host(
+                Sites.with(
+                    Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants, List.of(LONG)),
+                3));
     drawsAll(h);
     assertEquals("", h.arrive(0, 1, 0, 0, 0).answer);
     assertEquals("refuse", h.entries.get(5L).answer);
   }
 
-  @Test void nothingHeldGivesWayToAnArrivalThatIsTurnedAwayAnyhow() {
+  @Test
+  void nothingHeldGivesWayToAnArrivalThatIsTurnedAwayAnyhow() {
     Klass dear = new Klass(5, 0, 60_000_000, 0, 60_000_000, PolicyApi.Effect.SAFE, 0, false, 0);
     Host h = busy(new Host(Sites.plain(List.of(LONG, dear)), 3));
     drawsAll(h);
-    assertEquals("refuse", h.arrive(1, 0, 60_100_000, 0, 0).answer); // past its wanted time when read
+    assertEquals(
+        "refuse", h.arrive(1, 0, 60_100_000, 0, 0).answer); // past its wanted time when read
     assertEquals("", h.entries.get(5L).answer);
   }
 
-  @Test void aTenantFarOverItsShareIsRefusedFirst() {
+  @Test
+  void aTenantFarOverItsShareIsRefusedFirst() {
     List<Tenant> tenants = List.of(new Tenant(10), new Tenant(100));
-    Host h = busy(new Host(Sites.with(Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants,
-        List.of(LONG)), 3));
+    Host h =
+        busy(
+            new Host(
+                Sites.with(
+                    Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants, List.of(LONG)),
+                3));
     for (int i = 0; i < 80; i++) {
       h.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
     }
@@ -221,7 +249,8 @@
     assertEquals("refuse", h.arrive(0, 0, 0, 0, 0).answer);
   }
 
-  @Test void theLimitStartsAtTheCoresGrowsWhileTheyAreFreeAndStaysUnderTheCrowd() {
+  @Test
+  void theLimitStartsAtTheCoresGrowsWhileTheyAreFreeAndStaysUnderTheCrowd() {
     Host h = new Host(Sites.plain(List.of(LONG)), 1);
     for (int i = 0; i < 60; i++) {
       h.arrive(0);
@@ -234,7 +263,8 @@
     assertEquals((int) h.policy.limit, h.running().size());
   }
 
-  @Test void theLimitShrinksToItsFloorAsRunTimeClimbs() {
+  @Test
+  void theLimitShrinksToItsFloorAsRunTimeClimbs() {
     Host h = new Host(Sites.plain(List.of(LONG)), 1);
     for (int i = 0; i < 200; i++) {
       h.arrive(0);
@@ -254,7 +284,8 @@
     assertEquals(4, h.policy.limit, 1e-9);
   }
 
-  @Test void heldWorkStartsOldestFirst() {
+  @Test
+  void heldWorkStartsOldestFirst() {
     Host h = new Host(Sites.plain(List.of(LONG)), 1);
     for (int i = 0; i < 8; i++) {
       h.arrive(0);
--- a/src/test/java/rosecleat/policy/RulesTest.java
+++ b/src/test/java/rosecleat/policy/RulesTest.java
@@ -22,10 +22,21 @@
 class RulesTest {
   // ---- lost
 
-  @Test void everythingIsAnsweredBeforeItIsDueWhateverStandsStill() {
+  @Test
+  void everythingIsAnsweredBeforeItIsDueWhateverStandsStill() {
     for (Halt halt : Halt.values()) {
-      Host h = new Host(Sites.with(halt, Say.OFF, Below.OFF, 0, 100_000, false, List.of(),
-          List.of(Sites.SAFE, Sites.KEYED, Sites.UNSAFE)), 1);
+      Host h =
+          new Host(
+              Sites.with(
+                  halt,
+                  Say.OFF,
+                  Below.OFF,
+                  0,
+                  100_000,
+                  false,
+                  List.of(),
+                  List.of(Sites.SAFE, Sites.KEYED, Sites.UNSAFE)),
+              1);
       for (int i = 0; i < 30; i++) {
         h.arrive(i % 3);
       }
@@ -36,7 +47,8 @@
     }
   }
 
-  @Test void aPassedDeadlineBindsAndALongUnreadRequestIsAnsweredAtOnce() {
+  @Test
+  void aPassedDeadlineBindsAndALongUnreadRequestIsAnsweredAtOnce() {
     Host h = new Host(Sites.plain(), 1);
     Host.Entry tight = h.arrive(0, 0, 0, 300_000, 0);
     h.pass(300_000);
@@ -47,10 +59,14 @@
     assertFalse(stale.owed);
   }
 
-  @Test void aRequestAtACallIsAnsweredInTime() {
+  @Test
+  void aRequestAtACallIsAnsweredInTime() {
     Klass calling = new Klass(1, 0, 1_000_000, 0, 2_000_000, Effect.UNSAFE, 0, true, 0);
-    Host h = new Host(Sites.with(Halt.DROP, Say.OFF, Below.SHARED, 1, 100_000, false, List.of(),
-        List.of(calling)), 1);
+    Host h =
+        new Host(
+            Sites.with(
+                Halt.DROP, Say.OFF, Below.SHARED, 1, 100_000, false, List.of(), List.of(calling)),
+            1);
     for (int i = 0; i < 4; i++) {
       h.need(h.arrive(0));
     }
@@ -62,7 +78,8 @@
 
   // ---- twice
 
-  @Test void repeatsOfAKeyedRequestAttachWhileItIsHeldRunningOrOver() {
+  @Test
+  void repeatsOfAKeyedRequestAttachWhileItIsHeldRunningOrOver() {
     Host h = new Host(Sites.plain(), 1);
     Host.Entry a = h.arrive(1);
     Host.Entry running = h.arrive(1, 0, 0, 0, a.q.id());
@@ -78,7 +95,8 @@
     assertEquals(Host.At.ATTACHED, h.arrive(1, 0, 0, 0, held.q.id()).at);
   }
 
-  @Test void aRepeatOfWhatWasGivenUpWhileHeldIsNewWorkAndRunsOnce() {
+  @Test
+  void aRepeatOfWhatWasGivenUpWhileHeldIsNewWorkAndRunsOnce() {
     Host h = new Host(Sites.plain(), 1);
     for (int i = 0; i < 4; i++) {
       h.arrive(0);
@@ -92,7 +110,8 @@
     assertEquals(Host.At.ATTACHED, h.arrive(1, 0, 0, 0, b.q.id()).at);
   }
 
-  @Test void aRepeatOfAFailedOrUnknownEffectNeverRuns() {
+  @Test
+  void aRepeatOfAFailedOrUnknownEffectNeverRuns() {
     Host h = new Host(Sites.plain(), 1);
     Host.Entry a = h.arrive(1);
     h.end(a, Outcome.ERROR, 1000);
@@ -106,9 +125,20 @@
     assertFalse(h.arrive(1, 0, 0, 0, 999).ran);
   }
 
-  @Test void aKeyedRequestIsRefusedWhereTheTableHasNoRoom() {
-    Host h = new Host(Sites.with(Halt.DROP, Say.OFF, Below.OFF, 0, 300, false, List.of(),
-        List.of(Sites.SAFE, Sites.KEYED)), 1);
+  @Test
+  void aKeyedRequestIsRefusedWhereTheTableHasNoRoom() {
+    Host h =
+        new Host(
+            Sites.with(
+                Halt.DROP,
+                Say.OFF,
+                Below.OFF,
+                0,
+                300,
+                false,
+                List.of(),
+                List.of(Sites.SAFE, Sites.KEYED)),
+            1);
     int refused = 0;
     for (int i = 0; i < 30; i++) {
       Host.Entry e = h.arrive(1);
@@ -120,7 +150,8 @@
     assertTrue(refused > 10);
   }
 
-  @Test void anEffectThatWasDroppedIsFailedNotRunAgain() {
+  @Test
+  void anEffectThatWasDroppedIsFailedNotRunAgain() {
     Host h = new Host(Sites.plain(), 1);
     Host.Entry a = h.arrive(2);
     h.end(a, Outcome.HALTED, 1000);
@@ -128,10 +159,14 @@
     assertEquals("fail", a.answer);
   }
 
-  @Test void aCallIsRepeatedOnlyWhenItProvablyNeverRan() {
+  @Test
+  void aCallIsRepeatedOnlyWhenItProvablyNeverRan() {
     Klass calling = new Klass(1, 0, 1_000_000, 0, 2_000_000, Effect.UNSAFE, 0, true, 0);
-    Host h = new Host(Sites.with(Halt.DROP, Say.OFF, Below.SHARED, 4, 100_000, false, List.of(),
-        List.of(calling)), 1);
+    Host h =
+        new Host(
+            Sites.with(
+                Halt.DROP, Say.OFF, Below.SHARED, 4, 100_000, false, List.of(), List.of(calling)),
+            1);
     Host.Entry a = h.arrive(0);
     h.need(a);
     h.called(a, Outcome.FULL);
@@ -142,7 +177,8 @@
 
   // ---- drain
 
-  @Test void afterTheGraceNothingRunsAndAllIsAnsweredBeforeTheStop() {
+  @Test
+  void afterTheGraceNothingRunsAndAllIsAnsweredBeforeTheStop() {
     Host h = new Host(Sites.plain(), 1);
     for (int i = 0; i < 12; i++) {
       h.arrive(i % 3);
@@ -160,7 +196,8 @@
     assertTrue(h.entries.values().stream().noneMatch(e -> e.owed));
   }
 
-  @Test void aNoticeShorterThanTheWorkStillAnswersAll() {
+  @Test
+  void aNoticeShorterThanTheWorkStillAnswersAll() {
     Host h = new Host(Sites.plain(), 1);
     for (int i = 0; i < 12; i++) {
       h.arrive(i % 3);
@@ -172,9 +209,12 @@
 
   // ---- fall-over
 
-  @Test void memoryIsNeverOutgrown() {
-    Host h = new Host(Sites.with(Halt.OFF, Say.OFF, Below.OFF, 0, 400, false, List.of(),
-        List.of(Sites.SAFE)), 1);
+  @Test
+  void memoryIsNeverOutgrown() {
+    Host h =
+        new Host(
+            Sites.with(Halt.OFF, Say.OFF, Below.OFF, 0, 400, false, List.of(), List.of(Sites.SAFE)),
+            1);
     h.gauges.coreUse = 0.3;
     for (int i = 0; i < 200; i++) {
       h.arrive(0);
@@ -185,9 +225,13 @@
     assertTrue(h.memory() <= 400);
   }
 
-  @Test void aColdServerKeepsUnderItsSmallerCrowd() {
-    Host h = new Host(Sites.with(Halt.OFF, Say.OFF, Below.OFF, 0, 100_000, true, List.of(),
-        List.of(Sites.SAFE)), 1);
+  @Test
+  void aColdServerKeepsUnderItsSmallerCrowd() {
+    Host h =
+        new Host(
+            Sites.with(
+                Halt.OFF, Say.OFF, Below.OFF, 0, 100_000, true, List.of(), List.of(Sites.SAFE)),
+            1);
     h.gauges.coreUse = 0.3;
     for (int i = 0; i < 100; i++) {
       h.arrive(0);
@@ -197,11 +241,21 @@
   }
 
   /** Half the worth is left without the call. */
-  private static final Klass CALLS = new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0.5);
+  private static final Klass CALLS =
+      new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0.5);
 
   private static Host below(double callsOut, boolean cold, Klass... classes) {
-    return new Host(Sites.with(Halt.PAUSE, Say.LEVEL, Below.SHARED, callsOut, 100_000, cold, List.of(),
-        List.of(classes)), 1);
+    return new Host(
+        Sites.with(
+            Halt.PAUSE,
+            Say.LEVEL,
+            Below.SHARED,
+            callsOut,
+            100_000,
+            cold,
+            List.of(),
+            List.of(classes)),
+        1);
   }
 
   /** So many have come, and whatever ran stands at a call. */
@@ -216,7 +270,8 @@
     return h;
   }
 
-  @Test void aCallWhoseRequestEndsFirstGivesItsPlaceBack() {
+  @Test
+  void aCallWhoseRequestEndsFirstGivesItsPlaceBack() {
     Host h = below(1, false, CALLS);
     for (int i = 0; i < 9; i++) { // each caller leaves while its call is out: no outcome ever comes
       Host.Entry e = h.arrive(0);
@@ -228,19 +283,29 @@
     }
   }
 
-  @Test void noSpanHoldsMoreCallsThanThisServersShare() {
+  @Test
+  void noSpanHoldsMoreCallsThanThisServersShare() {
     for (double share : new double[] {0, 0.3, 1, 3}) {
       SplittableRandom r = new SplittableRandom(9);
-      Host h = below(share, false, CALLS, new Klass(9, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0.6));
+      Host h =
+          below(
+              share,
+              false,
+              CALLS,
+              new Klass(9, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0.6));
       h.gauges.coreUse = 0.5;
       for (int step = 0; step < 3000; step++) {
         h.pass(10_000);
-        int slow = step % 1200 < 400 ? 3 : step % 1200 < 800 ? 40 : 400; // lulls, crowds and a dead dependency
+        int slow =
+            step % 1200 < 400
+                ? 3
+                : step % 1200 < 800 ? 40 : 400; // lulls, crowds and a dead dependency
         if (r.nextInt(6) == 0) {
           h.arrive(r.nextInt(2));
         }
         for (Host.Entry e : List.copyOf(h.entries.values())) {
-          if (e.halting && e.at == Host.At.RUNNING || e.at != Host.At.OVER && !e.owed && e.at != Host.At.RUNNING) {
+          if (e.halting && e.at == Host.At.RUNNING
+              || e.at != Host.At.OVER && !e.owed && e.at != Host.At.RUNNING) {
             h.end(e, Outcome.HALTED, 1);
           } else if (e.at == Host.At.RUNNING && r.nextInt(6) == 0) {
             if (r.nextInt(2) == 0) {
@@ -261,7 +326,10 @@
     }
   }
 
-  /** Guards all that is reckoned by run times against a run of no length, or of less than the clock makes of its calls. */
+  /**
+   * Guards all that is reckoned by run times against a run of no length, or of less than the clock
+   * makes of its calls.
+   */
   @ParameterizedTest
   @ValueSource(longs = {0, 100_000})
   void aRunOfNoLengthSpoilsNoFigure(long tookUs) {
@@ -282,8 +350,12 @@
     }
   }
 
-  /** Guards run times against a run that was dropped at a call and began anew: that call's time is none of the second run's. */
-  @Test void aSecondRunIsNotReckonedWithTheCallsOfTheFirst() {
+  /**
+   * Guards run times against a run that was dropped at a call and began anew: that call's time is
+   * none of the second run's.
+   */
+  @Test
+  void aSecondRunIsNotReckonedWithTheCallsOfTheFirst() {
     Host h = below(4, false, CALLS);
     Host.Entry e = h.arrive(0);
     h.need(e);
@@ -302,7 +374,10 @@
   private static final Klass NOTHING_WITHOUT =
       new Klass(1, 0, 3_800_000, 0, 12_800_000, Effect.KEYED, 18_000_000, true, 0);
 
-  /** Plays calls that take so long, until 30 s have passed; the parts of the two classes whose call was made. */
+  /**
+   * Plays calls that take so long, until 30 s have passed; the parts of the two classes whose call
+   * was made.
+   */
   private static double[] callsMade(Host h, long everyUs, long callUs, int from) {
     return callsMade(h, everyUs, callUs, from, 30_000_000);
   }
@@ -315,7 +390,8 @@
       Host.Entry e = h.arrive(klass);
       h.pass(everyUs / 4);
       h.need(e);
-      for (long end = h.now + callUs; h.now < end && e.at == Host.At.CALLING && h.now < e.callUntil;) {
+      for (long end = h.now + callUs;
+          h.now < end && e.at == Host.At.CALLING && h.now < e.callUntil; ) {
         h.pass(Math.min(10_000, end - h.now));
       }
       all[klass]++;
@@ -336,8 +412,9 @@
   }
 
   /**
-   * Guards a class that is worth nothing without its call: booked until its deadline such a call was more than the whole
-   * share where servers are many, so it was never made, and being the dearest kept all others back.
+   * Guards a class that is worth nothing without its call: booked until its deadline such a call
+   * was more than the whole share where servers are many, so it was never made, and being the
+   * dearest kept all others back.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 0.91, 5, 500})
@@ -351,7 +428,8 @@
   }
 
   /** Guards against a slow time after which the usual patience is more than the share, for good. */
-  @Test void callsAreMadeAgainAfterTheDependencyWasSlowWhereTheShareIsSmall() {
+  @Test
+  void callsAreMadeAgainAfterTheDependencyWasSlowWhereTheShareIsSmall() {
     Host h = below(0.91, false, LESS_WITHOUT, NOTHING_WITHOUT);
     callsMade(h, 400_000, 40_000, 0);
     callsMade(h, 400_000, 2_500_000, 0);
@@ -360,8 +438,12 @@
     assertTrue(h.mostCallsOut() <= 0.91);
   }
 
-  /** Guards against a stall that uses up the share: calls are short again, and there is room for many of them. */
-  @Test void aStallOfTheDependencyLeavesRoomForShortCallsBeforeItsSpanIsOver() {
+  /**
+   * Guards against a stall that uses up the share: calls are short again, and there is room for
+   * many of them.
+   */
+  @Test
+  void aStallOfTheDependencyLeavesRoomForShortCallsBeforeItsSpanIsOver() {
     Host h = below(0.91, false, LESS_WITHOUT, NOTHING_WITHOUT);
     callsMade(h, 400_000, 30_000, 0);
     for (int i = 0; i < 4; i++) { // four calls stall until they are given up
@@ -378,12 +460,17 @@
     assertTrue(h.mostCallsOut() <= 0.91);
   }
 
-  /** Guards a dependency against one call from each of a hundred servers: together they are a jam. */
-  @Test void whereTheShareIsSmallOneCallAtATimeIsTooManyWhileCallsTakeLong() {
+  /**
+   * Guards a dependency against one call from each of a hundred servers: together they are a jam.
+   */
+  @Test
+  void whereTheShareIsSmallOneCallAtATimeIsTooManyWhileCallsTakeLong() {
     Host h = below(0.91, false, LESS_WITHOUT);
     Set<Host.Entry> asked = new HashSet<>();
     long[] out = new long[3];
-    for (int phase = 0; phase < 3; phase++) { // as fast as usual; five times as slow, until that is seen; and then
+    for (int phase = 0;
+        phase < 3;
+        phase++) { // as fast as usual; five times as slow, until that is seen; and then
       int before = h.outs.size();
       long began = h.now;
       for (int step = 0; step < (phase == 0 ? 600 : 75); step++) {
@@ -393,7 +480,8 @@
         for (Host.Entry e : List.copyOf(h.entries.values())) {
           if (e.at == Host.At.RUNNING && asked.add(e)) {
             h.need(e);
-          } else if (e.at == Host.At.CALLING && h.now >= e.out.from + (phase == 0 ? 20_000 : 100_000)) {
+          } else if (e.at == Host.At.CALLING
+              && h.now >= e.out.from + (phase == 0 ? 20_000 : 100_000)) {
             h.called(e, Outcome.OK);
           } else if (e.at == Host.At.RUNNING) {
             h.end(e, e.owed ? Outcome.OK : Outcome.HALTED, 50_000);
@@ -402,21 +490,45 @@
         h.entries.values().removeIf(e -> e.at == Host.At.OVER);
         h.pass(20_000);
       }
-      out[phase] = h.outs.subList(before, h.outs.size()).stream()
-          .mapToLong(o -> Math.min(o.until, h.now) - o.from).sum() * 100 / (h.now - began);
+      out[phase] =
+          h.outs.subList(before, h.outs.size()).stream()
+                  .mapToLong(o -> Math.min(o.until, h.now) - o.from)
+                  .sum()
+              * 100
+              / (h.now - began);
     }
-    assertTrue(out[0] > 15, "fast, hundredths of a call out: " + out[0]); // one each 80 ms, of 20 ms or a little more
-    assertTrue(out[2] > 10 && out[2] < 60, "slow, hundredths of a call out: " + out[2]); // that many would be 125
+    assertTrue(
+        out[0] > 15,
+        "fast, hundredths of a call out: " + out[0]); // one each 80 ms, of 20 ms or a little more
+    assertTrue(
+        out[2] > 10 && out[2] < 60,
+        "slow, hundredths of a call out: " + out[2]); // that many would be 125
   }
 
-  /** Where not even one short call fits into the share of a span, some are made all the same: one in many spans. */
-  @Test void aShareThatNoCallFitsIntoIsUsedOverALongerTime() {
+  /**
+   * Where not even one short call fits into the share of a span, some are made all the same: one in
+   * many spans.
+   */
+  @Test
+  void aShareThatNoCallFitsIntoIsUsedOverALongerTime() {
     Set<Long> firsts = new HashSet<>();
     for (int seed = 1; seed <= 8; seed++) {
-      Host h = new Host(Sites.with(Halt.DROP, Say.OFF, Below.SHARED, 0.02, 100_000, false, List.of(),
-          List.of(NOTHING_WITHOUT)), seed);
+      Host h =
+          new Host(
+              Sites.with(
+                  Halt.DROP,
+                  Say.OFF,
+                  Below.SHARED,
+                  0.02,
+                  100_000,
+                  false,
+                  List.of(),
+                  List.of(NOTHING_WITHOUT)),
+              seed);
       int made = 0;
-      for (int step = 0; step < 200; step++) { // 60 s: 1.2 s at calls, of which each books 0.4 s or more
+      for (int step = 0;
+          step < 200;
+          step++) { // 60 s: 1.2 s at calls, of which each books 0.4 s or more
         Host.Entry e = h.arrive(0);
         h.need(e);
         h.pass(40_000);
@@ -436,16 +548,20 @@
     assertTrue(firsts.size() > 8, "servers call in step: " + firsts);
   }
 
-  @Test void whatComesBackFromCallsAllAtOnceIsNoMoreThanACrowdThatIsSurvived() {
+  @Test
+  void whatComesBackFromCallsAllAtOnceIsNoMoreThanACrowdThatIsSurvived() {
     for (boolean cold : new boolean[] {false, true}) {
       Host h = allAtCalls(60, cold);
-      h.entries.values().stream().filter(e -> e.at == Host.At.CALLING).toList()
+      h.entries.values().stream()
+          .filter(e -> e.at == Host.At.CALLING)
+          .toList()
           .forEach(e -> h.called(e, Outcome.OK)); // the host asserts the crowd
       assertTrue(h.running().size() > 4);
     }
   }
 
-  @Test void aCallIsGivenUpWhileAnAnswerWithoutItIsInTime() {
+  @Test
+  void aCallIsGivenUpWhileAnAnswerWithoutItIsInTime() {
     Host h = below(4, false, CALLS);
     for (int i = 0; i < 20; i++) {
       Host.Entry e = h.arrive(0);
@@ -463,7 +579,8 @@
   }
 
   /** Guards a shared dependency that gets less done the more it holds. */
-  @Test void fewerCallsAreOutAtATimeWhileTheyTakeLongAndMoreOnceTheyDoNot() {
+  @Test
+  void fewerCallsAreOutAtATimeWhileTheyTakeLongAndMoreOnceTheyDoNot() {
     Host h = below(40, false, CALLS);
     h.gauges.coreUse = 0.5;
     Set<Host.Entry> called = new HashSet<>();
@@ -484,7 +601,8 @@
       h.entries.values().removeIf(e -> e.at == Host.At.OVER);
       most = Math.max(most, h.calling);
       if (step == 380) {
-        assertTrue(most <= 4, "a slow dependency held " + most); // 50 a second that take 0.4 s would be 20
+        assertTrue(
+            most <= 4, "a slow dependency held " + most); // 50 a second that take 0.4 s would be 20
       } else if (step == 599) {
         assertTrue(most >= 8, "slow however few were out, it held " + most);
       }
@@ -496,11 +614,19 @@
     }
     h.running().forEach(h::need);
     h.pass(400_000); // one more each step
-    assertEquals(4, h.actions.subList(freed, h.actions.size()).stream().filter(a -> a.startsWith("call")).count());
+    assertEquals(
+        4,
+        h.actions.subList(freed, h.actions.size()).stream()
+            .filter(a -> a.startsWith("call"))
+            .count());
   }
 
-  /** Guards a dependency whose places are taken by calls that crawl: it turns others away within a moment. */
-  @Test void callsThatAreTurnedAwayAreNoShortCallsButTooMany() {
+  /**
+   * Guards a dependency whose places are taken by calls that crawl: it turns others away within a
+   * moment.
+   */
+  @Test
+  void callsThatAreTurnedAwayAreNoShortCallsButTooMany() {
     Host h = below(40, false, CALLS);
     for (int i = 0; i < 60; i++) {
       Host.Entry e = h.arrive(0);
@@ -520,13 +646,17 @@
       h.need(h.arrive(0));
     }
     assertEquals(2, h.calling);
-    assertTrue(h.entries.values().stream().filter(e -> e.at == Host.At.CALLING)
-        .allMatch(e -> e.callUntil - h.now > 100_000), "given up after the time of a refusal");
+    assertTrue(
+        h.entries.values().stream()
+            .filter(e -> e.at == Host.At.CALLING)
+            .allMatch(e -> e.callUntil - h.now > 100_000),
+        "given up after the time of a refusal");
     h.pass(250_000); // nothing is turned away any more: one more goes each step
     assertEquals(4, h.calling);
   }
 
-  @Test void aFirstCallThatWasShortDoesNotHoldBackTheOthers() {
+  @Test
+  void aFirstCallThatWasShortDoesNotHoldBackTheOthers() {
     Host h = below(40, false, CALLS);
     for (int i = 0; i < 60; i++) {
       Host.Entry e = h.arrive(0);
@@ -542,7 +672,8 @@
     assertEquals(4, h.calling);
   }
 
-  @Test void timeAtCallsIsNotTakenForACrowdOnTheCores() {
+  @Test
+  void timeAtCallsIsNotTakenForACrowdOnTheCores() {
     Host h = below(4, false, CALLS);
     for (int i = 0; i < 60; i++) {
       Host.Entry e = h.arrive(0);
@@ -557,7 +688,8 @@
     assertEquals(Host.At.RUNNING, late.at);
   }
 
-  @Test void aRunThatNoLongerFitsIsNotBegunWhileOthersRun() {
+  @Test
+  void aRunThatNoLongerFitsIsNotBegunWhileOthersRun() {
     Host h = new Host(Sites.plain(), 1);
     for (int i = 0; i < 30; i++) {
       Host.Entry e = h.arrive(0);
@@ -565,13 +697,18 @@
       h.end(e, Outcome.OK, 400_000);
     }
     h.arrive(0);
-    assertEquals("refuse", h.arrive(0, 0, 700_000, 0, 0).answer); // 300 ms are left and 400 ms of work
+    assertEquals(
+        "refuse", h.arrive(0, 0, 700_000, 0, 0).answer); // 300 ms are left and 400 ms of work
     assertEquals(Host.At.RUNNING, h.arrive(0, 0, 500_000, 0, 0).at);
   }
 
-  @Test void pausedWorkKeepsItsMemoryInTheBooks() {
-    Host h = new Host(Sites.with(Halt.PAUSE, Say.LEVEL, Below.OFF, 0, 400, false, List.of(),
-        List.of(Sites.SAFE)), 1);
+  @Test
+  void pausedWorkKeepsItsMemoryInTheBooks() {
+    Host h =
+        new Host(
+            Sites.with(
+                Halt.PAUSE, Say.LEVEL, Below.OFF, 0, 400, false, List.of(), List.of(Sites.SAFE)),
+            1);
     for (int i = 0; i < 4; i++) {
       h.end(h.arrive(0), Outcome.HALTED, 1000);
     }
@@ -580,7 +717,8 @@
     }
   }
 
-  @Test void eventsOutOfPlaceBreakNothing() {
+  @Test
+  void eventsOutOfPlaceBreakNothing() {
     Host h = below(0.2, false, CALLS);
     Host.Entry e = h.arrive(0);
     h.policy.called(h.now, e.q.id(), Outcome.OK, 1); // no call is out
@@ -595,20 +733,24 @@
     h.policy.gone(h.now, e.q.id());
     h.policy.ended(h.now, e.q.id(), Outcome.MOOT, 1);
     h.policy.ended(h.now, 12345, Outcome.OK, 1);
-    Host.Entry stale = h.arrive(0, 3, 9_000_000, 1, 0); // nothing left, and no tenant of that number
+    Host.Entry stale =
+        h.arrive(0, 3, 9_000_000, 1, 0); // nothing left, and no tenant of that number
     h.pass(60_000);
     assertFalse(stale.owed);
   }
 
-  @Test void aDrainThatComesWhileAllStandAtCallsIsAnsweredBeforeTheStop() {
+  @Test
+  void aDrainThatComesWhileAllStandAtCallsIsAnsweredBeforeTheStop() {
     Host h = allAtCalls(20, false);
     h.drain(600_000);
     h.pass(580_000);
     assertTrue(h.entries.values().stream().noneMatch(e -> e.owed));
   }
 
-  @Test void withoutASharedRoomEveryCallIsLeftOutAndNoneIsLost() {
-    Host h = below(0, false, CALLS, new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0));
+  @Test
+  void withoutASharedRoomEveryCallIsLeftOutAndNoneIsLost() {
+    Host h =
+        below(0, false, CALLS, new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0));
     Host.Entry can = h.arrive(0);
     Host.Entry cannot = h.arrive(1);
     h.need(can);
@@ -620,7 +762,8 @@
     assertTrue(h.outs.isEmpty());
   }
 
-  @Test void creditWithNoCallersCountedIsAFigure() {
+  @Test
+  void creditWithNoCallersCountedIsAFigure() {
     Host h = new Host(Sites.crowded(Say.CREDIT, 0), 1);
     h.pass(200_000);
     assertTrue(h.said >= 1 && Double.isFinite(h.said), "said " + h.said);
@@ -641,7 +784,8 @@
     return h;
   }
 
-  @Test void aStandstillGivesBackWhatNeverRanAndInvitesNothing() {
+  @Test
+  void aStandstillGivesBackWhatNeverRanAndInvitesNothing() {
     Host h = learnt();
     for (int i = 0; i < 9; i++) {
       h.arrive(i % 3);
@@ -658,25 +802,30 @@
     assertTrue(h.good);
   }
 
-  @Test void aServerThatHasLearntNothingYetSeesNoStandstillInItsFirstSecond() {
+  @Test
+  void aServerThatHasLearntNothingYetSeesNoStandstillInItsFirstSecond() {
     seesNoStandstill(new Host(Sites.plain(), 1));
   }
 
-  @Test void aFewLongRunsTogetherAreNoStandstillUntilADozenEndsAreOverdue() {
+  @Test
+  void aFewLongRunsTogetherAreNoStandstillUntilADozenEndsAreOverdue() {
     Host h = learnt(600_000);
     for (int i = 0; i < 4; i++) {
       h.arrive(0);
     }
     h.pass(1_200_000); // eight ends overdue
     assertTrue(h.logs.isEmpty());
-    for (int i = 0; i < 4; i++) { // runs past their wanted time may have been stopped: work is there again
+    for (int i = 0;
+        i < 4;
+        i++) { // runs past their wanted time may have been stopped: work is there again
       h.arrive(2);
     }
     h.pass(1_200_000);
     assertFalse(h.logs.isEmpty());
   }
 
-  @Test void oneVeryLongRunIsNoStandstillWhileOtherCoresAreFree() {
+  @Test
+  void oneVeryLongRunIsNoStandstillWhileOtherCoresAreFree() {
     Host h = learnt();
     h.arrive(2);
     h.arrive(2);
@@ -684,7 +833,8 @@
     assertTrue(h.logs.isEmpty());
   }
 
-  @Test void aCrowdOfReadingIsNoStandstill() {
+  @Test
+  void aCrowdOfReadingIsNoStandstill() {
     Host h = learnt();
     h.gauges.onCores = 40;
     seesNoStandstill(h);
@@ -698,7 +848,8 @@
     assertTrue(h.logs.isEmpty());
   }
 
-  @Test void requestsReadLateRaiseTheLevelAndAskCallersToStayAway() {
+  @Test
+  void requestsReadLateRaiseTheLevelAndAskCallersToStayAway() {
     Host h = learnt();
     assertTrue(h.said < 0.05);
     for (int i = 0; i < 80; i++) {
@@ -711,7 +862,8 @@
     assertTrue(h.said < 0.05);
   }
 
-  @Test void aRequestReadLateRunsWhereNothingIsHeldThoughTheLoadIsHigh() {
+  @Test
+  void aRequestReadLateRunsWhereNothingIsHeldThoughTheLoadIsHigh() {
     Host h = learnt();
     h.gauges.coreUse = 1; // reading alone fills the cores
     h.pass(20_000);
@@ -720,9 +872,15 @@
     assertEquals(Host.At.RUNNING, h.arrive(2, 0, 300_000, 0, 0).at);
   }
 
-  @Test void aCheapArrivalStartsOnNoEmptyHoldWhereDearerOnesAloneAreTooMany() {
-    Host h = new Host(Sites.plain(List.of(Sites.SAFE,
-        new Klass(10, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, false, 0))), 1);
+  @Test
+  void aCheapArrivalStartsOnNoEmptyHoldWhereDearerOnesAloneAreTooMany() {
+    Host h =
+        new Host(
+            Sites.plain(
+                List.of(
+                    Sites.SAFE,
+                    new Klass(10, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, false, 0))),
+            1);
     for (int i = 0; i < 64; i++) {
       h.end(h.arrive(i % 4 == 0 ? 1 : 0), Outcome.OK, 100_000);
       h.pass(100_000);
@@ -737,15 +895,23 @@
     assertEquals(Host.At.RUNNING, h.arrive(1, 0, 300_000, 0, 0).at);
   }
 
-  /** Callers without credit turn requests away blindly, those of tenants inside their shares with the rest. */
-  @Test void oneOfAFewCallersMayHaveAsMuchOutAsTheServerRuns() {
+  /**
+   * Callers without credit turn requests away blindly, those of tenants inside their shares with
+   * the rest.
+   */
+  @Test
+  void oneOfAFewCallersMayHaveAsMuchOutAsTheServerRuns() {
     Host h = new Host(Sites.crowded(Say.CREDIT, 32), 1);
     h.pass(200_000);
     assertTrue(h.said >= 4, "said " + h.said); // all four cores, while the others are quiet
   }
 
-  /** Guards requests that other servers can serve: this one can't, and callers with credit here send on. */
-  @Test void aServerFarSlowerThanItWasHasNoCreditToSpare() {
+  /**
+   * Guards requests that other servers can serve: this one can't, and callers with credit here send
+   * on.
+   */
+  @Test
+  void aServerFarSlowerThanItWasHasNoCreditToSpare() {
     Host h = new Host(Sites.crowded(Say.CREDIT, 8), 1);
     for (int i = 0; i < 120; i++) {
       Host.Entry e = h.arrive(0);
@@ -759,7 +925,8 @@
     assertTrue(h.said <= 1, "said " + h.said);
   }
 
-  @Test void creditIsLessThanOneForEachOfManyCallersWhileTheServerRefuses() {
+  @Test
+  void creditIsLessThanOneForEachOfManyCallersWhileTheServerRefuses() {
     Host h = new Host(Sites.crowded(Say.CREDIT, 1280), 1);
     h.pass(200_000);
     assertEquals(1, h.said, 1e-9);
@@ -770,7 +937,9 @@
       h.policy.rhoAv = 3;
       h.pass(20_000);
     }
-    assertTrue(h.said < 0.3, "said " + h.said); // 256 requests in all for 1280 callers, less by the refusals
+    assertTrue(
+        h.said < 0.3,
+        "said " + h.said); // 256 requests in all for 1280 callers, less by the refusals
     for (Host.Entry e : List.copyOf(h.entries.values())) {
       if (e.at == Host.At.RUNNING) {
         h.end(e, e.owed ? Outcome.OK : Outcome.HALTED, 100_000);
@@ -785,10 +954,23 @@
     assertTrue(h.said > 0.9, "said " + h.said);
   }
 
-  @Test void aServerThatHaltsItsLongRunsStillLearnsThatTheyAreLong() {
-    Host h = new Host(Sites.with(Halt.PAUSE, Say.LEVEL, Below.OFF, 0, 100_000, false, List.of(),
-        List.of(Sites.SAFE)), 1);
-    for (int i = 0; i < 60; i++) { // one in three ends, after 300 ms; the others are stopped after 900
+  @Test
+  void aServerThatHaltsItsLongRunsStillLearnsThatTheyAreLong() {
+    Host h =
+        new Host(
+            Sites.with(
+                Halt.PAUSE,
+                Say.LEVEL,
+                Below.OFF,
+                0,
+                100_000,
+                false,
+                List.of(),
+                List.of(Sites.SAFE)),
+            1);
+    for (int i = 0;
+        i < 60;
+        i++) { // one in three ends, after 300 ms; the others are stopped after 900
       Host.Entry e = h.arrive(0);
       if (i % 3 == 0) {
         h.pass(300_000);
@@ -802,12 +984,14 @@
     for (int i = 0; i < 4; i++) {
       h.arrive(0);
     }
-    // 500 ms are left and the cores are taken: enough for a run of 300 ms, not for one of 2100 for each end
+    // 500 ms are left and the cores are taken: enough for a run of 300 ms, not for one of 2100 for
+    // each end
     Host.Entry late = h.arrive(0, 0, 500_000, 0, 0);
     assertEquals("refuse", late.answer);
   }
 
-  @Test void idleConnectionsCloseSoonWhereCallersHardlyReturnAndAreKeptWhereTheyDo() {
+  @Test
+  void idleConnectionsCloseSoonWhereCallersHardlyReturnAndAreKeptWhereTheyDo() {
     Host h = new Host(Sites.plain(), 1);
     for (int i = 0; i < 400; i++) {
       h.caller = i % 300; // thirty seconds apart
@@ -823,8 +1007,11 @@
     assertEquals(h.settings.idleUs(), h.idle);
   }
 
-  /** Guards the table against strangers from the first one on: connections that asked once and stay. */
-  @Test void strangersDoNotKeepTheTableFullBesideAFewCallersThatComeBack() {
+  /**
+   * Guards the table against strangers from the first one on: connections that asked once and stay.
+   */
+  @Test
+  void strangersDoNotKeepTheTableFullBesideAFewCallersThatComeBack() {
     Host h = new Host(Sites.plain(), 1);
     for (int i = 0; i < 100; i++) {
       h.caller = i % 4 == 0 ? 1 : 1_000 + i;
@@ -834,7 +1021,8 @@
     }
   }
 
-  @Test void theTableIsLeftFullWhileReadingSwampsTheCores() {
+  @Test
+  void theTableIsLeftFullWhileReadingSwampsTheCores() {
     Host h = new Host(Sites.plain(), 1);
     h.gauges.onCores = 40;
     h.pass(5_000_000);
@@ -846,7 +1034,8 @@
     assertTrue(h.idle <= 100_000);
   }
 
-  @Test void aMarkedFirstTryMayGoOnOnceFromAServerThatRefusesSeldom() {
+  @Test
+  void aMarkedFirstTryMayGoOnOnceFromAServerThatRefusesSeldom() {
     Host h = new Host(Sites.marked(), 1);
     h.arrive(0, 0, 2_000_000, 0, 0); // read too late to be of use
     h.arrive(0);
@@ -869,8 +1058,18 @@
     Klass callKeyed = new Klass(2, 0, 800_000, 0, 2_500_000, Effect.KEYED, 6_000_000, true, 0);
     Klass callUnsafe = new Klass(2, 0, 800_000, 0, 2_500_000, Effect.UNSAFE, 0, true, 0);
     Halt halt = Halt.values()[(int) (seed % 3)];
-    Host h = new Host(Sites.with(halt, Say.values()[(int) (seed % 4)], Below.SHARED, 2, 900, seed % 2 == 0,
-        List.of(new PolicyApi.Tenant(20), new PolicyApi.Tenant(40)), List.of(callSafe, callKeyed, callUnsafe)), seed);
+    Host h =
+        new Host(
+            Sites.with(
+                halt,
+                Say.values()[(int) (seed % 4)],
+                Below.SHARED,
+                2,
+                900,
+                seed % 2 == 0,
+                List.of(new PolicyApi.Tenant(20), new PolicyApi.Tenant(40)),
+                List.of(callSafe, callKeyed, callUnsafe)),
+            seed);
     for (int step = 0; step < 4000; step++) {
       h.gauges.coreUse = r.nextDouble();
       h.gauges.onCores = h.running().size();
@@ -878,8 +1077,10 @@
       if (step == 3700) {
         h.drain(3_000_000);
       }
-      List<Host.Entry> live = h.entries.values().stream()
-          .filter(e -> e.at != Host.At.OVER && e.at != Host.At.HELD).toList();
+      List<Host.Entry> live =
+          h.entries.values().stream()
+              .filter(e -> e.at != Host.At.OVER && e.at != Host.At.HELD)
+              .toList();
       for (Host.Entry e : live) {
         if (e.at == Host.At.OVER) {
           continue;
@@ -899,19 +1100,27 @@
             }
             case CALLING -> h.called(e, Outcome.values()[r.nextInt(6)]);
             case ATTACHED -> h.end(e, Outcome.OK, 10_000);
-            default -> { }
+            default -> {}
           }
         }
       }
       long original = 0;
       int klass = r.nextInt(3);
       if (klass == 1 && r.nextInt(3) == 0) {
-        original = h.keptUntil.entrySet().stream().filter(k -> k.getValue() > h.now + 100_000)
-            .mapToLong(java.util.Map.Entry::getKey).max().orElse(0);
+        original =
+            h.keptUntil.entrySet().stream()
+                .filter(k -> k.getValue() > h.now + 100_000)
+                .mapToLong(java.util.Map.Entry::getKey)
+                .max()
+                .orElse(0);
       }
       h.arrive(klass, r.nextInt(2), r.nextInt(4) == 0 ? r.nextInt(3_000_000) : 0, 0, original);
       if (r.nextInt(10) == 0) {
-        h.entries.values().stream().filter(e -> e.owed).skip(r.nextInt(3)).findFirst().ifPresent(h::gone);
+        h.entries.values().stream()
+            .filter(e -> e.owed)
+            .skip(r.nextInt(3))
+            .findFirst()
+            .ifPresent(h::gone);
       }
       h.entries.values().removeIf(e -> e.at == Host.At.OVER && e.arrived < h.now - 20_000_000);
     }
@@ -920,7 +1129,8 @@
     assertTrue(h.actions.stream().filter(a -> a.startsWith("run")).count() > 500);
   }
 
-  @Test void theSameEventsGiveTheSameActions() {
+  @Test
+  void theSameEventsGiveTheSameActions() {
     List<String> first = null;
     for (int pass = 0; pass < 2; pass++) {
       Host h = learnt();
--- a/src/test/java/rosecleat/pool/PoolTest.java
+++ b/src/test/java/rosecleat/pool/PoolTest.java
@@ -21,8 +21,13 @@
     return new Listed(name, "10.0.0.1", 1, zone, weight, 2, takes);
   }
 
-  @Test void ownZoneFirstThenOthersWhereItIsFull() {
-    pool.use(List.of(listed("a", "here", 1, true), listed("b", "there", 1, true), listed("c", "there", 1, true)));
+  @Test
+  void ownZoneFirstThenOthersWhereItIsFull() {
+    pool.use(
+        List.of(
+            listed("a", "here", 1, true),
+            listed("b", "there", 1, true),
+            listed("c", "there", 1, true)));
     List<Place> taken = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       taken.add(pool.take(1));
@@ -36,7 +41,8 @@
     assertEquals("a", pool.take(1).name());
   }
 
-  @Test void workByWeightNotCountDecides() {
+  @Test
+  void workByWeightNotCountDecides() {
     pool.use(List.of(listed("small", "here", 1, true), listed("large", "here", 4, true)));
     pool.take(100); // the two choices are all there are: one has it now
     pool.take(100);
@@ -47,7 +53,8 @@
     assertTrue(work.get("large") > 2 * work.getOrDefault("small", 0.0), work.toString());
   }
 
-  @Test void drainedTakesNothingNewAndKeepsWhatItHas() {
+  @Test
+  void drainedTakesNothingNewAndKeepsWhatItHas() {
     pool.use(List.of(listed("a", "here", 1, true)));
     Place first = pool.take(5);
     pool.use(List.of(listed("a", "here", 1, false), listed("b", "here", 1, true)));
--- a/src/test/java/rosecleat/rig/AloneTest.java
+++ b/src/test/java/rosecleat/rig/AloneTest.java
@@ -21,17 +21,28 @@
 import rosecleat.cli.Main;
 import rosecleat.standin.UwsgiClient;
 
-/** One process by itself: a broker on a fresh machine, and a node of the platform, which shares nothing. */
+/**
+ * One process by itself: a broker on a fresh machine, and a node of the platform, which shares
+ * nothing.
+ */
 class AloneTest {
   @TempDir Path folder;
 
   private Process process(Map<String, String> env, String... words) throws Exception {
-    List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-Xmx48m", "-Xlog:class+load:file=" + folder.resolve("classes"), "-cp", System.getProperty("java.class.path"),
-        "rosecleat.cli.Main"));
+    List<String> command =
+        new ArrayList<>(
+            List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx48m",
+                "-Xlog:class+load:file=" + folder.resolve("classes"),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "rosecleat.cli.Main"));
     command.addAll(List.of(words));
-    ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-        .redirectOutput(folder.resolve("log").toFile());
+    ProcessBuilder builder =
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
+            .redirectOutput(folder.resolve("log").toFile());
     builder.environment().remove("PROXY_CONFIG");
     builder.environment().putAll(env);
     return builder.start();
@@ -45,23 +56,40 @@
   }
 
   /** What `make run` starts and `make ask` asks, at other ports. */
-  @Test void aBrokerStartsByItselfAndAnswersWhatIsDescribed() throws Exception {
+  @Test
+  void aBrokerStartsByItselfAndAnswersWhatIsDescribed() throws Exception {
     int[] ports = Site.ports(2);
     Files.createDirectory(folder.resolve("descriptions"));
     for (String file : List.of("cards.yaml", "loads.yaml")) {
-      Files.copy(Path.of("deploy/descriptions", file), folder.resolve("descriptions").resolve(file));
+      Files.copy(
+          Path.of("deploy/descriptions", file), folder.resolve("descriptions").resolve(file));
     }
     Path broker = folder.resolve("broker.yaml");
-    Files.writeString(broker, Files.readString(Path.of("deploy/broker.yaml")).replace("3031", "" + ports[0])
-        .replace("3039", "" + ports[1]));
+    Files.writeString(
+        broker,
+        Files.readString(Path.of("deploy/broker.yaml"))
+            .replace("3031", "" + ports[0])
+            .replace("3039", "" + ports[1]));
     Process process = process(Map.of(), "serve", "--broker", broker.toString());
     try {
       await("listens for uwsgi");
-      assertEquals("{\"card\":\"77\",\"cents\":2500}", UwsgiClient.exchange(ports[0],
-          UwsgiClient.packet(UwsgiClient.vars("GET", "/cards/77/balance", "aspen-dining"), "")).body());
-      assertEquals("{\"card\":\"77\",\"state\":\"active\"}", UwsgiClient.exchange(ports[0],
-          UwsgiClient.packet(UwsgiClient.vars("GET", "/cards/77/status", "aspen-dining"), "")).body());
-      assertFalse(Files.readString(folder.resolve("classes")).contains("rosecleat.fleet"), "nothing is shared here");
+      assertEquals(
+          "{\"card\":\"77\",\"cents\":2500}",
+          UwsgiClient.exchange(
+                  ports[0],
+                  UwsgiClient.packet(
+                      UwsgiClient.vars("GET", "/cards/77/balance", "aspen-dining"), ""))
+              .body());
+      assertEquals(
+          "{\"card\":\"77\",\"state\":\"active\"}",
+          UwsgiClient.exchange(
+                  ports[0],
+                  UwsgiClient.packet(
+                      UwsgiClient.vars("GET", "/cards/77/status", "aspen-dining"), ""))
+              .body());
+      assertFalse(
+          Files.readString(folder.resolve("classes")).contains("rosecleat.fleet"),
+          "nothing is shared here");
       process.destroy();
       assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     } finally {
@@ -69,50 +97,83 @@
     }
   }
 
-  /** Guards the platform, which forbids talk among nodes: no class of it is loaded, no socket but those of old. */
-  @Test void aNodeOfThePlatformSharesNothing() throws Exception {
+  /**
+   * Guards the platform, which forbids talk among nodes: no class of it is loaded, no socket but
+   * those of old.
+   */
+  @Test
+  void aNodeOfThePlatformSharesNothing() throws Exception {
     int[] ports = Site.ports(5);
     Path config = folder.resolve("config.json");
-    Files.writeString(config, Files.readString(Path.of("deploy/example.json")).replace("7001", "" + ports[0])
-        .replace("4400", "" + ports[1]).replace("8500", "" + ports[2]).replace("5432", "" + ports[3]));
+    Files.writeString(
+        config,
+        Files.readString(Path.of("deploy/example.json"))
+            .replace("7001", "" + ports[0])
+            .replace("4400", "" + ports[1])
+            .replace("8500", "" + ports[2])
+            .replace("5432", "" + ports[3]));
     String run = Files.readString(Path.of("deploy/run"));
-    assertTrue(run.endsWith("rosecleat.jar serve \"$@\"\n"), "what the platform starts is this command");
+    assertTrue(
+        run.endsWith("rosecleat.jar serve \"$@\"\n"), "what the platform starts is this command");
     Process process = process(Map.of("PROXY_CONFIG", config.toString()), "serve");
     try {
       await("listens on");
-      assertEquals(List.of(), Files.readString(folder.resolve("classes")).lines().filter(line -> line.matches(
-          ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(Sharing|Pools) |front\\.uwsgi\\.(Instances|Sample)).*")).toList());
+      assertEquals(
+          List.of(),
+          Files.readString(folder.resolve("classes"))
+              .lines()
+              .filter(
+                  line ->
+                      line.matches(
+                          ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(Sharing|Pools)"
+                              + " |front\\.uwsgi\\.(Instances|Sample)).*"))
+              .toList());
       List<String> sockets = new ArrayList<>();
       try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
         for (Path each : open.toList()) {
           try {
-            sockets.add(Files.readSymbolicLink(each).toString().replaceAll("socket:\\[(.*)]", "$1"));
+            sockets.add(
+                Files.readSymbolicLink(each).toString().replaceAll("socket:\\[(.*)]", "$1"));
           } catch (java.nio.file.NoSuchFileException e) {
             continue; // closed meanwhile
           }
         }
       }
-      assertFalse(Files.readString(Path.of("/proc/net/udp")).lines().anyMatch(line ->
-          line.split("\\s+").length > 10 && sockets.contains(line.trim().split("\\s+")[9])), "no datagrams");
+      assertFalse(
+          Files.readString(Path.of("/proc/net/udp"))
+              .lines()
+              .anyMatch(
+                  line ->
+                      line.split("\\s+").length > 10
+                          && sockets.contains(line.trim().split("\\s+")[9])),
+          "no datagrams");
     } finally {
       process.destroyForcibly();
     }
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-      "listen: 127.0.0.1:7946 | lisen: 127.0.0.1:7946 | did you mean listen",
-      "listen: 127.0.0.1:7946 | listen: somewhere:7946 | not a literal address",
-      "listen: 127.0.0.1:7946 | listen: 0.0.0.0:7946 | fleet.advertise is needed",
-      "period_ms: 1000 | period_ms: 1 | period_ms",
-      "name: n2 | name: a b | name",
-      "backend: fleet | backend: flet | backend"})
-  void aFileThatCannotBeUsedIsRefusedInOneLine(String good, String bad, String why) throws Exception {
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "listen: 127.0.0.1:7946 | lisen: 127.0.0.1:7946 | did you mean listen",
+        "listen: 127.0.0.1:7946 | listen: somewhere:7946 | not a literal address",
+        "listen: 127.0.0.1:7946 | listen: 0.0.0.0:7946 | fleet.advertise is needed",
+        "period_ms: 1000 | period_ms: 1 | period_ms",
+        "name: n2 | name: a b | name",
+        "backend: fleet | backend: flet | backend"
+      })
+  void aFileThatCannotBeUsedIsRefusedInOneLine(String good, String bad, String why)
+      throws Exception {
     Files.createDirectory(folder.resolve("fleet"));
     Files.createDirectory(folder.resolve("descriptions"));
-    Files.copy(Path.of("deploy/descriptions/cards.yaml"), folder.resolve("descriptions/cards.yaml"));
+    Files.copy(
+        Path.of("deploy/descriptions/cards.yaml"), folder.resolve("descriptions/cards.yaml"));
     Path file = folder.resolve("fleet/n2.yaml");
-    Files.writeString(file, Files.readString(Path.of("deploy/fleet/n2.yaml")).replace("7947        #", "7946        #"));
+    Files.writeString(
+        file,
+        Files.readString(Path.of("deploy/fleet/n2.yaml"))
+            .replace("7947        #", "7946        #"));
     assertEquals(0, check(file).length());
     Files.writeString(file, Files.readString(file).replace(good, bad));
     String told = check(file);
@@ -124,7 +185,10 @@
     ByteArrayOutputStream told = new ByteArrayOutputStream();
     System.setErr(new PrintStream(told));
     try {
-      Main.run(new String[] {"check", "--broker", file.toString()}, Map.of(), InputStream.nullInputStream(),
+      Main.run(
+          new String[] {"check", "--broker", file.toString()},
+          Map.of(),
+          InputStream.nullInputStream(),
           new ByteArrayOutputStream());
     } finally {
       System.setErr(err);
