--- a/src/test/java/rosecleat/rig/Links.java
+++ b/src/test/java/rosecleat/rig/Links.java
@@ -23,8 +23,8 @@
 import rosecleat.fleet.wire.Exchange;
 
 /**
- * The links between the processes of a site: each is reached by the others only through a relay here, which knows who
- * sends, and loses, doubles, delays, cuts one way or both, throttles.
+ * The links between the processes of a site: each is reached by the others only through a relay
+ * here, which knows who sends, and loses, doubles, delays, cuts one way or both, throttles.
  */
 final class Links implements AutoCloseable {
   /** What may happen on the way from one to another; probabilities, and milliseconds. */
@@ -33,7 +33,10 @@
     static final Way CUT = new Way(0, 0, 0, true, 0);
   }
 
-  /** Chooses the way from one process to another, by their numbers; a sender that is not known has -1. */
+  /**
+   * Chooses the way from one process to another, by their numbers; a sender that is not known has
+   * -1.
+   */
   interface Ways {
     Way of(int from, int to);
   }
@@ -42,13 +45,16 @@
   private final List<DatagramSocket> datagrams = new ArrayList<>();
   private final List<ServerSocket> servers = new ArrayList<>();
   private final Set<Pipe> pipes = ConcurrentHashMap.newKeySet();
-  private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(r -> daemon(r));
+  private final ScheduledExecutorService later =
+      Executors.newSingleThreadScheduledExecutor(r -> daemon(r));
   private final int[] real;
   private final int[] told;
   private final Random random = new Random(7);
   final AtomicInteger torn = new AtomicInteger();
+
   /** Breaks each exchange that is not of members alone after so many bytes; 0 for none. */
   volatile int tearAfter;
+
   private volatile Ways ways = (from, to) -> Way.CLEAR;
   private volatile boolean closed;
 
@@ -138,13 +144,17 @@
 
   /** Who opens a connection is known from its first frame. */
   private void converse(Socket socket, int to) {
-    try (socket; Socket on = new Socket()) {
+    try (socket;
+        Socket on = new Socket()) {
       socket.setSoTimeout(5_000);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       int kind = in.read();
       byte[] frame = new byte[in.readInt()];
       in.readFully(frame);
-      int port = Exchange.parseFrom(java.util.Arrays.copyOfRange(frame, 8, frame.length)).getFrom().getPort(); // behind its hash
+      int port =
+          Exchange.parseFrom(java.util.Arrays.copyOfRange(frame, 8, frame.length))
+              .getFrom()
+              .getPort(); // behind its hash
       int from = -1;
       for (int i = 0; i < told.length; i++) {
         from = told[i] == port || real[i] == port ? i : from;
@@ -167,7 +177,11 @@
   }
 
   private static byte[] header(int kind, byte[] frame) {
-    return java.nio.ByteBuffer.allocate(5 + frame.length).put((byte) kind).putInt(frame.length).put(frame).array();
+    return java.nio.ByteBuffer.allocate(5 + frame.length)
+        .put((byte) kind)
+        .putInt(frame.length)
+        .put(frame)
+        .array();
   }
 
   private final class Pipe {
@@ -223,7 +237,8 @@
     }
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     closed = true;
     later.shutdownNow();
     datagrams.forEach(DatagramSocket::close);
--- a/src/test/java/rosecleat/rig/Site.java
+++ b/src/test/java/rosecleat/rig/Site.java
@@ -15,11 +15,16 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
 
-/** Several processes of the program on loopback, each linked to the others through relays; named n0, n1, ... */
+/**
+ * Several processes of the program on loopback, each linked to the others through relays; named n0,
+ * n1, ...
+ */
 public final class Site implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
+
   /** Words of all the sites' files; a service with a keyed operation and two reads. */
-  private static final String DESCRIPTION = """
+  private static final String DESCRIPTION =
+      """
       openapi: 3.0.3
       info: {title: cards, version: "1"}
       paths:
@@ -74,12 +79,18 @@
   }
 
   private String seeds(int i) {
-    return String.join(", ", IntStream.range(0, Math.min(3, size)).mapToObj(k -> "\"127.0.0.1:" + toldPorts[k] + "\"").toList());
+    return String.join(
+        ", ",
+        IntStream.range(0, Math.min(3, size))
+            .mapToObj(k -> "\"127.0.0.1:" + toldPorts[k] + "\"")
+            .toList());
   }
 
   /** Writes a process's file; it takes effect at its next start. */
   public void configure(int i, String name, String seeds, String sections) throws IOException {
-    Files.writeString(folder.resolve("n" + i + ".yaml"), """
+    Files.writeString(
+        folder.resolve("n" + i + ".yaml"),
+        """
         name: %s
         limits: {memory_mb: 64}
         operators: {listen: "127.0.0.1:%d"}
@@ -94,7 +105,19 @@
               dear: {class: dear, aim_ms: 1500, deadline_ms: 3000, effect: pure}
               load: {class: load, aim_ms: 1500, deadline_ms: 3000, effect: token, window_ms: 20000}
             budget: {till: {quota_per_s: 1000}}
-        %s%s""".formatted(name, doors[i], fleetPorts[i], toldPorts[i], i % 3, seeds, periodMs, fronts[i], sections, more));
+        %s%s\
+        """
+            .formatted(
+                name,
+                doors[i],
+                fleetPorts[i],
+                toldPorts[i],
+                i % 3,
+                seeds,
+                periodMs,
+                fronts[i],
+                sections,
+                more));
   }
 
   /** Writes the file of routes that n0 publishes; {@code lines} are instances. */
@@ -107,10 +130,23 @@
   /** Starts processes by number. */
   public void start(int... which) throws IOException {
     for (int i : which) {
-      processes[i] = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx48m", "-XX:-UsePerfData",
-          "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-cp", System.getProperty("java.class.path"),
-          "rosecleat.cli.Main", "serve", "--broker", folder.resolve("n" + i + ".yaml").toString())
-          .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log(i).toFile())).start();
+      processes[i] =
+          new ProcessBuilder(
+                  Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                  "-Xmx48m",
+                  "-XX:-UsePerfData",
+                  "-XX:+UseSerialGC",
+                  "-XX:TieredStopAtLevel=1",
+                  "-Xshare:auto",
+                  "-cp",
+                  System.getProperty("java.class.path"),
+                  "rosecleat.cli.Main",
+                  "serve",
+                  "--broker",
+                  folder.resolve("n" + i + ".yaml").toString())
+              .redirectErrorStream(true)
+              .redirectOutput(ProcessBuilder.Redirect.appendTo(log(i).toFile()))
+              .start();
     }
   }
 
@@ -135,7 +171,9 @@
 
   /** Sends a signal: KILL, TERM, STOP, CONT or HUP. */
   public void signal(int i, String name) throws Exception {
-    new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + processes[i].pid()).start().waitFor();
+    new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + processes[i].pid())
+        .start()
+        .waitFor();
     if (name.equals("KILL")) {
       processes[i].waitFor();
     }
@@ -165,7 +203,10 @@
   public JsonNode see(int i, String path) {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), doors[i])) {
       socket.setSoTimeout(3_000);
-      socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+      socket
+          .getOutputStream()
+          .write(
+              ("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
       String reply = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
       return JSON.readTree(reply.substring(reply.indexOf("\r\n\r\n") + 4));
     } catch (IOException | RuntimeException e) {
@@ -173,7 +214,9 @@
     }
   }
 
-  /** How a process holds another; empty where it does not know it. The one with the greatest epoch. */
+  /**
+   * How a process holds another; empty where it does not know it. The one with the greatest epoch.
+   */
   public String state(int at, String name) {
     String state = "";
     for (JsonNode member : see(at, "/v1/fleet").path("members")) {
@@ -190,7 +233,9 @@
     return epoch;
   }
 
-  /** Whether these processes hold exactly one another for alive, and are settled with one digest. */
+  /**
+   * Whether these processes hold exactly one another for alive, and are settled with one digest.
+   */
   public boolean settled(int... which) {
     String digest = null;
     for (int i : which) {
@@ -199,7 +244,8 @@
       for (JsonNode member : view.path("members")) {
         alive += member.path("state").asText().equals("alive") ? 1 : 0;
       }
-      if (!view.path("settled").asBoolean() || alive != which.length
+      if (!view.path("settled").asBoolean()
+          || alive != which.length
           || digest != null && !digest.equals(view.path("digest").asText())) {
         return false;
       }
@@ -213,7 +259,9 @@
   }
 
   public int[] but(int... without) {
-    return IntStream.range(0, size).filter(i -> IntStream.of(without).noneMatch(w -> w == i)).toArray();
+    return IntStream.range(0, size)
+        .filter(i -> IntStream.of(without).noneMatch(w -> w == i))
+        .toArray();
   }
 
   /** Waits for something; fails with what was wanted and what all show. */
@@ -223,7 +271,12 @@
       if (System.nanoTime() > end) {
         StringBuilder seen = new StringBuilder();
         for (int i = 0; i < size; i++) {
-          seen.append("\nn").append(i).append(": ").append(see(i, "/v1/fleet")).append(see(i, "/v1/routes")).append(logOf(i).lines().limit(6).toList());
+          seen.append("\nn")
+              .append(i)
+              .append(": ")
+              .append(see(i, "/v1/fleet"))
+              .append(see(i, "/v1/routes"))
+              .append(logOf(i).lines().limit(6).toList());
         }
         throw new AssertionError(what + " did not come to be:" + seen);
       }
@@ -243,7 +296,8 @@
     return this;
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     for (Process process : processes) {
       if (process != null) {
         process.destroyForcibly();
--- a/src/test/java/rosecleat/rig/ViewTest.java
+++ b/src/test/java/rosecleat/rig/ViewTest.java
@@ -18,28 +18,34 @@
   @TempDir Path folder;
   private Site site;
 
-  @BeforeEach void start() throws Exception {
+  @BeforeEach
+  void start() throws Exception {
     site = new Site(folder, 7, PERIOD_MS, "");
     site.routes("c1: {address: \"uwsgi://127.0.0.1:9\"}");
     site.startAll().awaitSettled(site.all());
   }
 
-  @AfterEach void stop() {
+  @AfterEach
+  void stop() {
     site.close();
   }
 
   private void everywhere(String name, String state, int... where) throws InterruptedException {
-    site.await(name + " " + state, 30, () -> {
-      for (int i : where) {
-        if (!site.state(i, name).equals(state)) {
-          return false;
-        }
-      }
-      return true;
-    });
+    site.await(
+        name + " " + state,
+        30,
+        () -> {
+          for (int i : where) {
+            if (!site.state(i, name).equals(state)) {
+              return false;
+            }
+          }
+          return true;
+        });
   }
 
-  @Test void aCrashAPauseALeaveAndARestartAreToldApart() throws Exception {
+  @Test
+  void aCrashAPauseALeaveAndARestartAreToldApart() throws Exception {
     long before = site.epoch(1, "n6");
     site.signal(6, "KILL");
     everywhere("n6", "dead", site.but(6));
@@ -57,16 +63,23 @@
     long again = site.epoch(1, "n6");
     site.signal(6, "KILL"); // back before anybody notices: new all the same
     site.start(6);
-    site.await("the later start", 30, () -> site.epoch(1, "n6") > again && site.state(1, "n6").equals("alive"));
+    site.await(
+        "the later start",
+        30,
+        () -> site.epoch(1, "n6") > again && site.state(1, "n6").equals("alive"));
     site.awaitSettled(site.all());
   }
 
-  @Test void sidesOfASplitFindEachOther() throws Exception {
+  @Test
+  void sidesOfASplitFindEachOther() throws Exception {
     Links.Ways halves = (a, b) -> a >= 0 && a % 2 == b % 2 ? Way.CLEAR : Way.CUT;
     site.links.ways(halves);
     everywhere("n1", "dead", 0, 2, 4, 6);
     everywhere("n0", "dead", 1, 3, 5);
-    site.await("the smaller side says that it may be cut off", 10, () -> !site.see(1, "/v1/fleet").path("settled").asBoolean());
+    site.await(
+        "the smaller side says that it may be cut off",
+        10,
+        () -> !site.see(1, "/v1/fleet").path("settled").asBoolean());
     site.awaitSettledSide(4, 0, 2, 4, 6); // more than half: settled without the others
     site.links.ways((a, b) -> Way.CLEAR);
     site.awaitSettled(site.all());
@@ -78,13 +91,19 @@
     site.awaitSettled(site.all());
     site.links.ways((a, b) -> a == 2 || b == 2 ? Way.CUT : Way.CLEAR);
     everywhere("n2", "dead", site.but(2));
-    assertFalse(site.see(2, "/v1/fleet").path("settled").asBoolean(), site.see(2, "/v1/fleet") + site.logOf(2));
+    assertFalse(
+        site.see(2, "/v1/fleet").path("settled").asBoolean(),
+        site.see(2, "/v1/fleet") + site.logOf(2));
     site.links.ways((a, b) -> Way.CLEAR);
     site.awaitSettled(site.all());
   }
 
-  /** Guards against a view that flaps where one direction is gone: relays answer for the one that hears but is not heard. */
-  @Test void oneWayAndLossAndGarbageHarmNobody() throws Exception {
+  /**
+   * Guards against a view that flaps where one direction is gone: relays answer for the one that
+   * hears but is not heard.
+   */
+  @Test
+  void oneWayAndLossAndGarbageHarmNobody() throws Exception {
     site.links.ways((a, b) -> a == 3 && b == 4 ? Way.CUT : Way.CLEAR);
     Random random = new Random(5);
     for (int round = 0; round < 40; round++) {
@@ -105,18 +124,26 @@
     site.awaitSettled(site.all());
   }
 
-  @Test void twoProcessesUnderOneNameAreKeptApartAndANewRingStartsAtOnce() throws Exception {
+  @Test
+  void twoProcessesUnderOneNameAreKeptApartAndANewRingStartsAtOnce() throws Exception {
     site.configure(6, "n5", "\"" + site.toldAt(0) + "\"", "");
     site.signal(6, "TERM");
     site.await("its end", 20, () -> !site.lives(6));
     site.start(6);
-    site.await("both seen", 30, () -> {
-      int named = 0;
-      for (var member : site.see(0, "/v1/fleet").path("members")) {
-        named += member.path("name").asText().equals("n5") && member.path("state").asText().equals("alive") ? 1 : 0;
-      }
-      return named == 2;
-    });
+    site.await(
+        "both seen",
+        30,
+        () -> {
+          int named = 0;
+          for (var member : site.see(0, "/v1/fleet").path("members")) {
+            named +=
+                member.path("name").asText().equals("n5")
+                        && member.path("state").asText().equals("alive")
+                    ? 1
+                    : 0;
+          }
+          return named == 2;
+        });
     site.awaitSettled(site.all());
     assertTrue(site.logOf(5).contains("another process is named n5"), site.logOf(5));
     Thread.sleep(15L * PERIOD_MS);
--- a/src/test/java/rosecleat/roster/RosterClientTest.java
+++ b/src/test/java/rosecleat/roster/RosterClientTest.java
@@ -16,7 +16,10 @@
 import rosecleat.net.LoopGate;
 import rosecleat.standin.StandInRoster;
 
-/** Reports that cross the end of their connection, a roster that fails, and one that says more than one reply. */
+/**
+ * Reports that cross the end of their connection, a roster that fails, and one that says more than
+ * one reply.
+ */
 class RosterClientTest {
   private final Log log = new Log(System.err);
   private final StandInRoster roster = new StandInRoster();
@@ -25,13 +28,21 @@
   private LoopGate gate;
   private RosterClient client;
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     loop = new EventLoop(log);
     gate = new LoopGate(loop);
-    client = new RosterClient(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), roster.port()), "n1", counters, log);
+    client =
+        new RosterClient(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), roster.port()),
+            "n1",
+            counters,
+            log);
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     gate.close();
     loop.close();
     roster.close();
@@ -50,12 +61,17 @@
     }
   }
 
-  /** Guards the notice to leave: its connection has ended, and the client hears of that only behind the notice. */
-  @Test void aReportIsNotPutOnAConnectionWhoseEndIsStillToBeTold() throws Exception {
-    gate.on(() -> {
-      client.begin();
-      return 0;
-    });
+  /**
+   * Guards the notice to leave: its connection has ended, and the client hears of that only behind
+   * the notice.
+   */
+  @Test
+  void aReportIsNotPutOnAConnectionWhoseEndIsStillToBeTold() throws Exception {
+    gate.on(
+        () -> {
+          client.begin();
+          return 0;
+        });
     await(() -> count("roster.reports") == 1);
     gate.hold();
     roster.cut();
@@ -64,18 +80,25 @@
     long leftNs = System.nanoTime();
     gate.release();
     await(() -> count("roster.reports") == 2);
-    assertTrue(System.nanoTime() - leftNs < 500_000_000, "the notice waited for an answer that could not come");
+    assertTrue(
+        System.nanoTime() - leftNs < 500_000_000,
+        "the notice waited for an answer that could not come");
     assertEquals(0, count("roster.failed"));
     assertTrue(roster.reports.get(1).contains("off"), roster.reports.toString());
   }
 
-  /** Guards the list: a node whose report failed tells it anew at once, not with the next second's report. */
-  @Test void aRosterThatFailedIsToldAnewAtOnce() {
+  /**
+   * Guards the list: a node whose report failed tells it anew at once, not with the next second's
+   * report.
+   */
+  @Test
+  void aRosterThatFailedIsToldAnewAtOnce() {
     roster.mood = "503";
-    gate.on(() -> {
-      client.begin();
-      return 0;
-    });
+    gate.on(
+        () -> {
+          client.begin();
+          return 0;
+        });
     await(() -> count("roster.failed") == 1);
     long failedNs = System.nanoTime();
     roster.mood = "204";
@@ -84,12 +107,14 @@
   }
 
   /** Guards reports against interim replies, which stand in front of the final one. */
-  @Test void anInterimReplyIsNoAnswer() {
+  @Test
+  void anInterimReplyIsNoAnswer() {
     roster.mood = "103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 204";
-    gate.on(() -> {
-      client.begin();
-      return 0;
-    });
+    gate.on(
+        () -> {
+          client.begin();
+          return 0;
+        });
     await(() -> count("roster.reports") == 1);
     assertEquals(0, count("roster.failed"));
   }
--- a/src/test/java/rosecleat/routes/BookTest.java
+++ b/src/test/java/rosecleat/routes/BookTest.java
@@ -20,9 +20,13 @@
 
   private static Entry entry(long c) {
     long what = Math.floorMod(c / 64, 5);
-    Instance instance = what == 0 ? null : new Instance("10.0.0." + what, 9000, "z", 1, Instance.State.ON, 0);
-    return new Entry(new Entry.Key("s" + Math.floorMod(c, 2), "i" + Math.floorMod(c / 2, 8)), instance,
-        1 + Math.floorMod(c / 16, 4), "a" + Math.floorMod(c / 400, 2));
+    Instance instance =
+        what == 0 ? null : new Instance("10.0.0." + what, 9000, "z", 1, Instance.State.ON, 0);
+    return new Entry(
+        new Entry.Key("s" + Math.floorMod(c, 2), "i" + Math.floorMod(c / 2, 8)),
+        instance,
+        1 + Math.floorMod(c / 16, 4),
+        "a" + Math.floorMod(c / 400, 2));
   }
 
   private static Book of(List<Entry> entries) {
@@ -33,8 +37,8 @@
 
   /** Plays an exchange; {@code frames} of it arrive, then the connection breaks. */
   private static void meet(Book one, Book other, int frames) {
-    Follow opener = new Follow(one, true, "c", () -> SELF, () -> { }, () -> { });
-    Follow answers = new Follow(other, false, "c", () -> SELF, () -> { }, () -> { });
+    Follow opener = new Follow(one, true, "c", () -> SELF, () -> {}, () -> {});
+    Follow answers = new Follow(other, false, "c", () -> SELF, () -> {}, () -> {});
     byte[] frame = opener.next(null, 0);
     for (int i = 0; frame != null && i < frames; i++) {
       frame = (i % 2 == 0 ? answers : opener).next(frame, 0);
@@ -42,8 +46,10 @@
   }
 
   @Property(tries = 500)
-  void anyOrderEndsTheSameAndExchangesMakeSidesEqual(@ForAll @Size(max = 40) List<Long> mine,
-      @ForAll @Size(max = 40) List<Long> theirs, @ForAll long seed) {
+  void anyOrderEndsTheSameAndExchangesMakeSidesEqual(
+      @ForAll @Size(max = 40) List<Long> mine,
+      @ForAll @Size(max = 40) List<Long> theirs,
+      @ForAll long seed) {
     List<Entry> a = mine.stream().map(BookTest::entry).toList();
     List<Entry> b = theirs.stream().map(BookTest::entry).toList();
     List<Entry> all = new ArrayList<>(a);
@@ -54,7 +60,9 @@
     Book other = of(b);
     meet(one, other, Math.floorMod(seed, 3)); // torn: changes nothing that matters
     meet(one, other, 9);
-    meet(one, other, 9); // what the answering side lacked and the opener could not know is found the other way
+    meet(
+        one, other,
+        9); // what the answering side lacked and the opener could not know is found the other way
     meet(other, one, 9);
     assertEquals(of(all).holds(), one.holds());
     assertEquals(one.holds(), other.holds());
@@ -63,7 +71,8 @@
   }
 
   @Property(tries = 500)
-  void aDiffIsTheFewestStepsAndGoesBothWays(@ForAll @Size(max = 60) List<Long> first, @ForAll @Size(max = 20) List<Long> then) {
+  void aDiffIsTheFewestStepsAndGoesBothWays(
+      @ForAll @Size(max = 60) List<Long> first, @ForAll @Size(max = 20) List<Long> then) {
     Book book = of(first.stream().map(BookTest::entry).toList());
     Table before = book.table();
     then.forEach(c -> book.merge(List.of(entry(c + 16 * 3))));
@@ -97,7 +106,10 @@
     return flat;
   }
 
-  /** Authors by their files: what another wrote since stays, a removal does not come back, equal content is one table. */
+  /**
+   * Authors by their files: what another wrote since stays, a removal does not come back, equal
+   * content is one table.
+   */
   @Property(tries = 50)
   void authorsFollowTheRuleByEntry(@ForAll long seed) {
     Random random = new Random(seed);
@@ -105,7 +117,9 @@
     Book other = new Book();
     Map<Entry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < 40; i++) {
-      file.put(new Entry.Key("s", "i" + i), new Instance("10.0.0.1", 1 + random.nextInt(50), "", 1, Instance.State.ON, 0));
+      file.put(
+          new Entry.Key("s", "i" + i),
+          new Instance("10.0.0.1", 1 + random.nextInt(50), "", 1, Instance.State.ON, 0));
     }
     one.publish("a", file);
     other.publish("b", file); // the same by another author: the same table, known by what it holds
@@ -123,23 +137,30 @@
     assertEquals(39, flat(other.table()).size());
   }
 
-  /** A change of few in many costs by the change: the far side of 20,000 entries is not looked at. */
-  @org.junit.jupiter.api.Test void aFollowerOfAKnownStateIsToldTheChangeAlone() {
+  /**
+   * A change of few in many costs by the change: the far side of 20,000 entries is not looked at.
+   */
+  @org.junit.jupiter.api.Test
+  void aFollowerOfAKnownStateIsToldTheChangeAlone() {
     Book author = new Book();
     Map<Entry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < 20_000; i++) {
-      file.put(new Entry.Key("s" + i % 50, "i" + i), new Instance("10.0.0.1", 1 + i % 60_000, "", 1, Instance.State.ON, 0));
+      file.put(
+          new Entry.Key("s" + i % 50, "i" + i),
+          new Instance("10.0.0.1", 1 + i % 60_000, "", 1, Instance.State.ON, 0));
     }
     author.publish("a", file);
     Book follower = new Book();
     meet(follower, author, 9);
     assertEquals(author.holds(), follower.holds());
     for (int i = 0; i < 10; i++) {
-      file.put(new Entry.Key("s" + i, "i" + i), new Instance("10.0.0.2", 7, "", 1, Instance.State.DRAIN, 0));
+      file.put(
+          new Entry.Key("s" + i, "i" + i),
+          new Instance("10.0.0.2", 7, "", 1, Instance.State.DRAIN, 0));
     }
     author.publish("a", file);
-    Follow opener = new Follow(follower, true, "c", () -> SELF, () -> { }, () -> { });
-    Follow answers = new Follow(author, false, "c", () -> SELF, () -> { }, () -> { });
+    Follow opener = new Follow(follower, true, "c", () -> SELF, () -> {}, () -> {});
+    Follow answers = new Follow(author, false, "c", () -> SELF, () -> {}, () -> {});
     byte[] told = answers.next(opener.next(null, 0), 0);
     assertTrue(told.length < 1_500, "told " + told.length + " bytes");
     opener.next(told, 0);
--- a/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
-import rosecleat.core.Request;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
+import rosecleat.core.Request;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
@@ -26,13 +26,18 @@
 import rosecleat.standin.StandInRuntime;
 import rosecleat.standin.TestSite;
 
-/** Commands that cross the end of their link, and of the one after it, on a clock of the test's own. */
+/**
+ * Commands that cross the end of their link, and of the one after it, on a clock of the test's own.
+ */
 class RuntimeLinkTest {
-  private static final Ledger NONE = new Ledger() {
-    @Override public void call(String id, long untilUs, byte[] body) { }
+  private static final Ledger NONE =
+      new Ledger() {
+        @Override
+        public void call(String id, long untilUs, byte[] body) {}
 
-    @Override public void cancel(String id) { }
-  };
+        @Override
+        public void cancel(String id) {}
+      };
 
   private final Log log = new Log(System.err);
   private final StandInRuntime runtime = new StandInRuntime(1);
@@ -43,19 +48,39 @@
   private Core core;
   private RuntimeLink link;
 
-  @BeforeEach void start() throws IOException {
+  @BeforeEach
+  void start() throws IOException {
     loop = new EventLoop(log);
     gate = new LoopGate(loop);
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
-    core = new Core(new Core.Rules(2, List.of(new Core.RequestClass("balance-check", false, false, 0, 1_000_000)), List.of("small"),
-        80_000, 1_500_000, 30_000_000, 1 << 20), new Decisions(config.start().settings(), config.start().gauges(), 5), NONE,
-        now::get, counters, log);
-    link = new RuntimeLink(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), runtime.port()), core, now::get, log);
+    core =
+        new Core(
+            new Core.Rules(
+                2,
+                List.of(new Core.RequestClass("balance-check", false, false, 0, 1_000_000)),
+                List.of("small"),
+                80_000,
+                1_500_000,
+                30_000_000,
+                1 << 20),
+            new Decisions(config.start().settings(), config.start().gauges(), 5),
+            NONE,
+            now::get,
+            counters,
+            log);
+    link =
+        new RuntimeLink(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), runtime.port()),
+            core,
+            now::get,
+            log);
     loop.execute(link::connect);
     await(() -> gate.on(core::ready));
   }
 
-  @AfterEach void stop() throws IOException {
+  @AfterEach
+  void stop() throws IOException {
     gate.close();
     loop.close();
     runtime.close();
@@ -71,11 +96,29 @@
   }
 
   private void start(String id) {
-    gate.on(() -> {
-      link.start(new Request(id, now.get(), 900_000, 0, "balance-check", 0, 1, false, 1, 0, null, 0,
-          id.getBytes(StandardCharsets.UTF_8), Map.of(), link, answer -> { }), now.get() + 900_000);
-      return 0;
-    });
+    gate.on(
+        () -> {
+          link.start(
+              new Request(
+                  id,
+                  now.get(),
+                  900_000,
+                  0,
+                  "balance-check",
+                  0,
+                  1,
+                  false,
+                  1,
+                  0,
+                  null,
+                  0,
+                  id.getBytes(StandardCharsets.UTF_8),
+                  Map.of(),
+                  link,
+                  answer -> {}),
+              now.get() + 900_000);
+          return 0;
+        });
   }
 
   private long syncs() {
@@ -84,8 +127,12 @@
     }
   }
 
-  /** Guards a start against two breaks: that the second came much later does not prove that it had arrived by the first. */
-  @Test void aStartThatTheFirstOfTwoBrokenLinksSwallowedIsSentAgain() {
+  /**
+   * Guards a start against two breaks: that the second came much later does not prove that it had
+   * arrived by the first.
+   */
+  @Test
+  void aStartThatTheFirstOfTwoBrokenLinksSwallowedIsSentAgain() {
     runtime.swallow = 1;
     start("00000000000000a1");
     await(() -> runtime.swallow == 0);
@@ -101,7 +148,8 @@
   }
 
   /** Guards a start that waited for a link: the one it goes by can break too. */
-  @Test void aStartKeptForTheNextLinkAndSwallowedByItIsSentAgain() {
+  @Test
+  void aStartKeptForTheNextLinkAndSwallowedByItIsSentAgain() {
     runtime.down();
     await(() -> gate.on(() -> counters.get("runtime.unreached")) > 0);
     start("00000000000000a2");
@@ -113,8 +161,12 @@
     assertEquals(1, runtime.startsOf("00000000000000a2"));
   }
 
-  /** Guards keyed starts: one sent by the new link, while what the old one swallowed is still unknown, is no suspect. */
-  @Test void aStartSentByTheNewLinkIsNotTakenForSwallowedByTheOld() {
+  /**
+   * Guards keyed starts: one sent by the new link, while what the old one swallowed is still
+   * unknown, is no suspect.
+   */
+  @Test
+  void aStartSentByTheNewLinkIsNotTakenForSwallowedByTheOld() {
     runtime.swallow = 1;
     start("00000000000000a3");
     await(() -> runtime.swallow == 0);
--- a/src/test/java/rosecleat/standin/RespClient.java
+++ b/src/test/java/rosecleat/standin/RespClient.java
@@ -32,7 +32,8 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes(("*" + words.length + "\r\n").getBytes(StandardCharsets.UTF_8));
     for (Object word : words) {
-      byte[] bytes = word instanceof byte[] b ? b : word.toString().getBytes(StandardCharsets.UTF_8);
+      byte[] bytes =
+          word instanceof byte[] b ? b : word.toString().getBytes(StandardCharsets.UTF_8);
       out.writeBytes(("$" + bytes.length + "\r\n").getBytes(StandardCharsets.UTF_8));
       out.writeBytes(bytes);
       out.writeBytes("\r\n".getBytes(StandardCharsets.UTF_8));
@@ -42,20 +43,31 @@
 
   /** The fields of a request that comes now. */
   public static String fields(String id, String tenant, int waitMs, String once) {
-    return "id=" + id + ",at=" + System.currentTimeMillis() + ",from=1,tenant=" + tenant + ",wait=" + waitMs
-        + ",kb=10.5,rank=0.5000" + (once == null ? "" : ",once=" + once);
+    return "id="
+        + id
+        + ",at="
+        + System.currentTimeMillis()
+        + ",from=1,tenant="
+        + tenant
+        + ",wait="
+        + waitMs
+        + ",kb=10.5,rank=0.5000"
+        + (once == null ? "" : ",once=" + once);
   }
 
   public void send(byte[] bytes) throws IOException {
     int at = 0;
     while (at < bytes.length) {
-      int count = pieces == null ? bytes.length : Math.min(bytes.length - at, 1 + pieces.nextInt(40));
+      int count =
+          pieces == null ? bytes.length : Math.min(bytes.length - at, 1 + pieces.nextInt(40));
       socket.getOutputStream().write(bytes, at, count);
       at += count;
     }
   }
 
-  /** The next answer as words, null at the end of the connection; wishes to close are only counted. */
+  /**
+   * The next answer as words, null at the end of the connection; wishes to close are only counted.
+   */
   public List<String> answer() throws IOException {
     List<String> words = read();
     while (words != null && words.get(1).equals("BYE")) {
@@ -97,7 +109,8 @@
     return socket.isClosed();
   }
 
-  @Override public void close() throws IOException {
+  @Override
+  public void close() throws IOException {
     socket.close();
   }
 }
--- a/src/test/java/rosecleat/standin/Server.java
+++ b/src/test/java/rosecleat/standin/Server.java
@@ -25,18 +25,20 @@
       throw new java.io.UncheckedIOException(e);
     }
     server = fresh;
-    accepting = thread(() -> {
-      while (!fresh.isClosed()) {
-        try {
-          Socket socket = fresh.accept();
-          socket.setTcpNoDelay(true);
-          open.add(socket);
-          thread(() -> session(socket));
-        } catch (IOException e) {
-          return;
-        }
-      }
-    });
+    accepting =
+        thread(
+            () -> {
+              while (!fresh.isClosed()) {
+                try {
+                  Socket socket = fresh.accept();
+                  socket.setTcpNoDelay(true);
+                  open.add(socket);
+                  thread(() -> session(socket));
+                } catch (IOException e) {
+                  return;
+                }
+              }
+            });
   }
 
   private void session(Socket socket) {
@@ -73,8 +75,9 @@
   }
 
   /**
-   * Waits for the thread that accepts: until its call returns, the system still accepts connections for a socket that
-   * was closed, and a test that wants nobody there would meet a server that answers.
+   * Waits for the thread that accepts: until its call returns, the system still accepts connections
+   * for a socket that was closed, and a test that wants nobody there would meet a server that
+   * answers.
    */
   private void stopListening() {
     try {
@@ -98,7 +101,8 @@
     }
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     stopListening();
     cut();
   }
--- a/src/test/java/rosecleat/standin/StandInIndex.java
+++ b/src/test/java/rosecleat/standin/StandInIndex.java
@@ -12,13 +12,18 @@
 public final class StandInIndex extends Server {
   /** The lines that came. */
   public final List<String> lines = new CopyOnWriteArrayList<>();
-  /** The next answers, first to last: a word, "cut" to break the connection, "" for silence, "wait", "raw TEXT" with ID in it; then HIT. */
+
+  /**
+   * The next answers, first to last: a word, "cut" to break the connection, "" for silence, "wait",
+   * "raw TEXT" with ID in it; then HIT.
+   */
   public final List<String> answers = new CopyOnWriteArrayList<>();
 
   /** Lets go the answers that wait. */
   public volatile CountDownLatch release = new CountDownLatch(1);
 
-  @Override protected void serve(Socket socket) throws IOException {
+  @Override
+  protected void serve(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
     for (String line = line(in); !line.isEmpty(); line = line(in)) {
       lines.add(line);
@@ -33,8 +38,10 @@
         return;
       }
       if (answer.startsWith("raw ")) {
-        socket.getOutputStream().write(answer.substring(4).replace("ID", words[1])
-            .getBytes(StandardCharsets.ISO_8859_1));
+        socket
+            .getOutputStream()
+            .write(
+                answer.substring(4).replace("ID", words[1]).getBytes(StandardCharsets.ISO_8859_1));
         continue;
       }
       if (answer.equals("wait")) {
@@ -46,7 +53,11 @@
         answer = "HIT";
       }
       String reply = "reply to " + new String(body, 0, body.length - 2, StandardCharsets.UTF_8);
-      String text = words[1] + " " + answer + (answer.equals("HIT") ? " " + reply.length() + "\r\n" + reply : "");
+      String text =
+          words[1]
+              + " "
+              + answer
+              + (answer.equals("HIT") ? " " + reply.length() + "\r\n" + reply : "");
       if (!answer.isEmpty()) {
         socket.getOutputStream().write((text + "\r\n").getBytes(StandardCharsets.UTF_8));
       }
--- a/src/test/java/rosecleat/standin/StandInRoster.java
+++ b/src/test/java/rosecleat/standin/StandInRoster.java
@@ -12,24 +12,33 @@
 public final class StandInRoster extends Server {
   /** The reports: first line and body. */
   public final List<String> reports = new CopyOnWriteArrayList<>();
+
   /** What it does with a report: "204", another status, or "" to keep silent. */
   public volatile String mood = "204";
 
-  @Override protected void serve(Socket socket) throws IOException {
-    BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+  @Override
+  protected void serve(Socket socket) throws IOException {
+    BufferedReader in =
+        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     for (String first = in.readLine(); first != null; first = in.readLine()) {
       int length = 0;
       for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) {
-        length = line.startsWith("Content-Length:") ? Integer.parseInt(line.substring(15).trim()) : length;
+        length =
+            line.startsWith("Content-Length:")
+                ? Integer.parseInt(line.substring(15).trim())
+                : length;
       }
       char[] body = new char[length];
-      for (int at = 0; at < length;) {
+      for (int at = 0; at < length; ) {
         at += in.read(body, at, length - at);
       }
       reports.add(first + " " + new String(body));
       if (!mood.isEmpty()) {
-        socket.getOutputStream().write(("HTTP/1.1 " + mood + " Words\r\nContent-Length: 0\r\n\r\n")
-            .getBytes(StandardCharsets.UTF_8));
+        socket
+            .getOutputStream()
+            .write(
+                ("HTTP/1.1 " + mood + " Words\r\nContent-Length: 0\r\n\r\n")
+                    .getBytes(StandardCharsets.UTF_8));
       }
     }
   }
--- a/src/test/java/rosecleat/standin/StandInRuntime.java
+++ b/src/test/java/rosecleat/standin/StandInRuntime.java
@@ -19,16 +19,21 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The machine's runtime as PROTOCOL describes it: so many cores, each doing one piece of work at a time. */
+/**
+ * The machine's runtime as PROTOCOL describes it: so many cores, each doing one piece of work at a
+ * time.
+ */
 public final class StandInRuntime extends Server {
-  private record Job(String id, String kind, byte[] body) { }
+  private record Job(String id, String kind, byte[] body) {}
 
   private final ObjectMapper json = new ObjectMapper();
-  private final ScheduledExecutorService work = Executors.newSingleThreadScheduledExecutor(r -> {
-    Thread thread = new Thread(r, "stand-in runtime");
-    thread.setDaemon(true);
-    return thread;
-  });
+  private final ScheduledExecutorService work =
+      Executors.newSingleThreadScheduledExecutor(
+          r -> {
+            Thread thread = new Thread(r, "stand-in runtime");
+            thread.setDaemon(true);
+            return thread;
+          });
   private final int workMs;
   private final ArrayDeque<Job> queue = new ArrayDeque<>();
   private final Map<String, Job> jobs = new HashMap<>();
@@ -36,18 +41,29 @@
   private int busy;
   private Socket link;
   public final List<String> commands = new ArrayList<>();
+
   /** Each start: id and kind and body. */
   public final List<String> starts = new ArrayList<>();
+
   /** Each give: the call's body and its reply. */
   public final List<String> gives = new ArrayList<>();
+
   /** So many commands are lost with the link they came by. */
   public volatile int swallow;
+
   public volatile boolean nackStarts;
+
   /** Sent once, behind the next start. */
   public volatile String spoil = "";
+
   public volatile long readyAfterMs;
-  /** What runs of a kind take: on a core, and then waiting off it (ms). Others take the time given at the start. */
+
+  /**
+   * What runs of a kind take: on a core, and then waiting off it (ms). Others take the time given
+   * at the start.
+   */
   public final Map<String, int[]> takes = new ConcurrentHashMap<>();
+
   private Socket muted;
 
   public StandInRuntime(int workMs) {
@@ -59,8 +75,10 @@
     return "did " + body;
   }
 
-  @Override protected void serve(Socket socket) throws IOException {
-    BufferedReader lines = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+  @Override
+  protected void serve(Socket socket) throws IOException {
+    BufferedReader lines =
+        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
       command(socket, json.readTree(line));
     }
@@ -103,14 +121,22 @@
         }
       }
       case "give" -> {
-        gives.add("call for " + id + " -> "
-            + new String(Base64.getDecoder().decode(c.path("data").asText()), StandardCharsets.UTF_8));
+        gives.add(
+            "call for "
+                + id
+                + " -> "
+                + new String(
+                    Base64.getDecoder().decode(c.path("data").asText()), StandardCharsets.UTF_8));
         finish(id, 1);
       }
       case "omit" -> finish(id, 1);
       case "gauges" -> {
-        ObjectNode load = json.createObjectNode().put("type", "load").put("ref", c.path("ref").asText());
-        load.putArray("gauges").add(Math.min(1, busy / (double) TestSite.CORES)).add(busy + queue.size()).add(0.1)
+        ObjectNode load =
+            json.createObjectNode().put("type", "load").put("ref", c.path("ref").asText());
+        load.putArray("gauges")
+            .add(Math.min(1, busy / (double) TestSite.CORES))
+            .add(busy + queue.size())
+            .add(0.1)
             .add(3);
         send(load);
       }
@@ -135,8 +161,14 @@
     busy--;
     if (jobs.containsKey(job.id)) {
       if (job.kind.equals("card-refresh")) {
-        notice(json.createObjectNode().put("type", "wants").put("job", job.id).put("data",
-            Base64.getEncoder().encodeToString(("call for " + job.id).getBytes(StandardCharsets.UTF_8))));
+        notice(
+            json.createObjectNode()
+                .put("type", "wants")
+                .put("job", job.id)
+                .put(
+                    "data",
+                    Base64.getEncoder()
+                        .encodeToString(("call for " + job.id).getBytes(StandardCharsets.UTF_8))));
       } else {
         finish(job.id, takes(job)[1]);
       }
@@ -149,19 +181,26 @@
   }
 
   private void finish(String id, int afterMs) {
-    work.schedule(() -> {
-      synchronized (this) {
-        Job job = jobs.remove(id);
-        if (job != null) {
-          end(job, "ok", result(new String(job.body, StandardCharsets.UTF_8)));
-        }
-      }
-    }, afterMs, TimeUnit.MILLISECONDS);
+    work.schedule(
+        () -> {
+          synchronized (this) {
+            Job job = jobs.remove(id);
+            if (job != null) {
+              end(job, "ok", result(new String(job.body, StandardCharsets.UTF_8)));
+            }
+          }
+        },
+        afterMs,
+        TimeUnit.MILLISECONDS);
   }
 
   private void end(Job job, String state, String result) {
-    ObjectNode end = json.createObjectNode().put("type", "end").put("job", job.id).put("state", state)
-        .put("took", takes(job)[0] + takes(job)[1]);
+    ObjectNode end =
+        json.createObjectNode()
+            .put("type", "end")
+            .put("job", job.id)
+            .put("state", state)
+            .put("took", takes(job)[0] + takes(job)[1]);
     if (result != null) {
       end.put("data", Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.UTF_8)));
     }
@@ -200,7 +239,8 @@
     return starts.stream().anyMatch(s -> s.startsWith(id + " "));
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     work.shutdownNow();
     super.close();
   }
--- a/src/test/java/rosecleat/standin/TestSite.java
+++ b/src/test/java/rosecleat/standin/TestSite.java
@@ -7,7 +7,7 @@
 public final class TestSite {
   public static final int CORES = 2;
 
-  private TestSite() { }
+  private TestSite() {}
 
   /** A node's configuration; ports of 0 leave a part out. */
   public static NodeConfig config(int runtime, int index, int roster, int stopMs, int graceMs) {
@@ -15,8 +15,10 @@
   }
 
   /** The same, where runs of the keyed write call below too, or do not. */
-  public static NodeConfig config(int runtime, int index, int roster, int stopMs, int graceMs, boolean keyedCalls) {
-    String text = """
+  public static NodeConfig config(
+      int runtime, int index, int roster, int stopMs, int graceMs, boolean keyedCalls) {
+    String text =
+        """
         {"name":"t1","listen":"127.0.0.1:0",%s%s%s"seed":"2a","stop_ms":%d,"limits":{"sockets":1024},
          "settings":{
           "bounds":{"max-retry-after-us":1000000,"retry-after":true},"clients":{"marks-retry":true},
@@ -34,8 +36,15 @@
           "over-share-worth":0.05,"servers":1,"round-us":4000,
           "rules":{"answer-slack-us":80000,"cold-share":0.3,"fall-multiple":8,"overload-for-us":2000000,
            "ramp-time-us":5000000,"stop-sending-within-us":%d}}}
-        """.formatted(address("runtime", runtime), address("index", index), address("roster", roster), stopMs,
-        keyedCalls, CORES, graceMs * 1000);
+        """
+            .formatted(
+                address("runtime", runtime),
+                address("index", index),
+                address("roster", roster),
+                stopMs,
+                keyedCalls,
+                CORES,
+                graceMs * 1000);
     return NodeConfig.parse(text, Map.of());
   }
 
--- a/src/test/java/rosecleat/standin/UwsgiClient.java
+++ b/src/test/java/rosecleat/standin/UwsgiClient.java
@@ -23,7 +23,7 @@
     }
   }
 
-  private UwsgiClient() { }
+  private UwsgiClient() {}
 
   /** A request's vars. */
   public static Map<String, String> vars(String method, String path, String team, String... more) {
@@ -41,10 +41,11 @@
     Map<String, String> all = new LinkedHashMap<>(vars);
     all.putIfAbsent("CONTENT_LENGTH", Integer.toString(body.length()));
     ByteArrayOutputStream block = new ByteArrayOutputStream();
-    all.forEach((name, value) -> {
-      put(block, name);
-      put(block, value);
-    });
+    all.forEach(
+        (name, value) -> {
+          put(block, name);
+          put(block, value);
+        });
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.write(0);
     out.write(block.size());
@@ -81,7 +82,9 @@
   public static Reply read(Socket socket) throws IOException {
     String text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     int end = text.indexOf("\r\n\r\n");
-    return end < 0 ? new Reply(0, text, "")
-        : new Reply(Integer.parseInt(text.split(" ")[1]), text.substring(0, end), text.substring(end + 4));
+    return end < 0
+        ? new Reply(0, text, "")
+        : new Reply(
+            Integer.parseInt(text.split(" ")[1]), text.substring(0, end), text.substring(end + 4));
   }
 }
--- a/src/test/java/rosecleat/state/StateFiles.java
+++ b/src/test/java/rosecleat/state/StateFiles.java
@@ -13,15 +13,15 @@
 public final class StateFiles {
   private static final Store.Limits LIMITS = new Store.Limits(4 << 20, 64, 1 << 20);
 
-  private StateFiles() { }
+  private StateFiles() {}
 
   /** Writes entries into a folder. */
   static void write(Path folder, List<Entry> entries) throws IOException {
-    Store.Opening opening = Store.open(Folder.made(folder), new FactOwner(), LIMITS, line -> { });
+    Store.Opening opening = Store.open(Folder.made(folder), new FactOwner(), LIMITS, line -> {});
     if (!(opening instanceof Store.Opened opened)) {
       throw new IOException(opening.toString());
     }
-    opened.store().append(entries, fault -> { });
+    opened.store().append(entries, fault -> {});
     opened.store().close();
   }
 
@@ -30,13 +30,23 @@
     write(folder, List.of(FactCodec.entry(node, List.of(fact))));
   }
 
-  /** Writes the facts of one folder into another as if they were learnt just now, each changed in some way. */
-  public static void rewritten(Path from, Path to, long nowUs, UnaryOperator<Fact> change) throws IOException {
+  /**
+   * Writes the facts of one folder into another as if they were learnt just now, each changed in
+   * some way.
+   */
+  public static void rewritten(Path from, Path to, long nowUs, UnaryOperator<Fact> change)
+      throws IOException {
     FactOwner.Facts facts = (FactOwner.Facts) Store.look(Folder.of(from), new FactOwner()).fold();
-    write(to, facts.all().stream().map(kept -> {
-      Fact f = kept.fact();
-      Fact fresh = new Fact(f.kind(), f.subject(), f.value(), f.weight(), nowUs, f.terms());
-      return FactCodec.entry(kept.node(), List.of(change.apply(fresh)));
-    }).toList());
+    write(
+        to,
+        facts.all().stream()
+            .map(
+                kept -> {
+                  Fact f = kept.fact();
+                  Fact fresh =
+                      new Fact(f.kind(), f.subject(), f.value(), f.weight(), nowUs, f.terms());
+                  return FactCodec.entry(kept.node(), List.of(change.apply(fresh)));
+                })
+            .toList());
   }
 }
--- a/src/test/java/rosecleat/store/FaultyDisk.java
+++ b/src/test/java/rosecleat/store/FaultyDisk.java
@@ -14,8 +14,8 @@
 import java.util.TreeSet;
 
 /**
- * A disk in memory that fails on a seed. What was not synced may be lost at a crash: of names any part, of bytes any
- * blocks, and the block that was being written is torn.
+ * A disk in memory that fails on a seed. What was not synced may be lost at a crash: of names any
+ * part, of bytes any blocks, and the block that was being written is torn.
  */
 final class FaultyDisk implements Disk {
   static final long PLENTY = 1L << 60;
@@ -37,14 +37,19 @@
   private final List<Change> changes = new ArrayList<>();
   private final Set<String> locks = new TreeSet<>();
   private int era;
+
   /** Bytes that may still be written before the disk is full. */
   long room = PLENTY;
+
   /** The chance that a call that changes something fails. */
   double failing;
+
   /** The chance that a read is short. */
   double shortReads;
+
   /** Calls that change something, so far; at {@link #crashAt} the power goes. */
   long calls;
+
   long crashAt = Long.MAX_VALUE;
 
   FaultyDisk(long seed) {
@@ -122,21 +127,25 @@
     return all;
   }
 
-  @Override public Set<String> names() {
+  @Override
+  public Set<String> names() {
     return new TreeSet<>(names.keySet());
   }
 
-  @Override public In open(String name) throws IOException {
+  @Override
+  public In open(String name) throws IOException {
     Node node = names.get(name);
     if (node == null) {
       throw new FileNotFoundException(name);
     }
     return new In() {
-      @Override public long size() {
+      @Override
+      public long size() {
         return node.bytes.length;
       }
 
-      @Override public int read(long at, ByteBuffer into) {
+      @Override
+      public int read(long at, ByteBuffer into) {
         if (at >= node.bytes.length) {
           return -1;
         }
@@ -148,18 +157,21 @@
         return count;
       }
 
-      @Override public void close() { }
+      @Override
+      public void close() {}
     };
   }
 
-  @Override public Out create(String name) throws IOException {
+  @Override
+  public Out create(String name) throws IOException {
     int of = era;
     change(of);
     Node node = new Node();
     names.put(name, node);
     changes.add(map -> map.put(name, node));
     return new Out() {
-      @Override public void write(ByteBuffer from) throws IOException {
+      @Override
+      public void write(ByteBuffer from) throws IOException {
         int count = (int) Math.min(from.remaining(), room);
         byte[] more = new byte[count];
         from.get(more);
@@ -174,30 +186,35 @@
         }
       }
 
-      @Override public void sync() throws IOException {
+      @Override
+      public void sync() throws IOException {
         change(of);
         node.lasting = node.bytes;
       }
 
-      @Override public void close() { }
+      @Override
+      public void close() {}
     };
   }
 
-  @Override public void rename(String from, String to) throws IOException {
+  @Override
+  public void rename(String from, String to) throws IOException {
     change(era);
     Node node = names.remove(from);
     if (node == null) {
       throw new FileNotFoundException(from);
     }
     names.put(to, node);
-    changes.add(map -> {
-      if (map.remove(from, node)) {
-        map.put(to, node);
-      }
-    });
+    changes.add(
+        map -> {
+          if (map.remove(from, node)) {
+            map.put(to, node);
+          }
+        });
   }
 
-  @Override public void delete(String name) throws IOException {
+  @Override
+  public void delete(String name) throws IOException {
     change(era);
     Node node = names.remove(name);
     if (node != null) {
@@ -206,13 +223,15 @@
     }
   }
 
-  @Override public void syncFolder() throws IOException {
+  @Override
+  public void syncFolder() throws IOException {
     change(era);
     lasting = new TreeMap<>(names);
     changes.clear();
   }
 
-  @Override public AutoCloseable lock(String name) {
+  @Override
+  public AutoCloseable lock(String name) {
     return locks.add(name) ? () -> locks.remove(name) : null;
   }
 }
--- a/src/test/java/rosecleat/store/RecoveryTest.java
+++ b/src/test/java/rosecleat/store/RecoveryTest.java
@@ -47,7 +47,9 @@
     return disk.names().stream().filter(n -> n.startsWith(kind)).reduce((a, b) -> b).orElseThrow();
   }
 
-  /** What counts is whole batches from the start, and a start for writing then agrees and can go on. */
+  /**
+   * What counts is whole batches from the start, and a start for writing then agrees and can go on.
+   */
   private List<String> survives(FaultyDisk disk, String what) throws IOException {
     Recovered found = Recovery.read(disk, owner);
     assertEquals(null, found.refusal(), what);
@@ -64,7 +66,8 @@
     return got;
   }
 
-  @Test void aFileCutAtAnyLengthIsNeverHalfUsed() throws IOException {
+  @Test
+  void aFileCutAtAnyLengthIsNeverHalfUsed() throws IOException {
     FaultyDisk whole = sample();
     assertEquals(lines(10), Texts.of(Recovery.read(whole, owner)));
     for (String name : whole.names()) {
@@ -79,7 +82,8 @@
     }
   }
 
-  @Test void anyFlippedBitIsFound() throws IOException {
+  @Test
+  void anyFlippedBitIsFound() throws IOException {
     FaultyDisk whole = sample();
     int found = 0;
     int bits = 0;
@@ -91,17 +95,24 @@
         FaultyDisk flipped = whole.copy();
         flipped.bytes(name)[bit / 8] ^= (byte) (1 << bit % 8);
         Recovered got = Recovery.read(flipped, owner);
-        assertTrue(got.refusal() != null || !got.findings().isEmpty(), name + " bit " + bit + " was not seen");
+        assertTrue(
+            got.refusal() != null || !got.findings().isEmpty(),
+            name + " bit " + bit + " was not seen");
         found += got.damaged() ? 1 : 0;
         bits++;
         survives(flipped, name + " bit " + bit);
       }
     }
-    assertTrue(found > bits * 3 / 4, "only the closing mark and a header that nothing names may look unfinished: " + found
-        + " of " + bits);
+    assertTrue(
+        found > bits * 3 / 4,
+        "only the closing mark and a header that nothing names may look unfinished: "
+            + found
+            + " of "
+            + bits);
   }
 
-  @Test void damageIsToldFromAnUnfinishedWrite() throws IOException {
+  @Test
+  void damageIsToldFromAnUnfinishedWrite() throws IOException {
     FaultyDisk disk = sample();
     String log = only(disk, "log-");
     byte[] bytes = disk.bytes(log);
@@ -114,7 +125,8 @@
     assertNotNull(only(disk, "damaged-1-log-"), "it is kept for people");
   }
 
-  @Test void aBadSnapshotFallsBackToTheOneBefore() throws IOException {
+  @Test
+  void aBadSnapshotFallsBackToTheOneBefore() throws IOException {
     FaultyDisk disk = sample();
     String snapshot = Names.snapshot(Names.snapshots(disk.names()).get(1));
     disk.bytes(snapshot)[Format.HEADER + 3] ^= 4;
@@ -122,13 +134,16 @@
     survives(disk, "older snapshot");
   }
 
-  @Test void filesOfANewerProgramAreLeftAlone() throws IOException {
+  @Test
+  void filesOfANewerProgramAreLeftAlone() throws IOException {
     for (String kind : List.of("MANIFEST", "snapshot-", "log-")) {
       FaultyDisk disk = sample();
       String name = only(disk, kind);
       byte[] bytes = disk.bytes(name);
       Format.Header old = Format.header(ByteBuffer.wrap(bytes));
-      new Format.Header(old.kind(), 2, old.number(), old.before(), old.beforeBytes()).bytes().get(bytes, 0, Format.HEADER);
+      new Format.Header(old.kind(), 2, old.number(), old.before(), old.beforeBytes())
+          .bytes()
+          .get(bytes, 0, Format.HEADER);
       refused(disk, name);
     }
     FaultyDisk disk = sample();
@@ -142,13 +157,16 @@
 
   private void refused(FaultyDisk disk, String what) throws IOException {
     Map<String, byte[]> before = disk.copy().all();
-    Store.Opening opening = Store.open(disk, owner, new Store.Limits(MOST, 10, 1000), line -> { });
+    Store.Opening opening = Store.open(disk, owner, new Store.Limits(MOST, 10, 1000), line -> {});
     assertTrue(opening instanceof Store.Refused, what + ": " + opening);
     assertEquals(before.keySet(), disk.names());
-    before.forEach((name, bytes) -> assertTrue(Arrays.equals(bytes, disk.bytes(name)), what + " changed " + name));
+    before.forEach(
+        (name, bytes) ->
+            assertTrue(Arrays.equals(bytes, disk.bytes(name)), what + " changed " + name));
   }
 
-  @Test void powerMayGoAtAnyCall() throws IOException {
+  @Test
+  void powerMayGoAtAnyCall() throws IOException {
     for (int at = 0; at < 90; at++) {
       for (int seed = 0; seed < 8; seed++) {
         FaultyDisk disk = new FaultyDisk(100L * at + seed);
@@ -170,7 +188,9 @@
         disk.restart();
         Recovered found = Recovery.read(disk, owner);
         assertFalse(found.damaged(), "call " + at + " seed " + seed + ": " + found.findings());
-        assertTrue(survives(disk, "call " + at + " seed " + seed).size() >= acknowledged, "lost what was acknowledged");
+        assertTrue(
+            survives(disk, "call " + at + " seed " + seed).size() >= acknowledged,
+            "lost what was acknowledged");
       }
     }
   }
--- a/src/test/java/rosecleat/store/StoreModelTest.java
+++ b/src/test/java/rosecleat/store/StoreModelTest.java
@@ -13,21 +13,24 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * The store against a model: a list of batches, those acknowledged and those in doubt. Random writes, compactions, starts,
- * crashes, full disks and errors; after each crash what counts holds all that was acknowledged, in order.
+ * The store against a model: a list of batches, those acknowledged and those in doubt. Random
+ * writes, compactions, starts, crashes, full disks and errors; after each crash what counts holds
+ * all that was acknowledged, in order.
  */
 class StoreModelTest {
   private static final long MOST = 1 << 20;
   private final Texts owner = new Texts();
 
   @Property(tries = 400, seed = "20261201", shrinking = net.jqwik.api.ShrinkingMode.BOUNDED)
-  void whatIsAcknowledgedStays(@ForAll long seed, @ForAll @Size(min = 5, max = 80) List<@IntRange(max = 99) Integer> steps)
+  void whatIsAcknowledgedStays(
+      @ForAll long seed, @ForAll @Size(min = 5, max = 80) List<@IntRange(max = 99) Integer> steps)
       throws IOException {
     FaultyDisk disk = new FaultyDisk(seed);
     disk.shortReads = 0.2;
     Random random = new Random(seed);
     Texts.Lines model = new Texts.Lines(); // acknowledged
-    List<List<String>> doubts = new ArrayList<>(); // failed: after a crash one of them may count, whole or its first part
+    List<List<String>> doubts =
+        new ArrayList<>(); // failed: after a crash one of them may count, whole or its first part
     Engine engine = new Engine(disk, owner, MOST, Recovery.read(disk, owner));
     int next = 0;
     for (int step : steps) {
@@ -35,7 +38,10 @@
         if (step < 55) {
           List<String> batch = new ArrayList<>();
           for (int i = random.nextInt(3); i >= 0; i--) {
-            batch.add(random.nextInt(8) == 0 ? "=" + random.nextInt(6) : "line " + next++ + "x".repeat(random.nextInt(200)));
+            batch.add(
+                random.nextInt(8) == 0
+                    ? "=" + random.nextInt(6)
+                    : "line " + next++ + "x".repeat(random.nextInt(200)));
           }
           doubts.add(batch);
           engine.write(batch.stream().map(Texts::entry).toList());
@@ -75,7 +81,8 @@
     return disk.room < FaultyDisk.PLENTY / 2;
   }
 
-  private Engine restarted(FaultyDisk disk, Texts.Lines model, List<List<String>> doubts) throws IOException {
+  private Engine restarted(FaultyDisk disk, Texts.Lines model, List<List<String>> doubts)
+      throws IOException {
     disk.restart();
     disk.failing = 0;
     disk.room = FaultyDisk.PLENTY;
--- a/src/test/java/rosecleat/store/StoreTest.java
+++ b/src/test/java/rosecleat/store/StoreTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store with its thread, on a real folder or on a disk that fails; and a process that is killed while it writes. */
+/**
+ * The store with its thread, on a real folder or on a disk that fails; and a process that is killed
+ * while it writes.
+ */
 class StoreTest {
   private static final Store.Limits LIMITS = new Store.Limits(2 << 20, 100, 100_000);
   private final Texts owner = new Texts();
@@ -31,7 +34,8 @@
   @TempDir Path folder;
 
   private Store open(Disk disk) {
-    return assertInstanceOf(Store.Opened.class, Store.open(disk, owner, LIMITS, events::add)).store();
+    return assertInstanceOf(Store.Opened.class, Store.open(disk, owner, LIMITS, events::add))
+        .store();
   }
 
   /** Appends and waits; the fault, or null. */
@@ -41,10 +45,12 @@
     return done.get(5, TimeUnit.SECONDS);
   }
 
-  @Test void twoProcessesOnOneFolder() throws Exception {
+  @Test
+  void twoProcessesOnOneFolder() throws Exception {
     try (Store first = open(Folder.made(folder))) {
       assertEquals(null, append(first, "one"));
-      assertInstanceOf(Store.Locked.class, Store.open(Folder.made(folder), owner, LIMITS, events::add));
+      assertInstanceOf(
+          Store.Locked.class, Store.open(Folder.made(folder), owner, LIMITS, events::add));
       assertEquals(null, append(first, "two"), "the attempt took nothing from the one that has it");
       assertEquals(List.of("one", "two"), Texts.of(Store.look(Folder.of(folder), owner)));
     }
@@ -54,23 +60,27 @@
     assertEquals(List.of("one", "two", "three"), Texts.of(Store.look(Folder.of(folder), owner)));
   }
 
-  @Test void aFullQueueIsAValueAndSyncsAreShared() throws Exception {
+  @Test
+  void aFullQueueIsAValueAndSyncsAreShared() throws Exception {
     FaultyDisk slow = new FaultyDisk(1);
     CountDownLatch gate = new CountDownLatch(1);
     try (Store store = open(slow)) {
-      store.append(List.of(Texts.entry("first")), fault -> {
-        try {
-          gate.await();
-        } catch (InterruptedException e) {
-          Thread.currentThread().interrupt();
-        }
-      });
+      store.append(
+          List.of(Texts.entry("first")),
+          fault -> {
+            try {
+              gate.await();
+            } catch (InterruptedException e) {
+              Thread.currentThread().interrupt();
+            }
+          });
       while (store.figures().appends() < 1) {
         Thread.sleep(1);
       }
       AtomicInteger done = new AtomicInteger();
       int queued = 0;
-      while (store.append(List.of(Texts.entry("more")), fault -> done.incrementAndGet()) == Store.Taken.QUEUED) {
+      while (store.append(List.of(Texts.entry("more")), fault -> done.incrementAndGet())
+          == Store.Taken.QUEUED) {
         queued++;
       }
       assertEquals(100, queued);
@@ -79,11 +89,14 @@
         Thread.sleep(1);
       }
       assertEquals(2, store.figures().syncs(), "all that waited was written in one go");
-      assertEquals(Store.Taken.FULL, store.append(List.of(new Entry(Texts.TYPE, 1, new byte[200_000])), fault -> { }));
+      assertEquals(
+          Store.Taken.FULL,
+          store.append(List.of(new Entry(Texts.TYPE, 1, new byte[200_000])), fault -> {}));
     }
   }
 
-  @Test void aFullDiskCostsWhatWaitsAndNoMore() throws Exception {
+  @Test
+  void aFullDiskCostsWhatWaitsAndNoMore() throws Exception {
     FaultyDisk disk = new FaultyDisk(1);
     try (Store store = open(disk)) {
       assertEquals(null, append(store, "kept"));
@@ -100,7 +113,8 @@
     }
   }
 
-  @Test void sizeIsBoundedByCompaction() throws Exception {
+  @Test
+  void sizeIsBoundedByCompaction() throws Exception {
     try (Store store = open(Folder.made(folder))) {
       String line = "x".repeat(1_000);
       for (int i = 0; i < 20_000; i += 50) {
@@ -124,7 +138,9 @@
       }
       assertTrue(size <= LIMITS.mostBytes(), size + " bytes");
     }
-    assertEquals(line(19_944, 5), Texts.of(Store.look(Folder.of(folder), owner)).stream().map(String::length).toList());
+    assertEquals(
+        line(19_944, 5),
+        Texts.of(Store.look(Folder.of(folder), owner)).stream().map(String::length).toList());
   }
 
   private static List<Integer> line(int first, int count) {
@@ -135,7 +151,8 @@
     return lengths;
   }
 
-  @Test void aFolderThatCantBeUsedIsAValue() throws Exception {
+  @Test
+  void aFolderThatCantBeUsedIsAValue() throws Exception {
     Path file = Files.createFile(folder.resolve("file"));
     assertTrue(assertFails(file).contains("file"));
     FaultyDisk broken = new FaultyDisk(1);
@@ -156,27 +173,39 @@
 
   /** Writes numbers to a folder, and prints each that is on disk, until it is killed. */
   public static void main(String[] args) throws Exception {
-    Store.Opening opening = Store.open(Folder.made(Path.of(args[0])), new Texts(), new Store.Limits(1 << 18, 64, 1 << 20),
-        line -> { });
+    Store.Opening opening =
+        Store.open(
+            Folder.made(Path.of(args[0])),
+            new Texts(),
+            new Store.Limits(1 << 18, 64, 1 << 20),
+            line -> {});
     if (!(opening instanceof Store.Opened opened)) {
       System.out.println(opening);
       return;
     }
     List<String> lines = Texts.of(opened.found());
     long next = lines.isEmpty() ? 0 : Long.parseLong(lines.get(lines.size() - 1).trim()) + 1;
-    System.out.println("found " + (next - 1) + (opened.found().damaged() ? " damaged " + opened.found().findings() : ""));
+    System.out.println(
+        "found "
+            + (next - 1)
+            + (opened.found().damaged() ? " damaged " + opened.found().findings() : ""));
     while (true) {
       long number = next++;
       CountDownLatch done = new CountDownLatch(1);
-      opened.store().append(List.of(Texts.entry(number + " ".repeat((int) (number % 500))), Texts.entry("=3")), fault -> {
-        System.out.println(fault == null ? "wrote " + number : "failed");
-        done.countDown();
-      });
+      opened
+          .store()
+          .append(
+              List.of(Texts.entry(number + " ".repeat((int) (number % 500))), Texts.entry("=3")),
+              fault -> {
+                System.out.println(fault == null ? "wrote " + number : "failed");
+                done.countDown();
+              });
       done.await();
     }
   }
 
-  @Test void killedAHundredTimesWhileItWrites() throws Exception {
+  @Test
+  void killedAHundredTimesWhileItWrites() throws Exception {
     int lanes = 4;
     ExecutorService pool = Executors.newFixedThreadPool(lanes);
     List<Future<Integer>> all = new ArrayList<>();
@@ -197,14 +226,25 @@
     java.util.Random random = new java.util.Random(seed);
     long acknowledged = -1;
     for (int i = 0; i < times; i++) {
-      Process child = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-          "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xshare:auto", "-XX:-UsePerfData", "-cp", System.getProperty("java.class.path"),
-          StoreTest.class.getName(), own.toString()).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+      Process child =
+          new ProcessBuilder(
+                  Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                  "-XX:TieredStopAtLevel=1",
+                  "-XX:+UseSerialGC",
+                  "-Xshare:auto",
+                  "-XX:-UsePerfData",
+                  "-cp",
+                  System.getProperty("java.class.path"),
+                  StoreTest.class.getName(),
+                  own.toString())
+              .redirectError(ProcessBuilder.Redirect.INHERIT)
+              .start();
       try (java.io.BufferedReader out = child.inputReader()) {
         String first = out.readLine();
         assertTrue(first != null && first.matches("found -?[0-9]+"), "start " + i + ": " + first);
         long found = Long.parseLong(first.substring(6));
-        assertTrue(found >= acknowledged, "start " + i + " found " + found + " after " + acknowledged);
+        assertTrue(
+            found >= acknowledged, "start " + i + " found " + found + " after " + acknowledged);
         int lines = 1 + random.nextInt(60);
         for (int n = 0; n < lines; n++) {
           String line = out.readLine();
--- a/src/test/java/rosecleat/store/Texts.java
+++ b/src/test/java/rosecleat/store/Texts.java
@@ -18,11 +18,13 @@
     return ((Lines) found.fold()).lines;
   }
 
-  @Override public int reads(int type) {
+  @Override
+  public int reads(int type) {
     return type == TYPE ? newest : 0;
   }
 
-  @Override public Fold fold() {
+  @Override
+  public Fold fold() {
     return new Lines();
   }
 
@@ -38,11 +40,13 @@
       }
     }
 
-    @Override public void add(Entry entry) {
+    @Override
+    public void add(Entry entry) {
       add(new String(entry.payload(), StandardCharsets.UTF_8));
     }
 
-    @Override public void forEach(Consumer<Entry> taker) {
+    @Override
+    public void forEach(Consumer<Entry> taker) {
       lines.forEach(line -> taker.accept(entry(line)));
     }
   }
