--- a/Makefile
+++ b/Makefile
@@ -48,7 +48,7 @@
 FLEET_PROCESSES = 40
 measure-fleet: measure-classes
 	java -Xmx6g -cp target/test-classes:target/classes:$$(cat target/classpath) rosecleat.measure.FleetView $(FLEET_SEEDS)
-	$(MEASURE) rosecleat.rig.FleetProcesses $(FLEET_PROCESSES) 1000
+	$(MEASURE) rosecleat.harness.FleetProcesses $(FLEET_PROCESSES) 1000
 
 # What 20 and 30 processes send in sum to a dependency that comes back cold.
 measure-ramp: measure-classes
--- a/src/main/java/rosecleat/mgmt/Door.java
+++ b/src/main/java/rosecleat/admin/Door.java
@@ -1,4 +1,4 @@
-package rosecleat.mgmt;
+package rosecleat.admin;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/rosecleat/mgmt/HttpCall.java
+++ b/src/main/java/rosecleat/admin/HttpCall.java
@@ -1,4 +1,4 @@
-package rosecleat.mgmt;
+package rosecleat.admin;
 
 import java.nio.ByteBuffer;
 import java.util.Locale;
--- a/src/main/java/rosecleat/mgmt/Operations.java
+++ b/src/main/java/rosecleat/admin/Operations.java
@@ -1,4 +1,4 @@
-package rosecleat.mgmt;
+package rosecleat.admin;
 
 /** What operators may ask of a node; called on its loop, and never waits. */
 public interface Operations {
--- a/src/main/java/rosecleat/mgmt/package-info.java
+++ b/src/main/java/rosecleat/admin/package-info.java
@@ -2,4 +2,4 @@
  * The operators' door: a second address at which staff ask how the node is, and send its clients
  * away and back.
  */
-package rosecleat.mgmt;
+package rosecleat.admin;
--- a/src/main/java/rosecleat/cli/Main.java
+++ b/src/main/java/rosecleat/cli/Main.java
@@ -135,7 +135,7 @@
         }
         case "benchlink" -> {
           System.setOut(System.err);
-          return rosecleat.benchlink.Main.run(args, in, out);
+          return rosecleat.simulator.Main.run(args, in, out);
         }
         case "check" -> {
           Setup setup = check.as.setup(env);
--- a/src/main/java/rosecleat/cli/StateCommands.java
+++ b/src/main/java/rosecleat/cli/StateCommands.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
-import rosecleat.knowledge.Fact;
+import rosecleat.facts.Fact;
 import rosecleat.state.FactOwner;
 import rosecleat.store.Disk;
 import rosecleat.store.Finding;
--- a/src/main/java/rosecleat/knowledge/Drop.java
+++ b/src/main/java/rosecleat/facts/Drop.java
@@ -1,4 +1,4 @@
-package rosecleat.knowledge;
+package rosecleat.facts;
 
 /** Why a fact is dropped. */
 public enum Drop {
--- a/src/main/java/rosecleat/knowledge/Fact.java
+++ b/src/main/java/rosecleat/facts/Fact.java
@@ -1,4 +1,4 @@
-package rosecleat.knowledge;
+package rosecleat.facts;
 
 /**
  * Something learnt.
--- a/src/main/java/rosecleat/knowledge/Kind.java
+++ b/src/main/java/rosecleat/facts/Kind.java
@@ -1,4 +1,4 @@
-package rosecleat.knowledge;
+package rosecleat.facts;
 
 import java.util.Arrays;
 import java.util.Optional;
--- a/src/main/java/rosecleat/fleet/link/FleetTask.java
+++ b/src/main/java/rosecleat/fleet/transport/FleetTask.java
@@ -1,4 +1,4 @@
-package rosecleat.fleet.link;
+package rosecleat.fleet.transport;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/rosecleat/fleet/link/package-info.java
+++ b/src/main/java/rosecleat/fleet/transport/package-info.java
@@ -1,2 +1,2 @@
 /** The task that carries a fleet's decisions out: its sockets, its state, its mailbox. */
-package rosecleat.fleet.link;
+package rosecleat.fleet.transport;
--- a/src/main/java/rosecleat/node/HandOver.java
+++ b/src/main/java/rosecleat/node/HandOver.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 import rosecleat.core.Core;
-import rosecleat.handover.Handover;
+import rosecleat.takeover.Handover;
 
 /**
  * Another process of this node takes over: what is here is served as ever, and what comes later
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongSupplier;
+import rosecleat.admin.Door;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
@@ -11,17 +12,16 @@
 import rosecleat.core.Runner;
 import rosecleat.front.resp.RespFront;
 import rosecleat.front.uwsgi.UwsgiFront;
-import rosecleat.handover.Handover;
 import rosecleat.index.IndexClient;
 import rosecleat.log.Log;
-import rosecleat.mgmt.Door;
 import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.Decisions;
 import rosecleat.policy.PolicyApi;
-import rosecleat.roster.RosterClient;
+import rosecleat.registry.RosterClient;
 import rosecleat.runtime.NoRuntime;
 import rosecleat.runtime.RuntimeLink;
+import rosecleat.takeover.Handover;
 
 /** The parts of one node put together: the core, its fronts and its links, all on one loop. */
 final class Node implements AutoCloseable {
--- a/src/main/java/rosecleat/node/Operators.java
+++ b/src/main/java/rosecleat/node/Operators.java
@@ -1,7 +1,7 @@
 package rosecleat.node;
 
-import rosecleat.handover.Handover;
-import rosecleat.mgmt.Operations;
+import rosecleat.admin.Operations;
+import rosecleat.takeover.Handover;
 
 /** What operators asked of a node, kept from before it stands. For the loop. */
 final class Operators implements Operations {
--- a/src/main/java/rosecleat/node/Serving.java
+++ b/src/main/java/rosecleat/node/Serving.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
+import rosecleat.admin.Door;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Counters;
-import rosecleat.handover.Handover;
 import rosecleat.log.Log;
-import rosecleat.mgmt.Door;
 import rosecleat.net.EventLoop;
+import rosecleat.takeover.Handover;
 
 /** The process round a node: keeps it alive, and takes its leave on SIGTERM. */
 public final class Serving {
--- a/src/main/java/rosecleat/node/Shares.java
+++ b/src/main/java/rosecleat/node/Shares.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.function.LongSupplier;
-import rosecleat.handover.Handover;
-import rosecleat.handover.Load;
 import rosecleat.policy.Decisions;
 import rosecleat.policy.PolicyApi;
+import rosecleat.takeover.Handover;
+import rosecleat.takeover.Load;
 
 /** This process's part of the node's limits, which its module works under. For the loop. */
 final class Shares {
--- a/src/main/java/rosecleat/node/Sharing.java
+++ b/src/main/java/rosecleat/node/Sharing.java
@@ -20,7 +20,7 @@
 import rosecleat.fleet.Fleet;
 import rosecleat.fleet.FleetRecord;
 import rosecleat.fleet.View;
-import rosecleat.fleet.link.FleetTask;
+import rosecleat.fleet.transport.FleetTask;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.routes.Book;
--- a/src/main/java/rosecleat/roster/RosterClient.java
+++ b/src/main/java/rosecleat/registry/RosterClient.java
@@ -1,4 +1,4 @@
-package rosecleat.roster;
+package rosecleat.registry;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/main/java/rosecleat/roster/package-info.java
+++ b/src/main/java/rosecleat/registry/package-info.java
@@ -1,2 +1,2 @@
 /** Reports to the list of nodes. */
-package rosecleat.roster;
+package rosecleat.registry;
--- a/src/main/java/rosecleat/benchlink/Link.java
+++ b/src/main/java/rosecleat/simulator/Link.java
@@ -1,4 +1,4 @@
-package rosecleat.benchlink;
+package rosecleat.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/rosecleat/benchlink/WireException.java
+++ b/src/main/java/rosecleat/simulator/WireException.java
@@ -1,4 +1,4 @@
-package rosecleat.benchlink;
+package rosecleat.simulator;
 
 /** Input that is not the wire; its message is the one line the process ends with. */
 final class WireException extends RuntimeException {
--- a/src/main/java/rosecleat/benchlink/package-info.java
+++ b/src/main/java/rosecleat/simulator/package-info.java
@@ -1,2 +1,2 @@
 /** The decisions on the simulator's wire. */
-package rosecleat.benchlink;
+package rosecleat.simulator;
--- a/src/main/java/rosecleat/state/FactOwner.java
+++ b/src/main/java/rosecleat/state/FactOwner.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rosecleat.knowledge.Fact;
+import rosecleat.facts.Fact;
 import rosecleat.store.Entry;
 import rosecleat.store.Fold;
 import rosecleat.store.Owner;
--- a/src/main/java/rosecleat/handover/FileClaims.java
+++ b/src/main/java/rosecleat/takeover/FileClaims.java
@@ -1,4 +1,4 @@
-package rosecleat.handover;
+package rosecleat.takeover;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/rosecleat/handover/Load.java
+++ b/src/main/java/rosecleat/takeover/Load.java
@@ -1,4 +1,4 @@
-package rosecleat.handover;
+package rosecleat.takeover;
 
 /**
  * Amounts of the limits that the processes of a node share: calls below, KB of memory, requests
--- a/src/test/java/rosecleat/ArchitectureTest.java
+++ b/src/test/java/rosecleat/ArchitectureTest.java
@@ -41,15 +41,15 @@
                     "net",
                     "runtime",
                     "index",
-                    "roster",
-                    "mgmt",
+                    "registry",
+                    "admin",
                     "cli",
                     "node",
                     "config",
-                    "benchlink",
+                    "simulator",
                     "state",
                     "store",
-                    "knowledge")));
+                    "facts")));
     hold(
         noClasses()
             .that()
@@ -64,10 +64,10 @@
     hold(
         noClasses()
             .that()
-            .resideInAnyPackage(packages("net", "front", "runtime", "index", "roster", "mgmt"))
+            .resideInAnyPackage(packages("net", "front", "runtime", "index", "registry", "admin"))
             .should()
             .dependOnClassesThat()
-            .resideInAnyPackage(packages("policy", "state", "store", "knowledge")));
+            .resideInAnyPackage(packages("policy", "state", "store", "facts")));
   }
 
   @Test
@@ -86,10 +86,10 @@
     hold(
         classes()
             .that()
-            .resideInAPackage("rosecleat.knowledge..")
+            .resideInAPackage("rosecleat.facts..")
             .should()
             .onlyDependOnClassesThat()
-            .resideInAnyPackage("rosecleat.knowledge..", "java.lang..", "java.util.."));
+            .resideInAnyPackage("rosecleat.facts..", "java.lang..", "java.util.."));
   }
 
   @Test
@@ -111,7 +111,7 @@
     hold(
         classes()
             .that()
-            .resideInAPackage("rosecleat.fleet.link..")
+            .resideInAPackage("rosecleat.fleet.transport..")
             .should()
             .onlyDependOnClassesThat()
             .resideInAnyPackage("rosecleat.fleet..", "rosecleat.log..", "java.."));
@@ -176,11 +176,11 @@
                     "net",
                     "runtime",
                     "index",
-                    "roster",
-                    "mgmt",
+                    "registry",
+                    "admin",
                     "cli",
                     "node",
                     "config",
-                    "benchlink")));
+                    "simulator")));
   }
 }
--- a/src/test/java/rosecleat/mgmt/DoorTest.java
+++ b/src/test/java/rosecleat/admin/DoorTest.java
@@ -1,4 +1,4 @@
-package rosecleat.mgmt;
+package rosecleat.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/rosecleat/core/CoreTest.java
+++ b/src/test/java/rosecleat/core/CoreTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.policy.Decisions;
-import rosecleat.standin.TestSite;
 
 /**
  * The life of requests in the core, on a clock of the test's own: no wire, no thread, no waiting.
--- a/src/test/java/rosecleat/knowledge/KnowledgeTest.java
+++ b/src/test/java/rosecleat/facts/KnowledgeTest.java
@@ -1,4 +1,4 @@
-package rosecleat.knowledge;
+package rosecleat.facts;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/rosecleat/standin/StandInRuntime.java
+++ b/src/test/java/rosecleat/fakes/StandInRuntime.java
@@ -1,4 +1,4 @@
-package rosecleat.standin;
+package rosecleat.fakes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/test/java/rosecleat/standin/TestSite.java
+++ b/src/test/java/rosecleat/fakes/TestSite.java
@@ -1,4 +1,4 @@
-package rosecleat.standin;
+package rosecleat.fakes;
 
 import java.util.Map;
 import rosecleat.config.NodeConfig;
--- a/src/test/java/rosecleat/standin/UwsgiBackend.java
+++ b/src/test/java/rosecleat/fakes/UwsgiBackend.java
@@ -1,4 +1,4 @@
-package rosecleat.standin;
+package rosecleat.fakes;
 
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/src/test/java/rosecleat/standin/UwsgiClient.java
+++ b/src/test/java/rosecleat/fakes/UwsgiClient.java
@@ -1,4 +1,4 @@
-package rosecleat.standin;
+package rosecleat.fakes;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -17,12 +17,12 @@
 import rosecleat.core.Ledger;
 import rosecleat.core.Request;
 import rosecleat.core.Runner;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.Decisions;
 import rosecleat.runtime.NoRuntime;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.TestSite;
 
 /** How long the front waits for what a connection owes it, on a clock of the test's own. */
 class PatienceTest {
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -28,12 +28,12 @@
 import rosecleat.core.Ledger;
 import rosecleat.core.Request;
 import rosecleat.core.Runner;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.Decisions;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.TestSite;
 
 /**
  * A balancer's connection against a model of its states: random steps, and after each the answers
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -11,13 +11,13 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
 import rosecleat.core.Request;
+import rosecleat.fakes.TestSite;
+import rosecleat.fakes.UwsgiBackend;
 import rosecleat.log.Log;
 import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
 import rosecleat.policy.Decisions;
-import rosecleat.standin.TestSite;
-import rosecleat.standin.UwsgiBackend;
 
 /** What the client makes of a request that its connection's queue would not have held. */
 class UwsgiRunnerTest {
--- a/src/test/java/rosecleat/rig/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -1,4 +1,4 @@
-package rosecleat.rig;
+package rosecleat.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rosecleat.cli.Main;
-import rosecleat.standin.UwsgiClient;
+import rosecleat.fakes.UwsgiClient;
 
 /**
  * One process by itself: a broker on a fresh machine, and a node of the platform, which shares
--- a/src/test/java/rosecleat/rig/FleetProcesses.java
+++ b/src/test/java/rosecleat/harness/FleetProcesses.java
@@ -1,10 +1,10 @@
-package rosecleat.rig;
+package rosecleat.harness;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Locale;
-import rosecleat.rig.Links.Way;
+import rosecleat.harness.Links.Way;
 
 /**
  * What docs/measurements/fleet-view.md keeps of real processes: {@code FleetProcesses COUNT
--- a/src/test/java/rosecleat/rig/Links.java
+++ b/src/test/java/rosecleat/harness/Links.java
@@ -1,4 +1,4 @@
-package rosecleat.rig;
+package rosecleat.harness;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
--- a/src/test/java/rosecleat/rig/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -1,4 +1,4 @@
-package rosecleat.rig;
+package rosecleat.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.rig.Links.Way;
-import rosecleat.standin.UwsgiBackend;
-import rosecleat.standin.UwsgiClient;
+import rosecleat.fakes.UwsgiBackend;
+import rosecleat.fakes.UwsgiClient;
+import rosecleat.harness.Links.Way;
 
 /**
  * One table of routes in five processes, and uwsgi traffic through each, while it changes and
--- a/src/test/java/rosecleat/rig/Site.java
+++ b/src/test/java/rosecleat/harness/Site.java
@@ -1,4 +1,4 @@
-package rosecleat.rig;
+package rosecleat.harness;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/test/java/rosecleat/rig/ViewTest.java
+++ b/src/test/java/rosecleat/harness/ViewTest.java
@@ -1,4 +1,4 @@
-package rosecleat.rig;
+package rosecleat.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.rig.Links.Way;
+import rosecleat.harness.Links.Way;
 
 /** What seven processes of the program hold of one another while pieces break. */
 class ViewTest {
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -12,13 +12,13 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
+import rosecleat.fakes.StandInIndex;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
 import rosecleat.policy.Decisions;
-import rosecleat.standin.StandInIndex;
-import rosecleat.standin.TestSite;
 
 /**
  * Calls that cross the end of the connection they would go by: the loop hears of that end behind
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -18,12 +18,12 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
-import rosecleat.knowledge.Fact;
-import rosecleat.knowledge.Kind;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
-import rosecleat.standin.UwsgiBackend;
+import rosecleat.facts.Fact;
+import rosecleat.facts.Kind;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
+import rosecleat.fakes.UwsgiBackend;
 import rosecleat.state.StateFiles;
 
 /**
--- a/src/test/java/rosecleat/node/BadClientsTest.java
+++ b/src/test/java/rosecleat/node/BadClientsTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
 
 /**
  * Clients that mean harm or know no better: each is refused or closed in time, and a balancer goes
--- a/src/test/java/rosecleat/node/DescriptorsTest.java
+++ b/src/test/java/rosecleat/node/DescriptorsTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInIndex;
-import rosecleat.standin.StandInRoster;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInIndex;
+import rosecleat.fakes.StandInRoster;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
 
 /**
  * A process whose descriptors the system itself limits, under clients that take all they can get
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -18,14 +18,14 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Request;
 import rosecleat.core.Runner;
-import rosecleat.handover.Handover;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInIndex;
+import rosecleat.fakes.StandInRoster;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInIndex;
-import rosecleat.standin.StandInRoster;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
+import rosecleat.takeover.Handover;
 
 /** The node's links to runtime, index and roster: what breaks, and what the node makes of it. */
 class LinksTest {
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -28,13 +28,13 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.handover.Handover;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
+import rosecleat.fakes.UwsgiBackend;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
-import rosecleat.standin.UwsgiBackend;
+import rosecleat.takeover.Handover;
 
 /**
  * A node that keeps what it learnt: started again, with other settings, beside another process, on
--- a/src/test/java/rosecleat/node/MixedLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedLoadTest.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
-import rosecleat.standin.UwsgiClient;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
+import rosecleat.fakes.UwsgiClient;
 
 /**
  * Both protocols at once at 150% of what the cores can do, with every rule counted after each
--- a/src/test/java/rosecleat/node/Rig.java
+++ b/src/test/java/rosecleat/node/Rig.java
@@ -9,10 +9,10 @@
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
+import rosecleat.fakes.UwsgiBackend;
 import rosecleat.log.Log;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
-import rosecleat.standin.UwsgiBackend;
 
 /** A whole node on loopback between stand-ins: a runtime, a uwsgi backend, and both fronts. */
 final class Rig implements AutoCloseable {
--- a/src/test/java/rosecleat/node/ServingTest.java
+++ b/src/test/java/rosecleat/node/ServingTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.standin.TestSite;
 
 /** The notice to leave against the making of the node. */
 class ServingTest {
--- a/src/test/java/rosecleat/node/SizesTest.java
+++ b/src/test/java/rosecleat/node/SizesTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rosecleat.config.NodeConfig;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInIndex;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInIndex;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
 
 /**
  * Other deployments than the one at hand: each starts, serves every class of its first and last
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -18,14 +18,14 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.handover.Handover;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInRoster;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.PolicyApi;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInRoster;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
+import rosecleat.takeover.Handover;
 
 /**
  * A new version beside a running one: two nodes that share a folder and an address, as two
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rosecleat.standin.UwsgiClient.exchange;
-import static rosecleat.standin.UwsgiClient.packet;
-import static rosecleat.standin.UwsgiClient.vars;
+import static rosecleat.fakes.UwsgiClient.exchange;
+import static rosecleat.fakes.UwsgiClient.packet;
+import static rosecleat.fakes.UwsgiClient.vars;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.NodeConfig;
-import rosecleat.standin.RespClient;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
-import rosecleat.standin.UwsgiBackend.Mood;
-import rosecleat.standin.UwsgiClient;
-import rosecleat.standin.UwsgiClient.Reply;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
+import rosecleat.fakes.UwsgiBackend.Mood;
+import rosecleat.fakes.UwsgiClient;
+import rosecleat.fakes.UwsgiClient.Reply;
 
 /** The second front from request to answer, over loopback: each status, and what each proves. */
 class UwsgiFrontTest {
--- a/src/test/java/rosecleat/node/WarmupTest.java
+++ b/src/test/java/rosecleat/node/WarmupTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import rosecleat.standin.TestSite;
+import rosecleat.fakes.TestSite;
 
 /** The lives played before a node listens are whole ones: read, run, called for and served. */
 class WarmupTest {
--- a/src/test/java/rosecleat/roster/RosterClientTest.java
+++ b/src/test/java/rosecleat/registry/RosterClientTest.java
@@ -1,4 +1,4 @@
-package rosecleat.roster;
+package rosecleat.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import rosecleat.core.Counters;
+import rosecleat.fakes.StandInRoster;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
-import rosecleat.standin.StandInRoster;
 
 /**
  * Reports that cross the end of their connection, a roster that fails, and one that says more than
--- a/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
@@ -19,12 +19,12 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
 import rosecleat.core.Request;
+import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
 import rosecleat.policy.Decisions;
-import rosecleat.standin.StandInRuntime;
-import rosecleat.standin.TestSite;
 
 /**
  * Commands that cross the end of their link, and of the one after it, on a clock of the test's own.
--- a/src/test/java/rosecleat/benchlink/LinkTest.java
+++ b/src/test/java/rosecleat/simulator/LinkTest.java
@@ -1,4 +1,4 @@
-package rosecleat.benchlink;
+package rosecleat.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/rosecleat/state/StateFiles.java
+++ b/src/test/java/rosecleat/state/StateFiles.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.function.UnaryOperator;
-import rosecleat.knowledge.Fact;
+import rosecleat.facts.Fact;
 import rosecleat.store.Entry;
 import rosecleat.store.Folder;
 import rosecleat.store.Store;
--- a/src/test/java/rosecleat/handover/FileClaimsTest.java
+++ b/src/test/java/rosecleat/takeover/FileClaimsTest.java
@@ -1,4 +1,4 @@
-package rosecleat.handover;
+package rosecleat.takeover;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/rosecleat/handover/LoadsTest.java
+++ b/src/test/java/rosecleat/takeover/LoadsTest.java
@@ -1,4 +1,4 @@
-package rosecleat.handover;
+package rosecleat.takeover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
