--- a/src/main/java/rosecleat/admin/HttpCall.java
+++ b/src/main/java/rosecleat/admin/HttpCall.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Locale;
 import rosecleat.net.LineBuffer;
-import rosecleat.net.Words;
+import rosecleat.net.TextSyntax;
 
 /**
  * One HTTP/1.1 call, read as its bytes come in. Strict: what is no call is a status of its own, and
@@ -77,7 +77,7 @@
         return 501;
       }
       case "content-length" -> {
-        long length = Words.number(value, 9);
+        long length = TextSyntax.parseNumber(value, 9);
         if (length < 0) {
           return 400;
         }
--- a/src/main/java/rosecleat/front/resp/Fields.java
+++ b/src/main/java/rosecleat/front/resp/Fields.java
@@ -8,7 +8,7 @@
 import rosecleat.core.Front;
 import rosecleat.core.Request;
 import rosecleat.core.Runner;
-import rosecleat.net.Words;
+import rosecleat.net.TextSyntax;
 
 /** Reads the fields of a request; what is wrong with them is a value. */
 final class Fields {
@@ -65,24 +65,24 @@
 
   private Request request(int klass, Map<String, String> fields, byte[] body, Front front) {
     String id = need(fields, "id");
-    valid("id", Words.hex(id, 16, 16));
+    valid("id", TextSyntax.isLowerHex(id, 16, 16));
     long at = number("at", need(fields, "at"), 15);
     long from = number("from", need(fields, "from"), 9);
     Integer tenant = tenants.isEmpty() ? Integer.valueOf(0) : tenants.get(need(fields, "tenant"));
     valid("tenant", tenant != null);
     long waitMs = number("wait", fields.getOrDefault("wait", "0"), 9);
     valid("wait", waitMs <= LONGEST_WAIT_MS);
-    double kb = Words.decimal(need(fields, "kb"));
+    double kb = TextSyntax.parseDecimal(need(fields, "kb"));
     valid("kb", kb > 0 && kb < 2_000);
-    double rank = Words.decimal(fields.getOrDefault("rank", "0"));
+    double rank = TextSyntax.parseDecimal(fields.getOrDefault("rank", "0"));
     valid("rank", rank >= 0 && rank < 1);
     long retry = number("retry", fields.getOrDefault("retry", "0"), 1);
     valid("retry", retry <= 1);
     Core.RequestClass grade = grades.get(klass);
     String once = grade.keyed() ? need(fields, "once") : null;
-    valid("once", once == null || Words.name(once));
+    valid("once", once == null || TextSyntax.isName(once));
     String key = fields.getOrDefault("key", "0");
-    valid("key", Words.hex(key, 1, 16));
+    valid("key", TextSyntax.isLowerHex(key, 1, 16));
     return new Request(
         id,
         at * 1000,
@@ -127,7 +127,7 @@
   }
 
   private static long number(String name, String value, int most) {
-    long number = Words.number(value, most);
+    long number = TextSyntax.parseNumber(value, most);
     valid(name, number >= 0);
     return number;
   }
--- a/src/main/java/rosecleat/front/resp/RespFront.java
+++ b/src/main/java/rosecleat/front/resp/RespFront.java
@@ -20,7 +20,7 @@
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
 import rosecleat.net.Listener;
-import rosecleat.net.Words;
+import rosecleat.net.TextSyntax;
 
 /**
  * The platform's front: balancers' RESP2 connections, turned into requests to the core and back.
@@ -273,7 +273,7 @@
     private void message(List<byte[]> words) {
       String word = words.get(0) == null ? "" : Fields.text(words.get(0));
       String number = words.size() < 2 || words.get(1) == null ? "" : Fields.text(words.get(1));
-      long tag = Words.number(number, 18);
+      long tag = TextSyntax.parseNumber(number, 18);
       if (tag < 1) { // it can't be answered; what is behind it can
         counters.add("resp.malformed");
         log.warn("a balancer's connection is closed: a message with no readable tag");
--- a/src/main/java/rosecleat/front/resp/RespParser.java
+++ b/src/main/java/rosecleat/front/resp/RespParser.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import rosecleat.net.Words;
+import rosecleat.net.TextSyntax;
 
 /**
  * Takes RESP arrays of bulk strings out of a stream, whatever way its bytes come in. A string over
@@ -113,7 +113,7 @@
       long value =
           end < 1 || head.charAt(0) != sign || head.charAt(end) != '\r'
               ? -1
-              : Words.number(head, 1, end, 9);
+              : TextSyntax.parseNumber(head, 1, end, 9);
       head.setLength(0);
       if (value < 0) {
         throw new Malformed("no " + sign + " with a number");
--- a/src/main/java/rosecleat/index/Replies.java
+++ b/src/main/java/rosecleat/index/Replies.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import rosecleat.core.Ledger.End;
 import rosecleat.net.LineBuffer;
-import rosecleat.net.Words;
+import rosecleat.net.TextSyntax;
 
 /**
  * The replies of one connection, cut out of its bytes. Strict: a reply that is not exactly as the
@@ -78,9 +78,11 @@
               default -> null;
             };
     if (hit) {
-      length = (int) Words.number(words[2], 6);
+      length = (int) TextSyntax.parseNumber(words[2], 6);
     }
-    spoilt = !Words.hex(id, 16, 16) || (hit ? length < 0 || length > LONGEST_BODY : end == null);
+    spoilt =
+        !TextSyntax.isLowerHex(id, 16, 16)
+            || (hit ? length < 0 || length > LONGEST_BODY : end == null);
     return spoilt || hit ? null : new Reply(id, end, null);
   }
 }
--- a/src/main/java/rosecleat/takeover/FileClaims.java
+++ b/src/main/java/rosecleat/takeover/FileClaims.java
@@ -17,7 +17,7 @@
 import rosecleat.core.Claims;
 import rosecleat.core.Counters;
 import rosecleat.log.Log;
-import rosecleat.net.Words;
+import rosecleat.net.TextSyntax;
 
 /**
  * Claims as files in a folder that the processes of a node share. A claim is a symbolic link whose
@@ -82,10 +82,10 @@
   private Claim read(String file) {
     try {
       String[] words = Files.readSymbolicLink(folder.resolve(file)).toString().split(":", -1);
-      long owner = words.length == 3 ? Words.number(words[0], 9) : -1;
+      long owner = words.length == 3 ? TextSyntax.parseNumber(words[0], 9) : -1;
       return owner < 1
           ? null
-          : new Claim((int) owner, Words.number(words[1], 18), HEX.parseHex(words[2]));
+          : new Claim((int) owner, TextSyntax.parseNumber(words[1], 18), HEX.parseHex(words[2]));
     } catch (IOException | IllegalArgumentException e) {
       return null;
     }
--- a/src/main/java/rosecleat/takeover/Marks.java
+++ b/src/main/java/rosecleat/takeover/Marks.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import rosecleat.net.Words;
+import rosecleat.net.TextSyntax;
 
 /**
  * The marks of a node's processes: a numbered file each, locked for as long as its process lives.
@@ -60,7 +60,7 @@
           .filter(name -> name.startsWith(MARK))
           .forEach(
               name -> {
-                long n = Words.number(name.substring(MARK.length()), 9);
+                long n = TextSyntax.parseNumber(name.substring(MARK.length()), 9);
                 if (n > 0) {
                   found.add((int) n);
                 }
