--- a/src/test/java/rosecleat/fakes/StandInIndex.java
+++ b/src/test/java/rosecleat/fakes/FakeIndex.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CountDownLatch;
 
 /** The shared index as PROTOCOL describes it; says what the test tells it to. */
-public final class StandInIndex extends Server {
+public final class FakeIndex extends FakeServer {
   /** The lines that came. */
   public final List<String> lines = new CopyOnWriteArrayList<>();
 
--- a/src/test/java/rosecleat/fakes/StandInRoster.java
+++ b/src/test/java/rosecleat/fakes/FakeRegistry.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** The roster as PROTOCOL describes it. */
-public final class StandInRoster extends Server {
+public final class FakeRegistry extends FakeServer {
   /** The reports: first line and body. */
   public final List<String> reports = new CopyOnWriteArrayList<>();
 
--- a/src/test/java/rosecleat/fakes/StandInRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -23,7 +23,7 @@
  * The machine's runtime as PROTOCOL describes it: so many cores, each doing one piece of work at a
  * time.
  */
-public final class StandInRuntime extends Server {
+public final class FakeRuntime extends FakeServer {
   private record Job(String id, String kind, byte[] body) {}
 
   private final ObjectMapper json = new ObjectMapper();
@@ -66,7 +66,7 @@
 
   private Socket muted;
 
-  public StandInRuntime(int workMs) {
+  public FakeRuntime(int workMs) {
     this.workMs = workMs;
   }
 
--- a/src/test/java/rosecleat/fakes/Server.java
+++ b/src/test/java/rosecleat/fakes/FakeServer.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A blocking server for stand-ins: a thread for each connection. */
-public abstract class Server implements AutoCloseable {
+/** A blocking server for fakes of outside systems: a thread for each connection. */
+public abstract class FakeServer implements AutoCloseable {
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private volatile ServerSocket server;
   private volatile Thread accepting;
 
-  protected Server() {
+  protected FakeServer() {
     listen(0);
   }
 
--- a/src/test/java/rosecleat/fakes/UwsgiBackend.java
+++ b/src/test/java/rosecleat/fakes/FakeUwsgiService.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A team's uwsgi service: reads a request, then does what the test says. */
-public final class UwsgiBackend extends Server {
+public final class FakeUwsgiService extends FakeServer {
   /** What it does with a request. */
   public enum Mood {
     GOOD,
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -11,8 +11,8 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
 import rosecleat.core.Request;
+import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.TestSite;
-import rosecleat.fakes.UwsgiBackend;
 import rosecleat.log.Log;
 import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
@@ -39,7 +39,7 @@
     try (Log log = new Log(System.err);
         EventLoop loop = new EventLoop(log);
         LoopGate gate = new LoopGate(loop);
-        UwsgiBackend backend = new UwsgiBackend()) {
+        FakeUwsgiService backend = new FakeUwsgiService()) {
       Clock clock = new Clock();
       Counters counters = new Counters();
       NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.fakes.UwsgiBackend;
+import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.UwsgiClient;
 import rosecleat.harness.Links.Way;
 
@@ -27,8 +27,8 @@
  */
 class RoutesTest {
   @TempDir Path folder;
-  private final UwsgiBackend one = new UwsgiBackend();
-  private final UwsgiBackend two = new UwsgiBackend();
+  private final FakeUwsgiService one = new FakeUwsgiService();
+  private final FakeUwsgiService two = new FakeUwsgiService();
   private Site site;
 
   @BeforeEach
@@ -46,7 +46,7 @@
     two.close();
   }
 
-  private static String line(String name, UwsgiBackend at, String state) {
+  private static String line(String name, FakeUwsgiService at, String state) {
     return name + ": {address: \"uwsgi://127.0.0.1:" + at.port() + "\", state: " + state + "}";
   }
 
@@ -117,7 +117,7 @@
     }
     for (int round = 0; round < 6; round++) {
       String fresh = round % 2 == 0 ? "d" + round : "c" + round;
-      UwsgiBackend at = round % 2 == 0 ? two : one;
+      FakeUwsgiService at = round % 2 == 0 ? two : one;
       site.routes(
           line(fresh, at, "on")
               + (round % 3 == 0 ? ", " + line("old", round % 2 == 0 ? one : two, "drain") : ""));
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -12,7 +12,7 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.fakes.StandInIndex;
+import rosecleat.fakes.FakeIndex;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.Clock;
@@ -26,7 +26,7 @@
  */
 class IndexClientTest {
   private final Log log = new Log(System.err);
-  private final StandInIndex index = new StandInIndex();
+  private final FakeIndex index = new FakeIndex();
   private final Counters counters = new Counters();
   private EventLoop loop;
   private LoopGate gate;
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -20,10 +20,10 @@
 import org.HdrHistogram.Histogram;
 import rosecleat.facts.Fact;
 import rosecleat.facts.Kind;
+import rosecleat.fakes.FakeRuntime;
+import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
-import rosecleat.fakes.UwsgiBackend;
 import rosecleat.state.StateFiles;
 
 /**
@@ -157,8 +157,8 @@
 
   /** Starts a broker on a folder and loads it from its first moment on; kills it at the end. */
   private Outcome play(Path state, int ms, int restMs, long seed) throws Exception {
-    try (StandInRuntime runtime = new StandInRuntime(3);
-        UwsgiBackend backend = new UwsgiBackend()) {
+    try (FakeRuntime runtime = new FakeRuntime(3);
+        FakeUwsgiService backend = new FakeUwsgiService()) {
       runtime.takes.put("balance-check", new int[] {3, 40});
       runtime.takes.put("card-load", new int[] {8, 150});
       int port = freePort();
--- a/src/test/java/rosecleat/node/BadClientsTest.java
+++ b/src/test/java/rosecleat/node/BadClientsTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 
@@ -22,7 +22,7 @@
  * on.
  */
 class BadClientsTest {
-  private final StandInRuntime runtime = new StandInRuntime(20);
+  private final FakeRuntime runtime = new FakeRuntime(20);
   private final Log log = new Log(System.err);
   private final List<RespClient> clients = new ArrayList<>();
   private Node node;
--- a/src/test/java/rosecleat/node/DescriptorsTest.java
+++ b/src/test/java/rosecleat/node/DescriptorsTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import rosecleat.fakes.FakeIndex;
+import rosecleat.fakes.FakeRegistry;
+import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInIndex;
-import rosecleat.fakes.StandInRoster;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
 
 /**
@@ -101,9 +101,9 @@
   void idleClientsKeepNoDescriptorFromTheLinks(int descriptors) throws Exception {
     Process process = null;
     int listen = freePort();
-    try (StandInRuntime runtime = new StandInRuntime(5);
-        StandInIndex index = new StandInIndex();
-        StandInRoster roster = new StandInRoster()) {
+    try (FakeRuntime runtime = new FakeRuntime(5);
+        FakeIndex index = new FakeIndex();
+        FakeRegistry roster = new FakeRegistry()) {
       int rosterPort = roster.port();
       roster.down(); // discovery is away from before the start
       process = process(descriptors, runtime.port(), index.port(), rosterPort, listen);
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -18,10 +18,10 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Request;
 import rosecleat.core.Runner;
+import rosecleat.fakes.FakeIndex;
+import rosecleat.fakes.FakeRegistry;
+import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInIndex;
-import rosecleat.fakes.StandInRoster;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
@@ -29,9 +29,9 @@
 
 /** The node's links to runtime, index and roster: what breaks, and what the node makes of it. */
 class LinksTest {
-  private final StandInRuntime runtime = new StandInRuntime(100);
-  private final StandInIndex index = new StandInIndex();
-  private final StandInRoster roster = new StandInRoster();
+  private final FakeRuntime runtime = new FakeRuntime(100);
+  private final FakeIndex index = new FakeIndex();
+  private final FakeRegistry roster = new FakeRegistry();
   private final Log log = new Log(System.err);
   private Node node;
   private RespClient client;
@@ -141,7 +141,7 @@
     assertTrue(!ready());
     assertEquals("BUSY", answer("balance-check").get(1)); // nothing can run yet, and nothing has
     await(this::ready);
-    assertEquals(StandInRuntime.result("body 2"), answer("balance-check").get(3));
+    assertEquals(FakeRuntime.result("body 2"), answer("balance-check").get(3));
   }
 
   @Test
@@ -150,7 +150,7 @@
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
     runtime.cut(); // the run goes on, and ends while there is no link
-    assertEquals(StandInRuntime.result("body 1"), client.answer().get(3));
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals("OK", answer("balance-check").get(1));
     assertEquals(2, runtime.starts.size());
     assertEquals(2, count("runs.ok"));
@@ -166,7 +166,7 @@
       await(() -> runtime.starts.size() == begun);
       runtime.moveAway();
       reload();
-      assertEquals(StandInRuntime.result("body " + tag), client.answer().get(3));
+      assertEquals(FakeRuntime.result("body " + tag), client.answer().get(3));
     }
     assertEquals(3, count("runs.ok"));
     assertEquals(3, runtime.starts.size());
@@ -208,7 +208,7 @@
     node.leave(() -> {});
     runtime.moveAway();
     reload();
-    assertEquals(StandInRuntime.result("body 1"), client.answer().get(3));
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
   }
 
   /**
@@ -234,7 +234,7 @@
       node.reload(new Setup(fresh, null));
     }
     assertEquals(
-        StandInRuntime.result("body 1"), client.answer().get(3)); // it runs on, as what it came as
+        FakeRuntime.result("body 1"), client.answer().get(3)); // it runs on, as what it came as
     assertEquals("FAILED", answer("card-load").get(1));
     assertEquals("FAILED", answer("balance-check").get(1));
     assertEquals("OK", answer("check-30").get(1));
@@ -254,7 +254,7 @@
             RespClient.fields("00000000000000f9", "small", 900, "k"),
             "body 1")); // the first of them has another body under that key, this one the first's
     assertEquals("FAILED", client.answer().get(1));
-    assertEquals(StandInRuntime.result("body 1"), client.answer().get(3));
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals(1, runtime.startsOf("body 1"));
   }
 
@@ -285,7 +285,7 @@
     send("balance-check", null);
     await(() -> runtime.swallow == 0);
     runtime.cut();
-    assertEquals(StandInRuntime.result("body 1"), client.answer().get(3));
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals(1, count("runtime.resent"));
   }
 
@@ -316,7 +316,7 @@
     send("card-load", "k");
     await(() -> runtime.swallow == 0);
     runtime.cut();
-    assertEquals(StandInRuntime.result("body 1"), client.answer().get(3));
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     runtime.cut(); // the run has shown its end: nothing is sent again
     assertEquals("OK", answer("balance-check").get(1));
     assertEquals(1, runtime.startsOf("body 1"));
--- a/src/test/java/rosecleat/node/MixedLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedLoadTest.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
 import rosecleat.fakes.UwsgiClient;
 
@@ -65,7 +65,7 @@
       }
       if (word.equals("OK")) {
         served.merge(sent.uwsgi ? "uwsgi" : "resp", 1, Integer::sum);
-        if (starts == 0 || !body.equals(StandInRuntime.result(sent.body))) {
+        if (starts == 0 || !body.equals(FakeRuntime.result(sent.body))) {
           breach("served with what no run made", sent);
         }
       }
--- a/src/test/java/rosecleat/node/Rig.java
+++ b/src/test/java/rosecleat/node/Rig.java
@@ -9,9 +9,9 @@
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
-import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.FakeRuntime;
+import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.TestSite;
-import rosecleat.fakes.UwsgiBackend;
 import rosecleat.log.Log;
 
 /** A whole node on loopback between stand-ins: a runtime, a uwsgi backend, and both fronts. */
@@ -60,8 +60,8 @@
           budget: {till: {tenant: small}}
       """;
 
-  final UwsgiBackend backend = new UwsgiBackend();
-  final StandInRuntime runtime;
+  final FakeUwsgiService backend = new FakeUwsgiService();
+  final FakeRuntime runtime;
   final Node node;
   final Log log = new Log(System.err);
   final int uwsgiPort;
@@ -72,7 +72,7 @@
 
   /** A node that has a runtime, or (false) only its backends. */
   Rig(int workMs, int stopMs, int graceMs, Path folder, boolean hasRuntime) throws IOException {
-    runtime = new StandInRuntime(workMs);
+    runtime = new FakeRuntime(workMs);
     NodeConfig config = TestSite.config(hasRuntime ? runtime.port() : 0, 0, 0, stopMs, graceMs);
     node = new Node(config, broker(folder, backend.port(), config, ""), log);
     node.start();
--- a/src/test/java/rosecleat/node/SizesTest.java
+++ b/src/test/java/rosecleat/node/SizesTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rosecleat.config.NodeConfig;
+import rosecleat.fakes.FakeIndex;
+import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInIndex;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 
@@ -84,8 +84,8 @@
       int classes, int tenants, int servers, int callers, double callsOut, int sockets)
       throws Exception {
     try (Log log = new Log(System.err);
-        StandInIndex index = new StandInIndex();
-        StandInRuntime runtime = new StandInRuntime(1)) {
+        FakeIndex index = new FakeIndex();
+        FakeRuntime runtime = new FakeRuntime(1)) {
       NodeConfig config =
           config(
               runtime.port(), index.port(), classes, tenants, servers, callers, callsOut, sockets);
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -18,9 +18,9 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
+import rosecleat.fakes.FakeRegistry;
+import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInRoster;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
@@ -32,9 +32,9 @@
  * processes would.
  */
 class UpgradeTest {
-  private final StandInRuntime oldRuntime = new StandInRuntime(300);
-  private final StandInRuntime newRuntime = new StandInRuntime(300);
-  private final StandInRoster roster = new StandInRoster();
+  private final FakeRuntime oldRuntime = new FakeRuntime(300);
+  private final FakeRuntime newRuntime = new FakeRuntime(300);
+  private final FakeRegistry roster = new FakeRegistry();
   private final Log log = new Log(System.err);
   private Node older;
   private Node newer;
@@ -43,7 +43,7 @@
 
   @TempDir Path folder;
 
-  private Node node(StandInRuntime runtime, int port) throws IOException {
+  private Node node(FakeRuntime runtime, int port) throws IOException {
     String file =
         TestSite.config(runtime.port(), 0, roster.port(), 2_000, 500)
             .file()
@@ -148,12 +148,12 @@
     CompletableFuture<Void> left = new CompletableFuture<>();
     assertTrue(older.leave(() -> left.complete(null)) < 2_000_000, "longest deadline and 0.7 s");
     assertEquals("BYE", client.read().get(1));
-    assertEquals(StandInRuntime.result("held"), client.read().get(3));
+    assertEquals(FakeRuntime.result("held"), client.read().get(3));
     try (RespClient after = new RespClient(newer.port(), null)) {
       send(after, 1, "balance-check", null, "later");
       after.send(RespClient.array("PING", 2, ""));
       assertEquals("UP", after.read().get(1));
-      assertEquals(StandInRuntime.result("later"), after.read().get(3));
+      assertEquals(FakeRuntime.result("later"), after.read().get(3));
     }
     assertEquals(1, newRuntime.startsOf("later"));
     client.close();
@@ -181,17 +181,17 @@
       send(a, 2, "card-load", "k", "body");
       await(() -> oldRuntime.startsOf("body") == 1);
       send(b, 2, "card-load", "k", "body"); // while it runs
-      assertEquals(StandInRuntime.result("body"), b.answer().get(3));
-      assertEquals(StandInRuntime.result("body"), a.answer().get(3));
+      assertEquals(FakeRuntime.result("body"), b.answer().get(3));
+      assertEquals(FakeRuntime.result("body"), a.answer().get(3));
       send(b, 3, "card-load", "k", "body"); // after it ran
-      assertEquals(StandInRuntime.result("body"), b.answer().get(3));
+      assertEquals(FakeRuntime.result("body"), b.answer().get(3));
       send(b, 4, "card-load", "k", "other");
       assertEquals("FAILED", b.answer().get(1));
       assertEquals(0, newRuntime.starts.size());
       send(b, 5, "card-load", "k2", "second");
-      assertEquals(StandInRuntime.result("second"), b.answer().get(3));
+      assertEquals(FakeRuntime.result("second"), b.answer().get(3));
       send(a, 5, "card-load", "k2", "second");
-      assertEquals(StandInRuntime.result("second"), a.answer().get(3));
+      assertEquals(FakeRuntime.result("second"), a.answer().get(3));
       assertEquals(0, oldRuntime.startsOf("second"));
       send(a, 6, "card-load", "k3", "lost");
       await(() -> oldRuntime.startsOf("lost") == 1);
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.NodeConfig;
+import rosecleat.fakes.FakeRuntime;
+import rosecleat.fakes.FakeUwsgiService.Mood;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
-import rosecleat.fakes.UwsgiBackend.Mood;
 import rosecleat.fakes.UwsgiClient;
 import rosecleat.fakes.UwsgiClient.Reply;
 
@@ -63,7 +63,7 @@
   void aReadIsServedWithItsParametersAndDescribedType() throws IOException {
     Reply reply = get("/cards/77/balance", "QUERY_STRING", "unit=cent%73&card=1");
     assertEquals(200, reply.status());
-    assertEquals(StandInRuntime.result("{\"unit\":\"cents\",\"card\":\"77\"}"), reply.body());
+    assertEquals(FakeRuntime.result("{\"unit\":\"cents\",\"card\":\"77\"}"), reply.body());
     assertEquals("text/plain", reply.header("Content-Type"));
   }
 
@@ -103,7 +103,7 @@
           at = end;
           Thread.sleep(1);
         }
-        assertEquals(StandInRuntime.result("amount=5"), UwsgiClient.read(socket).body());
+        assertEquals(FakeRuntime.result("amount=5"), UwsgiClient.read(socket).body());
       }
     }
     assertEquals(1, rig.runtime.startsOf("amount=5"));
@@ -372,7 +372,7 @@
   @Test
   void oneLoadRunsOnceAcrossBothFronts() throws IOException {
     String key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    assertEquals(StandInRuntime.result("load 5"), load(key, "load 5").body());
+    assertEquals(FakeRuntime.result("load 5"), load(key, "load 5").body());
     try (RespClient resp = new RespClient(rig.node.port(), null)) {
       resp.send(
           RespClient.array(
@@ -381,7 +381,7 @@
               "card-load",
               RespClient.fields("00000000000000a1", "small", 900, key),
               "load 5"));
-      assertEquals(StandInRuntime.result("load 5"), resp.answer().get(3));
+      assertEquals(FakeRuntime.result("load 5"), resp.answer().get(3));
       resp.send(
           RespClient.array(
               "DO",
@@ -391,7 +391,7 @@
               "load 6"));
       assertEquals("OK", resp.answer().get(1));
     }
-    assertEquals(StandInRuntime.result("load 6"), load("other", "load 6").body());
+    assertEquals(FakeRuntime.result("load 6"), load("other", "load 6").body());
     assertEquals(400, load("other", "load 7").status()); // the key belongs to another body
     assertEquals(1, rig.runtime.startsOf("load 5"));
     assertEquals(1, rig.runtime.startsOf("load 6"));
@@ -431,7 +431,7 @@
                 "balance-check",
                 RespClient.fields(String.format("%016x", tag), "small", 900, null),
                 "b" + tag));
-        assertEquals(StandInRuntime.result("b" + tag), resp.answer().get(3));
+        assertEquals(FakeRuntime.result("b" + tag), resp.answer().get(3));
       }
     }
     assertTrue(System.nanoTime() - start < 4_000_000_000L, "the other front was held up");
--- a/src/test/java/rosecleat/registry/RosterClientTest.java
+++ b/src/test/java/rosecleat/registry/RosterClientTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import rosecleat.core.Counters;
-import rosecleat.fakes.StandInRoster;
+import rosecleat.fakes.FakeRegistry;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
@@ -22,7 +22,7 @@
  */
 class RosterClientTest {
   private final Log log = new Log(System.err);
-  private final StandInRoster roster = new StandInRoster();
+  private final FakeRegistry roster = new FakeRegistry();
   private final Counters counters = new Counters();
   private EventLoop loop;
   private LoopGate gate;
--- a/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
@@ -19,7 +19,7 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Ledger;
 import rosecleat.core.Request;
-import rosecleat.fakes.StandInRuntime;
+import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
@@ -40,7 +40,7 @@
       };
 
   private final Log log = new Log(System.err);
-  private final StandInRuntime runtime = new StandInRuntime(1);
+  private final FakeRuntime runtime = new FakeRuntime(1);
   private final AtomicLong now = new AtomicLong(1_800_000_000_000_000L);
   private final Counters counters = new Counters();
   private EventLoop loop;
