--- /dev/null
+++ b/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
@@ -0,0 +1,265 @@
+package rosecleat.takeover;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.channels.FileLock;
+import java.nio.channels.OverlappingFileLockException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import rosecleat.core.Claims;
+import rosecleat.core.Counters;
+import rosecleat.log.Log;
+
+/**
+ * The files that two versions of the program exchange during an upgrade: names, bytes, symbolic
+ * links and locks. The files under {@code written-by-a6781e5} were written by that commit.
+ */
+class TakeoverFilesTest {
+  private static final Path WRITTEN =
+      Path.of("src/test/resources/rosecleat/takeover/written-by-a6781e5");
+
+  /** The end of the first claim's window; each further claim ends a microsecond later (us). */
+  private static final long UNTIL_US = 1_760_000_000_000_000L;
+
+  private static final Load LIMITS = new Load(10.5, 196_608, 100);
+
+  private final Log log = new Log(System.err);
+  private Path shared;
+
+  @TempDir Path temporary;
+
+  @BeforeEach
+  void createSharedFolder() throws IOException {
+    shared = Files.createDirectory(temporary.resolve("shared"));
+  }
+
+  @AfterEach
+  void closeLog() {
+    log.close();
+  }
+
+  @Test
+  void todaysClassesWriteTheNamesAndBytesOfTheEarlierVersion() throws IOException {
+    try (Handover first = process();
+        Handover second = process()) {
+      writeAsTwoProcesses(first, second);
+      Path earlier = Files.createDirectory(temporary.resolve("earlier"));
+      restore(earlier);
+      assertEquals(snapshot(earlier), snapshot(shared));
+    }
+  }
+
+  @Test
+  void filesOfLiveEarlierProcessesAreRead() throws IOException {
+    restore(shared);
+    try (FileChannel one = lock("process-1");
+        FileChannel two = lock("process-2");
+        Handover third = process()) {
+      assertTrue(Files.exists(file("process-3")));
+      assertTrue(third.predecessorLives());
+      assertFalse(third.successorLives());
+      assertTrue(third.drained());
+      Load limits = new Load(20, 200_000, 300);
+      assertEquals(new Load(9.5, 3_392, 200), third.grant(limits, Load.NONE, List.of(0.0), false));
+      readClaims(third.claims());
+      assertNull(third.claims().outcome("running"));
+      assertNull(third.claims().outcome("of-the-second"));
+      assertTrue(one.isOpen() && two.isOpen());
+    }
+  }
+
+  @Test
+  void earlierSuccessorIsSeenToLiveAndToServe() throws IOException {
+    try (Handover first = process()) {
+      assertFalse(first.successorLives());
+      copy("process-2");
+      try (FileChannel two = lock("process-2")) {
+        first.look(1);
+        assertTrue(first.successorLives());
+        assertFalse(first.successorServes());
+        copy("serves-2");
+        first.look(2);
+        assertTrue(first.successorServes());
+        assertTrue(two.isOpen());
+      }
+      first.look(3);
+      assertFalse(first.successorLives());
+      assertFalse(first.successorServes());
+    }
+  }
+
+  @Test
+  void filesOfDeadEarlierProcessesAreReadAndRemoved() throws IOException {
+    restore(shared);
+    try (Handover third = process()) {
+      assertFalse(third.predecessorLives());
+      readClaims(third.claims());
+      assertEquals(new Claims.Outcome(true, null), third.claims().outcome("running"));
+      third.look(UNTIL_US - 1);
+      assertEquals(Set.of("drained", "keys", "process-3"), names(shared.resolve("rosecleat")));
+      readClaims(third.claims());
+      third.look(UNTIL_US + 4_000_000 + 3_000_000 + 6);
+      assertEquals(Set.of(), names(file("keys")));
+    }
+  }
+
+  @Test
+  void processFileIsLockedForAsLongAsTheProcessLives() throws IOException {
+    Handover first = process();
+    try (FileChannel probe = FileChannel.open(file("process-1"), StandardOpenOption.WRITE)) {
+      assertThrows(OverlappingFileLockException.class, probe::tryLock);
+      first.close();
+      try (FileLock lock = probe.tryLock()) {
+        assertNotNull(lock);
+      }
+    }
+  }
+
+  @Test
+  void drainFileComesAndGoesAsOperatorsSay() throws IOException {
+    try (Handover first = process()) {
+      first.drain(true);
+      assertEquals(0, Files.size(file("drained")));
+      first.drain(false);
+      assertFalse(Files.exists(file("drained")));
+      copy("drained");
+      first.look(1);
+      assertTrue(first.drained());
+      Files.delete(file("drained"));
+      first.look(2);
+      assertFalse(first.drained());
+    }
+  }
+
+  /** The calls that made the files of the earlier version. */
+  private static void writeAsTwoProcesses(Handover first, Handover second) {
+    first.serve();
+    second.serve();
+    first.look(1_000_000);
+    first.grant(LIMITS, new Load(8.25, 2_048.5, 20), List.of(8.25, 7.5, 0.0), false);
+    second.look(1_000_000);
+    second.grant(LIMITS, new Load(1, 512, 3), List.of(1.0, 0.0), false);
+    first.drain(true);
+    Claims claims = first.claims();
+    claims.claim("served", digest(), UNTIL_US);
+    claims.ended("served", "result".getBytes(StandardCharsets.US_ASCII));
+    claims.claim("served-empty", digest(), UNTIL_US + 1);
+    claims.ended("served-empty", new byte[0]);
+    claims.claim("failed", digest(), UNTIL_US + 2);
+    claims.ended("failed", null);
+    claims.claim("running", digest(), UNTIL_US + 3);
+    claims.claim("never-ran", digest(), UNTIL_US + 4);
+    claims.neverRan("never-ran");
+    claims.claim("next-window", digest(), UNTIL_US + 5);
+    claims.ended("next-window", "old".getBytes(StandardCharsets.US_ASCII));
+    claims.claim("next-window", new byte[] {1, 2, 3}, UNTIL_US + 4_000_005);
+    second.claims().claim("of-the-second", digest(), UNTIL_US + 6);
+  }
+
+  /** Reads all claims of the earlier version that do not depend on whether their owners live. */
+  private static void readClaims(Claims claims) {
+    readClaim(claims, "served", digest(), UNTIL_US);
+    readClaim(claims, "served-empty", digest(), UNTIL_US + 1);
+    readClaim(claims, "failed", digest(), UNTIL_US + 2);
+    readClaim(claims, "running", digest(), UNTIL_US + 3);
+    readClaim(claims, "next-window", new byte[] {1, 2, 3}, UNTIL_US + 4_000_005);
+    readClaim(claims, "of-the-second", digest(), UNTIL_US + 6);
+    assertInstanceOf(Claims.Free.class, claims.look("never-ran"));
+    assertArrayEquals(
+        "result".getBytes(StandardCharsets.US_ASCII), claims.outcome("served").result());
+    assertArrayEquals(new byte[0], claims.outcome("served-empty").result());
+    assertEquals(new Claims.Outcome(true, null), claims.outcome("failed"));
+    assertEquals(new Claims.Outcome(false, null), claims.outcome("never-ran"));
+  }
+
+  private static void readClaim(Claims claims, String key, byte[] digest, long untilUs) {
+    Claims.Others others = assertInstanceOf(Claims.Others.class, claims.look(key), key);
+    assertArrayEquals(digest, others.digest(), key);
+    assertEquals(untilUs, others.untilUs(), key);
+  }
+
+  private static byte[] digest() {
+    byte[] digest = new byte[32];
+    for (int i = 0; i < digest.length; i++) {
+      digest[i] = (byte) (8 * i);
+    }
+    return digest;
+  }
+
+  private Handover process() throws IOException {
+    return new Handover(shared, new Counters(), log);
+  }
+
+  private Path file(String name) {
+    return shared.resolve("rosecleat").resolve(name);
+  }
+
+  private FileChannel lock(String name) throws IOException {
+    FileChannel channel = FileChannel.open(file(name), StandardOpenOption.WRITE);
+    channel.lock();
+    return channel;
+  }
+
+  private void copy(String name) throws IOException {
+    Files.copy(WRITTEN.resolve("files/rosecleat").resolve(name), file(name));
+  }
+
+  /** Puts the files of the earlier version into a folder, symbolic links too. */
+  private static void restore(Path target) throws IOException {
+    Path files = WRITTEN.resolve("files");
+    try (Stream<Path> all = Files.walk(files)) {
+      for (Path each : all.filter(path -> !path.equals(files)).toList()) {
+        Files.copy(each, target.resolve(files.relativize(each).toString()));
+      }
+    }
+    for (String line : Files.readAllLines(WRITTEN.resolve("symbolic-links.txt"))) {
+      String[] words = line.split(" ");
+      Path link = target.resolve("rosecleat").resolve(words[0]);
+      Files.createSymbolicLink(link, Path.of(words[1]));
+    }
+  }
+
+  /** What stands under a folder: each path with its kind and its bytes or target. */
+  private static Map<String, String> snapshot(Path folder) throws IOException {
+    Map<String, String> snapshot = new TreeMap<>();
+    try (Stream<Path> all = Files.walk(folder)) {
+      for (Path each : all.toList()) {
+        String name = folder.relativize(each).toString();
+        if (Files.isSymbolicLink(each)) {
+          snapshot.put(name, "link to " + Files.readSymbolicLink(each));
+        } else if (Files.isDirectory(each)) {
+          snapshot.put(name, "folder");
+        } else {
+          snapshot.put(name, "file of " + Files.readString(each, StandardCharsets.ISO_8859_1));
+        }
+      }
+    }
+    return snapshot;
+  }
+
+  private static Set<String> names(Path folder) throws IOException {
+    try (Stream<Path> files = Files.list(folder)) {
+      return Set.copyOf(files.map(file -> file.getFileName().toString()).toList());
+    }
+  }
+}
