--- a/src/main/java/rosecleat/admin/Door.java
+++ b/src/main/java/rosecleat/admin/Door.java
@@ -150,7 +150,7 @@
     Caller(Connection connection) {
       this.connection = connection;
       counters.add("mgmt.connections");
-      loop.after(
+      loop.schedule(
           PATIENCE_US,
           () -> {
             if (!answered && !connection.isClosed()) {
--- a/src/main/java/rosecleat/admin/HttpCall.java
+++ b/src/main/java/rosecleat/admin/HttpCall.java
@@ -29,14 +29,14 @@
   /** Takes bytes; true once the call is whole, or can be answered because it is wrong. */
   boolean take(ByteBuffer bytes) {
     read += bytes.remaining();
-    if (read > MOST_BYTES || !lines.add(bytes)) {
+    if (read > MOST_BYTES || !lines.append(bytes)) {
       bytes.position(bytes.limit());
       return wrong(431);
     }
     while (!headRead) {
-      String line = lines.line();
+      String line = lines.readLine();
       if (line == null) {
-        return lines.tooLong() && wrong(431);
+        return lines.lineTooLong() && wrong(431);
       }
       wrong =
           ++count > MOST_LINES
@@ -46,7 +46,7 @@
         return true;
       }
     }
-    return bodyLength == 0 || lines.block(bodyLength) != null;
+    return bodyLength == 0 || lines.readBlock(bodyLength) != null;
   }
 
   private boolean wrong(int status) {
--- a/src/main/java/rosecleat/front/uwsgi/HttpParser.java
+++ b/src/main/java/rosecleat/front/uwsgi/HttpParser.java
@@ -32,11 +32,11 @@
   /** Takes bytes; false where they are no response or too many. */
   boolean take(ByteBuffer in) {
     while (!headed && in.hasRemaining()) {
-      lines.add(ByteBuffer.wrap(new byte[] {in.get()}));
+      lines.append(ByteBuffer.wrap(new byte[] {in.get()}));
       if (++headBytes > HEAD) {
         return false;
       }
-      String line = lines.line();
+      String line = lines.readLine();
       if (line != null && !head(line)) {
         return false;
       }
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -53,7 +53,7 @@
             .result();
     runs.put(
         request.id(),
-        loop.after(
+        loop.schedule(
             sample.tookUs(),
             () -> {
               runs.remove(request.id());
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFront.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFront.java
@@ -134,7 +134,7 @@
     counters.add("uwsgi.connections");
     Caller caller = new Caller(connection);
     callers.add(caller);
-    caller.patience = loop.after(config.limits().readUs(), caller::slow);
+    caller.patience = loop.schedule(config.limits().readUs(), caller::slow);
     connection.start(caller);
   }
 
@@ -307,7 +307,7 @@
       connection.closeGracefully();
       patience.cancel(false);
       patience =
-          loop.after(
+          loop.schedule(
               config.limits().replyUs(), () -> connection.abort("the reply was not taken in time"));
     }
 
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -67,7 +67,7 @@
   public void start(Request request, long dueUs) {
     Run run = new Run(request);
     runs.put(request.id(), run);
-    run.timer = loop.after(dueUs + LATE_US - run.startedUs, run::late);
+    run.timer = loop.schedule(dueUs + LATE_US - run.startedUs, run::late);
     Connection.Limits limits =
         new Connection.Limits(8 << 10, 64 << 10, HEAD_ROOM + request.body().length, 5_000_000);
     InetSocketAddress at = run.place();
--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -94,7 +94,7 @@
       loop.execute(() -> over(call, End.UNREACHED, null));
       return;
     }
-    call.timer = loop.after(untilUs + LATE_US - clock.getAsLong(), () -> late(call));
+    call.timer = loop.schedule(untilUs + LATE_US - clock.getAsLong(), () -> late(call));
     Line line = unused(id);
     if (line != null) {
       send(line, call);
--- a/src/main/java/rosecleat/index/Replies.java
+++ b/src/main/java/rosecleat/index/Replies.java
@@ -26,7 +26,7 @@
 
   /** Takes all that has come. */
   void take(ByteBuffer more) {
-    spoilt |= !bytes.add(more);
+    spoilt |= !bytes.append(more);
   }
 
   /** Whether what came is no reply; nothing more is read then. */
@@ -40,7 +40,7 @@
       return null;
     }
     if (length < 0) {
-      String line = bytes.line();
+      String line = bytes.readLine();
       if (line == null || line.length() > LONGEST_LINE) {
         spoilt = line != null || bytes.size() > LONGEST_LINE;
         return null;
@@ -50,7 +50,7 @@
         return reply;
       }
     }
-    byte[] body = bytes.block(length + 2);
+    byte[] body = bytes.readBlock(length + 2);
     if (body == null) {
       return null;
     }
--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -171,7 +171,7 @@
     }
 
     void begin(InetSocketAddress to, long timeoutUs, Limits limits) {
-      timer = loop.after(timeoutUs, () -> fail("no answer in time"));
+      timer = loop.schedule(timeoutUs, () -> fail("no answer in time"));
       try {
         channel.connect(
             to,
@@ -297,7 +297,7 @@
       end(new Fault(Progress.SENT, "closed here"), false);
       return;
     }
-    linger = loop.after(LINGER_US, () -> end(new Fault(Progress.SENT, "closed here"), false));
+    linger = loop.schedule(LINGER_US, () -> end(new Fault(Progress.SENT, "closed here"), false));
   }
 
   /** Closes at once: bytes that were not read or written are lost. */
@@ -368,7 +368,7 @@
     writing = true;
     if (stall == null) {
       long before = written;
-      stall = loop.after(limits.stallUs(), () -> stalled(before));
+      stall = loop.schedule(limits.stallUs(), () -> stalled(before));
     }
     ByteBuffer piece = next.duplicate();
     piece.limit(Math.min(next.limit(), next.position() + PIECE));
@@ -396,7 +396,7 @@
       end(new Fault(Progress.NOT_SENT, "the peer takes nothing"), false);
     } else {
       long now = written;
-      stall = loop.after(limits.stallUs(), () -> stalled(now));
+      stall = loop.schedule(limits.stallUs(), () -> stalled(now));
     }
   }
 
--- a/src/main/java/rosecleat/net/EventLoop.java
+++ b/src/main/java/rosecleat/net/EventLoop.java
@@ -53,8 +53,8 @@
   }
 
   /** Runs a task on the loop after some time; cancel the future to call it off. */
-  public Future<?> after(long us, Runnable task) {
-    return executor.schedule(() -> guarded(task), Math.max(0, us), TimeUnit.MICROSECONDS);
+  public Future<?> schedule(long delayUs, Runnable task) {
+    return executor.schedule(() -> guarded(task), Math.max(0, delayUs), TimeUnit.MICROSECONDS);
   }
 
   /** Guards the loop: whatever a task throws ends that task alone. */
--- a/src/main/java/rosecleat/net/LineBuffer.java
+++ b/src/main/java/rosecleat/net/LineBuffer.java
@@ -4,67 +4,83 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Cuts a stream into lines and blocks of known length, whatever way its bytes come in. */
+/**
+ * Splits a stream of bytes, however it is fragmented, into lines and into blocks of known length.
+ *
+ * <p>Memory is bounded: {@link #append} rejects bytes once more are buffered than the longest line
+ * or block allows. For one thread.
+ */
 public final class LineBuffer {
-  private final int longest;
-  private byte[] bytes = new byte[1 << 10];
-  private int from;
-  private int to;
+  private static final int INITIAL_CAPACITY = 1 << 10;
 
-  /** A buffer that takes lines and blocks up to a length. */
-  public LineBuffer(int longest) {
-    this.longest = longest;
+  private final int maxLength;
+  private byte[] bytes = new byte[INITIAL_CAPACITY];
+  private int start;
+  private int end;
+
+  /** Creates a buffer for lines and blocks of up to {@code maxLength} bytes. */
+  public LineBuffer(int maxLength) {
+    this.maxLength = maxLength;
   }
 
-  /** Takes all that has come; false where more waits than any line or block may hold. */
-  public boolean add(ByteBuffer more) {
-    int count = more.remaining();
-    if (to - from + count > longest + more.capacity()) {
+  /**
+   * Appends all remaining bytes of {@code input}.
+   *
+   * @return false, with nothing appended, where more would be buffered than the longest line or
+   *     block and one whole {@code input}
+   */
+  public boolean append(ByteBuffer input) {
+    int count = input.remaining();
+    if (size() + count > maxLength + input.capacity()) {
       return false;
     }
-    if (to + count > bytes.length) {
-      int need = to - from + count;
-      byte[] room = need > bytes.length ? new byte[Math.max(2 * bytes.length, need)] : bytes;
-      System.arraycopy(bytes, from, room, 0, to - from);
-      to -= from;
-      from = 0;
-      bytes = room;
+    if (end + count > bytes.length) {
+      compact(size() + count);
     }
-    more.get(bytes, to, count);
-    to += count;
+    input.get(bytes, end, count);
+    end += count;
     return true;
   }
 
-  /** The next line without its end (LF or CR LF), null while it is not whole. */
-  public String line() {
-    for (int i = from; i < to; i++) {
+  /** Moves the buffered bytes to the front of an array with room for {@code needed} bytes. */
+  private void compact(int needed) {
+    byte[] target = needed > bytes.length ? new byte[Math.max(2 * bytes.length, needed)] : bytes;
+    System.arraycopy(bytes, start, target, 0, size());
+    end -= start;
+    start = 0;
+    bytes = target;
+  }
+
+  /** Reads the next line without its end (LF or CR LF); null while it is incomplete. */
+  public String readLine() {
+    for (int i = start; i < end; i++) {
       if (bytes[i] == '\n') {
-        int end = i > from && bytes[i - 1] == '\r' ? i - 1 : i;
-        String line = new String(bytes, from, end - from, StandardCharsets.ISO_8859_1);
-        from = i + 1;
+        int lineEnd = i > start && bytes[i - 1] == '\r' ? i - 1 : i;
+        String line = new String(bytes, start, lineEnd - start, StandardCharsets.ISO_8859_1);
+        start = i + 1;
         return line;
       }
     }
     return null;
   }
 
-  /** The next so many bytes, null while they are not all there. */
-  public byte[] block(int length) {
-    if (to - from < length) {
+  /** Reads the next {@code length} bytes; null while they are not all there. */
+  public byte[] readBlock(int length) {
+    if (size() < length) {
       return null;
     }
-    byte[] block = Arrays.copyOfRange(bytes, from, from + length);
-    from += length;
+    byte[] block = Arrays.copyOfRange(bytes, start, start + length);
+    start += length;
     return block;
   }
 
-  /** Bytes that wait. */
+  /** Returns how many bytes are buffered and unread. */
   public int size() {
-    return to - from;
+    return end - start;
   }
 
-  /** Whether an unfinished line is longer than allowed. */
-  public boolean tooLong() {
-    return to - from > longest;
+  /** Returns whether more bytes are buffered than a line may have. */
+  public boolean lineTooLong() {
+    return size() > maxLength;
   }
 }
--- a/src/main/java/rosecleat/net/Listener.java
+++ b/src/main/java/rosecleat/net/Listener.java
@@ -233,7 +233,7 @@
   private void lookAgain() {
     if (!lookingForRoom) {
       lookingForRoom = true;
-      loop.after(
+      loop.schedule(
           ROOM_US,
           () -> {
             lookingForRoom = false;
@@ -313,7 +313,7 @@
   private void refused(Throwable e) {
     if (!closed) {
       log.warn("accept failed: " + e.getMessage());
-      loop.after(RETRY_US, this::accept);
+      loop.schedule(RETRY_US, this::accept);
     }
   }
 }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -14,8 +14,8 @@
 import rosecleat.front.uwsgi.UwsgiFront;
 import rosecleat.index.IndexClient;
 import rosecleat.log.Log;
-import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
+import rosecleat.net.MonotonicClock;
 import rosecleat.policy.Decisions;
 import rosecleat.policy.PolicyApi;
 import rosecleat.registry.RosterClient;
@@ -48,7 +48,7 @@
   private volatile NodeConfig config;
   private final Log log;
   private final EventLoop loop;
-  private final LongSupplier clock = new Clock();
+  private final LongSupplier clock = new MonotonicClock();
   private final Counters counters;
   private final Numbering numbering;
   private final Decisions decisions;
@@ -153,7 +153,7 @@
 
   /** Logs the counters from now on, so often. */
   void logCounters(long everyUs) {
-    loop.after(
+    loop.schedule(
         everyUs,
         () -> {
           log.info(counters.toString());
@@ -200,7 +200,7 @@
     boolean handsOver = handover.successorLives();
     long leftUs =
         handsOver ? Math.min(core.longestDueUs(), LONGEST_US) + KILLED_US : config.stopUs();
-    long noticeUs = Clock.systemUs();
+    long noticeUs = MonotonicClock.systemTimeUs();
     loop.execute(
         () -> {
           long toldUs =
@@ -289,7 +289,7 @@
       next = beatOnce();
     } finally {
       beatUs = next;
-      loop.after(next - clock.getAsLong(), this::beat);
+      loop.schedule(next - clock.getAsLong(), this::beat);
     }
   }
 
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -60,7 +60,7 @@
             null,
             log)) {
       node.start();
-      loop.after(
+      loop.schedule(
           200_000, () -> balancer(config, new InetSocketAddress(any.getAddress(), node.port())));
       return answers.await(PATIENCE_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
@@ -86,8 +86,8 @@
             connection.start(
                 new Received(
                     bytes -> {
-                      lines.add(bytes);
-                      for (String line = lines.line(); line != null; line = lines.line()) {
+                      lines.append(bytes);
+                      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                         if (line.startsWith("*")) { // the head of an answer
                           answers.countDown();
                         }
@@ -122,7 +122,7 @@
       text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
     }
     byte[] bytes = text.toString().getBytes(StandardCharsets.US_ASCII);
-    loop.after(i * 5_000L, () -> connection.write(ByteBuffer.wrap(bytes)));
+    loop.schedule(i * 5_000L, () -> connection.write(ByteBuffer.wrap(bytes)));
   }
 
   /** A runtime that ends each run at once. */
@@ -132,8 +132,8 @@
     connection.start(
         new Received(
             bytes -> {
-              lines.add(bytes);
-              for (String line = lines.line(); line != null; line = lines.line()) {
+              lines.append(bytes);
+              for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 String reply = "";
                 if (line.contains("\"sync\"")) {
                   reply = "{\"type\":\"ready\",\"state\":\"warm\",\"took\":1}\n";
--- a/src/main/java/rosecleat/node/Sharing.java
+++ b/src/main/java/rosecleat/node/Sharing.java
@@ -109,7 +109,7 @@
     task.post(fleet -> tell(fleet));
     if (broker.routes() != null) {
       waiting = broker.routes();
-      loop.after(
+      loop.schedule(
           settings.seeds().isEmpty() ? 0 : LISTEN * settings.periodUs(),
           () -> task.post(this::publish));
     }
@@ -118,7 +118,7 @@
 
   /** What was missed, or broke, is looked for again. */
   private void again() {
-    loop.after(
+    loop.schedule(
         settings.periodUs(),
         () -> {
           task.post(this::catchUp); // where its mailbox is full now, the next time does
--- a/src/main/java/rosecleat/registry/RosterClient.java
+++ b/src/main/java/rosecleat/registry/RosterClient.java
@@ -70,7 +70,7 @@
   /** Begins to report, each second from now on. */
   public void begin() {
     report();
-    loop.after(EACH_US, this::begin);
+    loop.schedule(EACH_US, this::begin);
   }
 
   /** Reports at once, and from now on, that this node leaves. */
@@ -104,7 +104,7 @@
       if (!on && !again) { // the notice to leave must not wait a second for its turn
         again = true;
         Connection used = connection;
-        loop.after(
+        loop.schedule(
             HURRY_US,
             () -> {
               if (again && connection == used && used != null) {
@@ -161,7 +161,7 @@
   private void redial() {
     if (!redialling) {
       redialling = true;
-      loop.after(
+      loop.schedule(
           on ? REDIAL_US : REDIAL_LEAVING_US,
           () -> {
             redialling = false;
@@ -182,7 +182,7 @@
             if (connection != fresh) {
               return; // an answer to a report that nobody waits for any more
             }
-            if (!lines.add(bytes) || lines.tooLong()) {
+            if (!lines.append(bytes) || lines.lineTooLong()) {
               fresh.abort("the roster sent too much");
               return;
             }
@@ -226,19 +226,19 @@
     }
     waiting = true;
     reply = new Reply();
-    patience = loop.after(REPLY_US, () -> used.abort("the roster does not answer"));
+    patience = loop.schedule(REPLY_US, () -> used.abort("the roster does not answer"));
   }
 
   private void read(Connection from) {
     while (waiting) {
       if (reply.whole) {
-        if (lines.block(reply.length) == null) {
+        if (lines.readBlock(reply.length) == null) {
           return;
         }
         finished(from);
         return;
       }
-      String line = lines.line();
+      String line = lines.readLine();
       if (line == null) {
         return;
       }
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeLink.java
@@ -121,7 +121,7 @@
           public void failed(Fault fault) {
             dialling = false;
             counters.add("runtime.unreached");
-            loop.after(to.equals(address) ? RETRY_US : 0, RuntimeLink.this::connect);
+            loop.schedule(to.equals(address) ? RETRY_US : 0, RuntimeLink.this::connect);
           }
         });
   }
@@ -169,11 +169,11 @@
               return; // replaced by a newer link
             }
             heardUs = clock.getAsLong();
-            if (!lines.add(bytes) || lines.tooLong()) {
+            if (!lines.append(bytes) || lines.lineTooLong()) {
               connection.abort("the runtime sent a line that is too long");
               return;
             }
-            for (String line = lines.line(); line != null; line = lines.line()) {
+            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
               notice(line);
             }
           }
@@ -190,7 +190,7 @@
             suspectLast();
             // at once, as the runtime goes on meanwhile; a link that never stood must not be made
             // again in a whirl
-            loop.after(
+            loop.schedule(
                 stood ? 0 : RETRY_US,
                 () -> {
                   if (link == null) {
--- a/src/main/java/rosecleat/runtime/RuntimeWarmup.java
+++ b/src/main/java/rosecleat/runtime/RuntimeWarmup.java
@@ -26,8 +26,8 @@
             + "\"data\":\""
             + Base64.getEncoder().encodeToString(data)
             + "\"}\n";
-    lines.add(ByteBuffer.wrap(line.getBytes(StandardCharsets.ISO_8859_1)));
-    Message message = Message.parse(lines.line());
+    lines.append(ByteBuffer.wrap(line.getBytes(StandardCharsets.ISO_8859_1)));
+    Message message = Message.parse(lines.readLine());
     return message == null || message.number("n", 0) != number || message.micros("took") == 0
         ? null
         : Base64.getDecoder().decode(message.text("data"));
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -31,8 +31,8 @@
 import rosecleat.fakes.RespClient;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
+import rosecleat.net.MonotonicClock;
 import rosecleat.policy.Decisions;
 
 /**
@@ -93,7 +93,7 @@
     try (Log log = new Log(new java.io.PrintStream(java.io.OutputStream.nullOutputStream()))) {
       NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
       loop = new EventLoop(log);
-      Clock clock = new Clock();
+      MonotonicClock clock = new MonotonicClock();
       List<Core.RequestClass> classes =
           List.of(
               new Core.RequestClass("balance-check", false, false, 0, 60_000_000),
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -14,9 +14,9 @@
 import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
+import rosecleat.net.MonotonicClock;
 import rosecleat.policy.Decisions;
 
 /** What the client makes of a request that its connection's queue would not have held. */
@@ -40,7 +40,7 @@
         EventLoop loop = new EventLoop(log);
         LoopGate gate = new LoopGate(loop);
         FakeUwsgiService backend = new FakeUwsgiService()) {
-      Clock clock = new Clock();
+      MonotonicClock clock = new MonotonicClock();
       Counters counters = new Counters();
       NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
       Core core =
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -15,9 +15,9 @@
 import rosecleat.fakes.FakeIndex;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.net.Clock;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
+import rosecleat.net.MonotonicClock;
 import rosecleat.policy.Decisions;
 
 /**
@@ -36,7 +36,7 @@
   void start() throws IOException {
     loop = new EventLoop(log);
     gate = new LoopGate(loop);
-    Clock clock = new Clock();
+    MonotonicClock clock = new MonotonicClock();
     client =
         new IndexClient(
             loop,
--- a/src/test/java/rosecleat/net/ListenerTest.java
+++ b/src/test/java/rosecleat/net/ListenerTest.java
@@ -93,7 +93,7 @@
         new Listener(
             loop, at, 1 << 20, Connection.Limits.SMALL, Echo::new, true); // gets none released
     boolean[] closed = new boolean[1];
-    loop.after(50_000, () -> closeWhenEmpty(closed));
+    loop.schedule(50_000, () -> closeWhenEmpty(closed));
     int asked = 0;
     for (long end = System.nanoTime() + 300_000_000; System.nanoTime() < end; asked++) {
       try (Socket socket =
@@ -109,7 +109,7 @@
   private void closeWhenEmpty(boolean[] closed) {
     closed[0] = listener.closeWhenEmpty();
     if (!closed[0]) {
-      loop.after(2_000, () -> closeWhenEmpty(closed));
+      loop.schedule(2_000, () -> closeWhenEmpty(closed));
     }
   }
 
--- a/src/test/java/rosecleat/net/ClockTest.java
+++ b/src/test/java/rosecleat/net/MonotonicClockTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ClockTest {
+class MonotonicClockTest {
   @Test
   void timeNeverGoesBack() {
     Iterator<Long> wall = List.of(10L, 20L, 5L, 19L, 21L).iterator();
-    Clock clock = new Clock(wall::next);
+    MonotonicClock clock = new MonotonicClock(wall::next);
     assertEquals(
         List.of(10L, 20L, 20L, 20L, 21L),
         List.of(
