--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -331,6 +331,6 @@
             .anyMatch(
                 l ->
                     l.matches(
-                        ".*(rosecleat\\.(store|state|knowledge)\\.|rosecleat\\.(cli\\.StateCommands|node\\.Learning)|com\\.(google\\.protobuf|networknt)).*")));
+                        ".*(rosecleat\\.(store|state|facts)\\.|rosecleat\\.(cli\\.StateCommands|node\\.Learning)|com\\.(google\\.protobuf|networknt)).*")));
   }
 }
