--- /dev/null
+++ b/src/test/java/rosecleat/state/EarlierVersionStateTest.java
@@ -0,0 +1,238 @@
+package rosecleat.state;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import rosecleat.facts.Fact;
+import rosecleat.facts.Kind;
+import rosecleat.store.Folder;
+import rosecleat.store.Recovered;
+import rosecleat.store.Store;
+
+/**
+ * Folders that the program of commit a6781e5 wrote (see the README beside them): this program reads
+ * the same facts from them, goes on writing there, and writes the same bytes for the same input.
+ */
+class EarlierVersionStateTest {
+  private static final Path WRITTEN =
+      Path.of("src/test/resources/rosecleat/state/written-by-a6781e5");
+  private static final String NODE = "t1";
+  private static final String SERVER_TERMS = "67de3edb16544086";
+  private static final String TENANT_TERMS = "9612b9a8cf711eed";
+  private static final String READ_TERMS = "479116d71f8ecc9c";
+  private static final String REFRESH_TERMS = "f63a5c14bad63cac";
+  private static final String LOAD_TERMS = "05f057dd36724676";
+  private static final long MAX_BYTES = 4 << 20;
+
+  private static final List<Fact> SERVED =
+      List.of(
+          new Fact(
+              Kind.TENANT_PART,
+              "big",
+              0.6922675188687613,
+              128,
+              1_796_225_271_784_357L,
+              TENANT_TERMS),
+          new Fact(
+              Kind.TENANT_PART,
+              "small",
+              0.3077324811312392,
+              128,
+              1_796_225_271_784_357L,
+              TENANT_TERMS),
+          new Fact(
+              Kind.RUN_TIME,
+              "balance-check",
+              31759.43619948303,
+              32,
+              1_796_225_272_301_160L,
+              READ_TERMS),
+          new Fact(
+              Kind.RUN_TIME,
+              "card-refresh",
+              1144.5272888240004,
+              26,
+              1_796_225_272_806_725L,
+              REFRESH_TERMS),
+          new Fact(
+              Kind.RUN_TIME,
+              "card-load",
+              114917.67690512285,
+              12,
+              1_796_225_272_806_725L,
+              LOAD_TERMS),
+          new Fact(Kind.CALL_TIME, "", 4702.475135676502, 26, 1_796_225_272_806_725L, SERVER_TERMS),
+          new Fact(
+              Kind.LIMIT,
+              "",
+              2.7647970300254254,
+              5.02237080712004,
+              1_796_225_272_806_725L,
+              SERVER_TERMS));
+
+  private static final List<Fact> KILLED =
+      List.of(
+          new Fact(
+              Kind.RUN_TIME,
+              "balance-check",
+              43702.06129810446,
+              28,
+              1_796_225_228_055_156L,
+              READ_TERMS),
+          new Fact(
+              Kind.RUN_TIME,
+              "card-refresh",
+              715.0413886881801,
+              32,
+              1_796_225_229_594_853L,
+              REFRESH_TERMS),
+          new Fact(
+              Kind.RUN_TIME,
+              "card-load",
+              144554.83554517713,
+              7,
+              1_796_225_229_594_853L,
+              LOAD_TERMS),
+          new Fact(Kind.CALL_TIME, "", 2969.426440716135, 44, 1_796_225_229_594_853L, SERVER_TERMS),
+          new Fact(
+              Kind.LIMIT,
+              "",
+              2.3265797535142436,
+              1.9000000000000006,
+              1_796_225_229_594_853L,
+              SERVER_TERMS),
+          new Fact(
+              Kind.TENANT_PART,
+              "big",
+              0.5622485896430964,
+              120,
+              1_796_225_229_594_853L,
+              TENANT_TERMS),
+          new Fact(
+              Kind.TENANT_PART,
+              "small",
+              0.4377514103569038,
+              120,
+              1_796_225_229_594_853L,
+              TENANT_TERMS));
+
+  /** The fact that the earlier program appended in {@code killed-then-appended}. */
+  private static final Fact APPENDED =
+      new Fact(Kind.CALL_LIMIT, "", 12.5, 20, 1_800_000_000_000_000L, SERVER_TERMS);
+
+  @TempDir Path temporary;
+
+  private Path copy(String name) throws IOException {
+    Path copy = Files.createDirectory(temporary.resolve(name));
+    try (Stream<Path> files = Files.list(WRITTEN.resolve(name))) {
+      for (Path file : files.toList()) {
+        Files.copy(file, copy.resolve(file.getFileName()));
+      }
+    }
+    return copy;
+  }
+
+  private static Recovered read(Path folder) throws IOException {
+    return Store.look(Folder.of(folder), new FactOwner());
+  }
+
+  private static void assertHolds(List<Fact> expected, Path folder) throws IOException {
+    Recovered found = read(folder);
+    assertEquals(null, found.refusal());
+    assertEquals(List.of(), found.findings());
+    assertFalse(found.fresh());
+    FactOwner.Facts facts = (FactOwner.Facts) found.fold();
+    assertEquals(0, facts.unread());
+    assertEquals(
+        expected.stream().map(fact -> new FactOwner.Kept(NODE, fact)).toList(), facts.all());
+  }
+
+  private static void assertSameFiles(String expectedName, Path folder) throws IOException {
+    Map<String, byte[]> expected = files(WRITTEN.resolve(expectedName));
+    Map<String, byte[]> actual = files(folder);
+    assertEquals(expected.keySet(), actual.keySet());
+    expected.forEach((name, bytes) -> assertArrayEquals(bytes, actual.get(name), name));
+  }
+
+  private static Map<String, byte[]> files(Path folder) throws IOException {
+    Map<String, byte[]> files = new TreeMap<>();
+    try (Stream<Path> all = Files.list(folder)) {
+      for (Path file : all.toList()) {
+        files.put(file.getFileName().toString(), Files.readAllBytes(file));
+      }
+    }
+    return files;
+  }
+
+  private static List<Fact> with(List<Fact> facts, Fact more) {
+    List<Fact> all = new ArrayList<>(facts);
+    all.add(more);
+    return all;
+  }
+
+  private void readsThenWritesOn(String name, List<Fact> facts) throws IOException {
+    Path folder = copy(name);
+    assertHolds(facts, folder);
+    StateFiles.learnt(folder, NODE, APPENDED);
+    assertHolds(with(facts, APPENDED), folder);
+    Store.compact(Folder.of(folder), new FactOwner(), MAX_BYTES);
+    assertHolds(with(facts, APPENDED), folder);
+  }
+
+  @Test
+  void aFolderWithASnapshotAndLogsKeepsItsFactsAndIsWrittenOn() throws IOException {
+    readsThenWritesOn("served", SERVED);
+  }
+
+  @Test
+  void aLogWithoutASnapshotKeepsItsFactsAndIsWrittenOn() throws IOException {
+    readsThenWritesOn("killed", KILLED);
+  }
+
+  @Test
+  void foldersThatItCompactedOrClosedHoldTheSameFacts() throws IOException {
+    assertHolds(KILLED, copy("killed-then-compacted"));
+    assertHolds(with(KILLED, APPENDED), copy("killed-then-appended"));
+  }
+
+  @Test
+  void aTornEntryAtTheEndIsCutOffAndWhatStandsBeforeItCounts() throws IOException {
+    Path folder = copy("killed");
+    Path log = folder.resolve("log-1");
+    byte[] bytes = Files.readAllBytes(log);
+    Files.write(log, Arrays.copyOf(bytes, bytes.length - 1));
+    Recovered found = read(folder);
+    assertFalse(found.damaged());
+    assertEquals(1, found.findings().size());
+    assertEquals(4, found.entries(), "five are whole where nothing is torn");
+    StateFiles.learnt(folder, NODE, APPENDED);
+    FactOwner.Facts facts = (FactOwner.Facts) read(folder).fold();
+    assertEquals(APPENDED, facts.all().get(facts.all().size() - 1).fact());
+  }
+
+  @Test
+  void aCompactionWritesTheSameBytes() throws IOException {
+    Path folder = copy("killed");
+    Store.compact(Folder.of(folder), new FactOwner(), 1L << 40);
+    assertSameFiles("killed-then-compacted", folder);
+  }
+
+  @Test
+  void anAppendAndACloseWriteTheSameBytes() throws IOException {
+    Path folder = copy("killed");
+    StateFiles.learnt(folder, NODE, APPENDED);
+    assertSameFiles("killed-then-appended", folder);
+  }
+}
