--- a/src/main/java/rosecleat/admin/Door.java
+++ b/src/main/java/rosecleat/admin/AdminServer.java
@@ -17,7 +17,7 @@
  * not all, takes one of few places for a bounded time and holds nobody up; where places run out the
  * longest silent one goes.
  */
-public final class Door {
+public final class AdminServer {
   /** Callers at a time; with the listening socket, the descriptors that the door may take. */
   private static final int PLACES = 12;
 
@@ -57,14 +57,14 @@
           "HTTP Version Not Supported");
 
   private final EventLoop loop;
-  private final Operations operations;
+  private final AdminOperations operations;
   private final Counters counters;
   private final Log log;
   private final Listener listener;
 
   /** Listens at an address. */
-  public Door(
-      EventLoop loop, InetSocketAddress at, Operations operations, Counters counters, Log log)
+  public AdminServer(
+      EventLoop loop, InetSocketAddress at, AdminOperations operations, Counters counters, Log log)
       throws IOException {
     this.loop = loop;
     this.operations = operations;
@@ -109,7 +109,7 @@
       case "/v1/readyz" ->
           !call.method().equals("GET")
               ? notAllowed("GET")
-              : operations.ready()
+              : operations.isReady()
                   ? new Reply(200, "{\"ready\":true}")
                   : new Reply(503, "{\"ready\":false}");
       case "/v1/card-node/drain" -> told(call, operations::drain, "{\"clients\":\"sent away\"}");
@@ -119,7 +119,7 @@
   }
 
   private Reply seen(HttpCall call) {
-    String body = operations.view(call.target());
+    String body = operations.view(call.target()).orElse(null);
     return body == null
         ? new Reply(404, "{\"error\":\"no such path\"}")
         : !call.method().equals("GET")
--- a/src/main/java/rosecleat/front/resp/RespFront.java
+++ b/src/main/java/rosecleat/front/resp/RespFrontend.java
@@ -15,7 +15,6 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Fault;
 import rosecleat.core.Progress;
-import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
@@ -25,7 +24,7 @@
 /**
  * The platform's front: balancers' RESP2 connections, turned into requests to the core and back.
  */
-public final class RespFront {
+public final class RespFrontend {
   private static final int LONGEST_STRING = 4 << 10;
   private static final int MOST_OPEN = 32;
 
@@ -74,12 +73,12 @@
    * A front that {@link #listen} opens, where it is told an address; at most {@code most}
    * connections are open at a time.
    */
-  public RespFront(
+  public RespFrontend(
       EventLoop loop,
       InetSocketAddress at,
       int most,
       Core core,
-      Names names,
+      RequestCatalog catalog,
       LongSupplier clock,
       Log log) {
     this.loop = loop;
@@ -89,7 +88,7 @@
     this.clock = clock;
     this.log = log;
     counters = core.counters();
-    use(names);
+    reconfigure(catalog);
   }
 
   /** Listens for balancers from now on, beside any other process of this node that does. */
@@ -113,7 +112,7 @@
   }
 
   /** As many connections may be open from now on. */
-  public void places(int fresh) {
+  public void setMaxConnections(int fresh) {
     most = fresh;
     if (listener != null) {
       listener.places(fresh);
@@ -121,27 +120,22 @@
   }
 
   /** Requests read from now on may use these names. */
-  public void use(Names names) {
-    fields = new Fields(names.classes(), names.tenants(), names.runner());
+  public void reconfigure(RequestCatalog catalog) {
+    fields = new Fields(catalog.classes(), catalog.tenants(), catalog.runner());
   }
 
-  /**
-   * The names that requests may use, by number, null where a number has none; and what runs them.
-   */
-  public record Names(List<Core.RequestClass> classes, List<String> tenants, Runner runner) {}
-
   /** The port it listens on. */
   public int port() {
     return listener.port();
   }
 
   /** Connections that are open. */
-  public int open() {
+  public int openConnections() {
     return peers.size();
   }
 
   /** Connections in the middle of a message. */
-  int receiving() {
+  int connectionsMidMessage() {
     return (int) peers.stream().filter(peer -> peer.parser.begun()).count();
   }
 
@@ -149,7 +143,7 @@
    * Accepts what waits and then nothing more, once no connection has come for so long; true when
    * none can come.
    */
-  public boolean stopListening(long quietUs) {
+  public boolean closeListenerWhenQuiet(long quietUs) {
     return listener == null || listener.closeWhenQuiet(quietUs);
   }
 
@@ -157,7 +151,7 @@
    * Ends every connection in order, as soon as nothing is owed on it; half a message is not waited
    * for.
    */
-  public void closeAll() {
+  public void closeConnections() {
     for (Peer peer : new ArrayList<>(peers)) {
       peer.impatient = true;
       peer.connection.closeGracefully();
@@ -165,7 +159,7 @@
   }
 
   /** Accepts what waits, and then nothing more; true when none can come any more. */
-  public boolean handOver() {
+  public boolean closeListenerWhenEmpty() {
     return listener == null || listener.closeWhenEmpty();
   }
 
@@ -173,7 +167,7 @@
    * Asks balancers to close every connection that has stood idle for its time, or all; then sees to
    * it.
    */
-  public void sweep(boolean all) {
+  public void closeIdleConnections(boolean all) {
     long now = clock.getAsLong();
     long idleUs = core.idleUs();
     for (Peer peer : new ArrayList<>(peers)) {
--- a/src/main/java/rosecleat/front/resp/RespWarmup.java
+++ b/src/main/java/rosecleat/front/resp/RespWarmup.java
@@ -17,10 +17,10 @@
   private final List<String> tenants;
 
   /** Requests by these names. */
-  public RespWarmup(RespFront.Names names) {
-    fields = new Fields(names.classes(), names.tenants(), names.runner());
-    classes = names.classes();
-    tenants = names.tenants();
+  public RespWarmup(RequestCatalog catalog) {
+    fields = new Fields(catalog.classes(), catalog.tenants(), catalog.runner());
+    classes = catalog.classes();
+    tenants = catalog.tenants();
   }
 
   /** Hands request number {@code n}, from 1 upward, to a core; false where it could not be read. */
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFront.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -23,7 +23,7 @@
 import rosecleat.net.Listener;
 
 /** The second front: uwsgi callers, one request a connection, answered as HTTP. */
-public final class UwsgiFront {
+public final class UwsgiFrontend {
   private static final String PLAIN = "text/plain; charset=utf-8";
 
   /** An answer that comes so shortly before it is due was given up on for lack of time (us). */
@@ -38,19 +38,19 @@
   private final LongSupplier clock;
   private final Log log;
   private final Requests requests;
-  private final Instances instances;
+  private final InstanceBalancer instances;
   private Listener listener;
   private final Set<Caller> callers = new LinkedHashSet<>();
   private long replying;
 
   /** A front that {@link #listen} opens; requests run on the runtime or on uwsgi backends. */
-  public UwsgiFront(
+  public UwsgiFrontend(
       EventLoop loop,
       BrokerConfig config,
       Core core,
       Runner runtime,
       Runner backends,
-      Instances instances,
+      InstanceBalancer instances,
       LongSupplier clock,
       Log log,
       long seed) {
@@ -82,12 +82,12 @@
   }
 
   /** Accepts what waits, and then nothing more; true when none can come any more. */
-  public boolean handOver() {
+  public boolean closeListenerWhenEmpty() {
     return listener == null || listener.closeWhenEmpty();
   }
 
   /** Requests read from now on go by these contracts and budgets; where it listens stays. */
-  public void use(BrokerConfig fresh) {
+  public void reconfigure(BrokerConfig fresh) {
     config = fresh;
     requests.use(fresh);
   }
@@ -98,12 +98,12 @@
   }
 
   /** Connections that are open. */
-  public int open() {
+  public int openConnections() {
     return callers.size();
   }
 
   /** Bytes of replies that callers have not taken yet. */
-  public long replying() {
+  public long bufferedResponseBytes() {
     return replying;
   }
 
@@ -111,12 +111,12 @@
    * Accepts what waits and then nothing more, once no connection has come for so long; true when
    * none can come.
    */
-  public boolean stopListening(long quietUs) {
+  public boolean closeListenerWhenQuiet(long quietUs) {
     return listener == null || listener.closeWhenQuiet(quietUs);
   }
 
   /** Closes the connections on which nothing of a request has come for so long. */
-  public void closeIdle(long quietUs) {
+  public void closeSilentConnections(long quietUs) {
     long now = clock.getAsLong();
     for (Caller caller : new ArrayList<>(callers)) {
       if (!caller.parser.begun() && now - caller.acceptedUs >= quietUs) {
@@ -126,7 +126,7 @@
   }
 
   /** Ends every connection in order, as soon as nothing is owed on it. */
-  public void closeAll() {
+  public void closeConnections() {
     callers.forEach(caller -> caller.connection.closeGracefully());
   }
 
@@ -250,7 +250,8 @@
       } else if (answer instanceof Answer.Failed failed) {
         if (failed.fault().progress().neverRan()
             && operation.backend() instanceof Backend.Fleet fleet
-            && instances.none(fleet.service())) { // not a broken backend: there is none
+            && instances.hasNoAvailableInstance(
+                fleet.service())) { // not a broken backend: there is none
           reply(
               HttpReply.words(
                   503,
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -4,6 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.function.LongSupplier;
@@ -46,7 +47,7 @@
   private final LongSupplier clock;
   private final Counters counters;
   private final int replyBytes;
-  private final Instances instances;
+  private final InstanceBalancer instances;
   private final Map<String, Run> runs = new HashMap<>();
 
   /**
@@ -54,7 +55,7 @@
    * instances}.
    */
   public UwsgiRunner(
-      EventLoop loop, Core core, LongSupplier clock, int replyBytes, Instances instances) {
+      EventLoop loop, Core core, LongSupplier clock, int replyBytes, InstanceBalancer instances) {
     this.instances = instances;
     this.loop = loop;
     this.core = core;
@@ -101,7 +102,7 @@
     private Connection connection;
     private Future<?> timer;
     private boolean over;
-    private Instances.Lease lease;
+    private Optional<InstanceBalancer.Lease> lease = Optional.empty();
     private int received = -1;
 
     Run(Request request) {
@@ -118,14 +119,14 @@
       if (service != null) {
         lease =
             instances.lease(
-                new Instances.Run(
+                new InstanceBalancer.LeaseRequest(
                     service,
                     known.get(OPERATION),
                     request.once(),
                     request.once() == null ? 0 : Long.parseLong(known.get(UNTIL)),
                     request.body().length),
                 startedUs);
-        return lease == null ? null : lease.address();
+        return lease.map(InstanceBalancer.Lease::address).orElse(null);
       }
       String backend = known.get(BACKEND);
       int colon = backend.lastIndexOf(':');
@@ -217,9 +218,7 @@
       }
       counters.add("backend." + how.name().toLowerCase(java.util.Locale.ROOT));
       long tookUs = clock.getAsLong() - startedUs;
-      if (lease != null) {
-        lease.ended(how, tookUs, received);
-      }
+      lease.ifPresent(held -> held.release(how, tookUs, received));
       core.ended(request.id(), how, result, tookUs);
     }
   }
--- a/src/main/java/rosecleat/node/Fronts.java
+++ b/src/main/java/rosecleat/node/Fronts.java
@@ -1,11 +1,11 @@
 package rosecleat.node;
 
 import java.io.IOException;
-import rosecleat.front.resp.RespFront;
-import rosecleat.front.uwsgi.UwsgiFront;
+import rosecleat.front.resp.RespFrontend;
+import rosecleat.front.uwsgi.UwsgiFrontend;
 
 /** Both fronts of a node as one; {@code uwsgi} is null where there is no second one. */
-record Fronts(RespFront resp, UwsgiFront uwsgi) {
+record Fronts(RespFrontend resp, UwsgiFrontend uwsgi) {
   void listen() throws IOException {
     resp.listen();
     if (uwsgi != null) {
@@ -18,33 +18,35 @@
    * none can come.
    */
   boolean stopListening(long quietUs) {
-    boolean shut = resp.stopListening(quietUs) & (uwsgi == null || uwsgi.stopListening(quietUs));
+    boolean shut =
+        resp.closeListenerWhenQuiet(quietUs)
+            & (uwsgi == null || uwsgi.closeListenerWhenQuiet(quietUs));
     closeIdle(quietUs);
     return shut;
   }
 
   /** Accepts what waits, and then nothing more; true when none can come any more. */
   boolean handOver() {
-    return resp.handOver() & (uwsgi == null || uwsgi.handOver());
+    return resp.closeListenerWhenEmpty() & (uwsgi == null || uwsgi.closeListenerWhenEmpty());
   }
 
   /** Closes the second front's connections on which nothing of a request has come for so long. */
   void closeIdle(long quietUs) {
     if (uwsgi != null) {
-      uwsgi.closeIdle(quietUs);
+      uwsgi.closeSilentConnections(quietUs);
     }
   }
 
   /** Ends every connection in order, as soon as nothing is owed on it. */
   void closeAll() {
-    resp.closeAll();
+    resp.closeConnections();
     if (uwsgi != null) {
-      uwsgi.closeAll();
+      uwsgi.closeConnections();
     }
   }
 
   /** Connections that are open. */
   int open() {
-    return resp.open() + (uwsgi == null ? 0 : uwsgi.open());
+    return resp.openConnections() + (uwsgi == null ? 0 : uwsgi.openConnections());
   }
 }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongSupplier;
-import rosecleat.admin.Door;
+import rosecleat.admin.AdminServer;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Runner;
-import rosecleat.front.resp.RespFront;
-import rosecleat.front.uwsgi.UwsgiFront;
+import rosecleat.front.resp.RespFrontend;
+import rosecleat.front.uwsgi.UwsgiFrontend;
 import rosecleat.index.IndexClient;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
@@ -57,8 +57,8 @@
   private final RuntimeLink runtime;
   private final RosterClient roster;
   private final IndexClient index;
-  private final RespFront resp;
-  private final UwsgiFront uwsgi;
+  private final RespFrontend resp;
+  private final UwsgiFrontend uwsgi;
   private final Fronts fronts;
   private final Handover handover;
   private final Shares shares;
@@ -113,7 +113,7 @@
               : new RuntimeLink(loop, config.runtime(), core, clock, log);
       runner = runtime == null ? new NoRuntime(loop, core) : runtime;
       roster = new RosterClient(loop, config.roster(), config.name(), counters, log);
-      resp = new RespFront(loop, config.listen(), 1, core, numbering.names(runner), clock, log);
+      resp = new RespFrontend(loop, config.listen(), 1, core, numbering.names(runner), clock, log);
       uwsgi =
           broker == null
               ? null
@@ -187,7 +187,7 @@
   }
 
   /** The second front, for use on the node's thread. */
-  UwsgiFront uwsgi() {
+  UwsgiFrontend uwsgi() {
     return uwsgi;
   }
 
@@ -261,9 +261,9 @@
           core.use(numbering.rules());
           handover.keepLate(core.longestDueUs());
           makeRoom();
-          resp.use(numbering.names(runner));
+          resp.reconfigure(numbering.names(runner));
           if (uwsgi != null) {
-            uwsgi.use(numbering.broker());
+            uwsgi.reconfigure(numbering.broker());
           }
           if (learning != null) {
             learning.use(setup.broker().state());
@@ -309,7 +309,7 @@
       look(now);
     }
     long next = core.tick();
-    resp.sweep(leaving != null && leaving.sendsAway());
+    resp.closeIdleConnections(leaving != null && leaving.sendsAway());
     if (leaving instanceof HandOver handOver && handOver.forsaken()) {
       log.warn("the newer process is gone: this one drains");
       drain(now, leaving.endUs());
@@ -381,11 +381,11 @@
   /** Shares the descriptors out between balancers' connections and those to the index. */
   private void makeRoom() {
     int others =
-        (config.mgmt() == null ? 0 : Door.SOCKETS)
+        (config.mgmt() == null ? 0 : AdminServer.SOCKETS)
             + (uwsgi == null ? 0 : 2 * numbering.broker().connections());
     Places places = Places.of(config.sockets(), others, numbering.settings().callsOut(), shared);
     index.lines(places.index());
-    resp.places(places.balancers());
+    resp.setMaxConnections(places.balancers());
   }
 
   /** Takes clients. A process that takes over does so only when it can serve them. */
--- a/src/main/java/rosecleat/node/Numbering.java
+++ b/src/main/java/rosecleat/node/Numbering.java
@@ -12,7 +12,7 @@
 import rosecleat.core.Core;
 import rosecleat.core.Numbers;
 import rosecleat.core.Runner;
-import rosecleat.front.resp.RespFront;
+import rosecleat.front.resp.RequestCatalog;
 import rosecleat.policy.Decisions;
 import rosecleat.policy.PolicyApi;
 
@@ -119,14 +119,14 @@
   }
 
   /** The names that balancers' requests may use. */
-  RespFront.Names names(Runner runner) {
+  RequestCatalog names(Runner runner) {
     List<Core.RequestClass> named = new ArrayList<>();
     List<String> current = classes.names();
     for (int n = 0; n < current.size(); n++) {
       Term term = classes.terms().get(n);
       named.add(current.get(n) != null && term.own ? klass(term) : null);
     }
-    return new RespFront.Names(Collections.unmodifiableList(named), tenants.names(), runner);
+    return new RequestCatalog(Collections.unmodifiableList(named), tenants.names(), runner);
   }
 
   /**
--- a/src/main/java/rosecleat/node/Operators.java
+++ b/src/main/java/rosecleat/node/Operators.java
@@ -1,10 +1,11 @@
 package rosecleat.node;
 
-import rosecleat.admin.Operations;
+import java.util.Optional;
+import rosecleat.admin.AdminOperations;
 import rosecleat.takeover.Handover;
 
 /** What operators asked of a node, kept from before it stands. For the loop. */
-final class Operators implements Operations {
+final class Operators implements AdminOperations {
   private final Handover handover;
   private final Sharing sharing;
   private Node node;
@@ -21,7 +22,7 @@
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return node != null && node.serving();
   }
 
@@ -36,8 +37,8 @@
   }
 
   @Override
-  public String view(String path) {
-    return sharing == null ? null : sharing.view(path);
+  public Optional<String> view(String path) {
+    return sharing == null ? Optional.empty() : Optional.ofNullable(sharing.view(path));
   }
 
   private void set(boolean aside) {
--- a/src/main/java/rosecleat/node/Pools.java
+++ b/src/main/java/rosecleat/node/Pools.java
@@ -5,14 +5,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import rosecleat.core.Runner;
-import rosecleat.front.uwsgi.Instances;
+import rosecleat.front.uwsgi.InstanceBalancer;
 import rosecleat.pool.Pool;
 import rosecleat.routes.Instance;
 
 /** The instances of all services as runs are given places at them. For the loop. */
-final class Pools implements Instances {
+final class Pools implements InstanceBalancer {
   private final String zone;
   private final SplittableRandom random = new SplittableRandom();
   private final Map<String, Pool> pools = new HashMap<>();
@@ -60,29 +61,30 @@
   }
 
   @Override
-  public boolean none(String service) {
+  public boolean hasNoAvailableInstance(String service) {
     Pool pool = pools.get(service);
     return pool == null || pool.none();
   }
 
   @Override
-  public Lease lease(Run run, long nowUs) {
-    Pool pool = pools.get(run.service());
+  public Optional<Lease> lease(LeaseRequest request, long nowUs) {
+    Pool pool = pools.get(request.service());
     Pool.Place place = pool == null ? null : pool.take(1);
     if (place == null) {
-      return null;
+      return Optional.empty();
     }
     InetSocketAddress at = new InetSocketAddress(place.host(), place.port());
-    return new Lease() {
-      @Override
-      public InetSocketAddress address() {
-        return at;
-      }
+    return Optional.of(
+        new Lease() {
+          @Override
+          public InetSocketAddress address() {
+            return at;
+          }
 
-      @Override
-      public void ended(Runner.End how, long tookUs, int replyBytes) {
-        pool.give(place, 1);
-      }
-    };
+          @Override
+          public void release(Runner.End result, long durationUs, int responseBytes) {
+            pool.give(place, 1);
+          }
+        });
   }
 }
--- a/src/main/java/rosecleat/node/SecondFront.java
+++ b/src/main/java/rosecleat/node/SecondFront.java
@@ -4,8 +4,8 @@
 import rosecleat.config.BrokerConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Runner;
-import rosecleat.front.uwsgi.Instances;
-import rosecleat.front.uwsgi.UwsgiFront;
+import rosecleat.front.uwsgi.InstanceBalancer;
+import rosecleat.front.uwsgi.UwsgiFrontend;
 import rosecleat.front.uwsgi.UwsgiRunner;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
@@ -17,7 +17,7 @@
 final class SecondFront {
   private SecondFront() {}
 
-  static UwsgiFront of(
+  static UwsgiFrontend of(
       EventLoop loop,
       BrokerConfig broker,
       Core core,
@@ -26,8 +26,8 @@
       LongSupplier clock,
       Log log,
       long seed) {
-    Instances instances = sharing == null ? Instances.EMPTY : sharing.pools();
-    return new UwsgiFront(
+    InstanceBalancer instances = sharing == null ? InstanceBalancer.NONE : sharing.pools();
+    return new UwsgiFrontend(
         loop,
         broker,
         core,
--- a/src/main/java/rosecleat/node/Serving.java
+++ b/src/main/java/rosecleat/node/Serving.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import rosecleat.admin.Door;
+import rosecleat.admin.AdminServer;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Counters;
 import rosecleat.log.Log;
@@ -75,7 +75,7 @@
             : new Sharing(setup.broker(), loop, counters, log);
     Operators operators = new Operators(handover, sharing);
     if (config.mgmt() != null) { // open before the warm-up: operators may ask how far it is
-      new Door(loop, config.mgmt(), operators, counters, log);
+      new AdminServer(loop, config.mgmt(), operators, counters, log);
       log.info("operators are heard at " + config.mgmt());
     }
     Learning learning = Learning.of(setup.broker(), log); // read during the warm-up
--- a/src/test/java/rosecleat/admin/DoorTest.java
+++ b/src/test/java/rosecleat/admin/AdminServerTest.java
@@ -23,24 +23,24 @@
 import rosecleat.net.EventLoop;
 
 /** The operators' door: what it answers, and that no caller holds up another. */
-class DoorTest {
+class AdminServerTest {
   private final Log log = new Log(System.err);
   private final List<String> told = new ArrayList<>();
   private final List<Socket> clients = new ArrayList<>();
   private volatile boolean ready;
   private EventLoop loop;
-  private Door door;
+  private AdminServer door;
 
   @BeforeEach
   void open() throws IOException {
     loop = new EventLoop(log);
     door =
-        new Door(
+        new AdminServer(
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            new Operations() {
+            new AdminOperations() {
               @Override
-              public boolean ready() {
+              public boolean isReady() {
                 return ready;
               }
 
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -41,13 +41,13 @@
     try (Log log = new Log(System.err);
         EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 30_000_000, log);
-      RespFront front = front(loop, core, now, log);
+      RespFrontend front = front(loop, core, now, log);
       try (RespClient silent = new RespClient(front.port(), null);
           RespClient half = new RespClient(front.port(), null);
           RespClient once = new RespClient(front.port(), null)) {
         half.send("*5\r\n$2\r\nDO\r\n$1\r\n1\r\n".getBytes(StandardCharsets.UTF_8));
         ask(once, 1);
-        while (on(loop, front::open) < 3) {
+        while (on(loop, front::openConnections) < 3) {
           Thread.yield();
         }
         now.addAndGet(2_100_000);
@@ -73,7 +73,7 @@
     try (Log log = new Log(System.err);
         EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 30_000_000, log);
-      RespFront front = front(loop, core, now, log, new Hold());
+      RespFrontend front = front(loop, core, now, log, new Hold());
       byte[] half = "*5\r\n$2\r\nDO\r\n".getBytes(StandardCharsets.UTF_8);
       try (RespClient slow = new RespClient(front.port(), null);
           RespClient owed = new RespClient(front.port(), null)) {
@@ -95,12 +95,12 @@
                 "b"));
         slow.send(half);
         owed.send(half);
-        while (on(loop, front::receiving) < 2) {
+        while (on(loop, front::connectionsMidMessage) < 2) {
           Thread.yield();
         }
         now.addAndGet(9_000_000);
         sweep(loop, front);
-        assertEquals(2, on(loop, front::open));
+        assertEquals(2, on(loop, front::openConnections));
         now.addAndGet(2_000_000);
         sweep(loop, front);
         assertNull(slow.read());
@@ -137,7 +137,7 @@
     try (Log log = new Log(System.err);
         EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 50_000, log);
-      RespFront front = front(loop, core, now, log);
+      RespFrontend front = front(loop, core, now, log);
       byte[] request =
           RespClient.array(
               "DO",
@@ -150,7 +150,7 @@
         ask(slow, 1);
         ask(idle, 1);
         slow.send(Arrays.copyOf(request, 20));
-        while (on(loop, front::receiving) == 0) {
+        while (on(loop, front::connectionsMidMessage) == 0) {
           Thread.yield();
         }
         now.addAndGet(60_000);
@@ -172,7 +172,7 @@
     try (Log log = new Log(System.err);
         EventLoop loop = new EventLoop(log)) {
       Core core = core(now, 30_000_000, log);
-      RespFront front = front(loop, core, now, log);
+      RespFrontend front = front(loop, core, now, log);
       byte[] request =
           RespClient.array(
               "DO",
@@ -186,7 +186,7 @@
         ask(never, 1);
         slow.send(Arrays.copyOf(request, 20));
         never.send(Arrays.copyOf(request, 20));
-        while (on(loop, front::receiving) < 2) {
+        while (on(loop, front::connectionsMidMessage) < 2) {
           Thread.yield();
         }
         leave(loop, front);
@@ -200,7 +200,8 @@
         on(
             loop,
             () -> {
-              front.closeAll(); // the time is up: half a message is not waited for, and not reset
+              front.closeConnections(); // the time is up: half a message is not waited for, and not
+              // reset
               // either
               return 0;
             });
@@ -209,11 +210,11 @@
     }
   }
 
-  private static void leave(EventLoop loop, RespFront front) {
+  private static void leave(EventLoop loop, RespFrontend front) {
     on(
         loop,
         () -> {
-          front.sweep(true);
+          front.closeIdleConnections(true);
           return 0;
         });
   }
@@ -233,20 +234,20 @@
         log);
   }
 
-  private static RespFront front(EventLoop loop, Core core, AtomicLong now, Log log)
+  private static RespFrontend front(EventLoop loop, Core core, AtomicLong now, Log log)
       throws Exception {
     return front(loop, core, now, log, new NoRuntime(loop, core));
   }
 
-  private static RespFront front(EventLoop loop, Core core, AtomicLong now, Log log, Runner runner)
-      throws Exception {
-    RespFront front =
-        new RespFront(
+  private static RespFrontend front(
+      EventLoop loop, Core core, AtomicLong now, Log log, Runner runner) throws Exception {
+    RespFrontend front =
+        new RespFrontend(
             loop,
             new InetSocketAddress("127.0.0.1", 0),
             100,
             core,
-            new RespFront.Names(classes(), List.of("small"), runner),
+            new RequestCatalog(classes(), List.of("small"), runner),
             now::get,
             log);
     front.listen();
@@ -264,11 +265,11 @@
     assertEquals("BUSY", client.answer().get(1)); // the cores are not up
   }
 
-  private static void sweep(EventLoop loop, RespFront front) {
+  private static void sweep(EventLoop loop, RespFrontend front) {
     on(
         loop,
         () -> {
-          front.sweep(false);
+          front.closeIdleConnections(false);
           return 0;
         });
   }
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -79,7 +79,7 @@
   private final Orders orders = new Orders();
   private EventLoop loop;
   private Core core;
-  private RespFront front;
+  private RespFrontend front;
   private RespClient client;
   private Random random;
   private int lastId;
@@ -115,12 +115,12 @@
               new Counters(),
               log);
       front =
-          new RespFront(
+          new RespFrontend(
               loop,
               new InetSocketAddress("127.0.0.1", 0),
               100,
               core,
-              new RespFront.Names(classes, List.of("big", "small"), orders),
+              new RequestCatalog(classes, List.of("big", "small"), orders),
               clock,
               log);
       front.listen();
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -51,7 +51,7 @@
               clock,
               counters,
               log);
-      UwsgiRunner runner = new UwsgiRunner(loop, core, clock, 1 << 20, Instances.EMPTY);
+      UwsgiRunner runner = new UwsgiRunner(loop, core, clock, 1 << 20, InstanceBalancer.NONE);
       long now = System.currentTimeMillis() * 1000;
       gate.on(
           () -> {
--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -126,7 +126,7 @@
                   line ->
                       line.matches(
                           ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(Sharing|Pools)"
-                              + " |front\\.uwsgi\\.(Instances|Sample)).*"))
+                              + " |front\\.uwsgi\\.(InstanceBalancer|Sample)).*"))
               .toList());
       List<String> sockets = new ArrayList<>();
       try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -533,7 +533,7 @@
     reload();
     assertEquals("DOWN", check());
     assertEquals(0, client.byes);
-    assertEquals(true, ask(core -> operators.ready()));
+    assertEquals(true, ask(core -> operators.isReady()));
     node.onLoop(operators::activate);
     assertEquals("UP", check());
     assertEquals(1, count("operators.drains"));
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -180,7 +180,7 @@
       assertEquals("1", refused.header("Retry-After"));
       assertEquals("never-ran", refused.header("X-Progress"));
     }
-    rig.await(core -> rig.node.uwsgi().open() == 0);
+    rig.await(core -> rig.node.uwsgi().openConnections() == 0);
     Thread.sleep(600); // the listening ends once no connection comes
     assertThrows(java.net.ConnectException.class, () -> get("/cards/3/balance"));
     assertEquals(1, rig.runtime.starts.size());
@@ -366,7 +366,10 @@
       assertTrue(taken < 6_000_000, "all was taken");
       assertTrue(System.nanoTime() - start < 10_000_000_000L, "it was cut off late");
     }
-    rig.await(core -> rig.node.uwsgi().open() == 0 && rig.node.uwsgi().replying() == 0);
+    rig.await(
+        core ->
+            rig.node.uwsgi().openConnections() == 0
+                && rig.node.uwsgi().bufferedResponseBytes() == 0);
   }
 
   @Test
@@ -419,7 +422,7 @@
                   == want);
     }
     assertEquals(2L, rig.ask(core -> core.counters().get("uwsgi.noroom")).longValue());
-    assertTrue(rig.ask(core -> rig.node.uwsgi().replying()) <= 12_000_000);
+    assertTrue(rig.ask(core -> rig.node.uwsgi().bufferedResponseBytes()) <= 12_000_000);
     assertNotNull(stuck.get(0).getInputStream().readNBytes(100_000));
     long start = System.nanoTime();
     try (RespClient resp = new RespClient(rig.node.port(), null)) {
@@ -435,11 +438,14 @@
       }
     }
     assertTrue(System.nanoTime() - start < 4_000_000_000L, "the other front was held up");
-    rig.await(core -> rig.node.uwsgi().open() <= 2 && rig.node.uwsgi().replying() == 0);
+    rig.await(
+        core ->
+            rig.node.uwsgi().openConnections() <= 2
+                && rig.node.uwsgi().bufferedResponseBytes() == 0);
     for (Socket socket : stuck.values()) {
       socket.close();
     }
-    rig.await(core -> rig.node.uwsgi().open() == 0);
+    rig.await(core -> rig.node.uwsgi().openConnections() == 0);
     rig.backend.bytes = 10;
     assertEquals(200, get("/files/a").status());
   }
