--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -103,7 +103,7 @@
   }
 
   /** Bytes of replies that callers have not taken yet. */
-  public long bufferedResponseBytes() {
+  public long bufferedBytes() {
     return replying;
   }
 
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -367,9 +367,7 @@
       assertTrue(System.nanoTime() - start < 10_000_000_000L, "it was cut off late");
     }
     rig.await(
-        core ->
-            rig.node.uwsgi().openConnections() == 0
-                && rig.node.uwsgi().bufferedResponseBytes() == 0);
+        core -> rig.node.uwsgi().openConnections() == 0 && rig.node.uwsgi().bufferedBytes() == 0);
   }
 
   @Test
@@ -409,9 +407,8 @@
   void aCallerThatStopsReadingHarmsNobody() throws Exception {
     rig.backend.bytes = 6_000_000;
     Map<Integer, Socket> stuck = new HashMap<>();
-    for (int i = 0;
-        i < 4;
-        i++) { // two fit into the bound on replies, the others are told there is no room
+    // two responses fit into the bound on buffered bytes; the other callers get a 502
+    for (int i = 0; i < 4; i++) {
       Socket socket = UwsgiClient.open(rig.uwsgiPort);
       socket.getOutputStream().write(packet(vars("GET", "/files/" + i, "till"), ""));
       stuck.put(i, socket);
@@ -422,7 +419,7 @@
                   == want);
     }
     assertEquals(2L, rig.ask(core -> core.counters().get("uwsgi.noroom")).longValue());
-    assertTrue(rig.ask(core -> rig.node.uwsgi().bufferedResponseBytes()) <= 12_000_000);
+    assertTrue(rig.ask(core -> rig.node.uwsgi().bufferedBytes()) <= 12_000_000);
     assertNotNull(stuck.get(0).getInputStream().readNBytes(100_000));
     long start = System.nanoTime();
     try (RespClient resp = new RespClient(rig.node.port(), null)) {
@@ -439,9 +436,7 @@
     }
     assertTrue(System.nanoTime() - start < 4_000_000_000L, "the other front was held up");
     rig.await(
-        core ->
-            rig.node.uwsgi().openConnections() <= 2
-                && rig.node.uwsgi().bufferedResponseBytes() == 0);
+        core -> rig.node.uwsgi().openConnections() <= 2 && rig.node.uwsgi().bufferedBytes() == 0);
     for (Socket socket : stuck.values()) {
       socket.close();
     }
