--- /dev/null
+++ b/src/main/java/rosecleat/cli/CheckCommand.java
@@ -0,0 +1,23 @@
+package rosecleat.cli;
+
+import com.beust.jcommander.Parameters;
+import com.beust.jcommander.ParametersDelegate;
+import java.io.IOException;
+import rosecleat.node.Setup;
+
+/** {@code check}: reads the configuration as {@code serve} does, and starts nothing. */
+@Parameters(commandDescription = "read the configuration and say whether it can be used")
+final class CheckCommand implements Command {
+  @ParametersDelegate private final NodeOptions options = new NodeOptions();
+
+  @Override
+  public int run(Invocation invocation) throws IOException {
+    Setup setup = options.readSetup(invocation.environment());
+    String verdict = "the configuration of " + setup.node().name() + " can be used";
+    if (setup.broker() != null) {
+      verdict += ", and so can its " + setup.broker().operations().size() + " contracts";
+    }
+    invocation.print(verdict);
+    return SUCCESS;
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/cli/NodeOptions.java
@@ -0,0 +1,56 @@
+package rosecleat.cli;
+
+import com.beust.jcommander.Parameter;
+import java.nio.file.Path;
+import java.util.Map;
+import rosecleat.config.BrokerConfig;
+import rosecleat.config.ConfigException;
+import rosecleat.config.NodeConfig;
+import rosecleat.config.Standalone;
+import rosecleat.node.Setup;
+
+/** The options that name a node's configuration, shared by {@code serve} and {@code check}. */
+final class NodeOptions {
+  private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
+
+  @Parameter(names = "--broker", description = "the file that turns on the uwsgi front")
+  private String brokerFile;
+
+  @Parameter(names = "--counters", description = "log the counters every so many seconds")
+  private int countersEverySeconds;
+
+  /** How often the counters are logged, in seconds; 0 for never. */
+  int countersEverySeconds() {
+    return countersEverySeconds;
+  }
+
+  /**
+   * Reads the node's configuration and that of its uwsgi front.
+   *
+   * @throws ConfigException where a file is missing or cannot be used
+   */
+  Setup readSetup(Map<String, String> environment) {
+    NodeConfig node = readNodeConfig(environment);
+    return new Setup(node, readBrokerConfig(node));
+  }
+
+  private NodeConfig readNodeConfig(Map<String, String> environment) {
+    String platformFile = environment.get(CONFIG_VARIABLE);
+    boolean standsAlone = brokerFile != null && (platformFile == null || platformFile.isBlank());
+    return standsAlone
+        ? Standalone.read(Path.of(brokerFile))
+        : NodeConfig.fromEnvironment(environment);
+  }
+
+  /** The configuration of the uwsgi front; null where the node has none. */
+  private BrokerConfig readBrokerConfig(NodeConfig node) {
+    if (brokerFile != null) {
+      return BrokerConfig.read(Path.of(brokerFile), node.start());
+    }
+    if (node.runtime() == null) {
+      throw new ConfigException(
+          "the configuration names no runtime, and there is no broker's file");
+    }
+    return null;
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/cli/ServeCommand.java
@@ -0,0 +1,34 @@
+package rosecleat.cli;
+
+import com.beust.jcommander.Parameters;
+import com.beust.jcommander.ParametersDelegate;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.Map;
+import rosecleat.node.Serving;
+
+/** {@code serve}: starts a node, which keeps running after the command returns. */
+@Parameters(
+    commandDescription =
+        "run one node, configured by PROXY_CONFIG or, without it, by the broker's file alone")
+final class ServeCommand implements Command {
+  private static final String SHARED_FOLDER_VARIABLE = "TMPDIR";
+
+  @ParametersDelegate private final NodeOptions options = new NodeOptions();
+
+  @Override
+  public int run(Invocation invocation) throws IOException {
+    Map<String, String> environment = invocation.environment();
+    return Serving.start(
+        options.readSetup(environment),
+        () -> options.readSetup(environment),
+        sharedFolder(environment),
+        options.countersEverySeconds());
+  }
+
+  /** The folder that all processes of a node share; null where none is named. */
+  private static Path sharedFolder(Map<String, String> environment) {
+    String folder = environment.get(SHARED_FOLDER_VARIABLE);
+    return folder == null || folder.isBlank() ? null : Path.of(folder);
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/cli/state/ShowCommand.java
@@ -0,0 +1,87 @@
+package rosecleat.cli.state;
+
+import com.beust.jcommander.Parameters;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.Locale;
+import rosecleat.facts.Fact;
+import rosecleat.state.FactOwner;
+import rosecleat.store.Disk;
+import rosecleat.store.Recovered;
+import rosecleat.store.Store;
+
+/** {@code state show}: the facts that the folder holds, as a table or as JSON. */
+@Parameters(commandDescription = "list the facts that count, with age and weight")
+final class ShowCommand extends FolderCommand {
+  private static final double MICROSECONDS_PER_SECOND = 1e6;
+  private static final String ROW_FORMAT = "%-12s %-12s %-28s %12s %8s %10s";
+
+  @Override
+  CommandResult run(Path path, Disk folder, long nowUs) throws IOException {
+    Recovered recovered = Store.look(folder, new FactOwner());
+    if (recovered.refusal() != null) {
+      return failure(recovered.refusal());
+    }
+    FactOwner.Facts facts = (FactOwner.Facts) recovered.fold();
+    String text = printsJson() ? json(path, facts, nowUs) : table(facts, nowUs);
+    return CommandResult.output(CommandResult.SUCCESS, text);
+  }
+
+  private static String json(Path path, FactOwner.Facts facts, long nowUs) {
+    ObjectNode root =
+        JSON.createObjectNode().put("folder", path.toString()).put("unread", facts.unread());
+    ArrayNode entries = root.putArray("facts");
+    for (FactOwner.Kept kept : facts.all()) {
+      Fact fact = kept.fact();
+      entries
+          .addObject()
+          .put("node", kept.node())
+          .put("kind", fact.kind().word())
+          .put("subject", fact.subject())
+          .put("value", fact.value())
+          .put("weight", fact.weight())
+          .put("age_s", ageSeconds(fact, nowUs))
+          .put("terms", fact.terms());
+    }
+    return root.toPrettyString();
+  }
+
+  private static String table(FactOwner.Facts facts, long nowUs) {
+    StringBuilder text =
+        new StringBuilder(row("node", "kind", "subject", "value", "weight", "age s"));
+    for (FactOwner.Kept kept : facts.all()) {
+      text.append('\n').append(row(kept, nowUs));
+    }
+    text.append('\n').append(facts.all().size()).append(" facts");
+    if (facts.unread() > 0) {
+      text.append(", ").append(facts.unread()).append(" of kinds this program does not know");
+    }
+    return text.toString();
+  }
+
+  private static String row(FactOwner.Kept kept, long nowUs) {
+    Fact fact = kept.fact();
+    return row(
+        kept.node(),
+        fact.kind().word(),
+        fact.subject().isEmpty() ? "-" : fact.subject(),
+        number("%.4g", fact.value()),
+        number("%.1f", fact.weight()),
+        number("%.1f", ageSeconds(fact, nowUs)));
+  }
+
+  private static String row(
+      String node, String kind, String subject, String value, String weight, String age) {
+    return String.format(Locale.ROOT, ROW_FORMAT, node, kind, subject, value, weight, age);
+  }
+
+  private static double ageSeconds(Fact fact, long nowUs) {
+    return (nowUs - fact.atUs()) / MICROSECONDS_PER_SECOND;
+  }
+
+  private static String number(String format, double value) {
+    return String.format(Locale.ROOT, format, value);
+  }
+}
