--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -28,10 +28,10 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
+import rosecleat.fakes.FakeRuntime;
+import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.RespClient;
-import rosecleat.fakes.StandInRuntime;
 import rosecleat.fakes.TestSite;
-import rosecleat.fakes.UwsgiBackend;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.takeover.Handover;
@@ -42,8 +42,8 @@
  */
 class MemoryTest {
   private static final String STATE = "\nstate: {folder: kept, every_ms: 100}\n";
-  private final StandInRuntime runtime = new StandInRuntime(30);
-  private final UwsgiBackend backend = new UwsgiBackend();
+  private final FakeRuntime runtime = new FakeRuntime(30);
+  private final FakeUwsgiService backend = new FakeUwsgiService();
   private final Log log = new Log(System.err);
   private Node node;
 
@@ -261,7 +261,7 @@
     await(() -> ask(older, Core::ready) && count(older, "state.opened") == 1);
     serve(older, 12);
     await(() -> knows("run-time"));
-    StandInRuntime second = new StandInRuntime(30);
+    FakeRuntime second = new FakeRuntime(30);
     try {
       String same =
           TestSite.config(second.port(), 0, 0, 2_000, 500)
