--- a/src/main/java/rosecleat/cli/CheckCommand.java
+++ b/src/main/java/rosecleat/cli/CheckCommand.java
@@ -3,7 +3,7 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.ParametersDelegate;
 import java.io.IOException;
-import rosecleat.node.Setup;
+import rosecleat.node.ProcessConfig;
 
 /** {@code check}: reads the configuration as {@code serve} does, and starts nothing. */
 @Parameters(commandDescription = "read the configuration and say whether it can be used")
@@ -12,7 +12,7 @@
 
   @Override
   public int run(Invocation invocation) throws IOException {
-    Setup setup = options.readSetup(invocation.environment());
+    ProcessConfig setup = options.readSetup(invocation.environment());
     String verdict = "the configuration of " + setup.node().name() + " can be used";
     if (setup.broker() != null) {
       verdict += ", and so can its " + setup.broker().operations().size() + " contracts";
--- a/src/main/java/rosecleat/cli/Main.java
+++ b/src/main/java/rosecleat/cli/Main.java
@@ -10,7 +10,7 @@
 import java.io.OutputStream;
 import java.util.Map;
 import rosecleat.config.ConfigException;
-import rosecleat.node.Serving;
+import rosecleat.node.NodeProcess;
 
 /**
  * The entry point of the program: parses the command line and runs the command that it names. A
@@ -29,7 +29,7 @@
     InputStream input = new FileInputStream(FileDescriptor.in);
     OutputStream output = new FileOutputStream(FileDescriptor.out);
     int exitCode = run(args, System.getenv(), input, output);
-    if (exitCode != Serving.GOES_ON) {
+    if (exitCode != NodeProcess.GOES_ON) {
       System.exit(exitCode);
     }
   }
@@ -37,7 +37,7 @@
   /**
    * Runs a command with this environment and these streams; errors go to {@link System#err}.
    *
-   * @return the exit code, or {@link Serving#GOES_ON} where the process keeps running
+   * @return the exit code, or {@link NodeProcess#GOES_ON} where the process keeps running
    */
   public static int run(
       String[] args, Map<String, String> environment, InputStream input, OutputStream output) {
--- a/src/main/java/rosecleat/cli/NodeOptions.java
+++ b/src/main/java/rosecleat/cli/NodeOptions.java
@@ -7,7 +7,7 @@
 import rosecleat.config.ConfigException;
 import rosecleat.config.NodeConfig;
 import rosecleat.config.Standalone;
-import rosecleat.node.Setup;
+import rosecleat.node.ProcessConfig;
 
 /** The options that name a node's configuration, shared by {@code serve} and {@code check}. */
 final class NodeOptions {
@@ -29,9 +29,9 @@
    *
    * @throws ConfigException where a file is missing or cannot be used
    */
-  Setup readSetup(Map<String, String> environment) {
+  ProcessConfig readSetup(Map<String, String> environment) {
     NodeConfig node = readNodeConfig(environment);
-    return new Setup(node, readBrokerConfig(node));
+    return new ProcessConfig(node, readBrokerConfig(node));
   }
 
   private NodeConfig readNodeConfig(Map<String, String> environment) {
--- a/src/main/java/rosecleat/cli/ServeCommand.java
+++ b/src/main/java/rosecleat/cli/ServeCommand.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
-import rosecleat.node.Serving;
+import rosecleat.node.NodeProcess;
 
 /** {@code serve}: starts a node, which keeps running after the command returns. */
 @Parameters(
@@ -19,7 +19,7 @@
   @Override
   public int run(Invocation invocation) throws IOException {
     Map<String, String> environment = invocation.environment();
-    return Serving.start(
+    return NodeProcess.start(
         options.readSetup(environment),
         () -> options.readSetup(environment),
         sharedFolder(environment),
--- a/src/main/java/rosecleat/node/Reload.java
+++ b/src/main/java/rosecleat/node/ConfigReloader.java
@@ -10,15 +10,15 @@
  * SIGHUP: the configuration is read anew and checked whole, and takes effect or changes nothing.
  * Without a handler the virtual machine ends on this signal.
  */
-final class Reload {
-  private final Supplier<Setup> reader;
+final class ConfigReloader {
+  private final Supplier<ProcessConfig> reader;
   private final Log log;
-  private Setup inForce;
-  private Consumer<Setup> taker;
+  private ProcessConfig inForce;
+  private Consumer<ProcessConfig> taker;
   private boolean early;
 
   /** Reloads by a reader that throws {@link ConfigException} for a file that can't be used. */
-  Reload(Setup inForce, Supplier<Setup> reader, Log log) {
+  ConfigReloader(ProcessConfig inForce, Supplier<ProcessConfig> reader, Log log) {
     this.inForce = inForce;
     this.reader = reader;
     this.log = log;
@@ -59,7 +59,7 @@
   }
 
   /** Names who is told of a new configuration. */
-  synchronized void tell(Consumer<Setup> to) {
+  synchronized void tell(Consumer<ProcessConfig> to) {
     taker = to;
     if (early) {
       reload();
@@ -75,7 +75,7 @@
       early = true;
       return;
     }
-    Setup fresh;
+    ProcessConfig fresh;
     try {
       fresh = reader.get();
       fresh.checkAfter(inForce);
--- a/src/main/java/rosecleat/node/Places.java
+++ b/src/main/java/rosecleat/node/DescriptorBudget.java
@@ -6,7 +6,7 @@
  * connections for them, one with few descriptors fewer. Balancers take up to half of the limit, so
  * that much is theirs where it can be.
  */
-record Places(int balancers, int index) {
+record DescriptorBudget(int balancers, int index) {
   /**
    * Links to the runtime and the roster, what listens, the jar, the libraries; and the same with
    * some room.
@@ -27,11 +27,11 @@
    * callsOut} is the mean of the calls that may be out, {@code two} whether another process of the
    * node has half. All at least 1.
    */
-  static Places of(int sockets, int others, double callsOut, boolean two) {
+  static DescriptorBudget of(int sockets, int others, double callsOut, boolean two) {
     int half = two ? sockets / 2 : sockets;
     int mine = half - Math.max(OWN_LEAST, Math.min(OWN, half / 2 - FEWEST)) - others;
     int wanted = (int) Math.min(Integer.MAX_VALUE, Math.max(USUAL, Math.ceil(2 * callsOut)));
     int index = Math.max(FEWEST, Math.min(wanted, mine - half / 2));
-    return new Places(Math.max(1, mine - index), index);
+    return new DescriptorBudget(Math.max(1, mine - index), index);
   }
 }
--- a/src/main/java/rosecleat/node/Drain.java
+++ b/src/main/java/rosecleat/node/DrainShutdown.java
@@ -9,11 +9,11 @@
  * under callers that still connect would reset what the system has accepted for this node; those
  * are answered like all others.
  */
-final class Drain extends Leaving {
+final class DrainShutdown extends GracefulShutdown {
   /** When no connection has come for so long, none is expected any more (us). */
   private static final long CALM_US = 500_000;
 
-  Drain(Core core, Fronts fronts, LongSupplier clock, long endUs) {
+  DrainShutdown(Core core, Frontends fronts, LongSupplier clock, long endUs) {
     super(core, fronts, clock, endUs);
   }
 
--- a/src/main/java/rosecleat/node/Sharing.java
+++ b/src/main/java/rosecleat/node/FleetIntegration.java
@@ -35,7 +35,7 @@
  * book of routes belongs to the fleet's task, or, where there is no fleet, to the node's loop; the
  * loop gets whole tables.
  */
-final class Sharing {
+final class FleetIntegration {
   private static final String ROUTES = "routes";
   private static final int ROUTES_EXCHANGE = 2;
 
@@ -61,18 +61,19 @@
   private final Map<String, String> routesOf = new ConcurrentHashMap<>();
   private final Map<String, String> heldBy = new HashMap<>();
   private final Book book = new Book();
-  private final Pools pools;
+  private final InstancePools pools;
   private volatile InForce inForce = new InForce(Table.EMPTY, 0);
   private RoutesFile waiting;
   private boolean following;
   private boolean told;
 
   /** Begins to share as a broker's file says. */
-  Sharing(BrokerConfig broker, EventLoop loop, Counters counters, Log log) throws IOException {
+  FleetIntegration(BrokerConfig broker, EventLoop loop, Counters counters, Log log)
+      throws IOException {
     this.loop = loop;
     this.log = log;
     settings = broker.fleet();
-    pools = new Pools(settings == null ? "" : settings.zone());
+    pools = new InstancePools(settings == null ? "" : settings.zone());
     if (settings == null) {
       task = null;
       take(broker.routes());
@@ -267,7 +268,7 @@
   }
 
   /** The instances in force, for the loop. */
-  Pools pools() {
+  InstancePools pools() {
     return pools;
   }
 
--- a/src/main/java/rosecleat/node/Fronts.java
+++ b/src/main/java/rosecleat/node/Frontends.java
@@ -5,7 +5,7 @@
 import rosecleat.front.uwsgi.UwsgiFrontend;
 
 /** Both fronts of a node as one; {@code uwsgi} is null where there is no second one. */
-record Fronts(RespFrontend resp, UwsgiFrontend uwsgi) {
+record Frontends(RespFrontend resp, UwsgiFrontend uwsgi) {
   void listen() throws IOException {
     resp.listen();
     if (uwsgi != null) {
--- a/src/main/java/rosecleat/node/Leaving.java
+++ b/src/main/java/rosecleat/node/GracefulShutdown.java
@@ -4,7 +4,7 @@
 import rosecleat.core.Core;
 
 /** How a node leaves, step by step with its beat, until nothing is left to do or the time is up. */
-abstract class Leaving {
+abstract class GracefulShutdown {
   /** The node is gone so long before it would be killed (us). */
   static final long EARLY_US = 150_000;
 
@@ -12,11 +12,11 @@
   static final long LAST_US = 300_000;
 
   final Core core;
-  final Fronts fronts;
+  final Frontends fronts;
   private final LongSupplier clock;
   private final long endUs;
 
-  Leaving(Core core, Fronts fronts, LongSupplier clock, long endUs) {
+  GracefulShutdown(Core core, Frontends fronts, LongSupplier clock, long endUs) {
     this.core = core;
     this.fronts = fronts;
     this.clock = clock;
--- a/src/main/java/rosecleat/node/Numbering.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -20,7 +20,7 @@
  * The files of a node as its parts see them: each class and tenant by the number that it keeps over
  * reloads.
  */
-final class Numbering {
+final class IndexedSettings {
   /**
    * Results of keyed requests kept for their repeats, all together (bytes): a part of the heap, in
    * which all else must fit.
@@ -32,20 +32,20 @@
 
   private final Numbers<Term> classes = new Numbers<>();
   private final Numbers<PolicyApi.Tenant> tenants = new Numbers<>();
-  private Setup setup;
+  private ProcessConfig setup;
   private SettingsReader.Start start;
   private List<String> classKeys;
   private int places;
 
   /** Takes files for the first time. */
-  Numbering(Setup setup) {
+  IndexedSettings(ProcessConfig setup) {
     take(setup, number -> false, number -> false);
   }
 
   /**
    * Takes files that have changed; returns the numbers that stand for other classes than before.
    */
-  List<Integer> take(Setup fresh, IntPredicate usesClass, IntPredicate usesTenant) {
+  List<Integer> take(ProcessConfig fresh, IntPredicate usesClass, IntPredicate usesTenant) {
     setup = fresh;
     start = fresh.broker() == null ? fresh.node().start() : fresh.broker().start();
     int own =
@@ -101,7 +101,7 @@
     PolicyApi.Settings s = inRoom();
     return new Core.Rules(
         s.cores(),
-        classes.terms().stream().map(Numbering::klass).toList(),
+        classes.terms().stream().map(IndexedSettings::klass).toList(),
         tenants.names(),
         s.slackUs(),
         s.graceUs(),
--- a/src/main/java/rosecleat/node/Pools.java
+++ b/src/main/java/rosecleat/node/InstancePools.java
@@ -13,13 +13,13 @@
 import rosecleat.routes.Instance;
 
 /** The instances of all services as runs are given places at them. For the loop. */
-final class Pools implements InstanceBalancer {
+final class InstancePools implements InstanceBalancer {
   private final String zone;
   private final SplittableRandom random = new SplittableRandom();
   private final Map<String, Pool> pools = new HashMap<>();
   private Runnable changed = () -> {};
 
-  Pools(String zone) {
+  InstancePools(String zone) {
     this.zone = zone;
   }
 
--- a/src/main/java/rosecleat/node/Warmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -17,7 +17,7 @@
  * that runs for the first time is interpreted, and a node that is still compiling answers late and
  * is out of credit for a second or two. Everything it touches is thrown away.
  */
-final class Warmup {
+final class JitWarmup {
   private static final int REQUESTS = 2_000;
   private static final long LONGEST_NS = 800_000_000;
   private static final long STEP_US = 5_000;
@@ -62,17 +62,17 @@
         public void cancel(String id) {}
       };
 
-  private Warmup() {}
+  private JitWarmup() {}
 
   /** Plays; returns how many requests were served. */
   static long play(NodeConfig config) {
-    return new Warmup().lives(config);
+    return new JitWarmup().lives(config);
   }
 
   private long lives(NodeConfig config) {
     long endNs = System.nanoTime() + LONGEST_NS;
     Counters counters = new Counters();
-    Numbering numbering = new Numbering(new Setup(config, null));
+    IndexedSettings numbering = new IndexedSettings(new ProcessConfig(config, null));
     try (Log quiet = Log.silent()) { // a starting node makes no thread that it can do without
       core =
           new Core(
--- a/src/main/java/rosecleat/node/Shares.java
+++ b/src/main/java/rosecleat/node/LimitShares.java
@@ -4,18 +4,22 @@
 import java.util.function.LongSupplier;
 import rosecleat.policy.Decisions;
 import rosecleat.policy.PolicyApi;
-import rosecleat.takeover.Handover;
-import rosecleat.takeover.Load;
+import rosecleat.takeover.ResourceAmounts;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /** This process's part of the node's limits, which its module works under. For the loop. */
-final class Shares {
-  private final Handover handover;
-  private final Numbering numbering;
+final class LimitShares {
+  private final TakeoverCoordinator handover;
+  private final IndexedSettings numbering;
   private final Decisions decisions;
   private final LongSupplier clock;
-  private Load grant = Load.NONE;
+  private ResourceAmounts grant = ResourceAmounts.NONE;
 
-  Shares(Handover handover, Numbering numbering, Decisions decisions, LongSupplier clock) {
+  LimitShares(
+      TakeoverCoordinator handover,
+      IndexedSettings numbering,
+      Decisions decisions,
+      LongSupplier clock) {
     this.handover = handover;
     this.numbering = numbering;
     this.decisions = decisions;
@@ -27,7 +31,7 @@
    * where it has changed.
    */
   void look(boolean leaving) {
-    Load before = grant;
+    ResourceAmounts before = grant;
     find(leaving);
     if (!grant.equals(before)) {
       tell(List.of());
@@ -48,8 +52,8 @@
     Decisions.Taken taken = decisions.taken(clock.getAsLong());
     grant =
         handover.grant(
-            new Load(s.callsOut(), s.memoryKb(), s.cores() * s.fallMultiple()),
-            new Load(taken.calls().get(0), taken.memoryKb(), taken.running()),
+            new ResourceAmounts(s.callsOut(), s.memoryKb(), s.cores() * s.fallMultiple()),
+            new ResourceAmounts(taken.calls().get(0), taken.memoryKb(), taken.running()),
             taken.calls(),
             leaving);
   }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -21,7 +21,7 @@
 import rosecleat.registry.RosterClient;
 import rosecleat.runtime.NoRuntime;
 import rosecleat.runtime.RuntimeLink;
-import rosecleat.takeover.Handover;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /** The parts of one node put together: the core, its fronts and its links, all on one loop. */
 final class Node implements AutoCloseable {
@@ -50,7 +50,7 @@
   private final EventLoop loop;
   private final LongSupplier clock = new MonotonicClock();
   private final Counters counters;
-  private final Numbering numbering;
+  private final IndexedSettings numbering;
   private final Decisions decisions;
   private final Core core;
   private final Runner runner;
@@ -59,14 +59,14 @@
   private final IndexClient index;
   private final RespFrontend resp;
   private final UwsgiFrontend uwsgi;
-  private final Fronts fronts;
-  private final Handover handover;
-  private final Shares shares;
-  private final Learning learning;
-  private final Sharing sharing;
+  private final Frontends fronts;
+  private final TakeoverCoordinator handover;
+  private final LimitShares shares;
+  private final StatePersistence learning;
+  private final FleetIntegration sharing;
   private boolean listening;
   private boolean shared;
-  private Leaving leaving;
+  private GracefulShutdown leaving;
   private long nextLookUs;
   private long beatUs = Long.MAX_VALUE;
   private Runnable whenLeft = () -> {};
@@ -84,10 +84,10 @@
       NodeConfig config,
       BrokerConfig broker,
       EventLoop loop,
-      Handover others,
+      TakeoverCoordinator others,
       Counters counters,
-      Learning learning,
-      Sharing sharing,
+      StatePersistence learning,
+      FleetIntegration sharing,
       Log log)
       throws IOException {
     this.config = config;
@@ -97,12 +97,12 @@
     this.loop = loop;
     this.counters = counters;
     try {
-      handover = others == null ? new Handover(null, counters, log) : others;
-      numbering = new Numbering(new Setup(config, broker));
+      handover = others == null ? new TakeoverCoordinator(null, counters, log) : others;
+      numbering = new IndexedSettings(new ProcessConfig(config, broker));
       index = new IndexClient(loop, config.index(), clock, counters, log);
       decisions = new Decisions(numbering.settings(), numbering.gauges(), config.seed());
       core = new Core(numbering.rules(), decisions, index, handover.claims(), clock, counters, log);
-      shares = new Shares(handover, numbering, decisions, clock);
+      shares = new LimitShares(handover, numbering, decisions, clock);
       if (learning != null) {
         learning.serve(numbering, decisions, loop, clock, counters);
       }
@@ -117,9 +117,9 @@
       uwsgi =
           broker == null
               ? null
-              : SecondFront.of(
+              : UwsgiFrontFactory.of(
                   loop, numbering.broker(), core, runner, sharing, clock, log, ~config.seed());
-      fronts = new Fronts(resp, uwsgi);
+      fronts = new Frontends(resp, uwsgi);
       if (sharing != null) {
         loop.execute(() -> sharing.pools().tell(this::room));
       }
@@ -223,7 +223,7 @@
           }
           long endUs = toldUs + leftUs;
           if (handsOver) {
-            leaving = new HandOver(core, fronts, handover, clock, endUs);
+            leaving = new TakeoverShutdown(core, fronts, handover, clock, endUs);
           } else {
             drain(toldUs, endUs);
           }
@@ -233,15 +233,15 @@
 
   private void drain(long toldUs, long endUs) {
     roster.leave();
-    core.drain(toldUs, endUs - clock.getAsLong() - Leaving.EARLY_US);
-    leaving = new Drain(core, fronts, clock, endUs);
+    core.drain(toldUs, endUs - clock.getAsLong() - GracefulShutdown.EARLY_US);
+    leaving = new DrainShutdown(core, fronts, clock, endUs);
   }
 
   /**
    * New files, checked already: settings, contracts and the addresses of the links take effect
    * together.
    */
-  void reload(Setup setup) {
+  void reload(ProcessConfig setup) {
     loop.execute(
         () -> {
           NodeConfig fresh = setup.node();
@@ -310,7 +310,7 @@
     }
     long next = core.tick();
     resp.closeIdleConnections(leaving != null && leaving.sendsAway());
-    if (leaving instanceof HandOver handOver && handOver.forsaken()) {
+    if (leaving instanceof TakeoverShutdown handOver && handOver.forsaken()) {
       log.warn("the newer process is gone: this one drains");
       drain(now, leaving.endUs());
     }
@@ -383,7 +383,8 @@
     int others =
         (config.mgmt() == null ? 0 : AdminServer.SOCKETS)
             + (uwsgi == null ? 0 : 2 * numbering.broker().connections());
-    Places places = Places.of(config.sockets(), others, numbering.settings().callsOut(), shared);
+    DescriptorBudget places =
+        DescriptorBudget.of(config.sockets(), others, numbering.settings().callsOut(), shared);
     index.lines(places.index());
     resp.setMaxConnections(places.balancers());
   }
--- a/src/main/java/rosecleat/node/Operators.java
+++ b/src/main/java/rosecleat/node/NodeOperations.java
@@ -2,16 +2,16 @@
 
 import java.util.Optional;
 import rosecleat.admin.AdminOperations;
-import rosecleat.takeover.Handover;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /** What operators asked of a node, kept from before it stands. For the loop. */
-final class Operators implements AdminOperations {
-  private final Handover handover;
-  private final Sharing sharing;
+final class NodeOperations implements AdminOperations {
+  private final TakeoverCoordinator handover;
+  private final FleetIntegration sharing;
   private Node node;
 
   /** {@code sharing} is null where the process shares nothing. */
-  Operators(Handover handover, Sharing sharing) {
+  NodeOperations(TakeoverCoordinator handover, FleetIntegration sharing) {
     this.handover = handover;
     this.sharing = sharing;
   }
--- a/src/main/java/rosecleat/node/Serving.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -10,10 +10,10 @@
 import rosecleat.core.Counters;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.takeover.Handover;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /** The process round a node: keeps it alive, and takes its leave on SIGTERM. */
-public final class Serving {
+public final class NodeProcess {
   /** Not an exit code: the process goes on by itself. */
   public static final int GOES_ON = -1;
 
@@ -25,7 +25,7 @@
   private Node node;
   private boolean told;
 
-  Serving(Log log) {
+  NodeProcess(Log log) {
     this.log = log;
   }
 
@@ -56,31 +56,32 @@
    * configuration anew on SIGHUP; it goes on after this returns. {@code shared} is the folder that
    * all processes of the node see, or null.
    */
-  public static int start(Setup setup, Supplier<Setup> reader, Path shared, int countersEvery)
+  public static int start(
+      ProcessConfig setup, Supplier<ProcessConfig> reader, Path shared, int countersEvery)
       throws IOException {
     NodeConfig config = setup.node();
     Log log = new Log(System.err);
-    Serving serving = new Serving(log);
+    NodeProcess serving = new NodeProcess(log);
     // before it listens: a notice to leave that found no hook would end the process under those it
     // has accepted
     Runtime.getRuntime().addShutdownHook(new Thread(serving::leave, "leave"));
-    Reload reload = new Reload(setup, reader, log);
+    ConfigReloader reload = new ConfigReloader(setup, reader, log);
     reload.install(); // before it listens: from then on a signal may come
     EventLoop loop = new EventLoop(log);
     Counters counters = new Counters();
-    Handover handover = new Handover(shared, counters, log);
-    Sharing sharing =
+    TakeoverCoordinator handover = new TakeoverCoordinator(shared, counters, log);
+    FleetIntegration sharing =
         setup.broker() == null || setup.broker().fleet() == null && setup.broker().routes() == null
             ? null
-            : new Sharing(setup.broker(), loop, counters, log);
-    Operators operators = new Operators(handover, sharing);
+            : new FleetIntegration(setup.broker(), loop, counters, log);
+    NodeOperations operators = new NodeOperations(handover, sharing);
     if (config.mgmt() != null) { // open before the warm-up: operators may ask how far it is
       new AdminServer(loop, config.mgmt(), operators, counters, log);
       log.info("operators are heard at " + config.mgmt());
     }
-    Learning learning = Learning.of(setup.broker(), log); // read during the warm-up
+    StatePersistence learning = StatePersistence.of(setup.broker(), log); // read during the warm-up
     if (config.runtime() != null) {
-      Warmup.play(config);
+      JitWarmup.play(config);
     }
     Node node =
         serving.stand(
--- a/src/main/java/rosecleat/node/Setup.java
+++ b/src/main/java/rosecleat/node/ProcessConfig.java
@@ -10,9 +10,9 @@
  * All that a node is told by files: its configuration, and that of its second front, null where it
  * has none.
  */
-public record Setup(NodeConfig node, BrokerConfig broker) {
+public record ProcessConfig(NodeConfig node, BrokerConfig broker) {
   /** Checks that this may take the place of another in a running process. */
-  public void checkAfter(Setup before) {
+  public void checkAfter(ProcessConfig before) {
     node.checkAfter(before.node);
     if (broker != null
         && (!broker.listen().equals(before.broker.listen())
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -35,7 +35,7 @@
 
   /** Rehearses under a configuration; false where not all requests were answered in time. */
   public static boolean run(NodeConfig config) throws IOException {
-    Warmup.play(config);
+    JitWarmup.play(config);
     return new Rehearsal().play(config);
   }
 
--- a/src/main/java/rosecleat/node/Learning.java
+++ b/src/main/java/rosecleat/node/StatePersistence.java
@@ -23,7 +23,7 @@
  * What a node learnt, as it is kept between its processes: puts the node's settings in the terms of
  * {@link Memory}. Loaded only where the broker's file has a section {@code state}.
  */
-final class Learning {
+final class StatePersistence {
   /**
    * A call that takes more of the shortest wanted time than this would keep all calls from being
    * made.
@@ -33,25 +33,31 @@
   private final BrokerConfig.State state;
   private final Opener opener;
   private final Log log;
-  private Numbering numbering;
+  private IndexedSettings numbering;
   private Memory memory;
   private Terms terms; // of the settings in force, worked out once
 
   /** Begins to open the folder; the node may stand later. */
-  Learning(BrokerConfig.State state, Log log) {
+  StatePersistence(BrokerConfig.State state, Log log) {
     this.state = state;
     this.log = log;
     opener = new Opener(state.folder(), state.maxBytes(), log);
   }
 
   /** Where a broker keeps what it learnt; null where it keeps nothing. */
-  static Learning of(BrokerConfig broker, Log log) {
-    return broker == null || broker.state() == null ? null : new Learning(broker.state(), log);
+  static StatePersistence of(BrokerConfig broker, Log log) {
+    return broker == null || broker.state() == null
+        ? null
+        : new StatePersistence(broker.state(), log);
   }
 
   /** The node stands: its module is given what was found, and what it learns is kept. */
   void serve(
-      Numbering of, Decisions decisions, EventLoop loop, LongSupplier clock, Counters counters) {
+      IndexedSettings of,
+      Decisions decisions,
+      EventLoop loop,
+      LongSupplier clock,
+      Counters counters) {
     numbering = of;
     memory =
         new Memory(
--- a/src/main/java/rosecleat/node/HandOver.java
+++ b/src/main/java/rosecleat/node/TakeoverShutdown.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 import rosecleat.core.Core;
-import rosecleat.takeover.Handover;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /**
  * Another process of this node takes over: what is here is served as ever, and what comes later
@@ -10,15 +10,16 @@
  * when nothing waits at it; connections are asked to close after that, so that whatever they
  * reconnect to is the other.
  */
-final class HandOver extends Leaving {
+final class TakeoverShutdown extends GracefulShutdown {
   /** A caller of the second front that has sent nothing for so long is not waited for (us). */
   private static final long CALM_US = 500_000;
 
-  private final Handover handover;
+  private final TakeoverCoordinator handover;
   private boolean shut;
   private boolean hurried;
 
-  HandOver(Core core, Fronts fronts, Handover handover, LongSupplier clock, long endUs) {
+  TakeoverShutdown(
+      Core core, Frontends fronts, TakeoverCoordinator handover, LongSupplier clock, long endUs) {
     super(core, fronts, clock, endUs);
     this.handover = handover;
   }
--- a/src/main/java/rosecleat/node/SecondFront.java
+++ b/src/main/java/rosecleat/node/UwsgiFrontFactory.java
@@ -14,15 +14,15 @@
  * Puts the uwsgi front together; a class of its own, so that a node without one loads nothing of
  * what it needs.
  */
-final class SecondFront {
-  private SecondFront() {}
+final class UwsgiFrontFactory {
+  private UwsgiFrontFactory() {}
 
   static UwsgiFrontend of(
       EventLoop loop,
       BrokerConfig broker,
       Core core,
       Runner runner,
-      Sharing sharing,
+      FleetIntegration sharing,
       LongSupplier clock,
       Log log,
       long seed) {
--- a/src/main/java/rosecleat/takeover/Loads.java
+++ b/src/main/java/rosecleat/takeover/PeerLoadReports.java
@@ -18,7 +18,7 @@
  * What a process that is gone took of the calls below counts on until the span is over that the
  * limit on calls is a mean of: each writes how its own leave it, second by second.
  */
-final class Loads {
+final class PeerLoadReports {
   private static final String LOAD = "load-";
   private static final double SECOND_US = 1_000_000;
 
@@ -30,14 +30,14 @@
 
   private static final double LEAVING = 0.125;
 
-  private record Seen(Load grant, List<Double> calls, long atUs) {}
+  private record Seen(ResourceAmounts grant, List<Double> calls, long atUs) {}
 
   private final Path folder;
   private final int number;
   private final Map<Integer, Seen> seen = new HashMap<>();
-  private Load grant;
+  private ResourceAmounts grant;
 
-  Loads(Path folder, int number) {
+  PeerLoadReports(Path folder, int number) {
     this.folder = folder;
     this.number = number;
   }
@@ -53,7 +53,7 @@
       seen.put(
           other,
           new Seen(
-              new Load(numbers.get(0), numbers.get(1), numbers.get(2)),
+              new ResourceAmounts(numbers.get(0), numbers.get(1), numbers.get(2)),
               List.copyOf(numbers.subList(3, numbers.size())),
               nowUs));
     } catch (IOException | RuntimeException e) {
@@ -74,26 +74,29 @@
    * @param newer whether a newer process lives
    * @param leaving whether this one leaves
    */
-  Load grant(Load whole, Load taken, boolean newer, boolean leaving, long lookedUs) {
-    Load free = whole.less(others(whole, lookedUs));
+  ResourceAmounts grant(
+      ResourceAmounts whole, ResourceAmounts taken, boolean newer, boolean leaving, long lookedUs) {
+    ResourceAmounts free = whole.less(others(whole, lookedUs));
     if (!newer) {
       grant = free;
     } else {
-      Load wish = taken.plus(free.less(taken).times(leaving ? LEAVING : SERVING));
+      ResourceAmounts wish = taken.plus(free.less(taken).times(leaving ? LEAVING : SERVING));
       grant = grant == null ? wish : grant.atMost(wish);
     }
     return grant;
   }
 
   /** What older processes granted themselves, and what calls of those that are gone still count. */
-  private Load others(Load whole, long lookedUs) {
+  private ResourceAmounts others(ResourceAmounts whole, long lookedUs) {
     seen.values()
         .removeIf(s -> s.atUs < lookedUs && (lookedUs - s.atUs) / SECOND_US >= s.calls.size());
-    Load sum = Load.NONE;
+    ResourceAmounts sum = ResourceAmounts.NONE;
     for (Map.Entry<Integer, Seen> each : seen.entrySet()) {
       Seen s = each.getValue();
       if (s.atUs < lookedUs) {
-        sum = sum.plus(new Load(s.calls.get((int) ((lookedUs - s.atUs) / SECOND_US)), 0, 0));
+        sum =
+            sum.plus(
+                new ResourceAmounts(s.calls.get((int) ((lookedUs - s.atUs) / SECOND_US)), 0, 0));
       } else if (each.getKey() < number) {
         sum = sum.plus(s.grant == null ? whole : s.grant);
       }
--- a/src/main/java/rosecleat/takeover/Marks.java
+++ b/src/main/java/rosecleat/takeover/ProcessMarkers.java
@@ -17,7 +17,7 @@
  * The marks of a node's processes: a numbered file each, locked for as long as its process lives.
  * The system frees a lock with its process, however that ends; a file that is there proves nothing.
  */
-final class Marks implements AutoCloseable {
+final class ProcessMarkers implements AutoCloseable {
   private static final String MARK = "process-";
   private static final String SERVES = "serves-";
 
@@ -26,7 +26,7 @@
   private final FileChannel channel;
 
   /** Sets a mark of this process, numbered after all there are. */
-  Marks(Path folder) throws IOException {
+  ProcessMarkers(Path folder) throws IOException {
     this.folder = folder;
     int next = numbers().stream().mapToInt(n -> n).max().orElse(0);
     FileChannel fresh = null;
--- a/src/main/java/rosecleat/takeover/FileClaims.java
+++ b/src/main/java/rosecleat/takeover/SymlinkClaims.java
@@ -25,7 +25,7 @@
  * process alone, and takes no page of memory. A result is a file beside it that is there whole or
  * not at all. Both go when no try can ask for them any more.
  */
-final class FileClaims implements Claims {
+final class SymlinkClaims implements Claims {
   /**
    * Claims of this process at a time: files count as memory. Beyond that no keyed request is begun.
    */
@@ -46,7 +46,7 @@
 
   private final Path folder;
   private final Path scratch;
-  private final Marks marks;
+  private final ProcessMarkers marks;
   private final Counters counters;
   private final Log log;
   private final Map<String, Long> mine = new HashMap<>();
@@ -55,7 +55,7 @@
   private long lateUs = 3_000_000;
   private boolean othersLeft;
 
-  FileClaims(Path folder, Marks marks, Counters counters, Log log) throws IOException {
+  SymlinkClaims(Path folder, ProcessMarkers marks, Counters counters, Log log) throws IOException {
     this.folder = Files.createDirectories(folder);
     this.marks = marks;
     this.counters = counters;
--- a/src/main/java/rosecleat/takeover/Handover.java
+++ b/src/main/java/rosecleat/takeover/TakeoverCoordinator.java
@@ -13,14 +13,14 @@
  * Without a folder there are none. What it says was true at the last {@link #look}; for the loop,
  * but for {@link #successorLives}.
  */
-public final class Handover implements AutoCloseable {
+public final class TakeoverCoordinator implements AutoCloseable {
   private static final long EXPIRE_US = 1_000_000;
 
   private final Log log;
   private final Path drained;
-  private final Marks marks;
-  private final FileClaims claims;
-  private final Loads loads;
+  private final ProcessMarkers marks;
+  private final SymlinkClaims claims;
+  private final PeerLoadReports loads;
   private boolean aside;
   private boolean predecessor;
   private boolean successor;
@@ -29,7 +29,7 @@
   private long lookedUs;
 
   /** Sees the processes that share a folder; null for none. */
-  public Handover(Path shared, Counters counters, Log log) throws IOException {
+  public TakeoverCoordinator(Path shared, Counters counters, Log log) throws IOException {
     this.log = log;
     if (shared == null) {
       drained = null;
@@ -40,9 +40,9 @@
     }
     Path folder = Files.createDirectories(shared.resolve("rosecleat"));
     drained = folder.resolve("drained");
-    marks = new Marks(folder);
-    claims = new FileClaims(folder.resolve("keys"), marks, counters, log);
-    loads = new Loads(folder, marks.number());
+    marks = new ProcessMarkers(folder);
+    claims = new SymlinkClaims(folder.resolve("keys"), marks, counters, log);
+    loads = new PeerLoadReports(folder, marks.number());
     look(0);
     if (predecessor) {
       log.info(
@@ -101,11 +101,12 @@
    * @param taken what this process takes
    * @param calls what it takes of the calls below, now and after each further second without more
    */
-  public Load grant(Load whole, Load taken, List<Double> calls, boolean leaving) {
+  public ResourceAmounts grant(
+      ResourceAmounts whole, ResourceAmounts taken, List<Double> calls, boolean leaving) {
     if (loads == null) {
       return whole;
     }
-    Load grant = loads.grant(whole, taken, successor, leaving, lookedUs);
+    ResourceAmounts grant = loads.grant(whole, taken, successor, leaving, lookedUs);
     if (shared()) {
       try {
         loads.tell(calls);
--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -125,7 +125,7 @@
               .filter(
                   line ->
                       line.matches(
-                          ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(Sharing|Pools)"
+                          ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(FleetIntegration|InstancePools)"
                               + " |front\\.uwsgi\\.(InstanceBalancer|Sample)).*"))
               .toList());
       List<String> sockets = new ArrayList<>();
--- a/src/test/java/rosecleat/node/ReloadTest.java
+++ b/src/test/java/rosecleat/node/ConfigReloaderTest.java
@@ -17,15 +17,15 @@
 import rosecleat.log.Log;
 
 /** SIGHUP, as a process gets it: the virtual machine that runs this test would end on it. */
-class ReloadTest {
+class ConfigReloaderTest {
   @Test
   void theSignalBringsTheNewFileAndABadOneChangesNothing(@TempDir Path folder) throws Exception {
     String good = Files.readString(Path.of("deploy/example.json"));
     Path file = Files.writeString(folder.resolve("config.json"), good);
     Map<String, String> env = Map.of("PROXY_CONFIG", file.toString());
-    BlockingQueue<Setup> taken = new LinkedBlockingQueue<>();
+    BlockingQueue<ProcessConfig> taken = new LinkedBlockingQueue<>();
     try (Log log = new Log(System.err)) {
-      Reload reload = new Reload(read(env), () -> read(env), log);
+      ConfigReloader reload = new ConfigReloader(read(env), () -> read(env), log);
       reload.install();
       hangUp();
       reload.tell(taken::add); // the signal that came before is made up for, or comes now
@@ -60,8 +60,8 @@
     }
   }
 
-  private static Setup read(Map<String, String> env) {
-    return new Setup(NodeConfig.fromEnvironment(env), null);
+  private static ProcessConfig read(Map<String, String> env) {
+    return new ProcessConfig(NodeConfig.fromEnvironment(env), null);
   }
 
   private static void hangUp() throws Exception {
--- a/src/test/java/rosecleat/node/PlacesTest.java
+++ b/src/test/java/rosecleat/node/DescriptorBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class PlacesTest {
+class DescriptorBudgetTest {
   /**
    * Balancers open connections up to half of the limit; a node with a large share of the index can
    * use it.
@@ -26,13 +26,14 @@
   })
   void descriptorsAreSharedOutByLimitsAndSettings(
       int sockets, double callsOut, int balancers, int index) {
-    assertEquals(new Places(balancers, index), Places.of(sockets, 0, callsOut, false));
+    assertEquals(
+        new DescriptorBudget(balancers, index), DescriptorBudget.of(sockets, 0, callsOut, false));
   }
 
   @ParameterizedTest
   @CsvSource({"1024, 0", "1024, 13", "512, 77", "64, 13"})
   void twoProcessesTogetherKeepToTheLimit(int sockets, int others) {
-    Places half = Places.of(sockets, others, 500, true);
+    DescriptorBudget half = DescriptorBudget.of(sockets, others, 500, true);
     assertTrue(
         2 * (half.balancers() + half.index() + others) <= sockets || half.balancers() == 1,
         half.toString());
--- a/src/test/java/rosecleat/node/WarmupTest.java
+++ b/src/test/java/rosecleat/node/JitWarmupTest.java
@@ -6,10 +6,10 @@
 import rosecleat.fakes.TestSite;
 
 /** The lives played before a node listens are whole ones: read, run, called for and served. */
-class WarmupTest {
+class JitWarmupTest {
   @Test
   void madeUpRequestsAreServed() {
-    long served = Warmup.play(TestSite.config(1, 0, 0, 2_000, 500));
+    long served = JitWarmup.play(TestSite.config(1, 0, 0, 2_000, 500));
     assertTrue(served > 100, "served " + served);
   }
 }
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -25,7 +25,7 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.takeover.Handover;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /** The node's links to runtime, index and roster: what breaks, and what the node makes of it. */
 class LinksTest {
@@ -176,7 +176,8 @@
   void aReloadInTheMiddleOfADialGoesToTheLastAddress() throws IOException {
     startReady();
     runtime.moveAway();
-    node.reload(new Setup(TestSite.config(1, 1, 1, 2_000, 500), null)); // nobody listens there
+    node.reload(
+        new ProcessConfig(TestSite.config(1, 1, 1, 2_000, 500), null)); // nobody listens there
     reload();
     reload();
     assertEquals("OK", answer("card-refresh").get(1));
@@ -231,7 +232,7 @@
                   .replace("balance-check", "check-" + round)
                   .replace("\"name\":\"big\"", "\"name\":\"big-" + round + "\""),
               Map.of());
-      node.reload(new Setup(fresh, null));
+      node.reload(new ProcessConfig(fresh, null));
     }
     assertEquals(
         FakeRuntime.result("body 1"), client.answer().get(3)); // it runs on, as what it came as
@@ -244,7 +245,7 @@
     assertTrue(
         runtime.starts.get(runtime.starts.size() - 1).contains("load-30"),
         runtime.starts.toString());
-    node.reload(new Setup(NodeConfig.parse(file, Map.of()), null));
+    node.reload(new ProcessConfig(NodeConfig.parse(file, Map.of()), null));
     send("card-load", "k");
     client.send(
         RespClient.array(
@@ -275,7 +276,8 @@
 
   private void reload() {
     node.reload(
-        new Setup(TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null));
+        new ProcessConfig(
+            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null));
   }
 
   @Test
@@ -508,8 +510,8 @@
   @Test
   void whatOperatorsSayReachesHealthChecksAloneAndEndsWithTheirWord() throws IOException {
     Counters counters = new Counters();
-    Handover handover = new Handover(null, counters, log);
-    Operators operators = new Operators(handover, null);
+    TakeoverCoordinator handover = new TakeoverCoordinator(null, counters, log);
+    NodeOperations operators = new NodeOperations(handover, null);
     operators.drain(); // before the node stands
     node =
         new Node(
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -34,7 +34,7 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.takeover.Handover;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /**
  * A node that keeps what it learnt: started again, with other settings, beside another process, on
@@ -63,21 +63,21 @@
     return TestSite.config(runtime.port(), 0, 0, 2_000, 500);
   }
 
-  private Setup setup(String more) throws IOException {
-    return new Setup(config(), Rig.broker(folder, backend.port(), config(), more));
+  private ProcessConfig setup(String more) throws IOException {
+    return new ProcessConfig(config(), NodeHarness.broker(folder, backend.port(), config(), more));
   }
 
   private Node start(NodeConfig config, Path shared) throws IOException {
     Counters counters = new Counters();
-    BrokerConfig broker = Rig.broker(folder, backend.port(), config, STATE);
+    BrokerConfig broker = NodeHarness.broker(folder, backend.port(), config, STATE);
     Node fresh =
         new Node(
             config,
             broker,
             new EventLoop(log),
-            new Handover(shared, counters, log),
+            new TakeoverCoordinator(shared, counters, log),
             counters,
-            Learning.of(broker, log),
+            StatePersistence.of(broker, log),
             null,
             log);
     fresh.start();
@@ -229,7 +229,7 @@
   @Test
   void aNodeThatLeavesWritesDownWhatItLearntLast() throws Exception {
     BrokerConfig broker =
-        Rig.broker(
+        NodeHarness.broker(
             folder, backend.port(), config(), "\nstate: {folder: kept, every_ms: 3600000}\n");
     Counters counters = new Counters();
     node =
@@ -237,9 +237,9 @@
             config(),
             broker,
             new EventLoop(log),
-            new Handover(null, counters, log),
+            new TakeoverCoordinator(null, counters, log),
             counters,
-            Learning.of(broker, log),
+            StatePersistence.of(broker, log),
             null,
             log);
     node.start();
@@ -289,7 +289,7 @@
 
   @Test
   void aReloadMayChangeAllButTheFolder() throws Exception {
-    Setup first = setup(STATE);
+    ProcessConfig first = setup(STATE);
     setup("\nstate: {folder: kept, every_ms: 500, max_mb: 4, half_life_s: 60}\n").checkAfter(first);
     assertThrows(
         ConfigException.class, () -> setup("\nstate: {folder: elsewhere}\n").checkAfter(first));
@@ -331,6 +331,6 @@
             .anyMatch(
                 l ->
                     l.matches(
-                        ".*(rosecleat\\.(store|state|facts)\\.|rosecleat\\.(cli\\.state\\.|node\\.Learning)|com\\.(google\\.protobuf|networknt)).*")));
+                        ".*(rosecleat\\.(store|state|facts)\\.|rosecleat\\.(cli\\.state\\.|node\\.StatePersistence)|com\\.(google\\.protobuf|networknt)).*")));
   }
 }
--- a/src/test/java/rosecleat/node/MixedLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedLoadTest.java
@@ -142,12 +142,12 @@
   private final ExecutorService pool = Executors.newCachedThreadPool();
   private final Book book = new Book();
   private final List<Sent> all = new ArrayList<>();
-  private Rig rig;
+  private NodeHarness rig;
   private long ids = 1;
 
   @Test
   void bothProtocolsKeepTheRulesAndNeitherStarves() throws Exception {
-    rig = new Rig(WORK_MS, STOP_MS, GRACE_MS, folder);
+    rig = new NodeHarness(WORK_MS, STOP_MS, GRACE_MS, folder);
     try {
       List<Balancer> balancers = List.of(new Balancer(), new Balancer());
       double perSecond = 1.5 * TestSite.CORES * 1000 / WORK_MS;
--- a/src/test/java/rosecleat/node/Rig.java
+++ b/src/test/java/rosecleat/node/NodeHarness.java
@@ -15,7 +15,7 @@
 import rosecleat.log.Log;
 
 /** A whole node on loopback between stand-ins: a runtime, a uwsgi backend, and both fronts. */
-final class Rig implements AutoCloseable {
+final class NodeHarness implements AutoCloseable {
   private static final String CARDS =
       """
       openapi: 3.0.3
@@ -66,12 +66,13 @@
   final Log log = new Log(System.err);
   final int uwsgiPort;
 
-  Rig(int workMs, int stopMs, int graceMs, Path folder) throws IOException {
+  NodeHarness(int workMs, int stopMs, int graceMs, Path folder) throws IOException {
     this(workMs, stopMs, graceMs, folder, true);
   }
 
   /** A node that has a runtime, or (false) only its backends. */
-  Rig(int workMs, int stopMs, int graceMs, Path folder, boolean hasRuntime) throws IOException {
+  NodeHarness(int workMs, int stopMs, int graceMs, Path folder, boolean hasRuntime)
+      throws IOException {
     runtime = new FakeRuntime(workMs);
     NodeConfig config = TestSite.config(hasRuntime ? runtime.port() : 0, 0, 0, stopMs, graceMs);
     node = new Node(config, broker(folder, backend.port(), config, ""), log);
--- a/src/test/java/rosecleat/node/ServingTest.java
+++ b/src/test/java/rosecleat/node/NodeProcessTest.java
@@ -12,7 +12,7 @@
 import rosecleat.log.Log;
 
 /** The notice to leave against the making of the node. */
-class ServingTest {
+class NodeProcessTest {
   /**
    * Guards callers whom a starting node has accepted: the notice finds the node that listens, and
    * lets it leave.
@@ -21,7 +21,7 @@
   void aNoticeThatComesWhileTheNodeIsMadeWaitsForIt() throws Exception {
     try (Log log = new Log(System.err);
         Node node = new Node(TestSite.config(0, 0, 0, 2_000, 500), null, log)) {
-      Serving serving = new Serving(log);
+      NodeProcess serving = new NodeProcess(log);
       CountDownLatch making = new CountDownLatch(1);
       CountDownLatch made = new CountDownLatch(1);
       Thread maker =
@@ -56,7 +56,7 @@
   @Test
   void noNodeIsMadeBehindTheNotice() throws Exception {
     try (Log log = new Log(System.err)) {
-      Serving serving = new Serving(log);
+      NodeProcess serving = new NodeProcess(log);
       assertNull(serving.told());
       assertNull(
           serving.stand(
--- a/src/test/java/rosecleat/node/SizesTest.java
+++ b/src/test/java/rosecleat/node/SizesTest.java
@@ -89,7 +89,7 @@
       NodeConfig config =
           config(
               runtime.port(), index.port(), classes, tenants, servers, callers, callsOut, sockets);
-      assertTrue(Warmup.play(config) > 0);
+      assertTrue(JitWarmup.play(config) > 0);
       try (Node node = new Node(config, null, log)) {
         node.start();
         CompletableFuture<Boolean> ready = new CompletableFuture<>();
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -25,7 +25,7 @@
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.PolicyApi;
-import rosecleat.takeover.Handover;
+import rosecleat.takeover.TakeoverCoordinator;
 
 /**
  * A new version beside a running one: two nodes that share a folder and an address, as two
@@ -55,7 +55,7 @@
             NodeConfig.parse(file, Map.of()),
             null,
             new EventLoop(log),
-            new Handover(folder, counters, log),
+            new TakeoverCoordinator(folder, counters, log),
             counters,
             null,
             null,
@@ -249,7 +249,7 @@
     Counters counters = new Counters();
     try (RespClient a = clientOf(older);
         RespClient b = clientOf(newer);
-        Handover told = new Handover(folder, counters, log)) {
+        TakeoverCoordinator told = new TakeoverCoordinator(folder, counters, log)) {
       told.drain(true);
       for (RespClient each : List.of(a, b)) {
         await(() -> health(each).equals("DOWN"));
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -32,11 +32,11 @@
 /** The second front from request to answer, over loopback: each status, and what each proves. */
 class UwsgiFrontTest {
   @TempDir Path folder;
-  private Rig rig;
+  private NodeHarness rig;
 
   @BeforeEach
   void start() throws IOException {
-    rig = new Rig(20, 3_000, 1_500, folder);
+    rig = new NodeHarness(20, 3_000, 1_500, folder);
   }
 
   @AfterEach
@@ -83,7 +83,7 @@
     NodeConfig fresh = NodeConfig.parse(file, Map.of());
     assertEquals(3, fresh.start().tenants().size());
     rig.node.reload(
-        new Setup(fresh, BrokerConfig.read(folder.resolve("broker.yaml"), fresh.start())));
+        new ProcessConfig(fresh, BrokerConfig.read(folder.resolve("broker.yaml"), fresh.start())));
     assertEquals(200, get("/cards/77/balance").status());
     assertEquals(200, get("/files/a").status());
     assertEquals(200, load("after", "x").status());
@@ -312,7 +312,7 @@
   @Test
   void aBrokerNeedsNoRuntime() throws IOException {
     rig.close();
-    rig = new Rig(20, 3_000, 1_500, folder, false);
+    rig = new NodeHarness(20, 3_000, 1_500, folder, false);
     for (int i = 0; i < 30; i++) {
       assertEquals(200, get("/files/" + i).status());
     }
--- a/src/test/java/rosecleat/takeover/LoadsTest.java
+++ b/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What two processes may take of the limits of one node. */
-class LoadsTest {
-  private static final Load WHOLE = new Load(10, 1_000, 100);
+class PeerLoadReportsTest {
+  private static final ResourceAmounts WHOLE = new ResourceAmounts(10, 1_000, 100);
 
   @TempDir Path folder;
 
@@ -26,20 +26,27 @@
    */
   @Test
   void whatAProcessTookCountsOnAsItLeavesTheSpan() throws IOException {
-    Loads old = new Loads(folder, 1);
-    Loads fresh = new Loads(folder, 2);
+    PeerLoadReports old = new PeerLoadReports(folder, 1);
+    PeerLoadReports fresh = new PeerLoadReports(folder, 2);
     fresh.look(1, 1);
     assertEquals(
-        Load.NONE,
-        fresh.grant(WHOLE, Load.NONE, false, false, 1)); // the old one may take all as yet
-    assertEquals(new Load(9, 600, 60), old.grant(WHOLE, new Load(8, 200, 20), true, false, 1));
+        ResourceAmounts.NONE,
+        fresh.grant(
+            WHOLE, ResourceAmounts.NONE, false, false, 1)); // the old one may take all as yet
+    assertEquals(
+        new ResourceAmounts(9, 600, 60),
+        old.grant(WHOLE, new ResourceAmounts(8, 200, 20), true, false, 1));
     old.tell(List.of(8.0, 8.0, 7.5, 0.0));
     fresh.look(1, 2);
-    assertEquals(new Load(1, 400, 40), fresh.grant(WHOLE, Load.NONE, false, false, 2));
     assertEquals(
-        new Load(2, 1_000, 100), fresh.grant(WHOLE, Load.NONE, false, false, 1_500_000)); // gone
-    assertEquals(new Load(2.5, 1_000, 100), fresh.grant(WHOLE, Load.NONE, false, false, 2_900_000));
-    assertEquals(WHOLE, fresh.grant(WHOLE, Load.NONE, false, false, 4_100_000));
+        new ResourceAmounts(1, 400, 40), fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 2));
+    assertEquals(
+        new ResourceAmounts(2, 1_000, 100),
+        fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 1_500_000)); // gone
+    assertEquals(
+        new ResourceAmounts(2.5, 1_000, 100),
+        fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 2_900_000));
+    assertEquals(WHOLE, fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 4_100_000));
   }
 
   /**
@@ -52,8 +59,8 @@
       @ForAll @IntRange(max = 10) int had)
       throws IOException {
     Path shared = Files.createTempDirectory("loads");
-    Loads old = new Loads(shared, 1);
-    Loads fresh = new Loads(shared, 2);
+    PeerLoadReports old = new PeerLoadReports(shared, 1);
+    PeerLoadReports fresh = new PeerLoadReports(shared, 2);
     double a = had;
     double b = 0;
     double mayA = WHOLE.calls();
@@ -62,14 +69,14 @@
     for (int step : steps) {
       now++;
       switch (step) {
-        case 0 -> mayA = old.grant(WHOLE, new Load(a, 0, 0), true, false, now).calls();
+        case 0 -> mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, false, now).calls();
         case 1 -> {
-          mayA = old.grant(WHOLE, new Load(a, 0, 0), true, true, now).calls();
+          mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, true, now).calls();
           old.tell(List.of(a));
         }
         case 2 -> {
           fresh.look(1, now);
-          mayB = fresh.grant(WHOLE, new Load(b, 0, 0), false, false, now).calls();
+          mayB = fresh.grant(WHOLE, new ResourceAmounts(b, 0, 0), false, false, now).calls();
         }
         case 3 -> a = Math.max(a, mayA);
         case 4 -> b = Math.max(b, mayB);
--- a/src/test/java/rosecleat/takeover/FileClaimsTest.java
+++ b/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
@@ -19,23 +19,23 @@
 import rosecleat.log.Log;
 
 /** Claims of two processes in one folder. */
-class FileClaimsTest {
+class SymlinkClaimsTest {
   private static final byte[] BODY = {1, 2, 3};
 
   private final Log log = new Log(System.err);
-  private Marks first;
-  private Marks second;
-  private FileClaims a;
-  private FileClaims b;
+  private ProcessMarkers first;
+  private ProcessMarkers second;
+  private SymlinkClaims a;
+  private SymlinkClaims b;
 
   @TempDir Path folder;
 
   @BeforeEach
   void start() throws IOException {
-    first = new Marks(folder);
-    second = new Marks(folder);
-    a = new FileClaims(folder.resolve("keys"), first, new Counters(), log);
-    b = new FileClaims(folder.resolve("keys"), second, new Counters(), log);
+    first = new ProcessMarkers(folder);
+    second = new ProcessMarkers(folder);
+    a = new SymlinkClaims(folder.resolve("keys"), first, new Counters(), log);
+    b = new SymlinkClaims(folder.resolve("keys"), second, new Counters(), log);
   }
 
   @AfterEach
--- a/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
+++ b/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
@@ -41,7 +41,7 @@
   /** The end of the first claim's window; each further claim ends a microsecond later (us). */
   private static final long UNTIL_US = 1_760_000_000_000_000L;
 
-  private static final Load LIMITS = new Load(10.5, 196_608, 100);
+  private static final ResourceAmounts LIMITS = new ResourceAmounts(10.5, 196_608, 100);
 
   private final Log log = new Log(System.err);
   private Path shared;
@@ -60,8 +60,8 @@
 
   @Test
   void todaysClassesWriteTheNamesAndBytesOfTheEarlierVersion() throws IOException {
-    try (Handover first = process();
-        Handover second = process()) {
+    try (TakeoverCoordinator first = process();
+        TakeoverCoordinator second = process()) {
       writeAsTwoProcesses(first, second);
       Path earlier = Files.createDirectory(temporary.resolve("earlier"));
       restore(earlier);
@@ -74,13 +74,15 @@
     restore(shared);
     try (FileChannel one = lock("process-1");
         FileChannel two = lock("process-2");
-        Handover third = process()) {
+        TakeoverCoordinator third = process()) {
       assertTrue(Files.exists(file("process-3")));
       assertTrue(third.predecessorLives());
       assertFalse(third.successorLives());
       assertTrue(third.drained());
-      Load limits = new Load(20, 200_000, 300);
-      assertEquals(new Load(9.5, 3_392, 200), third.grant(limits, Load.NONE, List.of(0.0), false));
+      ResourceAmounts limits = new ResourceAmounts(20, 200_000, 300);
+      assertEquals(
+          new ResourceAmounts(9.5, 3_392, 200),
+          third.grant(limits, ResourceAmounts.NONE, List.of(0.0), false));
       readClaims(third.claims());
       assertNull(third.claims().outcome("running"));
       assertNull(third.claims().outcome("of-the-second"));
@@ -90,7 +92,7 @@
 
   @Test
   void earlierSuccessorIsSeenToLiveAndToServe() throws IOException {
-    try (Handover first = process()) {
+    try (TakeoverCoordinator first = process()) {
       assertFalse(first.successorLives());
       copy("process-2");
       try (FileChannel two = lock("process-2")) {
@@ -111,7 +113,7 @@
   @Test
   void filesOfDeadEarlierProcessesAreReadAndRemoved() throws IOException {
     restore(shared);
-    try (Handover third = process()) {
+    try (TakeoverCoordinator third = process()) {
       assertFalse(third.predecessorLives());
       readClaims(third.claims());
       assertEquals(new Claims.Outcome(true, null), third.claims().outcome("running"));
@@ -125,7 +127,7 @@
 
   @Test
   void processFileIsLockedForAsLongAsTheProcessLives() throws IOException {
-    Handover first = process();
+    TakeoverCoordinator first = process();
     try (FileChannel probe = FileChannel.open(file("process-1"), StandardOpenOption.WRITE)) {
       assertThrows(OverlappingFileLockException.class, probe::tryLock);
       first.close();
@@ -137,7 +139,7 @@
 
   @Test
   void drainFileComesAndGoesAsOperatorsSay() throws IOException {
-    try (Handover first = process()) {
+    try (TakeoverCoordinator first = process()) {
       first.drain(true);
       assertEquals(0, Files.size(file("drained")));
       first.drain(false);
@@ -152,13 +154,13 @@
   }
 
   /** The calls that made the files of the earlier version. */
-  private static void writeAsTwoProcesses(Handover first, Handover second) {
+  private static void writeAsTwoProcesses(TakeoverCoordinator first, TakeoverCoordinator second) {
     first.serve();
     second.serve();
     first.look(1_000_000);
-    first.grant(LIMITS, new Load(8.25, 2_048.5, 20), List.of(8.25, 7.5, 0.0), false);
+    first.grant(LIMITS, new ResourceAmounts(8.25, 2_048.5, 20), List.of(8.25, 7.5, 0.0), false);
     second.look(1_000_000);
-    second.grant(LIMITS, new Load(1, 512, 3), List.of(1.0, 0.0), false);
+    second.grant(LIMITS, new ResourceAmounts(1, 512, 3), List.of(1.0, 0.0), false);
     first.drain(true);
     Claims claims = first.claims();
     claims.claim("served", digest(), UNTIL_US);
@@ -206,8 +208,8 @@
     return digest;
   }
 
-  private Handover process() throws IOException {
-    return new Handover(shared, new Counters(), log);
+  private TakeoverCoordinator process() throws IOException {
+    return new TakeoverCoordinator(shared, new Counters(), log);
   }
 
   private Path file(String name) {
