--- a/src/main/java/rosecleat/admin/AdminServer.java
+++ b/src/main/java/rosecleat/admin/AdminServer.java
@@ -3,8 +3,6 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.Map;
 import rosecleat.core.Counters;
 import rosecleat.core.Fault;
 import rosecleat.log.Log;
@@ -13,173 +11,114 @@
 import rosecleat.net.Listener;
 
 /**
- * The operators' listening address: HTTP/1.1, one call a connection. A caller that says nothing, or
- * not all, takes one of few places for a bounded time and holds nobody up; where places run out the
- * longest silent one goes.
+ * The listening address for operators and probes: HTTP/1.1, one request a connection.
+ *
+ * <p>A client that sends nothing, or an incomplete request, holds one of few connections for a
+ * bounded time; when all are taken, the one that has been silent for longest is closed for the next
+ * client. All work happens on the event loop.
  */
 public final class AdminServer {
-  /** Callers at a time; with the listening socket, the descriptors that the door may take. */
-  private static final int PLACES = 12;
+  private static final int MAX_CONNECTIONS = 12;
 
-  /** The descriptors to reserve for a door. */
-  public static final int SOCKETS = PLACES + 1;
+  /** File descriptors that the server may use: its connections and the listening socket. */
+  public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + 1;
 
-  /** A call must be whole so long after its caller connected (us). */
-  private static final long PATIENCE_US = 6_000_000;
+  /** A request must be complete this long after its connection was accepted. */
+  private static final long REQUEST_TIMEOUT_US = 6_000_000;
+
+  private static final int READ_BUFFER_BYTES = 2 << 10;
+  private static final int PAUSE_READING_ABOVE_BYTES = 8 << 10;
+
+  /** The largest view with the head of its response. */
+  private static final int WRITE_QUEUE_BYTES = AdminRouter.MAX_VIEW_BYTES + (1 << 20);
+
+  private static final long WRITE_STALL_TIMEOUT_US = 5_000_000;
 
   private static final Connection.Limits LIMITS =
-      new Connection.Limits(2 << 10, 8 << 10, 33 << 20, 5_000_000);
-
-  /** A view takes so many bytes at the most. */
-  private static final int LONGEST_VIEW = 32 << 20;
-
-  private static final Map<Integer, String> REASONS =
-      Map.of(
-          200,
-          "OK",
-          400,
-          "Bad Request",
-          404,
-          "Not Found",
-          405,
-          "Method Not Allowed",
-          408,
-          "Request Timeout",
-          413,
-          "Content Too Large",
-          431,
-          "Request Header Fields Too Large",
-          501,
-          "Not Implemented",
-          503,
-          "Service Unavailable",
-          505,
-          "HTTP Version Not Supported");
+      new Connection.Limits(
+          READ_BUFFER_BYTES, PAUSE_READING_ABOVE_BYTES, WRITE_QUEUE_BYTES, WRITE_STALL_TIMEOUT_US);
 
   private final EventLoop loop;
-  private final AdminOperations operations;
+  private final AdminRouter router;
   private final Counters counters;
   private final Log log;
   private final Listener listener;
 
-  /** Listens at an address. */
+  /**
+   * Starts to listen.
+   *
+   * @throws IOException where the address cannot be bound
+   */
   public AdminServer(
-      EventLoop loop, InetSocketAddress at, AdminOperations operations, Counters counters, Log log)
+      EventLoop loop,
+      InetSocketAddress address,
+      AdminOperations operations,
+      Counters counters,
+      Log log)
       throws IOException {
     this.loop = loop;
-    this.operations = operations;
+    this.router = new AdminRouter(operations);
     this.counters = counters;
     this.log = log;
-    listener =
-        new Listener(
-            loop, at, PLACES, LIMITS, connection -> connection.start(new Caller(connection)));
+    listener = new Listener(loop, address, MAX_CONNECTIONS, LIMITS, this::accept);
   }
 
-  /** The port it listens on. */
+  /** Returns the port it listens on. */
   public int port() {
     return listener.port();
   }
 
-  /** What a call is answered. */
-  private record Reply(int status, String body, String allow) {
-    Reply(int status, String body) {
-      this(status, body, null);
-    }
-
-    ByteBuffer bytes() {
-      String head =
-          "HTTP/1.1 "
-              + status
-              + " "
-              + REASONS.get(status)
-              + "\r\nContent-Type: application/json\r\n"
-              + (allow == null ? "" : "Allow: " + allow + "\r\n")
-              + "Content-Length: "
-              + body.length()
-              + "\r\nConnection: close\r\n\r\n";
-      return ByteBuffer.wrap((head + body).getBytes(StandardCharsets.US_ASCII));
-    }
-  }
-
-  private Reply reply(HttpCall call) {
-    if (call.wrong() != 0) {
-      return new Reply(call.wrong(), "{\"error\":\"this is no call that can be read\"}");
-    }
-    return switch (call.target()) {
-      case "/v1/readyz" ->
-          !call.method().equals("GET")
-              ? notAllowed("GET")
-              : operations.isReady()
-                  ? new Reply(200, "{\"ready\":true}")
-                  : new Reply(503, "{\"ready\":false}");
-      case "/v1/card-node/drain" -> told(call, operations::drain, "{\"clients\":\"sent away\"}");
-      case "/v1/card-node/activate" -> told(call, operations::activate, "{\"clients\":\"taken\"}");
-      default -> seen(call);
-    };
-  }
-
-  private Reply seen(HttpCall call) {
-    String body = operations.view(call.target()).orElse(null);
-    return body == null
-        ? new Reply(404, "{\"error\":\"no such path\"}")
-        : !call.method().equals("GET")
-            ? notAllowed("GET")
-            : body.length() > LONGEST_VIEW
-                ? new Reply(503, "{\"error\":\"too much to be told in one answer\"}")
-                : new Reply(200, body);
+  private void accept(Connection connection) {
+    counters.add("mgmt.connections");
+    ClientConnection client = new ClientConnection(connection);
+    loop.schedule(REQUEST_TIMEOUT_US, client::requestTimedOut);
+    connection.start(client);
   }
 
-  private static Reply told(HttpCall call, Runnable what, String body) {
-    if (!call.method().equals("PUT")) {
-      return notAllowed("PUT");
-    }
-    what.run();
-    return new Reply(200, body);
-  }
-
-  private static Reply notAllowed(String method) {
-    return new Reply(405, "{\"error\":\"not by this method\"}", method);
-  }
-
-  /** One caller. */
-  private final class Caller implements Connection.Owner {
+  /** One connection with its one request. */
+  private final class ClientConnection implements Connection.Owner {
     private final Connection connection;
-    private final HttpCall call = new HttpCall();
-    private boolean answered;
+    private final HttpRequestParser parser = new HttpRequestParser();
+    private boolean responded;
 
-    Caller(Connection connection) {
+    ClientConnection(Connection connection) {
       this.connection = connection;
-      counters.add("mgmt.connections");
-      loop.schedule(
-          PATIENCE_US,
-          () -> {
-            if (!answered && !connection.isClosed()) {
-              counters.add("mgmt.slow");
-              answer(new Reply(408, "{\"error\":\"the call was not whole in time\"}"));
-            }
-          });
     }
 
-    /** Whoever has not sent a whole call loses least when places run out. */
+    void requestTimedOut() {
+      if (!responded && !connection.isClosed()) {
+        counters.add("mgmt.slow");
+        respond(HttpResponse.error(HttpStatus.REQUEST_TIMEOUT, "the call was not whole in time"));
+      }
+    }
+
+    /** An incomplete request can be repeated, so its connection may be closed for another one. */
     @Override
     public Connection.Use use() {
-      return call.begun() ? Connection.Use.IDLE : Connection.Use.SILENT;
+      return parser.hasInput() ? Connection.Use.IDLE : Connection.Use.SILENT;
     }
 
+    /** Ignores whatever follows the first request. */
     @Override
     public void received(ByteBuffer bytes) {
-      if (!answered && call.take(bytes)) { // what comes behind a call is no part of it
-        answer(reply(call));
+      if (!responded && parser.feed(bytes)) {
+        respond(
+            parser
+                .error()
+                .map(this::rejectMalformed)
+                .orElseGet(() -> router.handle(parser.request())));
       }
     }
 
-    private void answer(Reply reply) {
-      answered = true;
-      counters.add("mgmt." + reply.status);
-      if (call.wrong() != 0) {
-        log.warn("a call to the operators' door can't be read: " + reply.status);
-      }
-      connection.write(reply.bytes());
+    private HttpResponse rejectMalformed(HttpRequestError error) {
+      log.warn("a call to the operators' door can't be read: " + error.status().code());
+      return HttpResponse.error(error.status(), "this is no call that can be read");
+    }
+
+    private void respond(HttpResponse response) {
+      responded = true;
+      counters.add("mgmt." + response.status().code());
+      connection.write(response.encode());
       connection.closeGracefully();
     }
 
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -381,7 +381,7 @@
   /** Shares the descriptors out between balancers' connections and those to the index. */
   private void makeRoom() {
     int others =
-        (config.mgmt() == null ? 0 : AdminServer.SOCKETS)
+        (config.mgmt() == null ? 0 : AdminServer.MAX_DESCRIPTORS)
             + (uwsgi == null ? 0 : 2 * numbering.broker().connections());
     DescriptorBudget places =
         DescriptorBudget.of(config.sockets(), others, numbering.settings().callsOut(), shared);
