--- a/src/main/java/rosecleat/cli/state/ShowCommand.java
+++ b/src/main/java/rosecleat/cli/state/ShowCommand.java
@@ -38,12 +38,12 @@
       entries
           .addObject()
           .put("node", kept.node())
-          .put("kind", fact.kind().word())
+          .put("kind", fact.kind().wireName())
           .put("subject", fact.subject())
           .put("value", fact.value())
           .put("weight", fact.weight())
           .put("age_s", ageSeconds(fact, nowUs))
-          .put("terms", fact.terms());
+          .put("terms", fact.settingsDigest());
     }
     return root.toPrettyString();
   }
@@ -65,7 +65,7 @@
     Fact fact = kept.fact();
     return row(
         kept.node(),
-        fact.kind().word(),
+        fact.kind().wireName(),
         fact.subject().isEmpty() ? "-" : fact.subject(),
         number("%.4g", fact.value()),
         number("%.1f", fact.weight()),
@@ -78,7 +78,7 @@
   }
 
   private static double ageSeconds(Fact fact, long nowUs) {
-    return (nowUs - fact.atUs()) / MICROSECONDS_PER_SECOND;
+    return (nowUs - fact.learnedAtUs()) / MICROSECONDS_PER_SECOND;
   }
 
   private static String number(String format, double value) {
--- a/src/main/java/rosecleat/facts/Fact.java
+++ b/src/main/java/rosecleat/facts/Fact.java
@@ -1,54 +1,70 @@
 package rosecleat.facts;
 
 /**
- * Something learnt.
+ * A learned estimate. Immutable.
  *
- * @param kind what it says
- * @param subject the class or tenant it is about; empty for the node itself
- * @param value in the kind's unit
- * @param weight how many samples it rests on, as of {@code atUs}
- * @param atUs when it was learnt, Unix microseconds
- * @param terms a digest of the settings it was learnt under; empty where that is not known
+ * @param kind what is estimated
+ * @param subject the class or tenant it describes; empty for the node itself
+ * @param value the estimate, in the kind's unit
+ * @param weight how many samples it rests on, as of {@code learnedAtUs}
+ * @param learnedAtUs when it was learned (Unix microseconds)
+ * @param settingsDigest digest of the settings it was learned under; empty where unknown
  */
 public record Fact(
-    Kind kind, String subject, double value, double weight, long atUs, String terms) {
-  /** What a fact is known by: of each there is one. */
-  public record Name(Kind kind, String subject) {}
+    FactKind kind,
+    String subject,
+    double value,
+    double weight,
+    long learnedAtUs,
+    String settingsDigest) {
+  /** Identifies a fact within a node: there is at most one fact per key. */
+  public record Key(FactKind kind, String subject) {}
 
-  /** What it is known by. */
-  public Name name() {
-    return new Name(kind, subject);
+  /** Returns the key of this fact. */
+  public Key key() {
+    return new Key(kind, subject);
   }
 
   /**
-   * The same as of a later time: its weight halves with each half-life. An earlier time changes
-   * nothing.
+   * Returns this fact as of a later time: its weight halves with each half-life. A time before the
+   * fact's own changes nothing.
+   *
+   * @param nowUs the later time (Unix microseconds)
+   * @param halfLifeUs half-life of facts in general (us)
    */
-  public Fact agedTo(long nowUs, double halfLifeUs) {
-    double age = Math.max(0, nowUs - atUs) / kind.halfLife(halfLifeUs);
-    return age == 0
-        ? this
-        : new Fact(kind, subject, value, weight * Math.pow(0.5, age), Math.max(nowUs, atUs), terms);
+  public Fact decayedTo(long nowUs, double halfLifeUs) {
+    double halfLives = Math.max(0, nowUs - learnedAtUs) / kind.halfLifeUs(halfLifeUs);
+    if (halfLives == 0) {
+      return this;
+    }
+    return new Fact(
+        kind,
+        subject,
+        value,
+        weight * Math.pow(0.5, halfLives),
+        Math.max(nowUs, learnedAtUs),
+        settingsDigest);
   }
 
   /**
-   * This and another of the same name as one: the mean by weight, both as of the later time. Guards
-   * a thousand samples from one that is newer. The weights add up to the kind's most.
+   * Merges two facts of the same key: the mean by weight, both decayed to the later of their times,
+   * so that many old samples do not outweigh few new ones. The weights add up to the kind's maximum
+   * at most.
    */
-  public Fact joined(Fact other, double halfLifeUs) {
-    long at = Math.max(atUs, other.atUs);
-    Fact a = agedTo(at, halfLifeUs);
-    Fact b = other.agedTo(at, halfLifeUs);
-    double sum = a.weight + b.weight;
-    if (sum <= 0) {
-      return a;
+  public Fact mergedWith(Fact other, double halfLifeUs) {
+    long latestUs = Math.max(learnedAtUs, other.learnedAtUs);
+    Fact first = decayedTo(latestUs, halfLifeUs);
+    Fact second = other.decayedTo(latestUs, halfLifeUs);
+    double totalWeight = first.weight + second.weight;
+    if (totalWeight <= 0) {
+      return first;
     }
     return new Fact(
         kind,
         subject,
-        (a.value * a.weight + b.value * b.weight) / sum,
-        Math.min(sum, kind.mostWeight()),
-        at,
-        atUs >= other.atUs ? terms : other.terms);
+        (first.value * first.weight + second.value * second.weight) / totalWeight,
+        Math.min(totalWeight, kind.maxWeight()),
+        latestUs,
+        learnedAtUs >= other.learnedAtUs ? settingsDigest : other.settingsDigest);
   }
 }
--- a/src/main/java/rosecleat/node/StatePersistence.java
+++ b/src/main/java/rosecleat/node/StatePersistence.java
@@ -10,8 +10,8 @@
 import rosecleat.config.BrokerConfig;
 import rosecleat.core.Counters;
 import rosecleat.facts.Fact;
-import rosecleat.facts.Kind;
-import rosecleat.facts.Terms;
+import rosecleat.facts.FactKind;
+import rosecleat.facts.SettingsDigests;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.Decisions;
@@ -35,7 +35,7 @@
   private final Log log;
   private IndexedSettings numbering;
   private Memory memory;
-  private Terms terms; // of the settings in force, worked out once
+  private SettingsDigests terms; // of the settings in force, worked out once
 
   /** Begins to open the folder; the node may stand later. */
   StatePersistence(BrokerConfig.State state, Log log) {
@@ -83,28 +83,28 @@
   }
 
   /** The settings in force, as far as what was learnt depends on them. */
-  private Terms terms() {
+  private SettingsDigests terms() {
     terms = terms == null ? reckoned() : terms;
     return terms;
   }
 
-  private Terms reckoned() {
+  private SettingsDigests reckoned() {
     PolicyApi.Settings s = numbering.settings();
     Map<String, String> classes = new HashMap<>();
     Map<String, String> tenants = new HashMap<>();
-    Map<Fact.Name, Double> ceilings = new HashMap<>();
+    Map<Fact.Key, Double> ceilings = new HashMap<>();
     double callUs = Double.MAX_VALUE;
     for (Map.Entry<String, PolicyApi.Klass> each : numbering.figures().entrySet()) {
       PolicyApi.Klass k = each.getValue();
       classes.put(each.getKey(), digest(k.toString()));
-      ceilings.put(new Fact.Name(Kind.RUN_TIME, each.getKey()), (double) k.aimUs());
+      ceilings.put(new Fact.Key(FactKind.RUN_TIME, each.getKey()), (double) k.aimUs());
       callUs = k.calls() ? Math.min(callUs, CALL_PART * k.aimUs()) : callUs;
     }
     numbering.quotas().forEach((name, tenant) -> tenants.put(name, digest(tenant.toString())));
-    ceilings.put(new Fact.Name(Kind.CALL_TIME, ""), callUs);
+    ceilings.put(new Fact.Key(FactKind.CALL_TIME, ""), callUs);
     String server =
         digest(s.cores() + " " + s.fallMultiple() + " " + s.callsOut() + " " + s.callsSpanUs());
-    return new Terms(numbering.node(), server, classes, tenants, ceilings);
+    return new SettingsDigests(numbering.node(), server, classes, tenants, ceilings);
   }
 
   private static String digest(String figures) {
--- a/src/main/java/rosecleat/state/FactCodec.java
+++ b/src/main/java/rosecleat/state/FactCodec.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import rosecleat.facts.Fact;
-import rosecleat.facts.Kind;
+import rosecleat.facts.FactKind;
 import rosecleat.state.wire.FactV1;
 import rosecleat.state.wire.Facts;
 import rosecleat.state.wire.FactsV1;
@@ -36,12 +36,12 @@
     for (Fact f : facts) {
       all.addFacts(
           rosecleat.state.wire.Fact.newBuilder()
-              .setKind(f.kind().word())
+              .setKind(f.kind().wireName())
               .setSubject(f.subject())
               .setValue(f.value())
               .setWeight(f.weight())
-              .setAtUs(f.atUs())
-              .setTerms(f.terms()));
+              .setAtUs(f.learnedAtUs())
+              .setTerms(f.settingsDigest()));
     }
     return new Entry(TYPE, VERSION, all.build().toByteArray());
   }
@@ -56,7 +56,7 @@
       node = old.getNode();
       for (FactV1 f : old.getFactsList()) {
         all++;
-        Kind.of(f.getKind())
+        FactKind.fromWireName(f.getKind())
             .ifPresent(
                 kind ->
                     facts.add(
@@ -73,7 +73,7 @@
       node = now.getNode();
       for (rosecleat.state.wire.Fact f : now.getFactsList()) {
         all++;
-        Optional<Kind> kind = Kind.of(f.getKind());
+        Optional<FactKind> kind = FactKind.fromWireName(f.getKind());
         kind.ifPresent(
             k ->
                 facts.add(
--- a/src/main/java/rosecleat/state/FactOwner.java
+++ b/src/main/java/rosecleat/state/FactOwner.java
@@ -18,7 +18,7 @@
 
   private static final int IN_ONE = 500;
 
-  private record Name(String node, Fact.Name fact) {}
+  private record Name(String node, Fact.Key fact) {}
 
   /** A fact of a node. */
   public record Kept(String node, Fact fact) {}
@@ -44,7 +44,7 @@
         FactCodec.Read read = FactCodec.read(entry);
         unread += read.unread();
         for (Fact fact : read.facts()) {
-          Name name = new Name(read.node(), fact.name());
+          Name name = new Name(read.node(), fact.key());
           last.remove(name); // the newest stands last
           last.put(name, fact);
           if (last.size() > MOST) {
--- a/src/main/java/rosecleat/state/Memory.java
+++ b/src/main/java/rosecleat/state/Memory.java
@@ -9,11 +9,11 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import rosecleat.core.Counters;
-import rosecleat.facts.Changes;
 import rosecleat.facts.Fact;
-import rosecleat.facts.Kind;
-import rosecleat.facts.Knowledge;
-import rosecleat.facts.Terms;
+import rosecleat.facts.FactAggregator;
+import rosecleat.facts.FactChangeFilter;
+import rosecleat.facts.FactKind;
+import rosecleat.facts.SettingsDigests;
 import rosecleat.log.Log;
 import rosecleat.policy.Decisions;
 import rosecleat.policy.Decisions.Lesson;
@@ -34,7 +34,7 @@
    * one thread.
    */
   public record Node(
-      Supplier<Terms> terms,
+      Supplier<SettingsDigests> terms,
       Supplier<Decisions.Names> names,
       Decisions decisions,
       LongSupplier clock,
@@ -43,7 +43,7 @@
   private final Node node;
   private final Counters counters;
   private final Log log;
-  private final Changes changes = new Changes(); // the saver's
+  private final FactChangeFilter changes = new FactChangeFilter(); // the saver's
   private final AtomicBoolean saving =
       new AtomicBoolean(); // one at a time: a slow one costs the next
   private final ExecutorService saver =
@@ -91,12 +91,12 @@
   }
 
   private List<Lesson> lessons(List<FactOwner.Kept> kept, long nowUs) {
-    Knowledge knowledge = new Knowledge(node.terms.get(), settings.halfLifeUs());
-    kept.forEach(each -> knowledge.take(each.node(), List.of(each.fact()), nowUs));
-    List<Fact> facts = knowledge.at(nowUs);
+    FactAggregator aggregator = new FactAggregator(node.terms.get(), settings.halfLifeUs());
+    kept.forEach(each -> aggregator.add(each.node(), List.of(each.fact()), nowUs));
+    List<Fact> facts = aggregator.factsAt(nowUs);
     counters.add("state.taken", facts.size());
-    knowledge
-        .dropped()
+    aggregator
+        .rejections()
         .forEach(
             (why, count) ->
                 counters.add(
@@ -107,7 +107,7 @@
               + facts.size()
               + " facts of "
               + kept.size()
-              + (knowledge.dropped().isEmpty() ? "" : ", dropped " + knowledge.dropped()));
+              + (aggregator.rejections().isEmpty() ? "" : ", dropped " + aggregator.rejections()));
     }
     return facts.stream()
         .map(
@@ -139,7 +139,7 @@
       return;
     }
     List<Lesson> lessons = node.decisions.learnt(node.names.get());
-    Terms terms = node.terms.get();
+    SettingsDigests terms = node.terms.get();
     double halfLifeUs = settings.halfLifeUs();
     saver.execute(
         () -> {
@@ -151,17 +151,18 @@
         });
   }
 
-  private void write(Store to, List<Lesson> lessons, Terms terms, double halfLifeUs, long nowUs) {
+  private void write(
+      Store to, List<Lesson> lessons, SettingsDigests terms, double halfLifeUs, long nowUs) {
     List<Fact> facts =
         lessons.stream()
             .map(l -> fact(l, terms, nowUs))
             .filter(
                 f ->
-                    terms.of(f.kind(), f.subject()) != null
-                        && f.kind().possible(f.value())
+                    terms.digestOf(f.kind(), f.subject()).isPresent()
+                        && f.kind().isPlausible(f.value())
                         && f.weight() > 0)
             .toList();
-    List<Fact> news = changes.of(facts, halfLifeUs);
+    List<Fact> news = changes.changed(facts, halfLifeUs);
     if (news.isEmpty()) {
       return;
     }
@@ -174,22 +175,22 @@
     }
   }
 
-  private static Fact fact(Lesson lesson, Terms terms, long nowUs) {
-    Kind kind = Kind.valueOf(lesson.topic().name());
-    String digest = terms.of(kind, lesson.of());
+  private static Fact fact(Lesson lesson, SettingsDigests terms, long nowUs) {
+    FactKind kind = FactKind.valueOf(lesson.topic().name());
+    String digest = terms.digestOf(kind, lesson.of()).orElse("");
     return new Fact(
         kind,
         lesson.of(),
         lesson.value(),
-        Math.min(lesson.samples(), kind.mostWeight()),
+        Math.min(lesson.samples(), kind.maxWeight()),
         nowUs,
-        digest == null ? "" : digest);
+        digest);
   }
 
   private void saved(List<Fact> facts, String fault) {
     counters.add(fault == null ? "state.saves" : "state.failures");
     if (fault == null && !saver.isShutdown()) {
-      saver.execute(() -> changes.told(facts));
+      saver.execute(() -> changes.markPersisted(facts));
     }
     if (behind != (fault != null)) {
       behind = fault != null;
--- a/src/test/java/rosecleat/cli/StateCommandsTest.java
+++ b/src/test/java/rosecleat/cli/StateCommandsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.facts.Fact;
-import rosecleat.facts.Kind;
+import rosecleat.facts.FactKind;
 import rosecleat.state.FactOwner;
 import rosecleat.state.StateFiles;
 import rosecleat.store.Folder;
@@ -36,7 +36,7 @@
     long now = System.currentTimeMillis() * 1000;
     for (int i = 0; i < 20; i++) {
       StateFiles.learnt(
-          folder, "n1", new Fact(Kind.RUN_TIME, "read", 20_000 + i, 8, now - 60_000_000, "t"));
+          folder, "n1", new Fact(FactKind.RUN_TIME, "read", 20_000 + i, 8, now - 60_000_000, "t"));
     }
   }
 
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -19,7 +19,7 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import rosecleat.facts.Fact;
-import rosecleat.facts.Kind;
+import rosecleat.facts.FactKind;
 import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.RespClient;
@@ -74,24 +74,28 @@
     Map<String, UnaryOperator<Fact>> ways = new LinkedHashMap<>();
     ways.put("cold", null);
     ways.put("warm", fact -> fact);
-    ways.put("3 days old", fact -> with(fact, fact.value(), fact.atUs() - 3 * 86_400_000_000L));
+    ways.put(
+        "3 days old", fact -> with(fact, fact.value(), fact.learnedAtUs() - 3 * 86_400_000_000L));
     ways.put(
         "20 minutes old, runs 4 times shorter then",
         fact ->
             with(
                 fact,
-                fact.kind() == Kind.RUN_TIME ? fact.value() / 4 : fact.value(),
-                fact.atUs() - 1_200_000_000L));
+                fact.kind() == FactKind.RUN_TIME ? fact.value() / 4 : fact.value(),
+                fact.learnedAtUs() - 1_200_000_000L));
     ways.put(
         "poisoned: runs 10 times longer",
         fact ->
             with(
                 fact,
-                fact.kind() == Kind.RUN_TIME ? Math.min(799_000, fact.value() * 10) : fact.value(),
-                fact.atUs()));
+                fact.kind() == FactKind.RUN_TIME
+                    ? Math.min(799_000, fact.value() * 10)
+                    : fact.value(),
+                fact.learnedAtUs()));
     ways.put(
         "poisoned: limit 1000",
-        fact -> with(fact, fact.kind() == Kind.LIMIT ? 1_000 : fact.value(), fact.atUs()));
+        fact ->
+            with(fact, fact.kind() == FactKind.LIMIT ? 1_000 : fact.value(), fact.learnedAtUs()));
     ways.put(
         "poisoned: not finite, zero, huge",
         fact ->
@@ -99,7 +103,7 @@
                 fact,
                 new double[] {Double.NaN, 0, 1e300, Double.POSITIVE_INFINITY, -1}
                     [fact.kind().ordinal()],
-                fact.atUs()));
+                fact.learnedAtUs()));
     Map<String, List<Outcome>> outcomes = new LinkedHashMap<>();
     for (int seed = 1; seed <= seeds; seed++) {
       for (Map.Entry<String, UnaryOperator<Fact>> way : ways.entrySet()) {
@@ -122,7 +126,7 @@
   }
 
   private static Fact with(Fact fact, double value, long atUs) {
-    return new Fact(fact.kind(), fact.subject(), value, fact.weight(), atUs, fact.terms());
+    return new Fact(fact.kind(), fact.subject(), value, fact.weight(), atUs, fact.settingsDigest());
   }
 
   private void print(Map<String, List<Outcome>> outcomes, int seeds) {
--- a/src/test/java/rosecleat/measure/StoreSpeed.java
+++ b/src/test/java/rosecleat/measure/StoreSpeed.java
@@ -19,7 +19,7 @@
 import org.HdrHistogram.Histogram;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Counters;
-import rosecleat.facts.Terms;
+import rosecleat.facts.SettingsDigests;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.policy.Decisions;
@@ -192,7 +192,8 @@
     Decisions decisions = new Decisions(config.start().settings(), List.of(), 1);
     long[] now = {System.currentTimeMillis() * 1000};
     decisions.begin(now[0], false);
-    Terms terms = new Terms("n1", "s", Map.of("balance-check", "c"), digests, Map.of());
+    SettingsDigests terms =
+        new SettingsDigests("n1", "s", Map.of("balance-check", "c"), digests, Map.of());
     Log log = new Log(System.err);
     Opener opener = new Opener(folder, 64 << 20, log);
     Counters counters = new Counters();
--- a/src/test/java/rosecleat/state/EarlierVersionStateTest.java
+++ b/src/test/java/rosecleat/state/EarlierVersionStateTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.facts.Fact;
-import rosecleat.facts.Kind;
+import rosecleat.facts.FactKind;
 import rosecleat.store.Folder;
 import rosecleat.store.Recovered;
 import rosecleat.store.Store;
@@ -39,43 +39,44 @@
   private static final List<Fact> SERVED =
       List.of(
           new Fact(
-              Kind.TENANT_PART,
+              FactKind.TENANT_PART,
               "big",
               0.6922675188687613,
               128,
               1_796_225_271_784_357L,
               TENANT_TERMS),
           new Fact(
-              Kind.TENANT_PART,
+              FactKind.TENANT_PART,
               "small",
               0.3077324811312392,
               128,
               1_796_225_271_784_357L,
               TENANT_TERMS),
           new Fact(
-              Kind.RUN_TIME,
+              FactKind.RUN_TIME,
               "balance-check",
               31759.43619948303,
               32,
               1_796_225_272_301_160L,
               READ_TERMS),
           new Fact(
-              Kind.RUN_TIME,
+              FactKind.RUN_TIME,
               "card-refresh",
               1144.5272888240004,
               26,
               1_796_225_272_806_725L,
               REFRESH_TERMS),
           new Fact(
-              Kind.RUN_TIME,
+              FactKind.RUN_TIME,
               "card-load",
               114917.67690512285,
               12,
               1_796_225_272_806_725L,
               LOAD_TERMS),
-          new Fact(Kind.CALL_TIME, "", 4702.475135676502, 26, 1_796_225_272_806_725L, SERVER_TERMS),
           new Fact(
-              Kind.LIMIT,
+              FactKind.CALL_TIME, "", 4702.475135676502, 26, 1_796_225_272_806_725L, SERVER_TERMS),
+          new Fact(
+              FactKind.LIMIT,
               "",
               2.7647970300254254,
               5.02237080712004,
@@ -85,43 +86,44 @@
   private static final List<Fact> KILLED =
       List.of(
           new Fact(
-              Kind.RUN_TIME,
+              FactKind.RUN_TIME,
               "balance-check",
               43702.06129810446,
               28,
               1_796_225_228_055_156L,
               READ_TERMS),
           new Fact(
-              Kind.RUN_TIME,
+              FactKind.RUN_TIME,
               "card-refresh",
               715.0413886881801,
               32,
               1_796_225_229_594_853L,
               REFRESH_TERMS),
           new Fact(
-              Kind.RUN_TIME,
+              FactKind.RUN_TIME,
               "card-load",
               144554.83554517713,
               7,
               1_796_225_229_594_853L,
               LOAD_TERMS),
-          new Fact(Kind.CALL_TIME, "", 2969.426440716135, 44, 1_796_225_229_594_853L, SERVER_TERMS),
           new Fact(
-              Kind.LIMIT,
+              FactKind.CALL_TIME, "", 2969.426440716135, 44, 1_796_225_229_594_853L, SERVER_TERMS),
+          new Fact(
+              FactKind.LIMIT,
               "",
               2.3265797535142436,
               1.9000000000000006,
               1_796_225_229_594_853L,
               SERVER_TERMS),
           new Fact(
-              Kind.TENANT_PART,
+              FactKind.TENANT_PART,
               "big",
               0.5622485896430964,
               120,
               1_796_225_229_594_853L,
               TENANT_TERMS),
           new Fact(
-              Kind.TENANT_PART,
+              FactKind.TENANT_PART,
               "small",
               0.4377514103569038,
               120,
@@ -130,7 +132,7 @@
 
   /** The fact that the earlier program appended in {@code killed-then-appended}. */
   private static final Fact APPENDED =
-      new Fact(Kind.CALL_LIMIT, "", 12.5, 20, 1_800_000_000_000_000L, SERVER_TERMS);
+      new Fact(FactKind.CALL_LIMIT, "", 12.5, 20, 1_800_000_000_000_000L, SERVER_TERMS);
 
   @TempDir Path temporary;
 
--- a/src/test/java/rosecleat/state/FactOwnerTest.java
+++ b/src/test/java/rosecleat/state/FactOwnerTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.facts.Fact;
-import rosecleat.facts.Kind;
-import rosecleat.facts.Knowledge;
-import rosecleat.facts.Terms;
+import rosecleat.facts.FactAggregator;
+import rosecleat.facts.FactKind;
+import rosecleat.facts.SettingsDigests;
 import rosecleat.store.Entry;
 import rosecleat.store.Fold;
 import rosecleat.store.Folder;
@@ -66,14 +66,16 @@
     assertEquals(
         List.of(
             new FactOwner.Kept(
-                "n1", new Fact(Kind.RUN_TIME, "read", 20_000, 8, NOW_MS * 1000 - 600_000_000, ""))),
+                "n1",
+                new Fact(FactKind.RUN_TIME, "read", 20_000, 8, NOW_MS * 1000 - 600_000_000, ""))),
         facts.all());
-    Knowledge knowledge =
-        new Knowledge(new Terms("n1", "s", Map.of("read", "r1"), Map.of(), Map.of()), 600e6);
-    knowledge.take("n1", List.of(facts.all().get(0).fact()), NOW_MS * 1000);
+    FactAggregator aggregator =
+        new FactAggregator(
+            new SettingsDigests("n1", "s", Map.of("read", "r1"), Map.of(), Map.of()), 600e6);
+    aggregator.add("n1", List.of(facts.all().get(0).fact()), NOW_MS * 1000);
     assertEquals(
         2,
-        knowledge.at(NOW_MS * 1000).get(0).weight(),
+        aggregator.factsAt(NOW_MS * 1000).get(0).weight(),
         1e-9,
         "half for its age, half for terms not known");
 
@@ -88,7 +90,7 @@
   void anOldTimeTooLargeForMicrosecondsStaysInTheFuture() throws IOException {
     StateFiles.write(
         folder, List.of(old("n1", "run-time", "read", 20_000, 8, Long.MAX_VALUE / 10)));
-    assertEquals(Long.MAX_VALUE, read().all().get(0).fact().atUs());
+    assertEquals(Long.MAX_VALUE, read().all().get(0).fact().learnedAtUs());
   }
 
   @Test
@@ -96,11 +98,12 @@
     Fold fold = new FactOwner().fold();
     List<Fact> some = new ArrayList<>();
     for (int i = 0; i < FactOwner.MOST + 1_000; i++) {
-      some.add(new Fact(Kind.TENANT_PART, "team " + i, 0.1, 1, i, ""));
+      some.add(new Fact(FactKind.TENANT_PART, "team " + i, 0.1, 1, i, ""));
     }
     fold.add(FactCodec.entry("n1", some));
     fold.add(
-        FactCodec.entry("n1", List.of(new Fact(Kind.TENANT_PART, "team 20000", 0.2, 1, 9, ""))));
+        FactCodec.entry(
+            "n1", List.of(new Fact(FactKind.TENANT_PART, "team 20000", 0.2, 1, 9, ""))));
     fold.add(new Entry(1, 2, new byte[] {(byte) 0xff, 1, 2})); // whole on disk, and yet no facts
     FactOwner.Facts facts = (FactOwner.Facts) fold;
     assertEquals(FactOwner.MOST, facts.all().size());
--- a/src/test/java/rosecleat/state/StateFiles.java
+++ b/src/test/java/rosecleat/state/StateFiles.java
@@ -44,7 +44,8 @@
                 kept -> {
                   Fact f = kept.fact();
                   Fact fresh =
-                      new Fact(f.kind(), f.subject(), f.value(), f.weight(), nowUs, f.terms());
+                      new Fact(
+                          f.kind(), f.subject(), f.value(), f.weight(), nowUs, f.settingsDigest());
                   return FactCodec.entry(kept.node(), List.of(change.apply(fresh)));
                 })
             .toList());
