--- a/src/main/java/rosecleat/fleet/Seal.java
+++ b/src/main/java/rosecleat/fleet/Checksum.java
@@ -8,14 +8,14 @@
  * A message as it travels: its hash under the cluster's name goes first. Guards against what was
  * spoilt on the way and what is of another kind or cluster; it is no signature.
  */
-public final class Seal {
+public final class Checksum {
   /** Bytes that it takes. */
   public static final int BYTES = 8;
 
-  private Seal() {}
+  private Checksum() {}
 
   /** Seals a message. */
-  public static byte[] seal(byte[] message, String cluster) {
+  public static byte[] attach(byte[] message, String cluster) {
     return ByteBuffer.allocate(BYTES + message.length)
         .putLong(hash(message, cluster))
         .put(message)
@@ -23,7 +23,7 @@
   }
 
   /** What was sealed; null where it is nothing of the kind. */
-  public static byte[] open(byte[] sealed, String cluster) {
+  public static byte[] verify(byte[] sealed, String cluster) {
     if (sealed.length <= BYTES) {
       return null;
     }
--- a/src/main/java/rosecleat/fleet/Agreement.java
+++ b/src/main/java/rosecleat/fleet/ConvergenceDetector.java
@@ -21,7 +21,7 @@
  * for the time of detection at the most. It comes true again within some two periods of the last
  * change, which is how long it takes for that many members to be heard.
  */
-final class Agreement {
+final class ConvergenceDetector {
   static final int ENOUGH = 3;
   static final int FRESH = 3;
   static final int ALONE = 3;
@@ -33,7 +33,7 @@
   private boolean met;
   private long heardUs;
 
-  Agreement(long periodUs, long nowUs) {
+  ConvergenceDetector(long periodUs, long nowUs) {
     this.periodUs = periodUs;
     startUs = nowUs;
     changedUs = nowUs;
@@ -52,7 +52,7 @@
     heardUs = nowUs;
   }
 
-  boolean holds(Members members, boolean seeds, long nowUs) {
+  boolean holds(MemberList members, boolean seeds, long nowUs) {
     if (!met && seeds && nowUs - startUs < ALONE * periodUs) {
       return false;
     }
@@ -65,10 +65,10 @@
     }
     int agree = 0;
     for (Member member : members.all()) {
-      if (member.state == State.SUSPECT) {
+      if (member.state == MemberState.SUSPECT) {
         return false;
       }
-      if (member.state != State.ALIVE || member.toldUs < changedUs) {
+      if (member.state != MemberState.ALIVE || member.toldUs < changedUs) {
         continue;
       }
       if (member.toldDigest == digest) {
--- a/src/main/java/rosecleat/fleet/Rumours.java
+++ b/src/main/java/rosecleat/fleet/DisseminationQueue.java
@@ -11,10 +11,10 @@
  * newer rumour about the same takes the place of the older one. Bounded: what was told most gives
  * way.
  */
-final class Rumours<T> {
+final class DisseminationQueue<T> {
   private static final int MOST = 8_192;
 
-  /** Rumours that do not fit a datagram are passed over, so many of them at a time. */
+  /** DisseminationQueue that do not fit a datagram are passed over, so many of them at a time. */
   private static final int PASSED_OVER = 4;
 
   /** No rumour takes less than this (bytes). */
--- a/src/main/java/rosecleat/fleet/Dialogue.java
+++ b/src/main/java/rosecleat/fleet/ExchangeSession.java
@@ -1,7 +1,7 @@
 package rosecleat.fleet;
 
 /** One side of an exchange over a connection: frames in turn, from the one that opened it. */
-public interface Dialogue {
+public interface ExchangeSession {
   /**
    * The next frame, given the other's last one (null at the start of the opener's); null where it
    * is over.
--- a/src/main/java/rosecleat/fleet/Member.java
+++ b/src/main/java/rosecleat/fleet/Member.java
@@ -9,7 +9,7 @@
   final long hash;
   Endpoint at;
   String zone;
-  State state;
+  MemberState state;
   long incarnation;
 
   /** Since when it stands so; and when something last came from itself. */
@@ -28,7 +28,7 @@
 
   long toldUs = Long.MIN_VALUE / 2;
 
-  Member(MemberId id, Endpoint at, String zone, State state, long incarnation, long nowUs) {
+  Member(MemberId id, Endpoint at, String zone, MemberState state, long incarnation, long nowUs) {
     this.id = id;
     this.hash = id.hash();
     this.at = at;
@@ -48,11 +48,11 @@
 
   /** Its part of the digest of those that are there. */
   long part() {
-    return state.here() ? Hash.mix(hash ^ at.hashCode()) : 0;
+    return state.isActive() ? Hash.mix(hash ^ at.hashCode()) : 0;
   }
 
   /** Its part of the digest of all that is held. */
   long syncPart() {
-    return state.here() ? Hash.mix(hash + 31 * incarnation + 7919L * state.ordinal()) : 0;
+    return state.isActive() ? Hash.mix(hash + 31 * incarnation + 7919L * state.ordinal()) : 0;
   }
 }
--- a/src/main/java/rosecleat/fleet/Members.java
+++ b/src/main/java/rosecleat/fleet/MemberList.java
@@ -12,7 +12,7 @@
  * All members that are known, dead ones with them; the ring of those that are there, and whose turn
  * it is.
  */
-final class Members {
+final class MemberList {
   private final Map<MemberId, Member> all = new HashMap<>();
   private final Map<String, List<Member>> byName = new HashMap<>();
 
@@ -27,7 +27,7 @@
   private long digest;
   private long sync;
 
-  Members(MemberId self, RandomGenerator random) {
+  MemberList(MemberId self, RandomGenerator random) {
     this.self = self;
     this.random = random;
   }
@@ -72,13 +72,13 @@
 
   /** Changes a member; every change of what is held goes through here. */
   void change(Member member, Runnable how) {
-    boolean was = member.state.here();
+    boolean was = member.state.isActive();
     digest ^= member.part();
     sync ^= member.syncPart();
     how.run();
     digest ^= member.part();
     sync ^= member.syncPart();
-    if (was != member.state.here()) {
+    if (was != member.state.isActive()) {
       unplace(member, was);
       place(member);
     }
@@ -87,7 +87,7 @@
   void remove(Member member) {
     digest ^= member.part();
     sync ^= member.syncPart();
-    unplace(member, member.state.here());
+    unplace(member, member.state.isActive());
     all.remove(member.id);
     List<Member> same = byName.get(member.id.name());
     same.remove(member);
@@ -100,7 +100,7 @@
     if (member.id.equals(self)) {
       return;
     }
-    if (!member.state.here()) {
+    if (!member.state.isActive()) {
       gone.add(member);
     } else if (ring.put(member.hash, member) == null) {
       turns.add(
@@ -173,7 +173,7 @@
   int expected() {
     int dead = 0;
     for (Member member : gone) {
-      dead += member.state == State.DEAD && newest(member) ? 1 : 0;
+      dead += member.state == MemberState.DEAD && newest(member) ? 1 : 0;
     }
     return ring.size() + 1 + dead;
   }
--- a/src/main/java/rosecleat/fleet/State.java
+++ b/src/main/java/rosecleat/fleet/MemberState.java
@@ -1,7 +1,7 @@
 package rosecleat.fleet;
 
 /** How a member stands; a later one overrides an earlier one of the same incarnation. */
-public enum State {
+public enum MemberState {
   /** It answers. */
   ALIVE,
   /** It did not answer somebody, and may still say that it is there. */
@@ -12,7 +12,7 @@
   LEFT;
 
   /** Whether it counts among those that are there. */
-  public boolean here() {
+  public boolean isActive() {
     return this == ALIVE || this == SUSPECT;
   }
 }
--- a/src/main/java/rosecleat/fleet/Fleet.java
+++ b/src/main/java/rosecleat/fleet/MembershipProtocol.java
@@ -26,10 +26,7 @@
  * #effects}. Its clock is any that never goes back (us); it need not be the time of day. For one
  * thread.
  */
-public final class Fleet {
-  /** What a process is, and where others may be met. */
-  public record Self(String cluster, MemberId id, Endpoint at, String zone, List<Endpoint> seeds) {}
-
+public final class MembershipProtocol {
   private static final long NEVER = Long.MAX_VALUE;
 
   /** What a datagram takes without news, at the most (bytes). */
@@ -54,16 +51,16 @@
   private final List<Endpoint> seeds;
   private final List<Effect> effects = new ArrayList<>();
   private final Map<Integer, Probe> probes = new LinkedHashMap<>();
-  private final Rumours<MemberNews> memberRumours = new Rumours<>();
-  private final Rumours<FleetRecord.Key> recordRumours = new Rumours<>();
+  private final DisseminationQueue<MemberNews> memberRumours = new DisseminationQueue<>();
+  private final DisseminationQueue<FleetRecord.Key> recordRumours = new DisseminationQueue<>();
   private final ArrayDeque<Member> appeals = new ArrayDeque<>();
   private final Set<Member> appealing = new HashSet<>();
   private final Set<Member> suspects = new LinkedHashSet<>();
   private final Set<MemberId> twins = new HashSet<>();
   private final Map<String, Long> versions = new HashMap<>();
-  private Members members;
-  private final Records records = new Records();
-  private final Agreement agreement;
+  private MemberList members;
+  private final RecordStore records = new RecordStore();
+  private final ConvergenceDetector agreement;
   private Member self;
   private int health;
   private int seq;
@@ -81,16 +78,16 @@
   private boolean wasSettled;
 
   /** A process that knows itself alone. */
-  public Fleet(Self who, Tuning tuning, RandomGenerator random, long nowUs) {
+  public MembershipProtocol(LocalNode who, Tuning tuning, RandomGenerator random, long nowUs) {
     this.tuning = tuning;
     this.random = random;
     periodUs = tuning.periodUs();
     cluster = who.cluster();
-    seeds = who.seeds().stream().filter(seed -> !seed.equals(who.at())).toList();
-    members = new Members(who.id(), random);
-    self = new Member(who.id(), who.at(), who.zone(), State.ALIVE, 1, nowUs);
+    seeds = who.seeds().stream().filter(seed -> !seed.equals(who.endpoint())).toList();
+    members = new MemberList(who.id(), random);
+    self = new Member(who.id(), who.endpoint(), who.zone(), MemberState.ALIVE, 1, nowUs);
     members.add(self);
-    agreement = new Agreement(periodUs, nowUs);
+    agreement = new ConvergenceDetector(periodUs, nowUs);
     nextPeriodUs =
         nowUs + random.nextLong(periodUs); // processes started together must not fall in step
     nextExchangeUs = nowUs;
@@ -113,20 +110,20 @@
 
   /** Itself, as it is told to others. */
   public MemberNews news() {
-    return Codec.news(self, self.state, 0);
+    return WireCodec.news(self, self.state, 0);
   }
 
   /** Where another is reached; null where it is not there. */
   public Endpoint reach(String name) {
     for (Member member : members.named(name)) {
-      if (member != self && member.state == State.ALIVE) {
+      if (member != self && member.state == MemberState.ALIVE) {
         return member.at;
       }
     }
     return null;
   }
 
-  /** Members known, dead ones with them. */
+  /** MemberList known, dead ones with them. */
   public int size() {
     return members.size();
   }
@@ -137,7 +134,7 @@
   }
 
   /** How another stands; null where it is not known. */
-  public State state(MemberId id) {
+  public MemberState state(MemberId id) {
     Member member = members.get(id);
     return member == null ? null : member.state;
   }
@@ -147,37 +144,37 @@
     return members.digest();
   }
 
-  /** Whether its view is settled; see {@link Agreement}. */
+  /** Whether its view is settled; see {@link ConvergenceDetector}. */
   public boolean settled(long nowUs) {
     agreement.look(members.digest(), nowUs);
     return agreement.holds(members, !seeds.isEmpty(), nowUs);
   }
 
   /** What it holds now. */
-  public View view(long nowUs) {
-    List<View.Seen> seen = new ArrayList<>();
+  public MembershipView view(long nowUs) {
+    List<MembershipView.MemberInfo> seen = new ArrayList<>();
     Map<String, List<Member>> names = new HashMap<>();
     for (Member member : members.all()) {
       names.computeIfAbsent(member.id.name(), n -> new ArrayList<>(1)).add(member);
     }
     for (List<Member> same : names.values()) {
-      boolean here = same.stream().anyMatch(m -> m.state.here());
+      boolean here = same.stream().anyMatch(m -> m.state.isActive());
       for (Member m : same) {
-        if (here ? m.state.here() : members.newest(m)) {
-          seen.add(new View.Seen(m.id, m.at, m.zone, m.state, m.incarnation));
+        if (here ? m.state.isActive() : members.newest(m)) {
+          seen.add(new MembershipView.MemberInfo(m.id, m.at, m.zone, m.state, m.incarnation));
         }
       }
     }
     seen.sort(
-        Comparator.comparing((View.Seen s) -> s.id().name())
+        Comparator.comparing((MembershipView.MemberInfo s) -> s.id().name())
             .thenComparingLong(s -> s.id().epoch()));
-    return new View(self.id, settled(nowUs), members.digest(), List.copyOf(seen));
+    return new MembershipView(self.id, settled(nowUs), members.digest(), List.copyOf(seen));
   }
 
   /** All records of a kind. */
   public List<FleetRecord> records(String kind) {
     List<FleetRecord> found = new ArrayList<>();
-    for (Records.Held held : records.all()) {
+    for (RecordStore.StoredRecord held : records.all()) {
       if (held.record.kind().equals(kind)) {
         found.add(held.record);
       }
@@ -202,7 +199,7 @@
   }
 
   private long held(String kind, String key) {
-    Records.Held held = records.get(new FleetRecord.Key(self.id.name(), kind, key));
+    RecordStore.StoredRecord held = records.get(new FleetRecord.Key(self.id.name(), kind, key));
     return held == null || held.record.epoch() != self.id.epoch() ? 0 : held.record.version();
   }
 
@@ -216,7 +213,7 @@
         self,
         () -> {
           self.incarnation++;
-          self.state = State.LEFT;
+          self.state = MemberState.LEFT;
         });
     tell(self, 0, nowUs);
     for (Member other : members.some(2 * Tuning.MOST_FANOUT, null)) {
@@ -307,7 +304,7 @@
       probe.askUs = probe.askUs == NEVER ? NEVER : probe.askUs + lateUs;
       probe.endUs += lateUs;
     }
-    suspects.removeIf(member -> member.state != State.SUSPECT);
+    suspects.removeIf(member -> member.state != MemberState.SUSPECT);
     suspects.forEach(member -> member.suspectedUs += lateUs);
     nextProbeUs = NEVER;
     probes
@@ -331,12 +328,12 @@
       probe(next, false, nowUs);
     }
     Member gone = members.gone();
-    if (gone != null && gone.state == State.DEAD && members.newest(gone)) {
+    if (gone != null && gone.state == MemberState.DEAD && members.newest(gone)) {
       appeal(gone);
     }
     forget(nowUs);
     for (FleetRecord dropped : records.age(this::ownerIsHere, nowUs)) {
-      effects.add(new Effect.Recorded(dropped));
+      effects.add(new Effect.RecordChanged(dropped));
     }
     meetSomebody(nowUs);
     wakeAppeals(nowUs);
@@ -344,13 +341,13 @@
     boolean settled = settled(nowUs);
     if (settled != wasSettled) {
       wasSettled = settled;
-      effects.add(new Effect.Changed());
+      effects.add(new Effect.ViewChanged());
     }
   }
 
   private boolean ownerIsHere(FleetRecord record) {
     Member owner = members.get(new MemberId(record.owner(), record.epoch()));
-    return owner != null && owner.state.here();
+    return owner != null && owner.state.isActive();
   }
 
   private void lookForCut() {
@@ -369,13 +366,13 @@
 
   /** Suspicions whose time is over: all independent witnesses agree, or none came. */
   private void suspicions(long nowUs) {
-    suspects.removeIf(member -> member.state != State.SUSPECT);
+    suspects.removeIf(member -> member.state != MemberState.SUSPECT);
     for (Member member : List.copyOf(suspects)) {
       if (nowUs >= certainUs(member)) {
         members.change(
             member,
             () -> {
-              member.state = State.DEAD;
+              member.state = MemberState.DEAD;
               member.sinceUs = nowUs;
             });
         count("dead");
@@ -391,7 +388,7 @@
         changed();
       }
     }
-    suspects.removeIf(member -> member.state != State.SUSPECT);
+    suspects.removeIf(member -> member.state != MemberState.SUSPECT);
     nextCertainUs = NEVER;
     suspects.forEach(member -> nextCertainUs = Math.min(nextCertainUs, certainUs(member)));
   }
@@ -412,10 +409,10 @@
     }
     for (Member member : List.copyOf(members.goneOnes())) {
       long periods = (nowUs - member.sinceUs) / periodUs;
-      boolean replaced = member.state == State.DEAD && !members.newest(member);
-      if (member.state == State.LEFT && periods > Tuning.REMEMBER_LEFT
+      boolean replaced = member.state == MemberState.DEAD && !members.newest(member);
+      if (member.state == MemberState.LEFT && periods > Tuning.REMEMBER_LEFT
           || replaced && periods > Tuning.REMEMBER_LEFT
-          || member.state == State.DEAD && periods > Tuning.REMEMBER_DEAD && !cut) {
+          || member.state == MemberState.DEAD && periods > Tuning.REMEMBER_DEAD && !cut) {
         members.remove(member);
         twins.remove(member.id);
         changed();
@@ -440,10 +437,13 @@
 
   private void ping(Member target, int number) {
     Datagram.Builder datagram =
-        head().setPing(Ping.newBuilder().setSeq(number).setTarget(Codec.who(target.id)));
-    if (target.state != State.ALIVE) { // told to its face, so that it can say otherwise
+        head().setPing(Ping.newBuilder().setSeq(number).setTarget(WireCodec.who(target.id)));
+    if (target.state != MemberState.ALIVE) { // told to its face, so that it can say otherwise
       datagram.addMembers(
-          Codec.news(target, target.state == State.LEFT ? State.DEAD : target.state, self.hash));
+          WireCodec.news(
+              target,
+              target.state == MemberState.LEFT ? MemberState.DEAD : target.state,
+              self.hash));
     }
     send(target.at, datagram);
   }
@@ -458,7 +458,7 @@
       return;
     }
     Member target = probe.target;
-    MemberNews news = Codec.news(target, target.state, self.hash);
+    MemberNews news = WireCodec.news(target, target.state, self.hash);
     for (Member relay : members.some(Tuning.RELAYS, target)) {
       probe.asked++;
       send(relay.at, head().setRequest(PingRequest.newBuilder().setSeq(probe.seq).setTarget(news)));
@@ -468,7 +468,7 @@
 
   private void failed(Probe probe, long nowUs) {
     if (probe.asker != null
-        || !probe.target.state.here()
+        || !probe.target.state.isActive()
         || members.get(probe.target.id) != probe.target) {
       return;
     }
@@ -477,11 +477,11 @@
       if (probe.target.heardUs < nowUs - 2 * periodUs) {
         gone(
             probe.target,
-            new Codec.News(
+            new WireCodec.MemberUpdate(
                 probe.target.id,
                 probe.target.at,
                 probe.target.zone,
-                State.DEAD,
+                MemberState.DEAD,
                 probe.target.incarnation,
                 0),
             nowUs);
@@ -502,12 +502,12 @@
   }
 
   private void suspect(Member member, long incarnation, long witness, long nowUs) {
-    boolean fresh = member.state != State.SUSPECT || incarnation > member.incarnation;
+    boolean fresh = member.state != MemberState.SUSPECT || incarnation > member.incarnation;
     if (fresh) {
       members.change(
           member,
           () -> {
-            member.state = State.SUSPECT;
+            member.state = MemberState.SUSPECT;
             member.incarnation = incarnation;
             member.sinceUs = nowUs;
           });
@@ -540,7 +540,7 @@
     long own = Hash.mix(self.hash ^ suspected.hash);
     int before = 0;
     for (Member other : members.all()) {
-      if (other.state == State.ALIVE
+      if (other.state == MemberState.ALIVE
           && other != suspected
           && other != self
           && Hash.mix(other.hash ^ suspected.hash) > own
@@ -572,7 +572,7 @@
 
   /** Passes on how a member stands; {@code times} is 0 for as often as news deserve. */
   private void tell(Member member, long witness, long nowUs, int times) {
-    MemberNews news = Codec.news(member, member.state, witness);
+    MemberNews news = WireCodec.news(member, member.state, witness);
     if (witness == 0 && member.witnesses != null) {
       member.witnesses.forEach(w -> memberRumours.drop(new Suspected(member.id, w)));
     }
@@ -591,7 +591,7 @@
       recordRumours.add(
           record.id(),
           record.id(),
-          Codec.record(record, 0, true).getSerializedSize() + 3,
+          WireCodec.record(record, 0, true).getSerializedSize() + 3,
           Tuning.retransmits(members.others() + 1));
     }
   }
@@ -625,7 +625,7 @@
   private Datagram.Builder head() {
     return Datagram.newBuilder()
         .setCluster(cluster)
-        .setFrom(Codec.news(self, self.state, 0))
+        .setFrom(WireCodec.news(self, self.state, 0))
         .setDigest(members.digest())
         .setSync(sync());
   }
@@ -643,13 +643,14 @@
     }
     long nowUs = lastUs;
     for (FleetRecord.Key key : recordRumours.take(room)) {
-      Records.Held held = records.get(key);
+      RecordStore.StoredRecord held = records.get(key);
       if (held != null) {
-        datagram.addRecords(Codec.record(held.record, held.goneMs(nowUs), true));
+        datagram.addRecords(WireCodec.record(held.record, held.goneMs(nowUs), true));
       }
     }
     if (effects.size() < MOST_EFFECTS) {
-      effects.add(new Effect.Send(to, Seal.seal(datagram.build().toByteArray(), cluster)));
+      effects.add(
+          new Effect.SendDatagram(to, Checksum.attach(datagram.build().toByteArray(), cluster)));
     }
   }
 
@@ -660,8 +661,8 @@
   /** Takes a datagram; what is no good costs a count. */
   public void datagram(byte[] bytes, long nowUs) {
     lastUs = nowUs;
-    Datagram d = Codec.datagram(Seal.open(bytes, cluster));
-    Codec.News from = d == null || !d.hasFrom() ? null : Codec.news(d.getFrom());
+    Datagram d = WireCodec.datagram(Checksum.verify(bytes, cluster));
+    WireCodec.MemberUpdate from = d == null || !d.hasFrom() ? null : WireCodec.news(d.getFrom());
     if (from == null) {
       count("garbage");
       return;
@@ -676,7 +677,7 @@
     }
     Member sender = heard(from, d.getDigest(), nowUs);
     for (MemberNews each : d.getMembersList()) {
-      Codec.News news = Codec.news(each);
+      WireCodec.MemberUpdate news = WireCodec.news(each);
       if (news == null) {
         count("garbage");
       } else {
@@ -698,24 +699,24 @@
       case REQUEST -> asked(from, d.getRequest(), nowUs);
       default -> {} // news alone
     }
-    if (sender != null && sender.state == State.ALIVE) {
+    if (sender != null && sender.state == MemberState.ALIVE) {
       compare(sender, d.getSync(), nowUs);
     }
     agreement.look(members.digest(), nowUs);
   }
 
   /** The sender speaks for itself: it is there, whatever others say, unless it leaves. */
-  private Member heard(Codec.News from, long digest, long nowUs) {
+  private Member heard(WireCodec.MemberUpdate from, long digest, long nowUs) {
     take(from, false, nowUs);
     Member sender = members.get(from.id());
     if (sender != null && sender != self) {
-      if (sender.state.here()) {
+      if (sender.state.isActive()) {
         agreement.heard(nowUs);
       }
       sender.heardUs = nowUs;
       sender.toldDigest = digest;
       sender.toldUs = nowUs;
-      if (sender.state == State.DEAD && from.state() == State.ALIVE) {
+      if (sender.state == MemberState.DEAD && from.state() == MemberState.ALIVE) {
         appeal(sender);
         wakeAppeals(nowUs);
       }
@@ -723,11 +724,11 @@
     return sender;
   }
 
-  private void pinged(Codec.News from, Ping ping) {
+  private void pinged(WireCodec.MemberUpdate from, Ping ping) {
     if (left) {
       return;
     }
-    if (ping.hasTarget() && !Codec.id(ping.getTarget()).equals(self.id)) {
+    if (ping.hasTarget() && !WireCodec.id(ping.getTarget()).equals(self.id)) {
       count("ping.other"); // for a former start at this address: it is told who is here now
       send(from.at(), head());
       return;
@@ -748,8 +749,8 @@
     }
   }
 
-  private void asked(Codec.News from, PingRequest request, long nowUs) {
-    Codec.News target = Codec.news(request.getTarget());
+  private void asked(WireCodec.MemberUpdate from, PingRequest request, long nowUs) {
+    WireCodec.MemberUpdate target = WireCodec.news(request.getTarget());
     Member member = target == null ? null : members.get(target.id());
     if (member == null || member == self || probes.size() >= MOST_PROBES) {
       count("request.refused");
@@ -772,7 +773,7 @@
    * Takes what is told of a member; {@code whole} where it is part of an exchange of all that
    * another holds.
    */
-  private void take(Codec.News news, boolean whole, long nowUs) {
+  private void take(WireCodec.MemberUpdate news, boolean whole, long nowUs) {
     if (news.id().name().equals(self.id.name())) {
       if (news.id().equals(self.id)) {
         ofItself(news, nowUs);
@@ -791,27 +792,27 @@
       case ALIVE -> {
         if (newer) {
           alive(member, news, nowUs);
-        } else if (same && member.state == State.DEAD && whole) {
+        } else if (same && member.state == MemberState.DEAD && whole) {
           appeal(member); // another holds it for there
           wakeAppeals(nowUs);
         }
       }
       case SUSPECT -> {
-        if (newer || same && member.state.here()) {
+        if (newer || same && member.state.isActive()) {
           suspect(member, news.incarnation(), news.witness(), nowUs);
         }
       }
       case DEAD -> {
         if (same
-            && member.state == State.ALIVE
+            && member.state == MemberState.ALIVE
             && (whole || nowUs - member.heardUs < 2 * periodUs)) {
           doubt(member, nowUs); // held for there on this side: it is asked before that is believed
-        } else if (newer && member.state != State.LEFT || same && member.state.here()) {
+        } else if (newer && member.state != MemberState.LEFT || same && member.state.isActive()) {
           gone(member, news, nowUs);
         }
       }
       case LEFT -> {
-        if (newer || same && member.state != State.LEFT) {
+        if (newer || same && member.state != MemberState.LEFT) {
           gone(member, news, nowUs);
         }
       }
@@ -840,16 +841,16 @@
     send(
         member.at,
         head()
-            .setPing(Ping.newBuilder().setSeq(probe.seq).setTarget(Codec.who(member.id)))
-            .addMembers(Codec.news(member, State.DEAD, 0)));
+            .setPing(Ping.newBuilder().setSeq(probe.seq).setTarget(WireCodec.who(member.id)))
+            .addMembers(WireCodec.news(member, MemberState.DEAD, 0)));
   }
 
-  private void alive(Member member, Codec.News news, long nowUs) {
-    boolean back = !member.state.here();
+  private void alive(Member member, WireCodec.MemberUpdate news, long nowUs) {
+    boolean back = !member.state.isActive();
     members.change(
         member,
         () -> {
-          member.state = State.ALIVE;
+          member.state = MemberState.ALIVE;
           member.incarnation = news.incarnation();
           member.at = news.at();
           member.zone = news.zone();
@@ -867,8 +868,8 @@
     changed();
   }
 
-  private void gone(Member member, Codec.News news, long nowUs) {
-    boolean was = member.state.here();
+  private void gone(Member member, WireCodec.MemberUpdate news, long nowUs) {
+    boolean was = member.state.isActive();
     members.change(
         member,
         () -> {
@@ -879,29 +880,29 @@
     tell(member, 0, nowUs);
     member.witnesses = null;
     if (was) {
-      count(news.state() == State.LEFT ? "left" : "told.dead");
+      count(news.state() == MemberState.LEFT ? "left" : "told.dead");
       say(
-          news.state() == State.DEAD,
-          member.id + (news.state() == State.LEFT ? " has left" : " is dead, as others say"));
+          news.state() == MemberState.DEAD,
+          member.id + (news.state() == MemberState.LEFT ? " has left" : " is dead, as others say"));
       changed();
     }
   }
 
-  private void join(Codec.News news, boolean whole, long nowUs) {
+  private void join(WireCodec.MemberUpdate news, boolean whole, long nowUs) {
     if (members.size() >= Tuning.MOST_MEMBERS && !makeRoom()) {
       count("members.full");
       return;
     }
     Member member =
         new Member(news.id(), news.at(), news.zone(), news.state(), news.incarnation(), nowUs);
-    if (news.state() == State.SUSPECT) {
+    if (news.state() == MemberState.SUSPECT) {
       member.witness(news.witness());
       member.suspectedUs = nowUs;
       suspects.add(member);
       suspected(member);
     }
     members.add(member);
-    if (news.state().here()) {
+    if (news.state().isActive()) {
       count("joined");
       say(
           false,
@@ -910,7 +911,11 @@
               + member.at
               + (member.zone.isEmpty() ? "" : " in " + member.zone)
               + " has joined");
-      tell(member, news.state() == State.SUSPECT ? news.witness() : 0, nowUs, whole ? OLD_NEWS : 0);
+      tell(
+          member,
+          news.state() == MemberState.SUSPECT ? news.witness() : 0,
+          nowUs,
+          whole ? OLD_NEWS : 0);
       replace(member, nowUs);
       changed();
     }
@@ -933,12 +938,12 @@
     for (Member other : List.copyOf(members.named(fresh.id.name()))) {
       if (other != self
           && other.id.epoch() < fresh.id.epoch()
-          && other.state.here()
+          && other.state.isActive()
           && other.at.equals(fresh.at)) {
         members.change(
             other,
             () -> {
-              other.state = State.DEAD;
+              other.state = MemberState.DEAD;
               other.sinceUs = nowUs;
             });
         memberRumours.drop(other.id);
@@ -948,15 +953,15 @@
   }
 
   /** What others hold of this process itself. */
-  private void ofItself(Codec.News news, long nowUs) {
+  private void ofItself(WireCodec.MemberUpdate news, long nowUs) {
     if (!news.at().equals(self.at)
-        && news.state().here()
+        && news.state().isActive()
         && news.incarnation() >= self.incarnation) {
       count("twin.epoch"); // another with the very same epoch: one of the two moves on
       become(self.id.epoch() + 1 + random.nextInt(1_000), nowUs);
       return;
     }
-    if (news.state() == State.ALIVE
+    if (news.state() == MemberState.ALIVE
         ? news.incarnation() <= self.incarnation
         : news.incarnation() < self.incarnation) {
       return;
@@ -964,7 +969,7 @@
     if (left) {
       return;
     }
-    if (news.state() == State.SUSPECT || news.state() == State.DEAD) {
+    if (news.state() == MemberState.SUSPECT || news.state() == MemberState.DEAD) {
       ill(1);
       count("refutes");
     }
@@ -973,7 +978,7 @@
   }
 
   /** Another start under this process's name. */
-  private void ofItsName(Codec.News news, long nowUs) {
+  private void ofItsName(WireCodec.MemberUpdate news, long nowUs) {
     if (news.at().equals(self.at)) {
       if (news.id().epoch() > self.id.epoch()) {
         count("epoch.behind"); // its clock was set back since its former start: it is the newer one
@@ -983,8 +988,8 @@
       return;
     }
     Member known = members.get(news.id());
-    if (news.state().here()
-        && (known == null || known.state.here())
+    if (news.state().isActive()
+        && (known == null || known.state.isActive())
         && twins.size() < 64
         && twins.add(news.id())) {
       count("twins");
@@ -1008,13 +1013,18 @@
     List<Member> others = members.all().stream().filter(m -> m != former).toList();
     self =
         new Member(
-            new MemberId(former.id.name(), epoch), former.at, former.zone, State.ALIVE, 1, nowUs);
-    members = new Members(self.id, random);
+            new MemberId(former.id.name(), epoch),
+            former.at,
+            former.zone,
+            MemberState.ALIVE,
+            1,
+            nowUs);
+    members = new MemberList(self.id, random);
     members.add(self);
     others.forEach(members::add);
     memberRumours.drop(former.id);
     tell(self, 0, nowUs);
-    for (Records.Held held : List.copyOf(records.all())) {
+    for (RecordStore.StoredRecord held : List.copyOf(records.all())) {
       FleetRecord r = held.record;
       if (r.owner().equals(self.id.name()) && r.epoch() == former.id.epoch()) {
         publish(r.kind(), r.key(), r.payload(), r.ttlMs(), nowUs);
@@ -1025,14 +1035,14 @@
   }
 
   private void take(RecordNews news, long nowUs) {
-    Codec.Told told = Codec.record(news);
+    WireCodec.RecordUpdate told = WireCodec.record(news);
     if (told == null) {
       count("garbage");
       return;
     }
     FleetRecord record = told.record();
     if (record.owner().equals(self.id.name()) && record.epoch() == self.id.epoch()) {
-      Records.Held own = records.get(record.id());
+      RecordStore.StoredRecord own = records.get(record.id());
       if (own == null || record.newerThan(own.record)) {
         count(
             "record.false"); // nobody else writes under this start: it is written anew, above what
@@ -1048,7 +1058,7 @@
       count("record.taken");
       spread(record);
       wakeGossip(nowUs);
-      effects.add(new Effect.Recorded(record));
+      effects.add(new Effect.RecordChanged(record));
     }
   }
 
@@ -1077,7 +1087,7 @@
     if (nowUs >= mayMeetUs && !left) {
       mayMeetUs = nowUs + spread(periodUs);
       differsSinceUs = NEVER;
-      effects.add(new Effect.Meet(with, why));
+      effects.add(new Effect.StartSync(with, why));
     }
   }
 
@@ -1087,7 +1097,7 @@
       meet(seeds.get((int) (round % seeds.size())), "seed", nowUs);
     } else if (round % Tuning.EXCHANGE_EVERY == 0 && !seeds.isEmpty()) {
       Endpoint seed = seeds.get(random.nextInt(seeds.size())); // a fleet that grew from two ends
-      if (members.all().stream().noneMatch(m -> m.state.here() && m.at.equals(seed))) {
+      if (members.all().stream().noneMatch(m -> m.state.isActive() && m.at.equals(seed))) {
         meet(seed, "seed", nowUs);
       }
     }
@@ -1098,11 +1108,11 @@
   }
 
   /** One exchange with another, over a connection: frames in turn, from the one that opened it. */
-  public final class Talk implements Dialogue {
+  public final class SyncSession implements ExchangeSession {
     private final boolean opener;
     private int step;
 
-    private Talk(boolean opener) {
+    private SyncSession(boolean opener) {
       this.opener = opener;
     }
 
@@ -1110,7 +1120,8 @@
     @Override
     public byte[] next(byte[] received, long nowUs) {
       lastUs = nowUs;
-      Exchange in = received == null ? null : Codec.exchange(Seal.open(received, cluster));
+      Exchange in =
+          received == null ? null : WireCodec.exchange(Checksum.verify(received, cluster));
       if (received != null && !usable(in, nowUs)) {
         return null;
       }
@@ -1133,7 +1144,8 @@
     }
 
     private boolean usable(Exchange in, long nowUs) {
-      Codec.News from = in == null || !in.hasFrom() ? null : Codec.news(in.getFrom());
+      WireCodec.MemberUpdate from =
+          in == null || !in.hasFrom() ? null : WireCodec.news(in.getFrom());
       if (from == null || !in.getCluster().equals(cluster)) {
         count(from == null ? "garbage" : "foreign");
         return false;
@@ -1146,12 +1158,12 @@
       Member sender = members.get(from.id());
       if (sender != null && sender != self) {
         sender.heardUs = nowUs;
-        if (sender.state.here()) {
+        if (sender.state.isActive()) {
           agreement.heard(nowUs);
         }
       }
       for (MemberNews each : in.getMembersList()) {
-        Codec.News news = Codec.news(each);
+        WireCodec.MemberUpdate news = WireCodec.news(each);
         if (news == null) {
           count("garbage");
         } else {
@@ -1165,30 +1177,30 @@
   }
 
   /** An exchange that this process opens, or (false) that another opened. */
-  public Talk talk(boolean opener) {
-    return new Talk(opener);
+  public SyncSession talk(boolean opener) {
+    return new SyncSession(opener);
   }
 
   private Exchange.Builder greeting() {
     return Exchange.newBuilder()
         .setCluster(cluster)
-        .setFrom(Codec.news(self, self.state, 0))
+        .setFrom(WireCodec.news(self, self.state, 0))
         .setSync(sync());
   }
 
   private Exchange.Builder all(Exchange.Builder frame) {
     for (Member member : members.all()) {
       if (member != self) {
-        long witness = member.state == State.SUSPECT ? member.witnesses.iterator().next() : 0;
-        frame.addMembers(Codec.news(member, member.state, witness));
+        long witness = member.state == MemberState.SUSPECT ? member.witnesses.iterator().next() : 0;
+        frame.addMembers(WireCodec.news(member, member.state, witness));
       }
     }
     return frame;
   }
 
   private Exchange.Builder heads(Exchange.Builder frame) {
-    for (Records.Held held : records.all()) {
-      frame.addHeads(Codec.record(held.record, held.goneMs(lastUs), false));
+    for (RecordStore.StoredRecord held : records.all()) {
+      frame.addHeads(WireCodec.record(held.record, held.goneMs(lastUs), false));
     }
     return frame;
   }
@@ -1199,15 +1211,15 @@
     in.getHeadsList()
         .forEach(
             head -> {
-              Codec.Told told = Codec.record(head);
+              WireCodec.RecordUpdate told = WireCodec.record(head);
               if (told != null) {
                 theirs.put(told.record().id(), told.record());
               }
             });
     List<RecordNews> lacked = new ArrayList<>();
-    for (Records.Held held : records.all()) {
+    for (RecordStore.StoredRecord held : records.all()) {
       if (held.record.newerThan(theirs.get(held.record.id()))) {
-        lacked.add(Codec.record(held.record, held.goneMs(lastUs), true));
+        lacked.add(WireCodec.record(held.record, held.goneMs(lastUs), true));
       }
     }
     return lacked;
@@ -1216,9 +1228,9 @@
   private List<RecordNews> wanted(Exchange in) {
     List<RecordNews> wanted = new ArrayList<>();
     for (RecordNews head : in.getHeadsList()) {
-      Codec.Told told = Codec.record(head);
+      WireCodec.RecordUpdate told = WireCodec.record(head);
       if (told != null) {
-        Records.Held held = records.get(told.record().id());
+        RecordStore.StoredRecord held = records.get(told.record().id());
         if (held == null || told.record().newerThan(held.record)) {
           wanted.add(head);
         }
@@ -1230,30 +1242,30 @@
   private List<RecordNews> of(List<RecordNews> wanted) {
     List<RecordNews> found = new ArrayList<>();
     for (RecordNews each : wanted) {
-      Codec.Told told = Codec.record(each);
-      Records.Held held = told == null ? null : records.get(told.record().id());
+      WireCodec.RecordUpdate told = WireCodec.record(each);
+      RecordStore.StoredRecord held = told == null ? null : records.get(told.record().id());
       if (held != null) {
-        found.add(Codec.record(held.record, held.goneMs(lastUs), true));
+        found.add(WireCodec.record(held.record, held.goneMs(lastUs), true));
       }
     }
     return found;
   }
 
   private byte[] frame(Exchange.Builder frame) {
-    return Seal.seal(frame.build().toByteArray(), cluster);
+    return Checksum.attach(frame.build().toByteArray(), cluster);
   }
 
   // ---- what comes of it
 
   private void changed() {
-    effects.add(new Effect.Changed());
+    effects.add(new Effect.ViewChanged());
   }
 
   private void count(String what) {
-    effects.add(new Effect.Count(what));
+    effects.add(new Effect.IncrementCounter(what));
   }
 
   private void say(boolean warning, String line) {
-    effects.add(new Effect.Say(warning, line));
+    effects.add(new Effect.WriteLog(warning, line));
   }
 }
--- a/src/main/java/rosecleat/fleet/Records.java
+++ b/src/main/java/rosecleat/fleet/RecordStore.java
@@ -11,7 +11,7 @@
  * order of delivery ends the same. The time since an owner has gone travels with its records: they
  * age out everywhere at about the same time.
  */
-final class Records {
+final class RecordStore {
   /** All together (count and bytes), and of one owner. */
   static final int MOST = 65_536;
 
@@ -19,11 +19,11 @@
   static final int MOST_OF_ONE = 1_024;
 
   /** A record as held; {@code goneUs} is when its owner went, by this process's clock, or none. */
-  static final class Held {
+  static final class StoredRecord {
     FleetRecord record;
     long goneUs = Long.MAX_VALUE;
 
-    private Held(FleetRecord record) {
+    private StoredRecord(FleetRecord record) {
       this.record = record;
     }
 
@@ -32,14 +32,14 @@
     }
   }
 
-  private final Map<FleetRecord.Key, Held> all = new HashMap<>();
+  private final Map<FleetRecord.Key, StoredRecord> all = new HashMap<>();
   private final Map<String, Integer> counts = new HashMap<>();
   private long bytes;
   private long sync;
 
   /** Takes a record; true where it is news. One without room, or too large, is none. */
   boolean take(FleetRecord record, long goneMs, long nowUs) {
-    Held held = all.get(record.id());
+    StoredRecord held = all.get(record.id());
     if (held != null && !record.newerThan(held.record)) {
       if (record.epoch() == held.record.epoch()
           && record.version() == held.record.version()
@@ -58,7 +58,7 @@
       return false;
     }
     if (held == null) {
-      held = new Held(record);
+      held = new StoredRecord(record);
       all.put(record.id(), held);
       counts.merge(record.owner(), 1, Integer::sum);
     } else {
@@ -78,11 +78,11 @@
     sync ^= Hash.mix(record.id().hashCode() + 31 * record.epoch() + 7919 * record.version());
   }
 
-  Held get(FleetRecord.Key key) {
+  StoredRecord get(FleetRecord.Key key) {
     return all.get(key);
   }
 
-  Collection<Held> all() {
+  Collection<StoredRecord> all() {
     return all.values();
   }
 
@@ -97,8 +97,8 @@
    */
   List<FleetRecord> age(java.util.function.Predicate<FleetRecord> ownerIsHere, long nowUs) {
     List<FleetRecord> dropped = new ArrayList<>();
-    for (java.util.Iterator<Held> each = all.values().iterator(); each.hasNext(); ) {
-      Held held = each.next();
+    for (java.util.Iterator<StoredRecord> each = all.values().iterator(); each.hasNext(); ) {
+      StoredRecord held = each.next();
       if (ownerIsHere.test(held.record)) {
         held.goneUs = Long.MAX_VALUE;
       } else if (held.goneUs == Long.MAX_VALUE) {
--- a/src/main/java/rosecleat/fleet/Tuning.java
+++ b/src/main/java/rosecleat/fleet/Tuning.java
@@ -16,7 +16,9 @@
   /** An answer to a ping must come within this part of a period, or others are asked. */
   static final double DIRECT = 0.4;
 
-  /** Rumours travel so often in a period, to so many at a time; to more where many wait. */
+  /**
+   * DisseminationQueue travel so often in a period, to so many at a time; to more where many wait.
+   */
   static final int GOSSIPS = 5;
 
   static final int FANOUT = 3;
@@ -28,7 +30,7 @@
   /** Independent witnesses that bring a suspicion to its shortest time. */
   static final int WITNESSES = 3;
 
-  /** Members that look for themselves when somebody is suspected. */
+  /** MemberList that look for themselves when somebody is suspected. */
   static final int WATCHERS = 5;
 
   /** Without witnesses a suspicion lasts so many times as long. */
@@ -42,7 +44,7 @@
 
   static final int REMEMBER_LEFT = 120;
 
-  /** Members at the most, dead ones with them. */
+  /** MemberList at the most, dead ones with them. */
   static final int MOST_MEMBERS = 4_096;
 
   /**
--- a/src/main/java/rosecleat/fleet/Codec.java
+++ b/src/main/java/rosecleat/fleet/WireCodec.java
@@ -11,29 +11,30 @@
 import rosecleat.fleet.wire.Who;
 
 /**
- * Members and records as messages and back. What can't be is null: names, hosts, figures out of
+ * MemberList and records as messages and back. What can't be is null: names, hosts, figures out of
  * bounds.
  */
-final class Codec {
-  private static final State[] STATES = State.values();
+final class WireCodec {
+  private static final MemberState[] STATES = MemberState.values();
   private static final int LONGEST_KEY = 256;
   private static final long MOST_FIGURE = 1L << 60;
   private static final long MOST_TTL_MS = 30L * 24 * 3_600_000;
 
-  private Codec() {}
+  private WireCodec() {}
 
   /** What is told of a member. */
-  record News(MemberId id, Endpoint at, String zone, State state, long incarnation, long witness) {}
+  record MemberUpdate(
+      MemberId id, Endpoint at, String zone, MemberState state, long incarnation, long witness) {}
 
   /** What is told of a record; {@code goneMs} since its owner has gone. */
-  record Told(FleetRecord record, long goneMs) {}
+  record RecordUpdate(FleetRecord record, long goneMs) {}
 
-  static MemberNews news(Member member, State state, long witness) {
+  static MemberNews news(Member member, MemberState state, long witness) {
     return news(member.id, member.at, member.zone, state, member.incarnation, witness);
   }
 
   static MemberNews news(
-      MemberId id, Endpoint at, String zone, State state, long incarnation, long witness) {
+      MemberId id, Endpoint at, String zone, MemberState state, long incarnation, long witness) {
     return MemberNews.newBuilder()
         .setWho(who(id))
         .setHost(ByteString.copyFrom(at.host(), StandardCharsets.US_ASCII))
@@ -53,7 +54,7 @@
     return new MemberId(who.getName(), who.getEpoch());
   }
 
-  static News news(MemberNews m) {
+  static MemberUpdate news(MemberNews m) {
     Endpoint at = new Endpoint(m.getHost().toString(StandardCharsets.US_ASCII), m.getPort());
     String name = m.getWho().getName();
     if (name.isEmpty()
@@ -67,7 +68,7 @@
         || m.getIncarnation() > MOST_FIGURE) {
       return null;
     }
-    return new News(
+    return new MemberUpdate(
         id(m.getWho()),
         at,
         m.getZone(),
@@ -92,7 +93,7 @@
     return builder.build();
   }
 
-  static Told record(RecordNews n) {
+  static RecordUpdate record(RecordNews n) {
     if (n.getOwner().isEmpty()
         || n.getOwner().length() > MemberId.LONGEST_NAME
         || n.getKind().isEmpty()
@@ -108,7 +109,7 @@
         || n.getPayload().size() > Tuning.RECORD_BYTES) {
       return null;
     }
-    return new Told(
+    return new RecordUpdate(
         new FleetRecord(
             n.getOwner(),
             n.getEpoch(),
--- a/src/main/java/rosecleat/fleet/transport/Frames.java
+++ b/src/main/java/rosecleat/fleet/transport/FrameChannel.java
@@ -6,10 +6,10 @@
 import java.util.Arrays;
 
 /**
- * Frames on one connection: a byte that says what the exchange is about, four of length, the bytes.
- * What is declared long takes memory only as it comes.
+ * FrameChannel on one connection: a byte that says what the exchange is about, four of length, the
+ * bytes. What is declared long takes memory only as it comes.
  */
-final class Frames {
+final class FrameChannel {
   /** The longest frame (bytes). */
   static final int LONGEST = 64 << 20;
 
@@ -24,7 +24,7 @@
   private int kind;
   private ByteBuffer out;
 
-  Frames(SocketChannel channel) {
+  FrameChannel(SocketChannel channel) {
     this.channel = channel;
   }
 
--- a/src/main/java/rosecleat/fleet/transport/FleetTask.java
+++ b/src/main/java/rosecleat/fleet/transport/MembershipService.java
@@ -21,14 +21,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rosecleat.fleet.Dialogue;
 import rosecleat.fleet.Effect;
 import rosecleat.fleet.Endpoint;
-import rosecleat.fleet.Fleet;
+import rosecleat.fleet.ExchangeSession;
 import rosecleat.fleet.FleetRecord;
+import rosecleat.fleet.LocalNode;
 import rosecleat.fleet.MemberId;
+import rosecleat.fleet.MembershipProtocol;
+import rosecleat.fleet.MembershipView;
 import rosecleat.fleet.Tuning;
-import rosecleat.fleet.View;
 import rosecleat.log.Log;
 
 /**
@@ -36,7 +37,7 @@
  * that is bounded. Its clock counts from the process's start and never goes back, whatever the time
  * of day does.
  */
-public final class FleetTask implements AutoCloseable {
+public final class MembershipService implements AutoCloseable {
   /** Exchanges of what is held; of a further kind by its number. */
   public static final int MEMBERS = 1;
 
@@ -67,9 +68,9 @@
       long periodUs) {}
 
   /** Who hears of news, on the task's own thread; must not wait. */
-  public interface Hearer {
+  public interface Listener {
     /** The view has changed. */
-    void changed(View view);
+    void changed(MembershipView view);
 
     /** A record has come or (null payload) aged out. */
     void recorded(FleetRecord record);
@@ -80,18 +81,18 @@
 
   private final class Conversation {
     final SocketChannel channel;
-    final Frames frames;
+    final FrameChannel frames;
     final boolean opened;
     final long endUs;
     final int kind;
-    Dialogue dialogue;
+    ExchangeSession dialogue;
     long movedUs;
 
-    Conversation(SocketChannel channel, int kind, Dialogue dialogue, long nowUs) {
+    Conversation(SocketChannel channel, int kind, ExchangeSession dialogue, long nowUs) {
       this.channel = channel;
       this.kind = kind;
       this.dialogue = dialogue;
-      frames = new Frames(channel);
+      frames = new FrameChannel(channel);
       opened = dialogue != null;
       movedUs = nowUs;
       endUs = nowUs + LONGEST_US;
@@ -99,17 +100,18 @@
   }
 
   private final Settings settings;
-  private final Hearer hearer;
+  private final Listener hearer;
   private final Log log;
-  private final ArrayBlockingQueue<Consumer<Fleet>> mailbox = new ArrayBlockingQueue<>(MAILBOX);
-  private final Map<Integer, Supplier<Dialogue>> answers = new HashMap<>();
+  private final ArrayBlockingQueue<Consumer<MembershipProtocol>> mailbox =
+      new ArrayBlockingQueue<>(MAILBOX);
+  private final Map<Integer, Supplier<ExchangeSession>> answers = new HashMap<>();
   private final Map<SelectionKey, Conversation> conversations = new HashMap<>();
   private final Map<String, Long> counts = new TreeMap<>();
   private final ByteBuffer packet = ByteBuffer.allocateDirect(64 << 10);
   private final long originNs = System.nanoTime();
   private final Selector selector;
   private final Thread thread;
-  private final Fleet fleet;
+  private final MembershipProtocol fleet;
   private DatagramChannel datagrams;
   private ServerSocketChannel listener;
   private Endpoint at;
@@ -119,11 +121,11 @@
   private long lookUs;
   private long bytesLeft = BYTES_PER_S;
   private long refilledUs;
-  private volatile View view;
+  private volatile MembershipView view;
   private volatile boolean ending;
 
   /** Opens the sockets; {@link #start} begins. */
-  public FleetTask(Settings settings, Hearer hearer, Log log) throws IOException {
+  public MembershipService(Settings settings, Listener hearer, Log log) throws IOException {
     this.settings = settings;
     this.hearer = hearer;
     this.log = log;
@@ -132,10 +134,10 @@
     long epochUs =
         System.currentTimeMillis() * 1000 + Math.floorMod(System.nanoTime() / 1000, 1000);
     MemberId self = new MemberId(settings.name, epochUs);
-    List<Endpoint> seeds = settings.seeds.stream().map(FleetTask::endpoint).toList();
+    List<Endpoint> seeds = settings.seeds.stream().map(MembershipService::endpoint).toList();
     fleet =
-        new Fleet(
-            new Fleet.Self(settings.cluster, self, at, settings.zone, seeds),
+        new MembershipProtocol(
+            new LocalNode(settings.cluster, self, at, settings.zone, seeds),
             Tuning.of(settings.periodUs),
             new SplittableRandom(epochUs ^ settings.name.hashCode() * 0x9e3779b97f4a7c15L),
             nowUs());
@@ -154,7 +156,7 @@
   }
 
   /** Answers exchanges of a further kind; before {@link #start}. */
-  public void answer(int kind, Supplier<Dialogue> with) {
+  public void answer(int kind, Supplier<ExchangeSession> with) {
     answers.put(kind, with);
   }
 
@@ -165,7 +167,7 @@
   }
 
   /** What is held of the fleet; for any thread. */
-  public View view() {
+  public MembershipView view() {
     return view;
   }
 
@@ -175,14 +177,14 @@
   }
 
   /** Leaves a message for the task; false where its mailbox is full. For any thread. */
-  public boolean post(Consumer<Fleet> message) {
+  public boolean post(Consumer<MembershipProtocol> message) {
     boolean taken = mailbox.offer(message);
     selector.wakeup();
     return taken;
   }
 
   /** Opens an exchange of a further kind; on the task's own thread. False where too many go on. */
-  public boolean meet(int kind, Endpoint with, Dialogue dialogue) {
+  public boolean meet(int kind, Endpoint with, ExchangeSession dialogue) {
     long out = conversations.values().stream().filter(c -> c.opened).count();
     if (out >= MOST_OUT || with.equals(at)) {
       return false;
@@ -344,7 +346,7 @@
     }
     selector.selectedKeys().clear();
     for (int i = 0; i < MAILBOX; i++) {
-      Consumer<Fleet> message = mailbox.poll();
+      Consumer<MembershipProtocol> message = mailbox.poll();
       if (message == null) {
         break;
       }
@@ -471,7 +473,7 @@
 
   private void hear(SelectionKey key, Conversation c, byte[] frame) throws IOException {
     if (c.dialogue == null) {
-      Supplier<Dialogue> answer = answers.get(c.frames.kind());
+      Supplier<ExchangeSession> answer = answers.get(c.frames.kind());
       if (answer == null) {
         throw new IOException("nothing is known of such an exchange");
       }
@@ -526,28 +528,28 @@
   /** Carries out what the decisions ask. */
   private void obey() {
     for (Effect effect : fleet.effects()) {
-      if (effect instanceof Effect.Send send) {
+      if (effect instanceof Effect.SendDatagram send) {
         send(send);
-      } else if (effect instanceof Effect.Meet meet) {
+      } else if (effect instanceof Effect.StartSync meet) {
         count("meet." + meet.why());
         meet(MEMBERS, meet.with(), fleet.talk(true));
-      } else if (effect instanceof Effect.Say say) {
+      } else if (effect instanceof Effect.WriteLog say) {
         if (say.warning()) {
           log.warn("fleet: " + say.line());
         } else {
           log.info("fleet: " + say.line());
         }
-      } else if (effect instanceof Effect.Count one) {
+      } else if (effect instanceof Effect.IncrementCounter one) {
         count(one.what());
-      } else if (effect instanceof Effect.Changed) {
+      } else if (effect instanceof Effect.ViewChanged) {
         changed = true;
-      } else if (effect instanceof Effect.Recorded one) {
+      } else if (effect instanceof Effect.RecordChanged one) {
         hearer.recorded(one.record());
       }
     }
   }
 
-  private void send(Effect.Send send) {
+  private void send(Effect.SendDatagram send) {
     long now = nowUs();
     bytesLeft = Math.min(BYTES_PER_S, bytesLeft + (now - refilledUs) * BYTES_PER_S / 1_000_000);
     refilledUs = now;
--- a/src/main/java/rosecleat/node/FleetIntegration.java
+++ b/src/main/java/rosecleat/node/FleetIntegration.java
@@ -17,10 +17,10 @@
 import rosecleat.config.RoutesFile;
 import rosecleat.core.Counters;
 import rosecleat.fleet.Endpoint;
-import rosecleat.fleet.Fleet;
 import rosecleat.fleet.FleetRecord;
-import rosecleat.fleet.View;
-import rosecleat.fleet.transport.FleetTask;
+import rosecleat.fleet.MembershipProtocol;
+import rosecleat.fleet.MembershipView;
+import rosecleat.fleet.transport.MembershipService;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.routes.Book;
@@ -54,7 +54,7 @@
   /** A table with its generation in this process. */
   private record InForce(Table table, long generation) {}
 
-  private final FleetTask task;
+  private final MembershipService task;
   private final FleetConfig settings;
   private final EventLoop loop;
   private final Log log;
@@ -80,8 +80,8 @@
       return;
     }
     task =
-        new FleetTask(
-            new FleetTask.Settings(
+        new MembershipService(
+            new MembershipService.Settings(
                 settings.name(),
                 settings.cluster(),
                 settings.listen(),
@@ -89,9 +89,9 @@
                 settings.zone(),
                 settings.seeds(),
                 settings.periodUs()),
-            new FleetTask.Hearer() {
+            new MembershipService.Listener() {
               @Override
-              public void changed(View view) {}
+              public void changed(MembershipView view) {}
 
               @Override
               public void recorded(FleetRecord record) {
@@ -161,7 +161,7 @@
   }
 
   /** Asks one that holds something else, one at a time: whoever told it last. */
-  private void catchUp(Fleet fleet) {
+  private void catchUp(MembershipProtocol fleet) {
     fleetNews = fleet.news();
     String mine = hex(book.holds());
     if (following) {
@@ -188,7 +188,7 @@
     }
   }
 
-  private void tell(Fleet fleet) {
+  private void tell(MembershipProtocol fleet) {
     fleetNews = fleet.news();
     String payload = hex(book.table().digest()) + ":" + hex(book.holds());
     routesOf.put(fleet.self().name(), hex(book.table().digest()));
@@ -201,7 +201,7 @@
    * Writes the file that waits, unless it is what this author wrote last: others may have written
    * since.
    */
-  private void publish(Fleet fleet) {
+  private void publish(MembershipProtocol fleet) {
     RoutesFile file = waiting;
     waiting = null;
     if (file == null) {
@@ -281,13 +281,13 @@
     };
   }
 
-  private ObjectNode fleet(View view) {
+  private ObjectNode fleet(MembershipView view) {
     ObjectNode root = JSON.createObjectNode();
     root.put("self", view.self().name())
         .put("settled", view.settled())
         .put("digest", hex(view.digest()));
     ArrayNode members = root.putArray("members");
-    for (View.Seen seen : view.members()) {
+    for (MembershipView.MemberInfo seen : view.members()) {
       members
           .addObject()
           .put("name", seen.id().name())
--- a/src/main/java/rosecleat/routes/Follow.java
+++ b/src/main/java/rosecleat/routes/Follow.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import rosecleat.fleet.Dialogue;
-import rosecleat.fleet.Seal;
+import rosecleat.fleet.Checksum;
+import rosecleat.fleet.ExchangeSession;
 import rosecleat.fleet.wire.MemberNews;
 import rosecleat.routes.wire.Routes;
 import rosecleat.routes.wire.Stamped;
@@ -18,7 +18,7 @@
  * the parts that differ; what the other lacks comes last. What is torn, doubled or late changes
  * nothing that a later exchange does not mend.
  */
-public final class Follow implements Dialogue {
+public final class Follow implements ExchangeSession {
   private static final int LONGEST = 64;
   private static final Instance.State[] STATES = Instance.State.values();
 
@@ -53,7 +53,7 @@
 
   @Override
   public byte[] next(byte[] received, long nowUs) {
-    Routes in = received == null ? null : read(Seal.open(received, cluster));
+    Routes in = received == null ? null : read(Checksum.verify(received, cluster));
     step++;
     if (received != null && in == null) {
       over.run();
@@ -143,7 +143,7 @@
   }
 
   private byte[] seal(Routes.Builder frame) {
-    return Seal.seal(frame.build().toByteArray(), cluster);
+    return Checksum.attach(frame.build().toByteArray(), cluster);
   }
 
   private static Routes read(byte[] bytes) {
--- a/src/test/java/rosecleat/fleet/FleetTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -17,7 +17,7 @@
 import rosecleat.fleet.wire.RecordNews;
 
 /** The view on virtual time: what breaks, and that it settles again. */
-class FleetTest {
+class MembershipProtocolTest {
   /**
    * Loss, splits, pauses, crashes, joins and restarts from a seed; then calm, and all must hold
    * exactly who is there.
@@ -26,10 +26,10 @@
   @CsvSource({"5, 60", "24, 24", "60, 6", "200, 1"})
   void viewsAgreeAgainAfterAnything(int size, int seeds) {
     for (long seed = 1; seed <= seeds; seed++) {
-      World world = new World(size, seed).started(0, 1);
+      SimulatedCluster world = new SimulatedCluster(size, seed).started(0, 1);
       world.run(world.random.nextInt(5));
       for (int step = 0; step < 12; step++) {
-        World.Peer one = world.peers.get(world.random.nextInt(size));
+        SimulatedCluster.Peer one = world.peers.get(world.random.nextInt(size));
         switch (world.random.nextInt(7)) {
           case 0 -> world.loss = world.random.nextDouble() * 0.3;
           case 1 -> {
@@ -37,7 +37,7 @@
             world.link = (a, b) -> a % parts == b % parts;
           }
           case 2 -> world.link = (a, b) -> a != one.index; // heard of nobody, hears all
-          case 3 -> one.pause((1 + world.random.nextInt(12)) * World.PERIOD);
+          case 3 -> one.pause((1 + world.random.nextInt(12)) * SimulatedCluster.PERIOD);
           case 4 -> {
             if (world.living().size() > 2) {
               one.crash();
@@ -54,7 +54,7 @@
       }
       world.loss = 0;
       world.link = (a, b) -> true;
-      World of = world;
+      SimulatedCluster of = world;
       double took =
           world.until(
               120,
@@ -72,7 +72,7 @@
   @Test
   void settledIsWrongNoLongerThanDetectionTakes() {
     for (long seed = 1; seed <= 20; seed++) {
-      World world = new World(20, seed).acquainted();
+      SimulatedCluster world = new SimulatedCluster(20, seed).acquainted();
       world.run(10);
       assertTrue(world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
       MemberId id = world.peers.get(7).fleet.self();
@@ -95,7 +95,7 @@
   void theSameSeedReplaysTheSameTrace() {
     long[] traces = new long[3];
     for (int play = 0; play < traces.length; play++) {
-      World world = new World(12, play == 2 ? 6 : 5).started(0, 1);
+      SimulatedCluster world = new SimulatedCluster(12, play == 2 ? 6 : 5).started(0, 1);
       world.loss = 0.1;
       world.run(10);
       world.peers.get(3).crash();
@@ -108,7 +108,7 @@
 
   @Test
   void aProcessWhoseClockWasSetBackIsNewAllTheSame() {
-    World world = new World(4, 9).acquainted();
+    SimulatedCluster world = new SimulatedCluster(4, 9).acquainted();
     long before = world.peers.get(3).fleet.self().epoch();
     world.peers.get(3).crash();
     world.run(1);
@@ -127,10 +127,10 @@
    */
   @Test
   void recordsConvergeAndAgeOutWithTheirOwners() {
-    World world = new World(12, 4).acquainted();
+    SimulatedCluster world = new SimulatedCluster(12, 4).acquainted();
     world.link = (a, b) -> a % 2 == b % 2;
     world.run(20);
-    for (World.Peer peer : world.peers) {
+    for (SimulatedCluster.Peer peer : world.peers) {
       for (int k = 0; k < 5; k++) {
         peer.fleet.publish(
             "costs", "k" + k % 3, new byte[] {(byte) k, (byte) peer.index}, 20_000, world.nowUs);
@@ -177,10 +177,10 @@
               1_000,
               new byte[] {(byte) Math.floorMod(c / 4, 4)}));
     }
-    Records one = new Records();
+    RecordStore one = new RecordStore();
     all.forEach(r -> one.take(r, 0, 1));
     Random random = new Random(choices.hashCode());
-    Records other = new Records();
+    RecordStore other = new RecordStore();
     for (int round = 0; round < 3; round++) {
       java.util.Collections.shuffle(all, random);
       all.forEach(r -> other.take(r, 0, 1));
@@ -192,8 +192,8 @@
   /** Whatever comes, nothing is thrown, and nobody is held for dead on its ground. */
   @Test
   void garbageAndLiesCostACount() {
-    World world = new World(6, 2).acquainted();
-    World.Peer victim = world.peers.get(0);
+    SimulatedCluster world = new SimulatedCluster(6, 2).acquainted();
+    SimulatedCluster.Peer victim = world.peers.get(0);
     Random random = new Random(3);
     byte[] good = null;
     victim.run();
@@ -204,12 +204,12 @@
     }
     victim.obey();
     victim.fleet.publish("x", "", new byte[10], 1_000, world.nowUs);
-    victim.fleet.wake(world.nowUs + World.PERIOD);
+    victim.fleet.wake(world.nowUs + SimulatedCluster.PERIOD);
     for (Effect effect : victim.fleet.effects()) {
-      good = effect instanceof Effect.Send send ? send.bytes() : good;
+      good = effect instanceof Effect.SendDatagram send ? send.bytes() : good;
     }
     world.run(1);
-    World.Peer other = world.peers.get(1);
+    SimulatedCluster.Peer other = world.peers.get(1);
     for (int i = 0; i < 20_000 && good != null; i++) {
       byte[] spoilt = good.clone();
       spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
@@ -223,10 +223,15 @@
         rosecleat.fleet.wire.Datagram.newBuilder()
             .setCluster("test")
             .setFrom(
-                Codec.news(
-                    new MemberId("liar", 5), new Endpoint("10.9.9.9", 1), "", State.ALIVE, 1, 0));
-    for (World.Peer peer : world.peers) {
-      lie.addMembers(Codec.news(peer.fleet.self(), peer.at(), "z", State.DEAD, 1, 0));
+                WireCodec.news(
+                    new MemberId("liar", 5),
+                    new Endpoint("10.9.9.9", 1),
+                    "",
+                    MemberState.ALIVE,
+                    1,
+                    0));
+    for (SimulatedCluster.Peer peer : world.peers) {
+      lie.addMembers(WireCodec.news(peer.fleet.self(), peer.at(), "z", MemberState.DEAD, 1, 0));
       lie.addRecords(
           RecordNews.newBuilder()
               .setOwner(peer.fleet.self().name())
@@ -235,14 +240,14 @@
               .setVersion(1L << 40)
               .setTtlMs(1_000));
     }
-    other.fleet.datagram(Seal.seal(lie.build().toByteArray(), "test"), world.nowUs);
+    other.fleet.datagram(Checksum.attach(lie.build().toByteArray(), "test"), world.nowUs);
     other.run();
     double took =
         world.until(
             60, () -> world.agree() && world.living().stream().allMatch(p -> p.fleet.size() < 40));
     assertTrue(took >= 0, "they do not agree any more: " + world.counts);
     other.fleet.datagram(
-        Seal.seal(lie.setCluster("other").build().toByteArray(), "test"), world.nowUs);
+        Checksum.attach(lie.setCluster("other").build().toByteArray(), "test"), world.nowUs);
     other.run();
     assertTrue(
         world.counts.get("garbage") > 1_000 && world.counts.get("foreign") >= 1,
@@ -251,24 +256,23 @@
 
   @Test
   void members2048AreHeldAndThoseOverTheBoundRefused() {
-    Fleet fleet =
-        new Fleet(
-            new Fleet.Self(
-                "test", new MemberId("a", 1), new Endpoint("10.0.0.1", 1), "", List.of()),
-            Tuning.of(World.PERIOD),
+    MembershipProtocol fleet =
+        new MembershipProtocol(
+            new LocalNode("test", new MemberId("a", 1), new Endpoint("10.0.0.1", 1), "", List.of()),
+            Tuning.of(SimulatedCluster.PERIOD),
             new java.util.SplittableRandom(1),
             1);
     for (int i = 0; i < 5_000; i++) {
       fleet.datagram(
-          Seal.seal(
+          Checksum.attach(
               rosecleat.fleet.wire.Datagram.newBuilder()
                   .setCluster("test")
                   .setFrom(
-                      Codec.news(
+                      WireCodec.news(
                           new MemberId("m" + i, 1),
                           new Endpoint("10.1." + i / 250 + "." + i % 250, 7),
                           "",
-                          State.ALIVE,
+                          MemberState.ALIVE,
                           1,
                           0))
                   .build()
--- a/src/test/java/rosecleat/fleet/World.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -16,7 +16,7 @@
  * Many processes' parts in a fleet on one virtual clock, with a network between them that loses,
  * delays and splits.
  */
-public final class World {
+public final class SimulatedCluster {
   public static final long PERIOD = 1_000_000;
 
   private record Event(long atUs, long nr, Runnable what) {}
@@ -24,7 +24,7 @@
   /** One process. */
   public final class Peer {
     public final int index;
-    public Fleet fleet;
+    public MembershipProtocol fleet;
     public boolean dead;
     public long pausedUntil;
     private long epochs;
@@ -48,8 +48,8 @@
       }
       dead = false;
       fleet =
-          new Fleet(
-              new Fleet.Self(
+          new MembershipProtocol(
+              new LocalNode(
                   "test",
                   new MemberId("n" + index, Math.max(nowUs, 1) + ++epochs),
                   at(),
@@ -67,7 +67,7 @@
 
     public void pause(long us) {
       pausedUntil = nowUs + us;
-      World.this.schedule(
+      SimulatedCluster.this.schedule(
           pausedUntil,
           () -> {
             if (nowUs >= pausedUntil) {
@@ -93,8 +93,8 @@
       if (next < wakeAt || wakeAt <= nowUs) {
         wakeAt = Math.max(next, nowUs + 1);
         long mine = wakeAt;
-        Fleet of = fleet;
-        World.this.schedule(
+        MembershipProtocol of = fleet;
+        SimulatedCluster.this.schedule(
             mine,
             () -> {
               if (wakeAt == mine && of == fleet && nowUs >= pausedUntil) {
@@ -108,14 +108,14 @@
     public void obey() {
       for (Effect effect : fleet.effects()) {
         record(effect);
-        if (effect instanceof Effect.Send send) {
+        if (effect instanceof Effect.SendDatagram send) {
           messages++;
           bytes += send.bytes().length + 28;
           if (send.bytes().length > largest) {
             largest = send.bytes().length;
           }
           deliver(this, send.to(), send.bytes());
-        } else if (effect instanceof Effect.Meet meet) {
+        } else if (effect instanceof Effect.StartSync meet) {
           Peer with = byAddress.get(meet.with());
           if (with != null
               && with != this
@@ -125,12 +125,12 @@
             exchanges++;
             talk(this, fleet.talk(true), with, with.fleet.talk(false), null, true, with.fleet);
           }
-        } else if (effect instanceof Effect.Count count) {
+        } else if (effect instanceof Effect.IncrementCounter count) {
           counts.merge(count.what(), 1L, Long::sum);
           if (count.what().equals("dead")) {
             deadSeen++;
           }
-        } else if (effect instanceof Effect.Recorded r) {
+        } else if (effect instanceof Effect.RecordChanged r) {
           records.put(
               r.record().owner() + "/" + r.record().kind() + "/" + r.record().key(),
               r.record().payload());
@@ -162,11 +162,11 @@
   /** A digest of all datagrams, frames and other effects in their order: equal for equal runs. */
   public long trace;
 
-  public World(int size, long seed) {
+  public SimulatedCluster(int size, long seed) {
     this(size, seed, Tuning.of(PERIOD));
   }
 
-  public World(int size, long seed, Tuning tuning) {
+  public SimulatedCluster(int size, long seed, Tuning tuning) {
     random = new SplittableRandom(seed);
     this.tuning = tuning;
     for (int i = 0; i < size; i++) {
@@ -177,13 +177,13 @@
   }
 
   /** All start at once and know some seeds. */
-  public World started(int... seeds) {
+  public SimulatedCluster started(int... seeds) {
     peers.forEach(p -> p.start(seeds));
     return this;
   }
 
   /** All know one another already: as after a long calm. */
-  public World acquainted() {
+  public SimulatedCluster acquainted() {
     started(0);
     for (Peer peer : peers) {
       rosecleat.fleet.wire.Exchange.Builder all =
@@ -196,7 +196,7 @@
               all.addMembers(news(other));
             }
           });
-      peer.fleet.talk(false).next(Seal.seal(all.build().toByteArray(), "test"), nowUs);
+      peer.fleet.talk(false).next(Checksum.attach(all.build().toByteArray(), "test"), nowUs);
       peer.fleet.effects();
     }
     run(3);
@@ -205,18 +205,18 @@
   }
 
   private void record(Effect effect) {
-    if (effect instanceof Effect.Send send) {
+    if (effect instanceof Effect.SendDatagram send) {
       record("send " + send.to());
       trace = Hash.of(send.bytes(), trace);
-    } else if (effect instanceof Effect.Meet meet) {
+    } else if (effect instanceof Effect.StartSync meet) {
       record("sync " + meet.with() + " " + meet.why());
-    } else if (effect instanceof Effect.Say say) {
+    } else if (effect instanceof Effect.WriteLog say) {
       record("log " + say.warning() + " " + say.line());
-    } else if (effect instanceof Effect.Count count) {
+    } else if (effect instanceof Effect.IncrementCounter count) {
       record("count " + count.what());
-    } else if (effect instanceof Effect.Changed) {
+    } else if (effect instanceof Effect.ViewChanged) {
       record("changed");
-    } else if (effect instanceof Effect.Recorded recorded) {
+    } else if (effect instanceof Effect.RecordChanged recorded) {
       FleetRecord written = recorded.record();
       record(
           "record "
@@ -237,7 +237,7 @@
   }
 
   private rosecleat.fleet.wire.MemberNews news(Peer p) {
-    return Codec.news(p.fleet.self(), p.at(), "z" + p.index % 3, State.ALIVE, 1, 0);
+    return WireCodec.news(p.fleet.self(), p.at(), "z" + p.index % 3, MemberState.ALIVE, 1, 0);
   }
 
   void schedule(long us, Runnable what) {
@@ -283,12 +283,12 @@
 
   private void talk(
       Peer one,
-      Fleet.Talk mine,
+      ExchangeSession mine,
       Peer other,
-      Fleet.Talk theirs,
+      ExchangeSession theirs,
       byte[] frame,
       boolean myTurn,
-      Fleet with) {
+      MembershipProtocol with) {
     schedule(
         nowUs + delay(),
         () -> {
@@ -355,14 +355,14 @@
         return false;
       }
     }
-    return living.get(0).fleet.view(nowUs).here() == living.size();
+    return living.get(0).fleet.view(nowUs).activeCount() == living.size();
   }
 
   /** Whether all that live hold one for gone. */
   public boolean gone(MemberId id) {
     for (Peer peer : living()) {
-      State state = peer.fleet.state(id);
-      if (state != null && state.here()) {
+      MemberState state = peer.fleet.state(id);
+      if (state != null && state.isActive()) {
         return false;
       }
     }
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 import rosecleat.fleet.MemberId;
+import rosecleat.fleet.SimulatedCluster;
 import rosecleat.fleet.Tuning;
-import rosecleat.fleet.World;
 
 /**
  * What docs/measurements/fleet-view.md keeps of the view on virtual time: {@code FleetView SEEDS}.
@@ -37,17 +37,17 @@
   }
 
   private static double crash(int n, long seed) {
-    World world = new World(n, seed).acquainted();
+    SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
     world.run(world.random.nextDouble() * 2);
-    World.Peer victim = world.peers.get(world.random.nextInt(n));
+    SimulatedCluster.Peer victim = world.peers.get(world.random.nextInt(n));
     MemberId id = victim.fleet.self();
     victim.crash();
     return world.until(60, () -> world.gone(id));
   }
 
   private static double settled(int n, long seed) {
-    World world = new World(n, seed).acquainted();
-    World.Peer victim = world.peers.get(world.random.nextInt(n));
+    SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
+    SimulatedCluster.Peer victim = world.peers.get(world.random.nextInt(n));
     MemberId id = victim.fleet.self();
     victim.crash();
     world.until(60, () -> world.gone(id));
@@ -56,7 +56,7 @@
   }
 
   private static double heal(int n, long seed) {
-    World world = new World(n, seed).acquainted();
+    SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
     world.link = (a, b) -> a % 2 == b % 2;
     world.run(30);
     world.link = (a, b) -> true;
@@ -64,7 +64,7 @@
   }
 
   private static void idle(int n) {
-    World world = new World(n, 1).acquainted();
+    SimulatedCluster world = new SimulatedCluster(n, 1).acquainted();
     world.run(20);
     world.messages = 0;
     world.bytes = 0;
@@ -86,23 +86,27 @@
             .parallel()
             .mapToObj(
                 seed -> {
-                  World world =
-                      new World(n, seed + 100, new Tuning(World.PERIOD, health)).acquainted();
+                  SimulatedCluster world =
+                      new SimulatedCluster(
+                              n, seed + 100, new Tuning(SimulatedCluster.PERIOD, health))
+                          .acquainted();
                   world.loss = 0.05;
                   long wrong = 0;
                   long paused = 0;
                   boolean[][] held = new boolean[n][n];
                   for (int p = 0; p < periods; p++) {
                     for (int k = 0; k < n / 10; k++) {
-                      World.Peer peer = world.peers.get(k);
+                      SimulatedCluster.Peer peer = world.peers.get(k);
                       if (world.nowUs > peer.pausedUntil && world.random.nextInt(8) == 0) {
-                        peer.pause(World.PERIOD + world.random.nextLong(4 * World.PERIOD));
+                        peer.pause(
+                            SimulatedCluster.PERIOD
+                                + world.random.nextLong(4 * SimulatedCluster.PERIOD));
                       }
                     }
                     world.run(1);
-                    for (World.Peer a : world.peers) {
-                      for (World.Peer b : world.peers) {
-                        boolean dead = !a.fleet.state(b.fleet.self()).here();
+                    for (SimulatedCluster.Peer a : world.peers) {
+                      for (SimulatedCluster.Peer b : world.peers) {
+                        boolean dead = !a.fleet.state(b.fleet.self()).isActive();
                         if (dead && !held[a.index][b.index]) {
                           if (b.index >= n / 10) {
                             wrong++;
