--- a/src/main/java/rosecleat/admin/AdminServer.java
+++ b/src/main/java/rosecleat/admin/AdminServer.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import rosecleat.core.Counters;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void closed(Fault fault, boolean atEnd) {
+    public void closed(Failure failure, boolean atEnd) {
       listener.released(connection);
     }
   }
--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -1,7 +1,6 @@
 package rosecleat.core;
 
 import java.util.List;
-import java.util.Locale;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import rosecleat.log.Log;
@@ -41,7 +40,7 @@
 
   private volatile Rules rules;
   private final Decisions decisions;
-  private final Ledger ledger;
+  private final DownstreamClient ledger;
   private final LongSupplier clock;
   private final Counters counters;
   private final Log log;
@@ -63,19 +62,19 @@
   public Core(
       Rules rules,
       Decisions decisions,
-      Ledger ledger,
+      DownstreamClient ledger,
       LongSupplier clock,
       Counters counters,
       Log log) {
-    this(rules, decisions, ledger, Claims.ALONE, clock, counters, log);
+    this(rules, decisions, ledger, IdempotencyClaims.SINGLE_PROCESS, clock, counters, log);
   }
 
   /** A core that holds nothing yet, beside other processes of its node. */
   public Core(
       Rules rules,
       Decisions decisions,
-      Ledger ledger,
-      Claims claims,
+      DownstreamClient ledger,
+      IdempotencyClaims claims,
       LongSupplier clock,
       Counters counters,
       Log log) {
@@ -138,7 +137,7 @@
 
   /** Requests whose answer is owed. */
   public long owed() {
-    return work.all().stream().filter(Life::owed).count();
+    return work.all().stream().filter(InFlightRequest::owed).count();
   }
 
   /** Whether the notice to leave has come. */
@@ -197,14 +196,15 @@
     long now = clock.getAsLong();
     RequestClass klass = rules.classes().get(request.klass());
     long waitUs = request.waitUs() > 0 ? request.waitUs() : klass.dueUs();
-    Life life = new Life(++lastSeq, request, klass, tenant(request), request.atUs() + waitUs);
+    InFlightRequest life =
+        new InFlightRequest(++lastSeq, request, klass, tenant(request), request.atUs() + waitUs);
     if (!decisions.begun()) {
-      work.answer(life, new Answer.Refused(0, false));
+      work.answer(life, new Response.Rejected(0, false));
       return () -> {};
     }
-    String wrong = work.take(life);
+    FailureReason wrong = work.take(life);
     if (wrong != null) {
-      work.answer(life, Work.failed(Progress.NOT_SENT, wrong, Answer.Cause.CALLER));
+      work.answer(life, Work.failed(Progress.NOT_SENT, wrong, FailureCause.CALLER));
       return () -> {};
     }
     long leftUs = Math.max(1, life.dueUs - now);
@@ -235,7 +235,7 @@
     void gone();
   }
 
-  private void gone(Life life) {
+  private void gone(InFlightRequest life) {
     if (!life.owed()) {
       return;
     }
@@ -244,7 +244,7 @@
     if (life.atCall()) {
       work.release(life);
     }
-    boolean waited = life.state == Life.State.HELD || life.state == Life.State.ATTACHED;
+    boolean waited = life.state == RequestState.HELD || life.state == RequestState.ATTACHED;
     report(new Report.Gone(life.seq));
     if (waited) {
       work.over(life);
@@ -252,63 +252,64 @@
   }
 
   /** A run has ended. */
-  public void ended(String id, Runner.End end, byte[] result, long tookUs) {
-    Life life = work.of(id);
-    if (life == null || !life.ran || life.state == Life.State.HELD) {
+  public void ended(String id, RunResult end, byte[] result, long tookUs) {
+    InFlightRequest life = work.of(id);
+    if (life == null || !life.ran || life.state == RequestState.HELD) {
       return;
     }
-    counters.add("runs." + end.name().toLowerCase(Locale.ROOT));
-    if (life.state == Life.State.CALLING) {
+    counters.add("runs." + end.counterSuffix());
+    if (life.state == RequestState.CALLING) {
       ledger.cancel(id);
     }
     switch (end) {
       case OK -> work.done(life, result, tookUs);
-      case FAILED -> work.broken(life, Progress.RAN, "its run failed", tookUs);
-      case CUT -> work.broken(life, Progress.MAY_HAVE_RUN, "its run was cut off", tookUs);
-      case UNREACHED -> work.unreached(life, tookUs);
-      case HALTED -> work.halted(life, tookUs);
-      case VOID -> work.moot(life, tookUs);
+      case FAILED -> work.broken(life, Progress.RAN, FailureReason.RUN_FAILED, tookUs);
+      case INTERRUPTED ->
+          work.broken(life, Progress.MAY_HAVE_RUN, FailureReason.RUN_INTERRUPTED, tookUs);
+      case UNREACHABLE -> work.unreached(life, tookUs);
+      case CANCELLED -> work.halted(life, tookUs);
+      case NOT_STARTED -> work.moot(life, tookUs);
     }
   }
 
   /** A run stands still until its call is made or left out. */
   public void wants(String id, long notice, byte[] body) {
-    Life life = work.of(id);
-    if (life == null || life.state != Life.State.RUNNING) {
+    InFlightRequest life = work.of(id);
+    if (life == null || life.state != RequestState.RUNNING) {
       return;
     }
     counters.add("wants");
-    life.state = Life.State.AT_CALL;
+    life.state = RequestState.AT_CALL;
     life.notice = notice;
     life.callBody = body;
     report(new Report.NeedsCall(life.seq));
   }
 
-  /** A call below has ended; the reply comes with {@link Ledger.End#HIT} only. */
-  public void called(String id, Ledger.End end, byte[] reply) {
-    Life life = work.of(id);
-    if (life == null || life.state != Life.State.CALLING) {
+  /** A call below has ended; the reply comes with {@link CallResult#OK} only. */
+  public void called(String id, CallResult end, byte[] reply) {
+    InFlightRequest life = work.of(id);
+    if (life == null || life.state != RequestState.CALLING) {
       return;
     }
-    counters.add("calls." + end.name().toLowerCase(Locale.ROOT));
+    counters.add("calls." + end.counterSuffix());
     long took = clock.getAsLong() - life.calledUs;
-    if (end == Ledger.End.HIT) {
-      life.state = Life.State.RUNNING;
+    if (end == CallResult.OK) {
+      life.state = RequestState.RUNNING;
       life.request.runner().give(id, reply);
     } else {
-      life.state = Life.State.AT_CALL;
+      life.state = RequestState.AT_CALL;
     }
     report(new Report.Called(life.seq, outcome(end), took));
   }
 
-  private static CallOutcome outcome(Ledger.End end) {
+  private static CallOutcome outcome(CallResult end) {
     return switch (end) {
-      case HIT -> CallOutcome.OK;
-      case SHED -> CallOutcome.SHED;
-      case BROKEN -> CallOutcome.FAILED;
-      case SLOW -> CallOutcome.TIMEOUT;
-      case UNREACHED -> CallOutcome.UNREACHED;
-      case CUT -> CallOutcome.CUT;
+      case OK -> CallOutcome.OK;
+      case REJECTED -> CallOutcome.SHED;
+      case FAILED -> CallOutcome.FAILED;
+      case TIMED_OUT -> CallOutcome.TIMEOUT;
+      case UNREACHABLE -> CallOutcome.UNREACHED;
+      case INTERRUPTED -> CallOutcome.CUT;
     };
   }
 
@@ -321,14 +322,14 @@
 
   /** A runner did not carry out an order for a request: its run can't be relied on. */
   public void nacked(String id, boolean start) {
-    Life life = work.of(id);
+    InFlightRequest life = work.of(id);
     counters.add("nacks");
-    if (life == null || !life.ran || life.state == Life.State.HELD) {
+    if (life == null || !life.ran || life.state == RequestState.HELD) {
       return;
     }
     if (start) {
-      ended(id, Runner.End.UNREACHED, null, 0);
-    } else if (life.state == Life.State.RUNNING) {
+      ended(id, RunResult.UNREACHABLE, null, 0);
+    } else if (life.state == RequestState.RUNNING) {
       work.stop(life); // it waits for what will not come
     }
   }
@@ -350,13 +351,13 @@
   }
 
   /** Answers whatever is still owed: the last thing before the end. */
-  public void answerAll(String why) {
-    for (Life life : work.all()) {
+  public void answerAll(FailureReason why) {
+    for (InFlightRequest life : work.all()) {
       work.answer(
           life,
           life.ran
-              ? Work.failed(life.progress(), why, Answer.Cause.TIME)
-              : new Answer.Refused(0, false));
+              ? Work.failed(life.progress(), why, FailureCause.TIME)
+              : new Response.Rejected(0, false));
     }
   }
 
@@ -447,8 +448,8 @@
     }
   }
 
-  private void with(long seq, Consumer<Life> what) {
-    Life life = work.of(seq);
+  private void with(long seq, Consumer<InFlightRequest> what) {
+    InFlightRequest life = work.of(seq);
     if (life != null) { // an order that comes too late is no harm
       what.accept(life);
     }
--- /dev/null
+++ b/src/main/java/rosecleat/core/IdempotencyClaims.java
@@ -0,0 +1,59 @@
+package rosecleat.core;
+
+/**
+ * Claims on idempotency keys among the processes of one node: the process that claims a key first
+ * runs the request, and the others reuse its result. Keys are arbitrary text; all times are
+ * microseconds of the Unix clock. Not thread-safe.
+ */
+public interface IdempotencyClaims {
+  /** Claims for a node's only process: every key belongs to it. */
+  IdempotencyClaims SINGLE_PROCESS = new SingleProcessClaims();
+
+  /** Who has claimed a key. */
+  sealed interface ClaimStatus {}
+
+  /** No process has claimed the key. */
+  record Unclaimed() implements ClaimStatus {}
+
+  /** This process has claimed the key. */
+  record Owned() implements ClaimStatus {}
+
+  /** A peer process has claimed the key until {@code untilUs}, for a body with this digest. */
+  record OwnedByPeer(byte[] digest, long untilUs) implements ClaimStatus {}
+
+  /** The state of a run that a peer process claimed. */
+  sealed interface PeerRun {}
+
+  /** The peer's run has not ended. */
+  record Pending() implements PeerRun {}
+
+  /** The peer's run completed with a result. */
+  record Completed(byte[] result) implements PeerRun {}
+
+  /** The peer's run may have executed, and there will be no result. */
+  record NoResult() implements PeerRun {}
+
+  /** The peer's run never executed: the key is unclaimed again. */
+  record NeverRan() implements PeerRun {}
+
+  /** Returns who has claimed a key. */
+  ClaimStatus status(String key);
+
+  /**
+   * Claims a key for a run, which may start only if this returns {@link Owned}. {@link Unclaimed}
+   * means that no key can be claimed at present.
+   */
+  ClaimStatus claim(String key, byte[] digest, long untilUs);
+
+  /** Publishes the result of the run of a key that this process claimed. */
+  void completed(String key, byte[] result);
+
+  /** Publishes that the run of a key that this process claimed has ended without a result. */
+  void endedWithoutResult(String key);
+
+  /** Releases a key that this process claimed, as its run is proven not to have executed. */
+  void neverRan(String key);
+
+  /** Returns the state of the run of a key that a peer process claimed. */
+  PeerRun peerRun(String key);
+}
--- a/src/main/java/rosecleat/core/KeyTable.java
+++ b/src/main/java/rosecleat/core/IdempotencyTable.java
@@ -15,7 +15,7 @@
  * Results are kept byte for byte, within a bound; where one had to go, later repeats fail rather
  * than run again.
  */
-final class KeyTable {
+final class IdempotencyTable {
   /**
    * What {@link #original} says of a key that another process runs: the number of no request here.
    */
@@ -25,12 +25,12 @@
   static final class Entry {
     private final Key key;
     private final byte[] digest;
-    private Life owner;
+    private InFlightRequest owner;
     private long untilUs;
     private boolean ran;
     private boolean ended;
     private byte[] result;
-    private List<Life> waiting = new ArrayList<>();
+    private List<InFlightRequest> waiting = new ArrayList<>();
 
     private Entry(Key key, byte[] digest) {
       this.key = key;
@@ -72,7 +72,7 @@
   private long held;
 
   /** A table that keeps so many bytes of results. */
-  KeyTable(long resultBytes) {
+  IdempotencyTable(long resultBytes) {
     this.resultBytes = resultBytes;
   }
 
@@ -81,34 +81,34 @@
     lateUs = us;
   }
 
-  private static Key key(Life life) {
+  private static Key key(InFlightRequest life) {
     return new Key(life.request.kind(), life.tenant, life.request.once());
   }
 
   /** The entry that was in force when the request came to the machine, or null. */
-  Entry find(Life life) {
+  Entry find(InFlightRequest life) {
     Entry entry = entries.get(key(life));
     return entry == null || life.request.atUs() > entry.untilUs ? null : entry;
   }
 
   /** The number of the kept try that this one repeats, 0 for new work. */
-  long original(Life life) {
+  long original(InFlightRequest life) {
     Entry entry = find(life);
     if (entry == null) {
       return 0;
     }
     return entry.owner == null
         ? ELSEWHERE
-        : entry.ran || entry.owner.state == Life.State.HELD ? entry.owner.seq : 0;
+        : entry.ran || entry.owner.state == RequestState.HELD ? entry.owner.seq : 0;
   }
 
   /** The key of a request, as other processes know it. */
-  static String name(Life life) {
+  static String name(InFlightRequest life) {
     return key(life).name();
   }
 
   /** Another process runs the request: its tries here wait for that. */
-  Entry elsewhere(Life life, Claims.Others claim) {
+  Entry elsewhere(InFlightRequest life, IdempotencyClaims.OwnedByPeer claim) {
     Entry entry = new Entry(key(life), claim.digest());
     entry.ran = true;
     entry.untilUs = claim.untilUs();
@@ -126,15 +126,15 @@
   }
 
   /** The run of another process has ended. Returns those that waited for it. */
-  List<Life> endedElsewhere(Entry entry, Claims.Outcome outcome) {
-    if (!outcome.ran()) {
+  List<InFlightRequest> endedElsewhere(Entry entry, byte[] result, boolean neverRan) {
+    if (neverRan) {
       entries.remove(entry.key);
     }
-    return ended(entry, outcome.result());
+    return ended(entry, result);
   }
 
   /** Whether a known request with this key carries another body: not a repeat but a mistake. */
-  boolean differs(Life life) {
+  boolean differs(InFlightRequest life) {
     Entry entry = find(life);
     return entry != null && !Arrays.equals(entry.digest, digest(life.request.body()));
   }
@@ -152,7 +152,7 @@
   }
 
   /** Enters a try, or renews its entry; a try whose request ran stays in its place. */
-  void keep(Life life, long untilUs) {
+  void keep(InFlightRequest life, long untilUs) {
     Key key = key(life);
     Entry entry = entries.get(key);
     if (entry == null || life.request.atUs() > entry.untilUs) {
@@ -167,13 +167,13 @@
   }
 
   /** A try is about to run: its entry stays in force until {@code untilUs} at least. */
-  void running(Life life, long untilUs) {
+  void running(InFlightRequest life, long untilUs) {
     keep(life, untilUs);
     entries.get(key(life)).ran = true;
   }
 
   /** Takes out the entry of a try that never ran. */
-  void forget(Life life) {
+  void forget(InFlightRequest life) {
     Entry entry = entries.get(key(life));
     if (entry != null && entry.owner == life && !entry.ran) {
       entries.remove(entry.key);
@@ -183,12 +183,12 @@
   /**
    * The run of a try is over, with its result or without (null). Returns those that waited for it.
    */
-  List<Life> ended(Life life, byte[] result) {
+  List<InFlightRequest> ended(InFlightRequest life, byte[] result) {
     Entry entry = entries.get(key(life));
     return entry == null || entry.owner != life ? List.of() : ended(entry, result);
   }
 
-  private List<Life> ended(Entry entry, byte[] result) {
+  private List<InFlightRequest> ended(Entry entry, byte[] result) {
     entry.ended = true;
     if (result != null) {
       entry.result = result;
@@ -198,7 +198,7 @@
         release(results.remove());
       }
     }
-    List<Life> waited = entry.waiting;
+    List<InFlightRequest> waited = entry.waiting;
     entry.waiting = new ArrayList<>();
     return waited;
   }
@@ -207,7 +207,7 @@
    * The run of a try is proven never to have begun: forgets it, and returns those that waited for
    * it.
    */
-  List<Life> neverRan(Life life) {
+  List<InFlightRequest> neverRan(InFlightRequest life) {
     Entry entry = entries.get(key(life));
     if (entry == null || entry.owner != life) {
       return List.of();
@@ -217,7 +217,7 @@
   }
 
   /** Lets a repeat wait for the end of the run. */
-  void wait(Entry entry, Life life) {
+  void wait(Entry entry, InFlightRequest life) {
     entry.waiting.add(life);
   }
 
--- a/src/main/java/rosecleat/core/Life.java
+++ b/src/main/java/rosecleat/core/InFlightRequest.java
@@ -1,23 +1,7 @@
 package rosecleat.core;
 
 /** One request's life as a state machine with exactly one final answer. Belongs to {@link Core}. */
-final class Life {
-  /** Where the request stands. */
-  enum State {
-    /** Read and waiting. */
-    HELD,
-    /** Waiting for the result of another try. */
-    ATTACHED,
-    /** Handed to its runner. */
-    RUNNING,
-    /** Its run stands still at a call. */
-    AT_CALL,
-    /** The call is out. */
-    CALLING,
-    /** Nothing of it is left here. */
-    OVER
-  }
-
+final class InFlightRequest {
   final long seq;
   final Request request;
 
@@ -26,7 +10,7 @@
 
   final String tenant;
   final long dueUs;
-  State state = State.HELD;
+  RequestState state = RequestState.HELD;
   boolean ran;
   boolean stopping;
 
@@ -39,7 +23,7 @@
   byte[] callBody;
   private boolean owed = true;
 
-  Life(long seq, Request request, Core.RequestClass klass, String tenant, long dueUs) {
+  InFlightRequest(long seq, Request request, Core.RequestClass klass, String tenant, long dueUs) {
     this.seq = seq;
     this.request = request;
     this.klass = klass;
@@ -58,17 +42,17 @@
   }
 
   /** Gives the final answer; false where it was given before, or nobody waits. */
-  boolean answer(Answer answer) {
+  boolean respond(Response response) {
     if (!owed) {
       return false;
     }
     owed = false;
-    request.front().answer(answer);
+    request.front().respond(response);
     return true;
   }
 
   boolean atCall() {
-    return state == State.AT_CALL || state == State.CALLING;
+    return state == RequestState.AT_CALL || state == RequestState.CALLING;
   }
 
   /** How far the attempt has come. */
--- a/src/main/java/rosecleat/core/Numbers.java
+++ b/src/main/java/rosecleat/core/NameIndex.java
@@ -14,7 +14,7 @@
  * number of lists; one that is dropped keeps it while something uses it, and comes back to it. Only
  * then may another name have it, so lists that change for ever do not grow.
  */
-public final class Numbers<T> {
+public final class NameIndex<T> {
   private final List<String> names = new ArrayList<>();
   private final List<T> terms = new ArrayList<>();
   private final Set<Integer> current = new HashSet<>();
--- a/src/main/java/rosecleat/core/Request.java
+++ b/src/main/java/rosecleat/core/Request.java
@@ -38,4 +38,4 @@
     byte[] body,
     Map<String, String> attributes,
     Runner runner,
-    Front front) {}
+    Responder front) {}
--- a/src/main/java/rosecleat/core/Runner.java
+++ b/src/main/java/rosecleat/core/Runner.java
@@ -1,40 +1,25 @@
 package rosecleat.core;
 
 /**
- * What does the work of requests. Its orders return at once; what becomes of them is told to {@link
- * Core}.
+ * Executes requests. All methods return at once; the outcome is reported to {@link Core} later, on
+ * the core's thread.
  */
 public interface Runner {
-  /** How a run ended. */
-  enum End {
-    /** It worked. */
-    OK,
-    /** It ran and failed. */
-    FAILED,
-    /** It may have run; nothing tells what became of it. */
-    CUT,
-    /** It was stopped. */
-    HALTED,
-    /** Nothing was started, as the request is over. */
-    VOID,
-    /** What should run it was not reached: it never ran. */
-    UNREACHED
-  }
-
   /**
-   * Begins the run of a request whose answer is due at a time by the Unix clock in microseconds.
+   * Starts the run of a request whose response is due at a Unix time in microseconds. Its end is
+   * reported to {@link Core#ended}.
    */
   void start(Request request, long dueUs);
 
-  /** Stops a run; its end is told all the same. */
+  /** Cancels a run; its end is still reported. */
   void stop(String id);
 
-  /** Hands a waiting run the reply to its call. */
+  /** Delivers the reply to the downstream call that a paused run waits for. */
   void give(String id, byte[] reply);
 
-  /** Lets a waiting run go on without the call that notice {@code notice} asked for. */
+  /** Resumes a paused run without the downstream call that its notice {@code notice} requested. */
   void omit(String id, long notice);
 
-  /** Asks for the gauges, where this runner has any. */
+  /** Requests the gauges, where this runner has any; they are reported to {@link Core#gauges}. */
   default void askGauges() {}
 }
--- /dev/null
+++ b/src/main/java/rosecleat/core/SingleProcessClaims.java
@@ -0,0 +1,28 @@
+package rosecleat.core;
+
+/** Claims where no peer process exists: each key belongs to this process. */
+final class SingleProcessClaims implements IdempotencyClaims {
+  @Override
+  public ClaimStatus status(String key) {
+    return new Unclaimed();
+  }
+
+  @Override
+  public ClaimStatus claim(String key, byte[] digest, long untilUs) {
+    return new Owned();
+  }
+
+  @Override
+  public void completed(String key, byte[] result) {}
+
+  @Override
+  public void endedWithoutResult(String key) {}
+
+  @Override
+  public void neverRan(String key) {}
+
+  @Override
+  public PeerRun peerRun(String key) {
+    return new NeverRan();
+  }
+}
--- a/src/main/java/rosecleat/core/Work.java
+++ b/src/main/java/rosecleat/core/Work.java
@@ -21,21 +21,21 @@
   private static final long LOST_US = 30_000_000;
 
   private Core.Rules rules;
-  private final Ledger ledger;
+  private final DownstreamClient ledger;
   private final LongSupplier clock;
   private final Counters counters;
   private final Log log;
   private final Consumer<Report> reports;
-  private final Claims claims;
-  private final KeyTable keys;
-  private final Map<Long, Life> lives = new HashMap<>();
-  private final Map<String, Life> byId = new HashMap<>();
+  private final IdempotencyClaims claims;
+  private final IdempotencyTable keys;
+  private final Map<Long, InFlightRequest> lives = new HashMap<>();
+  private final Map<String, InFlightRequest> byId = new HashMap<>();
 
   /** Nothing in hand yet; what happens to requests here is reported to the module. */
   Work(
       Core.Rules rules,
-      Ledger ledger,
-      Claims claims,
+      DownstreamClient ledger,
+      IdempotencyClaims claims,
       LongSupplier clock,
       Counters counters,
       Log log,
@@ -46,7 +46,7 @@
     this.counters = counters;
     this.log = log;
     this.reports = reports;
-    keys = new KeyTable(rules.resultBytes());
+    keys = new IdempotencyTable(rules.resultBytes());
     use(rules);
   }
 
@@ -58,15 +58,15 @@
 
   // ---- what is in hand
 
-  Life of(long seq) {
+  InFlightRequest of(long seq) {
     return lives.get(seq);
   }
 
-  Life of(String id) {
+  InFlightRequest of(String id) {
     return byId.get(id);
   }
 
-  List<Life> all() {
+  List<InFlightRequest> all() {
     return List.copyOf(lives.values());
   }
 
@@ -75,22 +75,23 @@
   }
 
   long running() {
-    return lives.values().stream().filter(life -> life.state == Life.State.RUNNING).count();
+    return lives.values().stream().filter(life -> life.state == RequestState.RUNNING).count();
   }
 
-  /** Takes a request in hand; says what contradicts that, or null. */
-  String take(Life life) {
+  /** Takes a request in hand; returns what contradicts that, or null. */
+  FailureReason take(InFlightRequest life) {
     if (byId.containsKey(life.request.id())) { // two runs under one name could not be told apart
-      return "a request of this id is in hand";
+      return FailureReason.DUPLICATE_REQUEST_ID;
     }
     if (keyed(life)
         && keys.find(life) == null
-        && claims.look(KeyTable.name(life)) instanceof Claims.Others others
+        && claims.status(IdempotencyTable.name(life))
+            instanceof IdempotencyClaims.OwnedByPeer others
         && life.request.atUs() <= others.untilUs()) {
       keys.elsewhere(life, others);
     }
     if (keyed(life) && keys.differs(life)) {
-      return "the key belongs to another body";
+      return FailureReason.IDEMPOTENCY_KEY_CONFLICT;
     }
     lives.put(life.seq, life);
     byId.put(life.request.id(), life);
@@ -98,7 +99,7 @@
   }
 
   /** The number of the kept try that a request repeats, 0 for none. */
-  long original(Life life) {
+  long original(InFlightRequest life) {
     return keyed(life) ? keys.original(life) : 0;
   }
 
@@ -106,7 +107,7 @@
   void expire() {
     long now = clock.getAsLong();
     keys.expire(now);
-    for (Life life : all()) {
+    for (InFlightRequest life : all()) {
       if (!life.owed() && now > life.dueUs + LOST_US) {
         lost(life, now);
       }
@@ -117,11 +118,11 @@
    * Guards against ends that a broken link swallowed: without this the module would count such a
    * run as running for ever, and run fewer and fewer others.
    */
-  private void lost(Life life, long now) {
+  private void lost(InFlightRequest life, long now) {
     counters.add("runs.lost");
     log.warn("a run has not ended long after its answer was due, and is forgotten");
     stop(life);
-    broken(life, Progress.MAY_HAVE_RUN, "its end was lost", now - life.startedUs);
+    broken(life, Progress.MAY_HAVE_RUN, FailureReason.RUN_END_LOST, now - life.startedUs);
   }
 
   // ---- orders
@@ -130,24 +131,28 @@
    * Starts a run; what came after the grace is turned away instead. Guards the drain: the module
    * reckons the grace from when it heard of the notice, and a busy loop hears of it late.
    */
-  void run(Life life, boolean late) {
-    if (life.state != Life.State.HELD || !life.owed()) {
+  void run(InFlightRequest life, boolean late) {
+    if (life.state != RequestState.HELD || !life.owed()) {
       return;
     }
     if (keyed(life)) {
-      KeyTable.Entry known = keys.find(life);
+      IdempotencyTable.Entry known = keys.find(life);
       if (life.ran
           || known != null && keys.original(life) != 0 && keys.original(life) != life.seq) {
         log.warn("a run of a keyed request that may have run was not started");
         answer(
-            life, failed(Progress.MAY_HAVE_RUN, "another try may have run", Answer.Cause.BACKEND));
+            life,
+            failed(
+                Progress.MAY_HAVE_RUN,
+                FailureReason.EARLIER_ATTEMPT_MAY_HAVE_RUN,
+                FailureCause.BACKEND));
         settle(life, RunOutcome.MOOT, 0); // the module takes it for running
         return;
       }
     }
     if (late) {
       counters.add("late.notrun");
-      answer(life, life.ran ? givenUp(life) : new Answer.Refused(0, false));
+      answer(life, life.ran ? givenUp(life) : new Response.Rejected(0, false));
       settle(life, RunOutcome.MOOT, 0);
       return;
     }
@@ -157,7 +162,7 @@
       }
       keys.running(life, keyUntil(life)); // remembered before the runner hears of it
     }
-    life.state = Life.State.RUNNING;
+    life.state = RequestState.RUNNING;
     life.ran = true;
     life.startedUs = clock.getAsLong();
     counters.add("starts");
@@ -168,21 +173,25 @@
    * Guards against a second run in another process of this node: only who claims the key may run
    * it. The module takes what is not run here for running until it hears otherwise.
    */
-  private boolean claimed(Life life) {
-    Claims.Standing standing =
-        claims.claim(KeyTable.name(life), KeyTable.digest(life.request.body()), keyUntil(life));
-    if (standing instanceof Claims.Mine) {
+  private boolean claimed(InFlightRequest life) {
+    IdempotencyClaims.ClaimStatus standing =
+        claims.claim(
+            IdempotencyTable.name(life),
+            IdempotencyTable.digest(life.request.body()),
+            keyUntil(life));
+    if (standing instanceof IdempotencyClaims.Owned) {
       return true;
     }
-    if (standing instanceof Claims.Others others && life.request.atUs() <= others.untilUs()) {
-      KeyTable.Entry entry = keys.elsewhere(life, others);
+    if (standing instanceof IdempotencyClaims.OwnedByPeer others
+        && life.request.atUs() <= others.untilUs()) {
+      IdempotencyTable.Entry entry = keys.elsewhere(life, others);
       if (keys.differs(life)) {
         answer(
             life,
-            failed(Progress.NOT_SENT, "the key belongs to another body", Answer.Cause.CALLER));
+            failed(Progress.NOT_SENT, FailureReason.IDEMPOTENCY_KEY_CONFLICT, FailureCause.CALLER));
       } else {
         life.elsewhere = true;
-        life.state = Life.State.ATTACHED;
+        life.state = RequestState.ATTACHED;
         life.startedUs = clock.getAsLong();
         keys.wait(entry, life);
         return false;
@@ -190,7 +199,7 @@
     } else {
       answer(
           life,
-          new Answer.Refused(
+          new Response.Rejected(
               0, false)); // lapsed elsewhere and not free yet, or no room for more claims
     }
     settle(life, RunOutcome.MOOT, 0);
@@ -199,22 +208,25 @@
 
   /** Asks what became of the runs of other processes that somebody here waits for. */
   void lookElsewhere() {
-    for (KeyTable.Entry entry : keys.elsewhere()) {
+    for (IdempotencyTable.Entry entry : keys.elsewhere()) {
       if (entry.awaited()) {
         lookElsewhere(entry);
       }
     }
   }
 
-  private void lookElsewhere(KeyTable.Entry entry) {
-    Claims.Outcome outcome = claims.outcome(entry.name());
-    if (outcome != null) {
-      counters.add(outcome.result() != null ? "elsewhere.results" : "elsewhere.nothing");
-      keys.endedElsewhere(entry, outcome).forEach(repeat -> reused(repeat, outcome.result()));
+  private void lookElsewhere(IdempotencyTable.Entry entry) {
+    IdempotencyClaims.PeerRun run = claims.peerRun(entry.name());
+    if (!(run instanceof IdempotencyClaims.Pending)) {
+      byte[] result =
+          run instanceof IdempotencyClaims.Completed completed ? completed.result() : null;
+      counters.add(result != null ? "elsewhere.results" : "elsewhere.nothing");
+      keys.endedElsewhere(entry, result, run instanceof IdempotencyClaims.NeverRan)
+          .forEach(repeat -> reused(repeat, result));
     }
   }
 
-  private long keyUntil(Life life) {
+  private long keyUntil(InFlightRequest life) {
     return life.request.atUs() + life.klass.windowUs() + rules.slackUs() + SOCKET_SLACK_US;
   }
 
@@ -222,74 +234,74 @@
    * Only a try that never ran is turned away; one that did has failed, whatever the module calls
    * it.
    */
-  void refuse(Life life, long holdOffUs, boolean last) {
-    finish(life, life.ran ? givenUp(life) : new Answer.Refused(holdOffUs, last));
+  void refuse(InFlightRequest life, long holdOffUs, boolean last) {
+    finish(life, life.ran ? givenUp(life) : new Response.Rejected(holdOffUs, last));
   }
 
-  void fail(Life life) {
+  void fail(InFlightRequest life) {
     finish(life, givenUp(life));
   }
 
-  private static Answer givenUp(Life life) {
-    return failed(life.progress(), "given up", Answer.Cause.TIME);
+  private static Response givenUp(InFlightRequest life) {
+    return failed(life.progress(), FailureReason.ABANDONED, FailureCause.TIME);
   }
 
-  private void finish(Life life, Answer answer) {
+  private void finish(InFlightRequest life, Response answer) {
     answer(life, answer);
     if (life.atCall()) {
       release(life);
-    } else if (life.state != Life.State.RUNNING) {
+    } else if (life.state != RequestState.RUNNING) {
       over(life);
     }
   }
 
   /** Ends a run that stands at a call: the call is given up and the run stopped. */
-  void release(Life life) {
-    if (life.state == Life.State.CALLING) {
+  void release(InFlightRequest life) {
+    if (life.state == RequestState.CALLING) {
       ledger.cancel(life.request.id());
     }
-    life.state = Life.State.RUNNING; // a reply that crosses finds nothing that waits for it
+    life.state = RequestState.RUNNING; // a reply that crosses finds nothing that waits for it
     stop(life);
   }
 
-  void stop(Life life) {
+  void stop(InFlightRequest life) {
     if (life.ran
         && !life.stopping
-        && life.state != Life.State.HELD
-        && life.state != Life.State.OVER) {
+        && life.state != RequestState.HELD
+        && life.state != RequestState.OVER) {
       life.stopping = true;
       counters.add("stops");
       life.request.runner().stop(life.request.id());
     }
   }
 
-  void call(Life life, long untilUs) {
-    if (life.state != Life.State.AT_CALL || !life.owed()) {
+  void call(InFlightRequest life, long untilUs) {
+    if (life.state != RequestState.AT_CALL || !life.owed()) {
       return;
     }
-    life.state = Life.State.CALLING;
+    life.state = RequestState.CALLING;
     life.calledUs = clock.getAsLong();
     counters.add("calls");
     ledger.call(life.request.id(), untilUs, life.callBody);
   }
 
-  void skip(Life life) {
-    if (life.state == Life.State.AT_CALL) {
-      life.state = Life.State.RUNNING;
+  void skip(InFlightRequest life) {
+    if (life.state == RequestState.AT_CALL) {
+      life.state = RequestState.RUNNING;
       counters.add("skips");
       life.request.runner().omit(life.request.id(), life.notice);
     }
   }
 
-  void keep(Life life, long forUs) {
+  void keep(InFlightRequest life, long forUs) {
     if (keyed(life)) {
       keys.keep(life, Math.max(clock.getAsLong() + forUs, keyUntil(life)));
     }
   }
 
-  void reuse(Life life) {
-    KeyTable.Entry entry = keyed(life) ? keys.find(life) : null;
-    life.state = Life.State.ATTACHED;
+  void reuse(InFlightRequest life) {
+    IdempotencyTable.Entry entry = keyed(life) ? keys.find(life) : null;
+    life.state = RequestState.ATTACHED;
     life.startedUs = clock.getAsLong();
     if (entry != null && !entry.ended()) {
       keys.wait(entry, life);
@@ -299,50 +311,50 @@
     }
   }
 
-  void forget(Life life) {
+  void forget(InFlightRequest life) {
     keys.forget(life);
   }
 
   // ---- ends of runs
 
   /** Its run brought a result, for itself and for the repeats that waited. */
-  void done(Life life, byte[] result, long tookUs) {
-    answer(life, new Answer.Served(result));
+  void done(InFlightRequest life, byte[] result, long tookUs) {
+    answer(life, new Response.Completed(result));
     settle(life, RunOutcome.OK, tookUs);
     resolve(life, result);
   }
 
   /** Its runner holds it for over. */
-  void moot(Life life, long tookUs) {
-    answer(life, failed(Progress.SENT, "its runner holds it for over", Answer.Cause.TIME));
+  void moot(InFlightRequest life, long tookUs) {
+    answer(life, failed(Progress.SENT, FailureReason.RUN_NOT_STARTED, FailureCause.TIME));
     settle(life, RunOutcome.MOOT, tookUs);
     resolve(life, null);
   }
 
   /** Its run came to nothing. */
-  void broken(Life life, Progress progress, String why, long tookUs) {
-    answer(life, failed(progress, why, Answer.Cause.BACKEND));
+  void broken(InFlightRequest life, Progress progress, FailureReason reason, long tookUs) {
+    answer(life, failed(progress, reason, FailureCause.BACKEND));
     settle(life, RunOutcome.FAILED, tookUs);
     resolve(life, null);
   }
 
   /** It is proven that nothing ran: a keyed request may come again and run then. */
-  void unreached(Life life, long tookUs) {
-    List<Life> waited = keyed(life) ? keys.neverRan(life) : List.of();
+  void unreached(InFlightRequest life, long tookUs) {
+    List<InFlightRequest> waited = keyed(life) ? keys.neverRan(life) : List.of();
     if (keyed(life)) {
-      claims.neverRan(KeyTable.name(life));
+      claims.neverRan(IdempotencyTable.name(life));
     }
     life.ran = false;
-    answer(life, failed(Progress.NOT_SENT, "its runner was not reached", Answer.Cause.BACKEND));
+    answer(life, failed(Progress.NOT_SENT, FailureReason.RUNNER_UNREACHABLE, FailureCause.BACKEND));
     settle(life, RunOutcome.FAILED, tookUs);
     waited.forEach(repeat -> reused(repeat, null));
   }
 
   /** Its run was stopped. */
-  void halted(Life life, long tookUs) {
+  void halted(InFlightRequest life, long tookUs) {
     life.stopping = false;
     if (life.owed()) { // held again, with nothing to show for its work
-      life.state = Life.State.HELD;
+      life.state = RequestState.HELD;
       reports.accept(new Report.Ended(life.seq, RunOutcome.HALTED, tookUs));
     } else {
       settle(life, RunOutcome.HALTED, tookUs);
@@ -350,30 +362,36 @@
     resolve(life, null);
   }
 
-  private void settle(Life life, RunOutcome outcome, long tookUs) {
+  private void settle(InFlightRequest life, RunOutcome outcome, long tookUs) {
     over(life);
     reports.accept(new Report.Ended(life.seq, outcome, tookUs));
   }
 
   /** Answers the repeats that waited for a run with what it brought. */
-  private void resolve(Life life, byte[] result) {
+  private void resolve(InFlightRequest life, byte[] result) {
     if (keyed(life)) {
-      claims.ended(KeyTable.name(life), result);
+      if (result != null) {
+        claims.completed(IdempotencyTable.name(life), result);
+      } else {
+        claims.endedWithoutResult(IdempotencyTable.name(life));
+      }
       keys.ended(life, result).forEach(repeat -> reused(repeat, result));
     }
   }
 
-  private void reused(Life repeat, byte[] result) {
-    if (repeat.state != Life.State.ATTACHED) {
+  private void reused(InFlightRequest repeat, byte[] result) {
+    if (repeat.state != RequestState.ATTACHED) {
       return; // it was given up on while it waited
     }
     counters.add(result != null ? "reused" : "reused.nothing");
     answer(
         repeat,
         result != null
-            ? new Answer.Served(result)
+            ? new Response.Completed(result)
             : failed(
-                Progress.MAY_HAVE_RUN, "another try ran and has no result", Answer.Cause.BACKEND));
+                Progress.MAY_HAVE_RUN,
+                FailureReason.EARLIER_ATTEMPT_HAS_NO_RESULT,
+                FailureCause.BACKEND));
     settle(
         repeat,
         result != null ? RunOutcome.OK : RunOutcome.FAILED,
@@ -382,30 +400,30 @@
 
   // ---- answers
 
-  private static boolean keyed(Life life) {
+  private static boolean keyed(InFlightRequest life) {
     return life.klass.keyed();
   }
 
-  static Answer.Failed failed(Progress progress, String why, Answer.Cause cause) {
-    return new Answer.Failed(new Fault(progress, why), cause);
+  static Response.Failed failed(Progress progress, FailureReason reason, FailureCause cause) {
+    return new Response.Failed(new Failure(progress, reason), cause);
   }
 
-  void answer(Life life, Answer answer) {
+  void answer(InFlightRequest life, Response answer) {
     if (!life.owed()) {
       return;
     }
-    if (answer instanceof Answer.Served) {
+    if (answer instanceof Response.Completed) {
       counters.add("answers.served");
-    } else if (answer instanceof Answer.Refused) {
+    } else if (answer instanceof Response.Rejected) {
       counters.add("answers.refused");
     } else {
       counters.add("answers.failed");
     }
-    life.answer(answer);
+    life.respond(answer);
   }
 
-  void over(Life life) {
-    life.state = Life.State.OVER;
+  void over(InFlightRequest life) {
+    life.state = RequestState.OVER;
     lives.remove(life.seq);
     byId.remove(life.request.id(), life);
     if (life.elsewhere) { // the module takes it for running, and would do so for ever
--- a/src/main/java/rosecleat/front/resp/Fields.java
+++ b/src/main/java/rosecleat/front/resp/Fields.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import rosecleat.core.Core;
-import rosecleat.core.Front;
 import rosecleat.core.Request;
+import rosecleat.core.Responder;
 import rosecleat.core.Runner;
 import rosecleat.net.TextSyntax;
 
@@ -39,7 +39,7 @@
   }
 
   /** Makes a request of the words of a {@code DO}: class, fields and body, which may be absent. */
-  Outcome read(List<byte[]> words, Front front) {
+  Outcome read(List<byte[]> words, Responder front) {
     if (words.size() < 4 || words.get(2) == null || words.get(3) == null) {
       return wrong("it lacks a class or fields");
     }
@@ -63,7 +63,7 @@
     }
   }
 
-  private Request request(int klass, Map<String, String> fields, byte[] body, Front front) {
+  private Request request(int klass, Map<String, String> fields, byte[] body, Responder front) {
     String id = need(fields, "id");
     valid("id", TextSyntax.isLowerHex(id, 16, 16));
     long at = number("at", need(fields, "at"), 15);
--- a/src/main/java/rosecleat/front/resp/RespFrontend.java
+++ b/src/main/java/rosecleat/front/resp/RespFrontend.java
@@ -10,11 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import rosecleat.core.Answer;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Fault;
-import rosecleat.core.Progress;
+import rosecleat.core.Failure;
+import rosecleat.core.Response;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
@@ -255,7 +254,7 @@
     }
 
     @Override
-    public void closed(Fault fault, boolean atEnd) {
+    public void closed(Failure failure, boolean atEnd) {
       peers.remove(this);
       listener.released(connection);
       for (Core.Handle handle : new ArrayList<>(open.values())) {
@@ -324,7 +323,7 @@
       }
     }
 
-    private void reply(long tag, Answer answer) {
+    private void reply(long tag, Response answer) {
       usedUs = clock.getAsLong();
       connection.write(RespReplies.answer(tag, answer, core.credit()));
     }
@@ -332,11 +331,7 @@
     private void failed(long tag, String why) {
       counters.add("resp.bad");
       log.warn("request " + tag + " of a balancer failed: " + why);
-      connection.write(
-          RespReplies.answer(
-              tag,
-              new Answer.Failed(new Fault(Progress.NOT_SENT, why), Answer.Cause.CALLER),
-              core.credit()));
+      connection.write(RespReplies.answer(tag, Response.invalidRequest(why), core.credit()));
       erred();
     }
 
--- a/src/main/java/rosecleat/front/resp/RespReplies.java
+++ b/src/main/java/rosecleat/front/resp/RespReplies.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import rosecleat.core.Answer;
+import rosecleat.core.Response;
 
 /** Writes answers as RESP arrays of bulk strings. */
 final class RespReplies {
@@ -18,17 +18,18 @@
     return array(tag(tag), bytes(good ? "UP" : "DOWN"), bytes(say(credit)));
   }
 
-  static ByteBuffer answer(long tag, Answer answer, double credit) {
+  static ByteBuffer answer(long tag, Response answer, double credit) {
     String say = say(credit);
-    if (answer instanceof Answer.Served served) {
-      return array(tag(tag), bytes("OK"), bytes(say), served.result());
+    if (answer instanceof Response.Completed completed) {
+      return array(tag(tag), bytes("OK"), bytes(say), completed.result());
     }
-    if (answer instanceof Answer.Refused refused) {
-      String after = refused.holdOffUs() > 0 ? "after=" + (refused.holdOffUs() + 999) / 1000 : "";
+    if (answer instanceof Response.Rejected rejected) {
+      String after =
+          rejected.retryAfterUs() > 0 ? "after=" + (rejected.retryAfterUs() + 999) / 1000 : "";
       return array(
           tag(tag),
           bytes("BUSY"),
-          bytes(join(say, after, refused.last() ? "last=1" : "")),
+          bytes(join(say, after, rejected.last() ? "last=1" : "")),
           NOTHING);
     }
     return array(tag(tag), bytes("FAILED"), bytes(say), NOTHING);
--- a/src/main/java/rosecleat/front/uwsgi/InstanceBalancer.java
+++ b/src/main/java/rosecleat/front/uwsgi/InstanceBalancer.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.Optional;
-import rosecleat.core.Runner;
+import rosecleat.core.RunResult;
 
 /**
  * Chooses the instance of a service that executes a run, at the moment the run starts. All methods
@@ -35,7 +35,7 @@
      * @param durationUs the time from its start to its end, in microseconds
      * @param responseBytes the length of the response's body; -1 where no complete response came
      */
-    void release(Runner.End result, long durationUs, int responseBytes);
+    void release(RunResult result, long durationUs, int responseBytes);
   }
 
   /**
--- a/src/main/java/rosecleat/front/uwsgi/Requests.java
+++ b/src/main/java/rosecleat/front/uwsgi/Requests.java
@@ -13,8 +13,8 @@
 import rosecleat.config.Backend;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.BrokerConfig.Operation;
-import rosecleat.core.Front;
 import rosecleat.core.Request;
+import rosecleat.core.Responder;
 import rosecleat.core.Runner;
 
 /** Turns the vars and the body of a uwsgi request into the core's request, by its contract. */
@@ -51,7 +51,7 @@
     samples.use(fresh.operations());
   }
 
-  Outcome read(UwsgiPacket packet, long nowUs, Front front) {
+  Outcome read(UwsgiPacket packet, long nowUs, Responder front) {
     String method = packet.var("REQUEST_METHOD");
     String uri = packet.var("REQUEST_URI");
     int mark = uri.indexOf('?');
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -8,6 +8,7 @@
 import rosecleat.config.BrokerConfig.Operation;
 import rosecleat.core.Core;
 import rosecleat.core.Request;
+import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.net.EventLoop;
 
@@ -42,7 +43,7 @@
   public void start(Request request, long dueUs) {
     Backend.Sample sample = samples.get(request.attributes().get(UwsgiRunner.OPERATION));
     if (sample == null) { // its operation is no sample any more
-      loop.execute(() -> core.ended(request.id(), End.UNREACHED, null, 0));
+      loop.execute(() -> core.ended(request.id(), RunResult.UNREACHABLE, null, 0));
       return;
     }
     byte[] reply =
@@ -58,7 +59,7 @@
             () -> {
               runs.remove(request.id());
               core.counters().add("sample.runs");
-              core.ended(request.id(), End.OK, reply, sample.tookUs());
+              core.ended(request.id(), RunResult.OK, reply, sample.tookUs());
             }));
   }
 
@@ -67,7 +68,7 @@
     Future<?> run = runs.remove(id);
     if (run != null) {
       run.cancel(false);
-      loop.execute(() -> core.ended(id, End.HALTED, null, 0));
+      loop.execute(() -> core.ended(id, RunResult.CANCELLED, null, 0));
     }
   }
 
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -11,11 +11,11 @@
 import rosecleat.config.Backend;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.BrokerConfig.Operation;
-import rosecleat.core.Answer;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.core.Progress;
+import rosecleat.core.Response;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
@@ -216,12 +216,12 @@
     }
 
     @Override
-    public void closed(Fault fault, boolean atEnd) {
+    public void closed(Failure failure, boolean atEnd) {
       callers.remove(this);
       patience.cancel(false);
       replying -= booked;
       listener.released(connection);
-      if (fault.progress() != Progress.SENT) {
+      if (failure.progress() != Progress.SENT) {
         counters.add("uwsgi.cut"); // with part of its reply still here
       }
       if (handle != null) {
@@ -229,17 +229,17 @@
       }
     }
 
-    private void answer(Answer answer) {
+    private void answer(Response answer) {
       answered = true;
       handle = null;
-      if (answer instanceof Answer.Served served) {
-        serve(served.result());
-      } else if (answer instanceof Answer.Refused refused) {
+      if (answer instanceof Response.Completed completed) {
+        serve(completed.result());
+      } else if (answer instanceof Response.Rejected rejected) {
         if (clock.getAsLong() >= dueUs - NEARLY_DUE_US) {
           reply(HttpReply.words(504, progress(Progress.NOT_SENT), "not begun in time"), PLAIN);
           return;
         }
-        long seconds = Math.max(1, (refused.holdOffUs() + 999_999) / 1_000_000);
+        long seconds = Math.max(1, (rejected.retryAfterUs() + 999_999) / 1_000_000);
         reply(
             HttpReply.words(
                 503,
@@ -247,8 +247,8 @@
                     "Retry-After", Long.toString(seconds), "X-Progress", word(Progress.NOT_SENT)),
                 "turned away"),
             PLAIN);
-      } else if (answer instanceof Answer.Failed failed) {
-        if (failed.fault().progress().neverRan()
+      } else if (answer instanceof Response.Failed failed) {
+        if (failed.failure().progress().neverRan()
             && operation.backend() instanceof Backend.Fleet fleet
             && instances.hasNoAvailableInstance(
                 fleet.service())) { // not a broken backend: there is none
@@ -267,7 +267,8 @@
               case BACKEND -> 502;
             };
         reply(
-            HttpReply.words(status, progress(failed.fault().progress()), failed.fault().why()),
+            HttpReply.words(
+                status, progress(failed.failure().progress()), failed.failure().message()),
             PLAIN);
       }
     }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -10,8 +10,9 @@
 import java.util.function.LongSupplier;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.core.Request;
+import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
@@ -73,7 +74,7 @@
         new Connection.Limits(8 << 10, 64 << 10, HEAD_ROOM + request.body().length, 5_000_000);
     InetSocketAddress at = run.place();
     if (at == null) { // told like any other end, not inside the order
-      loop.execute(() -> run.end(End.UNREACHED, null));
+      loop.execute(() -> run.end(RunResult.UNREACHABLE, null));
       return;
     }
     Connection.dial(loop, at, DIAL_US, limits, run);
@@ -84,7 +85,8 @@
     Run run = runs.get(id);
     if (run != null) {
       loop.execute(
-          () -> run.end(End.HALTED, null)); // told like any other end, not inside the order
+          () ->
+              run.end(RunResult.CANCELLED, null)); // told like any other end, not inside the order
     }
   }
 
@@ -143,12 +145,12 @@
       connection = fresh;
       ByteBuffer packet = new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars(), request.body()).encode();
       if (packet == null) {
-        end(End.UNREACHED, null);
+        end(RunResult.UNREACHABLE, null);
         return;
       }
       fresh.start(this);
       if (!fresh.write(packet)) { // not a byte of it was sent
-        end(End.UNREACHED, null);
+        end(RunResult.UNREACHABLE, null);
         return;
       }
       counters.add("backend.sent");
@@ -168,14 +170,14 @@
 
     /** Nothing was reached, so nothing ran. */
     @Override
-    public void failed(Fault fault) {
-      end(End.UNREACHED, null);
+    public void failed(Failure failure) {
+      end(RunResult.UNREACHABLE, null);
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       if (!parser.take(bytes)) {
-        end(End.FAILED, null);
+        end(RunResult.FAILED, null);
       } else if (parser.whole(false)) {
         finished();
       }
@@ -183,11 +185,11 @@
 
     /** A connection that breaks after the request was sent proves nothing of the run. */
     @Override
-    public void closed(Fault fault, boolean atEnd) {
+    public void closed(Failure failure, boolean atEnd) {
       if (atEnd && parser.whole(true)) {
         finished();
       } else {
-        end(End.CUT, null);
+        end(RunResult.INTERRUPTED, null);
       }
     }
 
@@ -199,14 +201,14 @@
       ServiceReply reply = parser.reply();
       counters.add("backend.status." + reply.status() / 100 + "xx");
       received = reply.body().length;
-      end(End.OK, reply.result());
+      end(RunResult.OK, reply.result());
     }
 
     private void late() {
-      end(connection == null ? End.UNREACHED : End.CUT, null);
+      end(connection == null ? RunResult.UNREACHABLE : RunResult.INTERRUPTED, null);
     }
 
-    private void end(End how, byte[] result) {
+    private void end(RunResult how, byte[] result) {
       if (over) {
         return;
       }
@@ -216,7 +218,7 @@
       if (connection != null) {
         connection.abort("its run is over");
       }
-      counters.add("backend." + how.name().toLowerCase(java.util.Locale.ROOT));
+      counters.add("backend." + how.counterSuffix());
       long tookUs = clock.getAsLong() - startedUs;
       lease.ifPresent(held -> held.release(how, tookUs, received));
       core.ended(request.id(), how, result, tookUs);
--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -7,10 +7,11 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.LongSupplier;
+import rosecleat.core.CallResult;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Fault;
-import rosecleat.core.Ledger;
+import rosecleat.core.DownstreamClient;
+import rosecleat.core.Failure;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
@@ -20,7 +21,7 @@
  * outcome is what is proven: a call that was not sent never ran, one whose reply was spoilt or cut
  * off may have.
  */
-public final class IndexClient implements Ledger, Line.Keeper {
+public final class IndexClient implements DownstreamClient, Line.Keeper {
   private static final long DIAL_US = 1_000_000;
 
   /** So much after its time a call that got no reply is given up here (us). */
@@ -91,7 +92,7 @@
     Call call = new Call(id, untilUs, body);
     calls.put(id, call);
     if (address == null) {
-      loop.execute(() -> over(call, End.UNREACHED, null));
+      loop.execute(() -> over(call, CallResult.UNREACHABLE, null));
       return;
     }
     call.timer = loop.schedule(untilUs + LATE_US - clock.getAsLong(), () -> late(call));
@@ -150,7 +151,7 @@
       boolean sent = call.line != null;
       counters.add(sent ? "index.late" : "index.unsent");
       drop(call);
-      core.called(call.id, sent ? End.SLOW : End.UNREACHED, null);
+      core.called(call.id, sent ? CallResult.TIMED_OUT : CallResult.UNREACHABLE, null);
     }
   }
 
@@ -179,7 +180,7 @@
     }
   }
 
-  private void over(Call call, End end, byte[] reply) {
+  private void over(Call call, CallResult end, byte[] reply) {
     if (calls.remove(call.id, call)) {
       stopTimer(call);
       waiting.remove(call);
@@ -211,9 +212,9 @@
             }
 
             @Override
-            public void failed(Fault fault) {
+            public void failed(Failure failure) {
               dialling--;
-              unreached(to, fault);
+              unreached(to, failure);
             }
           });
     }
@@ -223,10 +224,10 @@
    * A refused connection proves that the call it was opened for never ran; where the index has
    * moved, it is opened there.
    */
-  private void unreached(InetSocketAddress to, Fault fault) {
+  private void unreached(InetSocketAddress to, Failure failure) {
     if (to.equals(address) && !waiting.isEmpty()) {
-      log.warn("the index is not reached: " + fault.why());
-      over(waiting.peek(), End.UNREACHED, null);
+      log.warn("the index is not reached: " + failure.message());
+      over(waiting.peek(), CallResult.UNREACHABLE, null);
     }
     dial();
   }
@@ -250,14 +251,14 @@
   }
 
   @Override
-  public void replied(Line line, Call call, End end, byte[] body) {
+  public void replied(Line line, Call call, CallResult end, byte[] body) {
     counters.add("index.replies");
     free(line);
     over(call, end, body);
   }
 
   @Override
-  public void lost(Line line, Call call, End end, String why) {
+  public void lost(Line line, Call call, CallResult end, String why) {
     lines--;
     idle.remove(line);
     if (call != null) {
--- a/src/main/java/rosecleat/index/Line.java
+++ b/src/main/java/rosecleat/index/Line.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.Set;
-import rosecleat.core.Fault;
-import rosecleat.core.Ledger.End;
+import rosecleat.core.CallResult;
+import rosecleat.core.Failure;
 import rosecleat.net.Connection;
 
 /**
@@ -16,13 +16,13 @@
   /** What becomes of a line; told on the loop. */
   interface Keeper {
     /** The call ended with its reply. The line can take another one, unless it is {@link #over}. */
-    void replied(Line line, Call call, End end, byte[] body);
+    void replied(Line line, Call call, CallResult end, byte[] body);
 
     /**
      * The line is of no more use; its call, null where it had none, came to no reply that can be
      * read.
      */
-    void lost(Line line, Call call, End end, String why);
+    void lost(Line line, Call call, CallResult end, String why);
   }
 
   /** Calls after which a line is given up: so many ids are remembered. */
@@ -118,22 +118,22 @@
         call = null;
         keeper.replied(this, done, reply.end(), reply.body());
       } else if (++strange > MOST_STRANGE) {
-        end(End.BROKEN, "the index sent too much that nobody asked for");
+        end(CallResult.FAILED, "the index sent too much that nobody asked for");
       }
     }
     if (replies.spoilt()) {
       end(
-          End.BROKEN,
+          CallResult.FAILED,
           "the index sent what is no reply"); // the call has run, but what came of it is lost
     }
   }
 
   @Override
-  public void closed(Fault fault, boolean atEnd) {
-    end(End.CUT, fault.why());
+  public void closed(Failure failure, boolean atEnd) {
+    end(CallResult.INTERRUPTED, failure.message());
   }
 
-  private void end(End end, String why) {
+  private void end(CallResult end, String why) {
     if (over) {
       return;
     }
--- a/src/main/java/rosecleat/index/Replies.java
+++ b/src/main/java/rosecleat/index/Replies.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
-import rosecleat.core.Ledger.End;
+import rosecleat.core.CallResult;
 import rosecleat.net.LineBuffer;
 import rosecleat.net.TextSyntax;
 
@@ -11,8 +11,8 @@
  * protocol has it spoils the stream, as nothing behind it can be relied on.
  */
 final class Replies {
-  /** One whole reply; the body comes with {@link End#HIT} only. */
-  record Reply(String id, End end, byte[] body) {}
+  /** One whole reply; the body comes with {@link CallResult#OK} only. */
+  record Reply(String id, CallResult end, byte[] body) {}
 
   /** A body that no honest index sends: results have 4 KiB at the most. */
   static final int LONGEST_BODY = 64 << 10;
@@ -55,7 +55,7 @@
       return null;
     }
     spoilt = body[length] != '\r' || body[length + 1] != '\n';
-    Reply reply = spoilt ? null : new Reply(id, End.HIT, Arrays.copyOf(body, length));
+    Reply reply = spoilt ? null : new Reply(id, CallResult.OK, Arrays.copyOf(body, length));
     length = -1;
     return reply;
   }
@@ -67,14 +67,14 @@
   private Reply head(String[] words) {
     id = words[0];
     boolean hit = words.length == 3 && words[1].equals("HIT");
-    End end =
+    CallResult end =
         words.length != 2
             ? null
             : switch (words[1]) {
-              case "SHED" -> End.SHED;
-              case "NOBODY" -> End.UNREACHED;
-              case "BROKEN" -> End.BROKEN;
-              case "SLOW" -> End.SLOW;
+              case "SHED" -> CallResult.REJECTED;
+              case "NOBODY" -> CallResult.UNREACHABLE;
+              case "BROKEN" -> CallResult.FAILED;
+              case "SLOW" -> CallResult.TIMED_OUT;
               default -> null;
             };
     if (hit) {
--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -8,7 +8,8 @@
 import java.nio.channels.CompletionHandler;
 import java.util.ArrayDeque;
 import java.util.concurrent.Future;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
+import rosecleat.core.FailureReason;
 import rosecleat.core.Progress;
 
 /**
@@ -73,7 +74,7 @@
      * The connection has ended; comes once. {@code atEnd} is true where the peer closed it in
      * order.
      */
-    void closed(Fault fault, boolean atEnd);
+    void closed(Failure failure, boolean atEnd);
   }
 
   /** The bounds of a connection, in bytes and microseconds. */
@@ -135,7 +136,7 @@
     void connected(Connection connection);
 
     /** It does not; nothing was sent. */
-    void failed(Fault fault);
+    void failed(Failure failure);
   }
 
   /**
@@ -150,7 +151,9 @@
       channel = AsynchronousSocketChannel.open(loop.group());
     } catch (IOException | RuntimeException e) { // no descriptor left, or the group is closing
       loop.execute(
-          () -> outcome.failed(new Fault(Progress.NOT_SENT, "no socket: " + e.getMessage())));
+          () ->
+              outcome.failed(
+                  new Failure(Progress.NOT_SENT, FailureReason.NO_SOCKET, e.getMessage())));
       return;
     }
     new Dial(loop, channel, outcome).begin(to, timeoutUs, limits);
@@ -196,7 +199,7 @@
         over = true;
         timer.cancel(false);
         closeQuietly(channel);
-        outcome.failed(new Fault(Progress.NOT_SENT, "not connected: " + why));
+        outcome.failed(new Failure(Progress.NOT_SENT, FailureReason.CONNECT_FAILED, why));
       }
     }
   }
@@ -262,7 +265,9 @@
       return false;
     }
     if (queued + bytes.remaining() > limits.queueBytes()) {
-      end(new Fault(Progress.NOT_SENT, "the peer does not read: " + queued + " bytes wait"), false);
+      end(
+          new Failure(Progress.NOT_SENT, FailureReason.WRITE_QUEUE_FULL, queued + " bytes wait"),
+          false);
       return false;
     }
     queued += bytes.remaining();
@@ -294,15 +299,20 @@
     try {
       channel.shutdownOutput();
     } catch (IOException | RuntimeException e) {
-      end(new Fault(Progress.SENT, "closed here"), false);
+      end(new Failure(Progress.SENT, FailureReason.CLOSED_LOCALLY), false);
       return;
     }
-    linger = loop.schedule(LINGER_US, () -> end(new Fault(Progress.SENT, "closed here"), false));
+    linger =
+        loop.schedule(
+            LINGER_US, () -> end(new Failure(Progress.SENT, FailureReason.CLOSED_LOCALLY), false));
   }
 
   /** Closes at once: bytes that were not read or written are lost. */
   public void abort(String why) {
-    end(new Fault(queue.isEmpty() ? Progress.SENT : Progress.NOT_SENT, why), false);
+    end(
+        new Failure(
+            queue.isEmpty() ? Progress.SENT : Progress.NOT_SENT, FailureReason.ABORTED, why),
+        false);
   }
 
   private void read() {
@@ -325,11 +335,14 @@
             @Override
             public void failed(Throwable e, Void none) {
               loop.execute(
-                  () -> end(new Fault(Progress.SENT, "read failed: " + e.getMessage()), false));
+                  () ->
+                      end(
+                          new Failure(Progress.SENT, FailureReason.READ_FAILED, e.getMessage()),
+                          false));
             }
           });
     } catch (RuntimeException e) { // the channel was closed meanwhile
-      end(new Fault(Progress.SENT, "read failed: " + e), false);
+      end(new Failure(Progress.SENT, FailureReason.READ_FAILED, e.toString()), false);
     }
   }
 
@@ -340,7 +353,7 @@
     }
     touchedNs = System.nanoTime();
     if (count < 0) {
-      end(new Fault(Progress.SENT, "the peer closed"), true);
+      end(new Failure(Progress.SENT, FailureReason.CLOSED_BY_PEER), true);
       return;
     }
     input.flip();
@@ -351,8 +364,10 @@
     } catch (RuntimeException e) { // exceptions stop at the connection
       StackTraceElement[] trace = e.getStackTrace();
       end(
-          new Fault(
-              Progress.SENT, "failed here: " + e + (trace.length == 0 ? "" : " at " + trace[0])),
+          new Failure(
+              Progress.SENT,
+              FailureReason.OWNER_FAILED,
+              e + (trace.length == 0 ? "" : " at " + trace[0])),
           false);
     }
     arrived = false; // and not before: its owner may close in the middle of what came
@@ -380,9 +395,12 @@
               loop,
               this::wrote,
               e ->
-                  end(new Fault(Progress.MAY_HAVE_RUN, "write failed: " + e.getMessage()), false)));
+                  end(
+                      new Failure(
+                          Progress.MAY_HAVE_RUN, FailureReason.WRITE_FAILED, e.getMessage()),
+                      false)));
     } catch (RuntimeException e) {
-      end(new Fault(Progress.MAY_HAVE_RUN, "write failed: " + e), false);
+      end(new Failure(Progress.MAY_HAVE_RUN, FailureReason.WRITE_FAILED, e.toString()), false);
     }
   }
 
@@ -393,7 +411,7 @@
       return;
     }
     if (written == before) {
-      end(new Fault(Progress.NOT_SENT, "the peer takes nothing"), false);
+      end(new Failure(Progress.NOT_SENT, FailureReason.WRITE_TIMED_OUT), false);
     } else {
       long now = written;
       stall = loop.schedule(limits.stallUs(), () -> stalled(now));
@@ -424,7 +442,7 @@
     tellEnd();
   }
 
-  private void end(Fault fault, boolean atEnd) {
+  private void end(Failure failure, boolean atEnd) {
     if (state == State.CLOSED) {
       return;
     }
@@ -439,7 +457,7 @@
     }
     closeQuietly(channel);
     if (owner != null) {
-      loop.execute(() -> owner.closed(fault, atEnd)); // never inside the owner's own call
+      loop.execute(() -> owner.closed(failure, atEnd)); // never inside the owner's own call
     }
   }
 
--- a/src/main/java/rosecleat/node/GracefulShutdown.java
+++ b/src/main/java/rosecleat/node/GracefulShutdown.java
@@ -2,6 +2,7 @@
 
 import java.util.function.LongSupplier;
 import rosecleat.core.Core;
+import rosecleat.core.FailureReason;
 
 /** How a node leaves, step by step with its beat, until nothing is left to do or the time is up. */
 abstract class GracefulShutdown {
@@ -36,7 +37,7 @@
     long now = clock.getAsLong();
     boolean done = step(now > endUs - 2 * LAST_US);
     if (now > endUs - LAST_US) {
-      core.answerAll("the node is stopped");
+      core.answerAll(FailureReason.NODE_STOPPED);
       fronts.closeAll(); // told the end in order, while there is time for it to be heard
     }
     return done || now > endUs - EARLY_US;
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -10,7 +10,7 @@
 import rosecleat.config.SettingsReader;
 import rosecleat.config.Standalone;
 import rosecleat.core.Core;
-import rosecleat.core.Numbers;
+import rosecleat.core.NameIndex;
 import rosecleat.core.Runner;
 import rosecleat.front.resp.RequestCatalog;
 import rosecleat.policy.Decisions;
@@ -30,8 +30,8 @@
   /** A class under its name; {@code own} where balancers may name it, else a contract made it. */
   private record Term(String name, boolean own, PolicyApi.Klass grade) {}
 
-  private final Numbers<Term> classes = new Numbers<>();
-  private final Numbers<PolicyApi.Tenant> tenants = new Numbers<>();
+  private final NameIndex<Term> classes = new NameIndex<>();
+  private final NameIndex<PolicyApi.Tenant> tenants = new NameIndex<>();
   private ProcessConfig setup;
   private SettingsReader.Start start;
   private List<String> classKeys;
--- a/src/main/java/rosecleat/node/InstancePools.java
+++ b/src/main/java/rosecleat/node/InstancePools.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import rosecleat.core.Runner;
+import rosecleat.core.RunResult;
 import rosecleat.front.uwsgi.InstanceBalancer;
 import rosecleat.pool.Pool;
 import rosecleat.routes.Instance;
@@ -82,7 +82,7 @@
           }
 
           @Override
-          public void release(Runner.End result, long durationUs, int responseBytes) {
+          public void release(RunResult result, long durationUs, int responseBytes) {
             pool.give(place, 1);
           }
         });
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -2,10 +2,12 @@
 
 import java.util.ArrayDeque;
 import rosecleat.config.NodeConfig;
+import rosecleat.core.CallResult;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Ledger;
+import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
+import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.front.resp.RespWarmup;
 import rosecleat.log.Log;
@@ -51,8 +53,8 @@
         }
       };
 
-  private final Ledger ledger =
-      new Ledger() {
+  private final DownstreamClient ledger =
+      new DownstreamClient() {
         @Override
         public void call(String id, long untilUs, byte[] body) {
           calls.add(id);
@@ -101,9 +103,9 @@
         core.wants(request.id(), 1, notices.notice("wants", request.id(), request.body()));
       }
       while (!calls.isEmpty()) {
-        core.called(calls.remove(), Ledger.End.HIT, REPLY);
+        core.called(calls.remove(), CallResult.OK, REPLY);
       }
-      core.ended(request.id(), Runner.End.OK, notices.notice("end", request.id(), REPLY), 20_000);
+      core.ended(request.id(), RunResult.OK, notices.notice("end", request.id(), REPLY), 20_000);
     }
   }
 }
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import rosecleat.config.NodeConfig;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
@@ -99,8 +99,8 @@
           }
 
           @Override
-          public void failed(Fault fault) {
-            log.warn(fault.why());
+          public void failed(Failure failure) {
+            log.warn(failure.message());
           }
         });
   }
@@ -162,6 +162,6 @@
     }
 
     @Override
-    public void closed(Fault fault, boolean atEnd) {}
+    public void closed(Failure failure, boolean atEnd) {}
   }
 }
--- a/src/main/java/rosecleat/registry/RosterClient.java
+++ b/src/main/java/rosecleat/registry/RosterClient.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 import java.util.concurrent.Future;
 import rosecleat.core.Counters;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
 import rosecleat.net.EventLoop;
@@ -142,7 +142,7 @@
           }
 
           @Override
-          public void failed(Fault fault) {
+          public void failed(Failure failure) {
             dialling = false;
             counters.add("roster.failed");
             if (!to.equals(address)) {
@@ -190,7 +190,7 @@
           }
 
           @Override
-          public void closed(Fault fault, boolean atEnd) {
+          public void closed(Failure failure, boolean atEnd) {
             if (connection == fresh) {
               connection = null;
               if (waiting) {
--- a/src/main/java/rosecleat/runtime/NoRuntime.java
+++ b/src/main/java/rosecleat/runtime/NoRuntime.java
@@ -2,6 +2,7 @@
 
 import rosecleat.core.Core;
 import rosecleat.core.Request;
+import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.net.EventLoop;
 
@@ -18,7 +19,7 @@
 
   @Override
   public void start(Request request, long dueUs) {
-    loop.execute(() -> core.ended(request.id(), End.UNREACHED, null, 0));
+    loop.execute(() -> core.ended(request.id(), RunResult.UNREACHABLE, null, 0));
   }
 
   @Override
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeLink.java
@@ -13,8 +13,9 @@
 import java.util.function.LongSupplier;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.core.Request;
+import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
@@ -118,7 +119,7 @@
           }
 
           @Override
-          public void failed(Fault fault) {
+          public void failed(Failure failure) {
             dialling = false;
             counters.add("runtime.unreached");
             loop.schedule(to.equals(address) ? RETRY_US : 0, RuntimeLink.this::connect);
@@ -179,11 +180,11 @@
           }
 
           @Override
-          public void closed(Fault fault, boolean atEnd) {
+          public void closed(Failure failure, boolean atEnd) {
             if (link != connection) {
               return;
             }
-            log.warn("the link to the runtime ended: " + fault.why());
+            log.warn("the link to the runtime ended: " + failure.message());
             boolean stood = ready;
             link = null;
             ready = false;
@@ -225,7 +226,7 @@
           () ->
               core.ended(
                   request.id(),
-                  End.UNREACHED,
+                  RunResult.UNREACHABLE,
                   null,
                   0)); // told like any other end, not inside the order
     }
@@ -340,7 +341,7 @@
         byte[] result = data(message);
         core.ended(
             job,
-            result == null ? End.CUT : end(message.text("state")),
+            result == null ? RunResult.INTERRUPTED : end(message.text("state")),
             result,
             message.micros("took"));
       }
@@ -405,7 +406,10 @@
           } else {
             counters.add("runtime.unproven");
             core.ended(
-                id, End.CUT, null, 0); // answered now: nothing more will prove whether it runs
+                id,
+                RunResult.INTERRUPTED,
+                null,
+                0); // answered now: nothing more will prove whether it runs
           }
         });
   }
@@ -423,12 +427,12 @@
     }
   }
 
-  private static End end(String state) {
+  private static RunResult end(String state) {
     return switch (state) {
-      case "ok" -> End.OK;
-      case "halted" -> End.HALTED;
-      case "void" -> End.VOID;
-      default -> End.FAILED;
+      case "ok" -> RunResult.OK;
+      case "halted" -> RunResult.CANCELLED;
+      case "void" -> RunResult.NOT_STARTED;
+      default -> RunResult.FAILED;
     };
   }
 
--- a/src/main/java/rosecleat/takeover/SymlinkClaims.java
+++ b/src/main/java/rosecleat/takeover/SymlinkClaims.java
@@ -14,8 +14,8 @@
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.Map;
-import rosecleat.core.Claims;
 import rosecleat.core.Counters;
+import rosecleat.core.IdempotencyClaims;
 import rosecleat.log.Log;
 import rosecleat.net.TextSyntax;
 
@@ -25,7 +25,7 @@
  * process alone, and takes no page of memory. A result is a file beside it that is there whole or
  * not at all. Both go when no try can ask for them any more.
  */
-final class SymlinkClaims implements Claims {
+final class SymlinkClaims implements IdempotencyClaims {
   /**
    * Claims of this process at a time: files count as memory. Beyond that no keyed request is begun.
    */
@@ -92,21 +92,23 @@
   }
 
   @Override
-  public Standing look(String key) {
-    return standing(read(file(key)));
+  public ClaimStatus status(String key) {
+    return statusOf(read(file(key)));
   }
 
-  private Standing standing(Claim claim) {
+  private ClaimStatus statusOf(Claim claim) {
     return claim == null
-        ? new Free()
-        : claim.owner == marks.number() ? new Mine() : new Others(claim.digest, claim.untilUs);
+        ? new Unclaimed()
+        : claim.owner == marks.number()
+            ? new Owned()
+            : new OwnedByPeer(claim.digest, claim.untilUs);
   }
 
   @Override
-  public Standing claim(String key, byte[] digest, long untilUs) {
+  public ClaimStatus claim(String key, byte[] digest, long untilUs) {
     if (mine.size() >= MOST_CLAIMS) {
       counters.add("claims.full");
-      return new Free();
+      return new Unclaimed();
     }
     String file = file(key);
     Path target = Path.of(marks.number() + ":" + untilUs + ":" + HEX.formatHex(digest));
@@ -120,35 +122,41 @@
       }
     } catch (FileAlreadyExistsException e) {
       Claim claim = read(file);
-      return claim == null ? new Free() : standing(claim);
+      return claim == null ? new Unclaimed() : statusOf(claim);
     } catch (IOException e) {
       counters.add("claims.failed");
       log.warn("a key could not be claimed: " + e);
-      return new Free();
+      return new Unclaimed();
     }
     mine.put(file, untilUs);
     kept.add(new Kept(file, untilUs));
     counters.add("claims");
-    return new Mine();
+    return new Owned();
   }
 
   @Override
-  public void ended(String key, byte[] result) {
+  public void completed(String key, byte[] result) {
     String file = file(key);
     if (mine.containsKey(file)) {
-      write(file, result == null ? new byte[0] : framed(result));
-      if (result != null) {
-        results.add(file);
-        if (results.size() > MOST_RESULTS) {
-          String oldest = results.remove();
-          if (mine.containsKey(oldest)) {
-            write(oldest, new byte[0]);
-          }
+      write(file, framed(result));
+      results.add(file);
+      if (results.size() > MOST_RESULTS) {
+        String oldest = results.remove();
+        if (mine.containsKey(oldest)) {
+          write(oldest, new byte[0]);
         }
       }
     }
   }
 
+  @Override
+  public void endedWithoutResult(String key) {
+    String file = file(key);
+    if (mine.containsKey(file)) {
+      write(file, new byte[0]);
+    }
+  }
+
   /** A result behind a sign, so that an empty result and none differ. */
   private static byte[] framed(byte[] result) {
     byte[] framed = new byte[result.length + 1];
@@ -176,19 +184,20 @@
   }
 
   @Override
-  public Outcome outcome(String key) {
+  public PeerRun peerRun(String key) {
     String file = file(key);
     try {
       byte[] bytes = Files.readAllBytes(folder.resolve(file + RESULT));
-      return new Outcome(
-          true, bytes.length == 0 ? null : Arrays.copyOfRange(bytes, 1, bytes.length));
+      return bytes.length == 0
+          ? new NoResult()
+          : new Completed(Arrays.copyOfRange(bytes, 1, bytes.length));
     } catch (IOException e) {
       Claim claim = read(file);
       return claim == null
-          ? new Outcome(false, null)
+          ? new NeverRan()
           : marks.lives(claim.owner) || Files.exists(folder.resolve(file + RESULT))
-              ? null
-              : new Outcome(true, null);
+              ? new Pending()
+              : new NoResult();
     }
   }
 
--- a/src/main/java/rosecleat/takeover/TakeoverCoordinator.java
+++ b/src/main/java/rosecleat/takeover/TakeoverCoordinator.java
@@ -4,8 +4,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import rosecleat.core.Claims;
 import rosecleat.core.Counters;
+import rosecleat.core.IdempotencyClaims;
 import rosecleat.log.Log;
 
 /**
@@ -185,8 +185,8 @@
   }
 
   /** The keys that this process and others run. */
-  public Claims claims() {
-    return claims == null ? Claims.ALONE : claims;
+  public IdempotencyClaims claims() {
+    return claims == null ? IdempotencyClaims.SINGLE_PROCESS : claims;
   }
 
   @Override
--- a/src/test/java/rosecleat/core/CoreTest.java
+++ b/src/test/java/rosecleat/core/CoreTest.java
@@ -23,28 +23,28 @@
   private static final long WINDOW_US = 4_000_000;
 
   /** One try as its front sees it. */
-  private static final class Try implements Front {
-    final List<Answer> answers = new ArrayList<>();
+  private static final class Try implements Responder {
+    final List<Response> answers = new ArrayList<>();
     final List<Long> times = new ArrayList<>();
     Core.Handle handle;
     String id;
 
     @Override
-    public void answer(Answer answer) {
-      answers.add(answer);
+    public void respond(Response response) {
+      answers.add(response);
     }
 
-    Answer only() {
+    Response only() {
       assertEquals(1, answers.size(), "answers: " + answers);
       return answers.get(0);
     }
 
     byte[] served() {
-      return assertInstanceOf(Answer.Served.class, only()).result();
+      return assertInstanceOf(Response.Completed.class, only()).result();
     }
 
     Progress failed() {
-      return assertInstanceOf(Answer.Failed.class, only()).fault().progress();
+      return assertInstanceOf(Response.Failed.class, only()).failure().progress();
     }
   }
 
@@ -77,8 +77,8 @@
         }
       };
 
-  private final Ledger ledger =
-      new Ledger() {
+  private final DownstreamClient ledger =
+      new DownstreamClient() {
         @Override
         public void call(String id, long untilUs, byte[] body) {
           orders.add("call " + id);
@@ -157,7 +157,7 @@
     return send(2, once, "load " + once);
   }
 
-  private void end(Try one, Runner.End how, String result) {
+  private void end(Try one, RunResult how, String result) {
     core.ended(one.id, how, result == null ? null : result.getBytes(), 10_000);
   }
 
@@ -176,7 +176,7 @@
     Try first = load("a");
     Try second = load("a");
     assertEquals(1, starts());
-    end(first, Runner.End.OK, "done");
+    end(first, RunResult.OK, "done");
     Try third = load("a");
     assertArrayEquals("done".getBytes(), first.served());
     assertArrayEquals("done".getBytes(), second.served());
@@ -189,7 +189,7 @@
     Try first = send(2, "k", "Aa");
     Try held = send(2, "k", "BB"); // of one hash code
     assertEquals(Progress.NOT_SENT, held.failed());
-    end(first, Runner.End.OK, "done");
+    end(first, RunResult.OK, "done");
     assertEquals(Progress.NOT_SENT, send(2, "k", "BB").failed());
     assertArrayEquals("done".getBytes(), send(2, "k", "Aa").served());
     assertEquals(1, starts());
@@ -199,7 +199,7 @@
   void aRunThatFailedIsNotRunAgain() {
     Try first = load("a");
     Try second = load("a");
-    end(first, Runner.End.FAILED, null);
+    end(first, RunResult.FAILED, null);
     assertEquals(Progress.RAN, first.failed());
     assertEquals(Progress.MAY_HAVE_RUN, second.failed());
     assertEquals(Progress.MAY_HAVE_RUN, load("a").failed());
@@ -211,7 +211,7 @@
     Try first = load("a");
     first.handle.gone();
     Try second = load("a");
-    end(first, Runner.End.OK, "done");
+    end(first, RunResult.OK, "done");
     assertTrue(first.answers.isEmpty());
     assertArrayEquals("done".getBytes(), second.served());
     assertEquals(List.of("start id1"), orders);
@@ -220,7 +220,7 @@
   @Test
   void theWindowCountsFromTheArrivalOfTheTryThatRan() {
     Try first = load("a");
-    end(first, Runner.End.OK, "done");
+    end(first, RunResult.OK, "done");
     pass(WINDOW_US - 100_000);
     assertArrayEquals("done".getBytes(), load("a").served());
     assertEquals(1, starts());
@@ -231,7 +231,7 @@
 
   @Test
   void aTryReadLateCountsByItsArrival() {
-    end(load("a"), Runner.End.OK, "done");
+    end(load("a"), RunResult.OK, "done");
     long arrived = now + WINDOW_US;
     pass(WINDOW_US + 600_000); // the entry has lapsed by the clock, but not when this try came
     Try late = new Try();
@@ -260,8 +260,8 @@
   @Test
   void aResultThatHadToGoFailsItsRepeatsRatherThanRunAgain() {
     start(10);
-    end(load("a"), Runner.End.OK, "12345678");
-    end(load("b"), Runner.End.OK, "12345678");
+    end(load("a"), RunResult.OK, "12345678");
+    end(load("b"), RunResult.OK, "12345678");
     assertEquals(Progress.MAY_HAVE_RUN, load("a").failed());
     assertArrayEquals("12345678".getBytes(), load("b").served());
     assertEquals(2, starts());
@@ -270,10 +270,10 @@
   @Test
   void aRunnerThatWasNotReachedLeavesTheKeyFree() {
     Try first = load("a");
-    end(first, Runner.End.UNREACHED, null);
+    end(first, RunResult.UNREACHABLE, null);
     assertEquals(Progress.NOT_SENT, first.failed());
     Try second = load("a");
-    end(second, Runner.End.OK, "done");
+    end(second, RunResult.OK, "done");
     assertArrayEquals("done".getBytes(), second.served());
   }
 
@@ -293,7 +293,7 @@
         orders.toString());
     assertTrue(now <= 1_800_000_000_000_000L + 1_200_000 + 130_000, "late");
     pass(1_500_000);
-    assertInstanceOf(Answer.Refused.class, held.only()); // it never ran
+    assertInstanceOf(Response.Rejected.class, held.only()); // it never ran
   }
 
   @Test
@@ -303,8 +303,8 @@
     assertEquals("call id1", orders.get(1));
     one.handle.gone();
     assertEquals(List.of("cancel id1", "stop id1"), orders.subList(2, 4));
-    core.called(one.id, Ledger.End.HIT, "late".getBytes()); // crosses: nothing comes of it
-    end(one, Runner.End.HALTED, null);
+    core.called(one.id, CallResult.OK, "late".getBytes()); // crosses: nothing comes of it
+    end(one, RunResult.CANCELLED, null);
     assertEquals(0, core.inHand());
     assertEquals(4, orders.size());
     assertTrue(one.answers.isEmpty());
@@ -318,7 +318,7 @@
     assertTrue(!core.good());
     core.begin(null, false, 0);
     assertTrue(!core.good());
-    assertInstanceOf(Answer.Refused.class, send(0, null, "x").only());
+    assertInstanceOf(Response.Rejected.class, send(0, null, "x").only());
     assertEquals(0, starts());
   }
 
@@ -333,7 +333,7 @@
     assertEquals(Progress.MAY_HAVE_RUN, second.failed());
     assertEquals(0, core.inHand());
     Try third = send(0, null, "x"); // the cores are free again
-    end(third, Runner.End.OK, "done");
+    end(third, RunResult.OK, "done");
     assertArrayEquals("done".getBytes(), third.served());
   }
 
@@ -342,7 +342,7 @@
     Try first = send(0, null, "x");
     ids--;
     assertEquals(Progress.NOT_SENT, send(0, null, "x").failed());
-    end(first, Runner.End.OK, "done");
+    end(first, RunResult.OK, "done");
     assertArrayEquals("done".getBytes(), first.served());
   }
 
@@ -350,10 +350,10 @@
   void afterTheGraceNothingIsRunAndAtTheEndAllIsAnswered() {
     Try running = send(0, null, "x");
     core.drain(now, 3_000_000);
-    end(running, Runner.End.OK, "done");
+    end(running, RunResult.OK, "done");
     assertArrayEquals("done".getBytes(), running.served());
     pass(1_600_000);
-    assertInstanceOf(Answer.Refused.class, send(0, null, "late").only());
+    assertInstanceOf(Response.Rejected.class, send(0, null, "late").only());
     assertEquals(1, starts());
   }
 
@@ -371,8 +371,8 @@
     Try late = send(0, null, "b");
     Try keyed = send(2, "k", "c");
     assertEquals(List.of("start " + within.id), orders);
-    assertInstanceOf(Answer.Refused.class, late.only());
-    assertInstanceOf(Answer.Refused.class, keyed.only());
+    assertInstanceOf(Response.Rejected.class, late.only());
+    assertInstanceOf(Response.Rejected.class, keyed.only());
     assertEquals(2, core.counters().get("late.notrun"));
   }
 }
--- a/src/test/java/rosecleat/core/NumbersTest.java
+++ b/src/test/java/rosecleat/core/NameIndexTest.java
@@ -17,12 +17,12 @@
  * The numbers of names over many lists, against a model: what a number in use stands for must not
  * change.
  */
-class NumbersTest {
+class NameIndexTest {
   @Property(tries = 300, seed = "20261202")
   void aNumberInUseKeepsItsNameAndListsDoNotGrow(
       @ForAll @Size(min = 1, max = 30) List<@Size(max = 4) Set<@IntRange(max = 40) Integer>> lists,
       @ForAll @Size(min = 30, max = 30) List<Boolean> holds) {
-    Numbers<String> numbers = new Numbers<>();
+    NameIndex<String> numbers = new NameIndex<>();
     Map<Integer, String> used = new HashMap<>(); // number to the name its user came with
     int most = 0;
     for (int round = 0; round < lists.size(); round++) {
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -14,8 +14,9 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Ledger;
+import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
+import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.fakes.RespClient;
 import rosecleat.fakes.TestSite;
@@ -26,8 +27,8 @@
 
 /** How long the front waits for what a connection owes it, on a clock of the test's own. */
 class PatienceTest {
-  private static final Ledger NONE =
-      new Ledger() {
+  private static final DownstreamClient NONE =
+      new DownstreamClient() {
         @Override
         public void call(String id, long untilUs, byte[] body) {}
 
@@ -107,7 +108,7 @@
         on(
             loop,
             () -> {
-              core.ended("00000000000000b1", Runner.End.OK, new byte[] {'r'}, 1);
+              core.ended("00000000000000b1", RunResult.OK, new byte[] {'r'}, 1);
               return 0;
             });
         assertEquals("r", owed.answer().get(3));
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -25,8 +25,9 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Ledger;
+import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
+import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.fakes.RespClient;
 import rosecleat.fakes.TestSite;
@@ -68,7 +69,7 @@
     public void omit(String id, long notice) {}
   }
 
-  private static final class NoLedger implements Ledger {
+  private static final class NoDownstream implements DownstreamClient {
     @Override
     public void call(String id, long untilUs, byte[] body) {}
 
@@ -110,7 +111,7 @@
                   30_000_000,
                   1 << 20),
               new Decisions(config.start().settings(), config.start().gauges(), 5),
-              new NoLedger(),
+              new NoDownstream(),
               clock,
               new Counters(),
               log);
@@ -156,19 +157,19 @@
     switch (step) {
       case 0, 1, 2 -> ask(model);
       case 3, 4 -> {
-        on(() -> end(id, Runner.End.OK, "result of " + id));
+        on(() -> end(id, RunResult.OK, "result of " + id));
         model.open.remove(some);
         model.expected.add(some + " OK result of " + id);
       }
       case 5 -> {
-        on(() -> end(id, random.nextBoolean() ? Runner.End.FAILED : Runner.End.CUT, null));
+        on(() -> end(id, random.nextBoolean() ? RunResult.FAILED : RunResult.INTERRUPTED, null));
         model.open.remove(some);
         model.expected.add(some + " FAILED ");
       }
       case 6 -> { // withdrawn: its run is stopped, and no end of it is answered
         client.send(RespClient.array("UNDO", some));
         assertEquals("stop " + id, next());
-        on(() -> end(id, random.nextBoolean() ? Runner.End.HALTED : Runner.End.OK, "too late"));
+        on(() -> end(id, random.nextBoolean() ? RunResult.CANCELLED : RunResult.OK, "too late"));
         model.open.remove(some);
       }
       case 7 -> client.send(RespClient.array("UNDO", model.lastTag + 1_000));
@@ -205,7 +206,7 @@
     }
   }
 
-  private Object end(String id, Runner.End how, String result) {
+  private Object end(String id, RunResult how, String result) {
     core.ended(id, how, result == null ? null : result.getBytes(StandardCharsets.UTF_8), 1_000);
     return null;
   }
@@ -253,12 +254,12 @@
         }
         for (String id : model.open.values()) {
           assertTrue(stops.contains("stop " + id), id + " runs on");
-          on(() -> end(id, Runner.End.HALTED, null));
+          on(() -> end(id, RunResult.CANCELLED, null));
         }
       }
       for (long tag : client.isClosed() ? List.<Long>of() : List.copyOf(model.open.keySet())) {
         String id = model.open.get(tag);
-        on(() -> end(id, Runner.End.OK, "result of " + id));
+        on(() -> end(id, RunResult.OK, "result of " + id));
         assertEquals(List.of(Long.toString(tag), "OK", "result of " + id), answered(client.read()));
       }
       if (!client.isClosed()) {
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -9,7 +9,7 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Ledger;
+import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
 import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.TestSite;
@@ -21,8 +21,8 @@
 
 /** What the client makes of a request that its connection's queue would not have held. */
 class UwsgiRunnerTest {
-  private static final Ledger NONE =
-      new Ledger() {
+  private static final DownstreamClient NONE =
+      new DownstreamClient() {
         @Override
         public void call(String id, long untilUs, byte[] body) {}
 
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.core.Progress;
 import rosecleat.log.Log;
 
@@ -29,7 +29,7 @@
   private LoopGate gate;
   private Listener listener;
   private final CompletableFuture<Connection> taken = new CompletableFuture<>();
-  private final CompletableFuture<Fault> ended = new CompletableFuture<>();
+  private final CompletableFuture<Failure> ended = new CompletableFuture<>();
   private boolean owes;
 
   /**
@@ -64,9 +64,9 @@
     }
 
     @Override
-    public void closed(Fault fault, boolean atEnd) {
+    public void closed(Failure failure, boolean atEnd) {
       listener.released(connection);
-      ended.complete(fault);
+      ended.complete(failure);
     }
   }
 
@@ -229,15 +229,15 @@
                     public void received(ByteBuffer bytes) {}
 
                     @Override
-                    public void closed(Fault fault, boolean atEnd) {}
+                    public void closed(Failure failure, boolean atEnd) {}
                   });
               outcome.complete(
                   "connected, and can be written to: " + connection.write(ByteBuffer.allocate(1)));
             }
 
             @Override
-            public void failed(Fault fault) {
-              outcome.complete("failed, never ran: " + fault.progress().neverRan());
+            public void failed(Failure failure) {
+              outcome.complete("failed, never ran: " + failure.progress().neverRan());
             }
           });
       server.accept();
--- a/src/test/java/rosecleat/net/ListenerTest.java
+++ b/src/test/java/rosecleat/net/ListenerTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import rosecleat.core.Fault;
+import rosecleat.core.Failure;
 import rosecleat.log.Log;
 
 /** What a listener does when all its places are taken. */
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void closed(Fault fault, boolean atEnd) {
+    public void closed(Failure failure, boolean atEnd) {
       listener.released(connection);
     }
   }
--- a/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
@@ -17,7 +17,7 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
-import rosecleat.core.Ledger;
+import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
 import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.TestSite;
@@ -30,8 +30,8 @@
  * Commands that cross the end of their link, and of the one after it, on a clock of the test's own.
  */
 class RuntimeLinkTest {
-  private static final Ledger NONE =
-      new Ledger() {
+  private static final DownstreamClient NONE =
+      new DownstreamClient() {
         @Override
         public void call(String id, long untilUs, byte[] body) {}
 
--- a/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
+++ b/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -14,8 +13,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.core.Claims;
 import rosecleat.core.Counters;
+import rosecleat.core.IdempotencyClaims;
 import rosecleat.log.Log;
 
 /** Claims of two processes in one folder. */
@@ -47,21 +46,23 @@
 
   @Test
   void oneClaimsAndTheOtherGetsTheResultByteForByte() {
-    assertInstanceOf(Claims.Mine.class, a.claim("k", BODY, 10));
-    Claims.Others others = assertInstanceOf(Claims.Others.class, b.claim("k", BODY, 20));
+    assertInstanceOf(IdempotencyClaims.Owned.class, a.claim("k", BODY, 10));
+    IdempotencyClaims.OwnedByPeer others =
+        assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.claim("k", BODY, 20));
     assertArrayEquals(BODY, others.digest());
     assertEquals(10, others.untilUs());
-    assertInstanceOf(Claims.Mine.class, a.look("k"));
-    assertNull(b.outcome("k"));
-    a.ended("k", new byte[0]); // an empty result is one
-    assertArrayEquals(new byte[0], b.outcome("k").result());
+    assertInstanceOf(IdempotencyClaims.Owned.class, a.status("k"));
+    assertEquals(new IdempotencyClaims.Pending(), b.peerRun("k"));
+    a.completed("k", new byte[0]); // an empty result is one
+    assertArrayEquals(
+        new byte[0], assertInstanceOf(IdempotencyClaims.Completed.class, b.peerRun("k")).result());
     a.claim("k2", BODY, 10);
-    a.ended("k2", null);
-    assertEquals(new Claims.Outcome(true, null), b.outcome("k2"));
+    a.endedWithoutResult("k2");
+    assertEquals(new IdempotencyClaims.NoResult(), b.peerRun("k2"));
     a.claim("k3", BODY, 10);
     a.neverRan("k3");
-    assertEquals(new Claims.Outcome(false, null), b.outcome("k3"));
-    assertInstanceOf(Claims.Mine.class, b.claim("k3", BODY, 10));
+    assertEquals(new IdempotencyClaims.NeverRan(), b.peerRun("k3"));
+    assertInstanceOf(IdempotencyClaims.Owned.class, b.claim("k3", BODY, 10));
   }
 
   /**
@@ -72,8 +73,8 @@
   void aDeadOwnersRunStaysItsOwnAndHasNoResult() throws IOException {
     a.claim("k", BODY, 10);
     first.close();
-    assertEquals(new Claims.Outcome(true, null), b.outcome("k"));
-    assertInstanceOf(Claims.Others.class, b.claim("k", BODY, 20));
+    assertEquals(new IdempotencyClaims.NoResult(), b.peerRun("k"));
+    assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.claim("k", BODY, 20));
   }
 
   /**
@@ -84,18 +85,19 @@
     a.keepLate(5);
     b.keepLate(5);
     a.claim("old", BODY, 10);
-    a.ended("old", new byte[] {7});
+    a.completed("old", new byte[] {7});
     a.claim("anew", BODY, 10);
     a.claim("anew", BODY, 30); // the next window of one key
     a.claim("dead", BODY, 10);
     a.expire(16, true);
-    assertInstanceOf(Claims.Free.class, b.look("old"));
-    assertEquals(30, assertInstanceOf(Claims.Others.class, b.look("anew")).untilUs());
+    assertInstanceOf(IdempotencyClaims.Unclaimed.class, b.status("old"));
+    assertEquals(
+        30, assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.status("anew")).untilUs());
     first.close();
     b.expire(34, false); // an older process may live: not this one's to delete
-    assertInstanceOf(Claims.Others.class, b.look("anew"));
+    assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.status("anew"));
     b.expire(36, true);
-    assertInstanceOf(Claims.Free.class, b.look("anew"));
+    assertInstanceOf(IdempotencyClaims.Unclaimed.class, b.status("anew"));
     try (Stream<Path> files = Files.list(folder.resolve("keys"))) {
       assertEquals(0, files.count());
     }
@@ -105,17 +107,18 @@
   void claimsAreBoundedAndQuick() {
     long start = System.nanoTime();
     for (int i = 0; i < 8_192; i++) {
-      assertInstanceOf(Claims.Mine.class, a.claim("k" + i, BODY, i));
+      assertInstanceOf(IdempotencyClaims.Owned.class, a.claim("k" + i, BODY, i));
       if (i % 4 == 0) {
-        a.ended("k" + i, BODY);
+        a.completed("k" + i, BODY);
       }
     }
-    assertInstanceOf(Claims.Free.class, a.claim("more", BODY, 10));
-    assertArrayEquals(BODY, b.outcome("k4").result());
-    assertNull(b.outcome("k5"), "its run goes on");
+    assertInstanceOf(IdempotencyClaims.Unclaimed.class, a.claim("more", BODY, 10));
+    assertArrayEquals(
+        BODY, assertInstanceOf(IdempotencyClaims.Completed.class, b.peerRun("k4")).result());
+    assertEquals(new IdempotencyClaims.Pending(), b.peerRun("k5"), "its run goes on");
     assertTrue(System.nanoTime() - start < 8_192 * 1_000_000L, "a claim takes over a millisecond");
     a.expire(10_000_000, true);
-    assertInstanceOf(Claims.Mine.class, a.claim("more", BODY, 10));
+    assertInstanceOf(IdempotencyClaims.Owned.class, a.claim("more", BODY, 10));
   }
 
   @Test
--- a/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
+++ b/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,8 +25,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.core.Claims;
 import rosecleat.core.Counters;
+import rosecleat.core.IdempotencyClaims;
 import rosecleat.log.Log;
 
 /**
@@ -84,8 +83,8 @@
           new ResourceAmounts(9.5, 3_392, 200),
           third.grant(limits, ResourceAmounts.NONE, List.of(0.0), false));
       readClaims(third.claims());
-      assertNull(third.claims().outcome("running"));
-      assertNull(third.claims().outcome("of-the-second"));
+      assertEquals(new IdempotencyClaims.Pending(), third.claims().peerRun("running"));
+      assertEquals(new IdempotencyClaims.Pending(), third.claims().peerRun("of-the-second"));
       assertTrue(one.isOpen() && two.isOpen());
     }
   }
@@ -116,7 +115,7 @@
     try (TakeoverCoordinator third = process()) {
       assertFalse(third.predecessorLives());
       readClaims(third.claims());
-      assertEquals(new Claims.Outcome(true, null), third.claims().outcome("running"));
+      assertEquals(new IdempotencyClaims.NoResult(), third.claims().peerRun("running"));
       third.look(UNTIL_US - 1);
       assertEquals(Set.of("drained", "keys", "process-3"), names(shared.resolve("rosecleat")));
       readClaims(third.claims());
@@ -162,40 +161,45 @@
     second.look(1_000_000);
     second.grant(LIMITS, new ResourceAmounts(1, 512, 3), List.of(1.0, 0.0), false);
     first.drain(true);
-    Claims claims = first.claims();
+    IdempotencyClaims claims = first.claims();
     claims.claim("served", digest(), UNTIL_US);
-    claims.ended("served", "result".getBytes(StandardCharsets.US_ASCII));
+    claims.completed("served", "result".getBytes(StandardCharsets.US_ASCII));
     claims.claim("served-empty", digest(), UNTIL_US + 1);
-    claims.ended("served-empty", new byte[0]);
+    claims.completed("served-empty", new byte[0]);
     claims.claim("failed", digest(), UNTIL_US + 2);
-    claims.ended("failed", null);
+    claims.endedWithoutResult("failed");
     claims.claim("running", digest(), UNTIL_US + 3);
     claims.claim("never-ran", digest(), UNTIL_US + 4);
     claims.neverRan("never-ran");
     claims.claim("next-window", digest(), UNTIL_US + 5);
-    claims.ended("next-window", "old".getBytes(StandardCharsets.US_ASCII));
+    claims.completed("next-window", "old".getBytes(StandardCharsets.US_ASCII));
     claims.claim("next-window", new byte[] {1, 2, 3}, UNTIL_US + 4_000_005);
     second.claims().claim("of-the-second", digest(), UNTIL_US + 6);
   }
 
   /** Reads all claims of the earlier version that do not depend on whether their owners live. */
-  private static void readClaims(Claims claims) {
+  private static void readClaims(IdempotencyClaims claims) {
     readClaim(claims, "served", digest(), UNTIL_US);
     readClaim(claims, "served-empty", digest(), UNTIL_US + 1);
     readClaim(claims, "failed", digest(), UNTIL_US + 2);
     readClaim(claims, "running", digest(), UNTIL_US + 3);
     readClaim(claims, "next-window", new byte[] {1, 2, 3}, UNTIL_US + 4_000_005);
     readClaim(claims, "of-the-second", digest(), UNTIL_US + 6);
-    assertInstanceOf(Claims.Free.class, claims.look("never-ran"));
+    assertInstanceOf(IdempotencyClaims.Unclaimed.class, claims.status("never-ran"));
     assertArrayEquals(
-        "result".getBytes(StandardCharsets.US_ASCII), claims.outcome("served").result());
-    assertArrayEquals(new byte[0], claims.outcome("served-empty").result());
-    assertEquals(new Claims.Outcome(true, null), claims.outcome("failed"));
-    assertEquals(new Claims.Outcome(false, null), claims.outcome("never-ran"));
+        "result".getBytes(StandardCharsets.US_ASCII),
+        assertInstanceOf(IdempotencyClaims.Completed.class, claims.peerRun("served")).result());
+    assertArrayEquals(
+        new byte[0],
+        assertInstanceOf(IdempotencyClaims.Completed.class, claims.peerRun("served-empty"))
+            .result());
+    assertEquals(new IdempotencyClaims.NoResult(), claims.peerRun("failed"));
+    assertEquals(new IdempotencyClaims.NeverRan(), claims.peerRun("never-ran"));
   }
 
-  private static void readClaim(Claims claims, String key, byte[] digest, long untilUs) {
-    Claims.Others others = assertInstanceOf(Claims.Others.class, claims.look(key), key);
+  private static void readClaim(IdempotencyClaims claims, String key, byte[] digest, long untilUs) {
+    IdempotencyClaims.OwnedByPeer others =
+        assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, claims.status(key), key);
     assertArrayEquals(digest, others.digest(), key);
     assertEquals(untilUs, others.untilUs(), key);
   }
