--- a/src/main/java/rosecleat/config/BrokerConfig.java
+++ b/src/main/java/rosecleat/config/BrokerConfig.java
@@ -11,8 +11,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rosecleat.policy.PolicyApi;
-import rosecleat.policy.PolicyApi.Effect;
+import rosecleat.policy.Idempotency;
+import rosecleat.policy.PriorityClass;
+import rosecleat.policy.TenantQuota;
 
 /**
  * The second front's file: where uwsgi listens, what is described, and each service's contract and
@@ -151,9 +152,9 @@
     private final Path folder;
     private final JsonNode root;
     private final SettingsReader.Start start;
-    private final List<PolicyApi.Klass> classes;
+    private final List<PriorityClass> classes;
     private final List<String> classNames;
-    private final List<PolicyApi.Tenant> tenants;
+    private final List<TenantQuota> tenants;
     private final List<String> tenantNames;
     private final Map<String, Descriptions.Described> described = new HashMap<>();
     private FleetConfig fleet;
@@ -221,7 +222,7 @@
           vars,
           List.copyOf(operations),
           new SettingsReader.Start(
-              start.settings().with(List.copyOf(classes), List.copyOf(tenants)),
+              start.settings().withClassesAndTenants(List.copyOf(classes), List.copyOf(tenants)),
               start.gauges(),
               List.copyOf(classNames),
               List.copyOf(tenantNames)),
@@ -312,9 +313,9 @@
           one.contentType(),
           kind,
           klass,
-          classes.get(klass).effect() == Effect.KEYED,
-          classes.get(klass).windowUs(),
-          classes.get(klass).dueUs(),
+          classes.get(klass).idempotency() == Idempotency.KEYED,
+          classes.get(klass).retryWindowUs(),
+          classes.get(klass).deadlineUs(),
           kb,
           rank,
           backend,
@@ -355,31 +356,33 @@
         throw new ConfigException(
             "operation " + id + " has a class the runtime does not know: " + kind);
       }
-      PolicyApi.Klass base = known < 0 ? null : classes.get(known);
-      Effect effect = effect(id, c.path("effect").asText(""), base);
-      long aim = span(id, c, "aim_ms", base == null ? 0 : base.aimUs());
-      long due = span(id, c, "deadline_ms", base == null ? 0 : base.dueUs());
+      PriorityClass base = known < 0 ? null : classes.get(known);
+      Idempotency effect = effect(id, c.path("effect").asText(""), base);
+      long aim = span(id, c, "aim_ms", base == null ? 0 : base.latencyObjectiveUs());
+      long due = span(id, c, "deadline_ms", base == null ? 0 : base.deadlineUs());
       long window =
-          effect == Effect.KEYED ? span(id, c, "window_ms", base == null ? 0 : base.windowUs()) : 0;
+          effect == Idempotency.KEYED
+              ? span(id, c, "window_ms", base == null ? 0 : base.retryWindowUs())
+              : 0;
       if (aim > due) {
         throw new ConfigException("operation " + id + " has an aim behind its deadline");
       }
-      PolicyApi.Klass klass =
+      PriorityClass klass =
           base == null
-              ? new PolicyApi.Klass(
+              ? new PriorityClass(
                   c.path("worth").asDouble(1), 0, aim, 0, due, effect, window, false, 0)
-              : new PolicyApi.Klass(
-                  base.worth(),
-                  base.lateWorth(),
+              : new PriorityClass(
+                  base.priorityWeight(),
+                  base.lateWeight(),
                   aim,
-                  base.aimStretch(),
+                  base.objectiveRunTimeFactor(),
                   due,
                   effect,
-                  base.effect() == Effect.KEYED
-                      ? Math.max(window, base.windowUs())
-                      : base.windowUs(),
-                  base.calls(),
-                  base.worthWithoutCall());
+                  base.idempotency() == Idempotency.KEYED
+                      ? Math.max(window, base.retryWindowUs())
+                      : base.retryWindowUs(),
+                  base.callsDownstream(),
+                  base.weightWithoutCall());
       for (int i = 0; i < classes.size(); i++) {
         if (classNames.get(i).equals(kind) && classes.get(i).equals(klass)) {
           return i;
@@ -390,20 +393,20 @@
       return classes.size() - 1;
     }
 
-    private static Effect effect(String id, String word, PolicyApi.Klass base) {
-      Effect effect =
+    private static Idempotency effect(String id, String word, PriorityClass base) {
+      Idempotency effect =
           switch (word) {
-            case "pure" -> Effect.SAFE;
-            case "token" -> Effect.KEYED;
-            case "side_effect" -> Effect.UNSAFE;
-            case "" -> base == null ? null : base.effect();
+            case "pure" -> Idempotency.SAFE;
+            case "token" -> Idempotency.KEYED;
+            case "side_effect" -> Idempotency.UNSAFE;
+            case "" -> base == null ? null : base.idempotency();
             default -> null;
           };
       if (effect == null) {
         throw new ConfigException(
             "operation " + id + " has no known effect (pure, token or side_effect)");
       }
-      if (base != null && base.effect() != effect) {
+      if (base != null && base.idempotency() != effect) {
         throw new ConfigException("operation " + id + " has another effect than its class");
       }
       return effect;
@@ -432,7 +435,7 @@
         }
         return known;
       }
-      tenants.add(new PolicyApi.Tenant(quota));
+      tenants.add(new TenantQuota(quota));
       tenantNames.add(name);
       return tenants.size() - 1;
     }
--- a/src/main/java/rosecleat/config/SettingsReader.java
+++ b/src/main/java/rosecleat/config/SettingsReader.java
@@ -6,33 +6,42 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import rosecleat.policy.PolicyApi;
-import rosecleat.policy.PolicyApi.Below;
-import rosecleat.policy.PolicyApi.Effect;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Say;
+import rosecleat.policy.CancelMode;
+import rosecleat.policy.DownstreamMode;
+import rosecleat.policy.Idempotency;
+import rosecleat.policy.LoadAdviceMode;
+import rosecleat.policy.PolicySettings;
+import rosecleat.policy.PriorityClass;
+import rosecleat.policy.TenantQuota;
 
 /**
  * Turns the settings text of a start into the module's settings. Keys it does not know are skipped.
  */
 public final class SettingsReader {
-  private static final Map<String, Effect> EFFECTS =
-      Map.of("pure", Effect.SAFE, "token", Effect.KEYED, "side_effect", Effect.UNSAFE);
-  private static final Map<String, Halt> HALTS =
-      Map.of("off", Halt.OFF, "drop", Halt.DROP, "pause", Halt.PAUSE);
-  private static final Map<String, Say> SAYS =
-      Map.of("off", Say.OFF, "level", Say.LEVEL, "credit", Say.CREDIT, "weight", Say.WEIGHT);
-  private static final Map<String, Below> BELOWS =
-      Map.of("off", Below.OFF, "shared", Below.SHARED, "tier", Below.TIER);
+  private static final Map<String, Idempotency> EFFECTS =
+      Map.of(
+          "pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
+  private static final Map<String, CancelMode> HALTS =
+      Map.of("off", CancelMode.OFF, "drop", CancelMode.DROP, "pause", CancelMode.PAUSE);
+  private static final Map<String, LoadAdviceMode> SAYS =
+      Map.of(
+          "off",
+          LoadAdviceMode.OFF,
+          "level",
+          LoadAdviceMode.LEVEL,
+          "credit",
+          LoadAdviceMode.CREDIT,
+          "weight",
+          LoadAdviceMode.WEIGHT);
+  private static final Map<String, DownstreamMode> BELOWS =
+      Map.of(
+          "off", DownstreamMode.OFF, "shared", DownstreamMode.SHARED, "tier", DownstreamMode.TIER);
 
   private final ObjectMapper mapper = new ObjectMapper();
 
   /** The settings, and the names of the gauges, classes and tenants in the order they come. */
   public record Start(
-      PolicyApi.Settings settings,
-      List<String> gauges,
-      List<String> classes,
-      List<String> tenants) {}
+      PolicySettings settings, List<String> gauges, List<String> classes, List<String> tenants) {}
 
   /**
    * Reads the settings text; what is missing or unknown is a {@link ConfigException} of one line.
@@ -50,12 +59,12 @@
     JsonNode extra = root.path("extra");
     JsonNode rules = root.path("rules");
     JsonNode bounds = root.path("bounds");
-    List<PolicyApi.Klass> classes = new ArrayList<>();
+    List<PriorityClass> classes = new ArrayList<>();
     JsonNode grades = root.path("grades");
     for (int i = 0; i < grades.size(); i++) {
       JsonNode g = grades.get(i);
       classes.add(
-          new PolicyApi.Klass(
+          new PriorityClass(
               need(g, "credit").asDouble(),
               g.path("late-worth").asDouble(),
               need(g, "promise-us").asLong(),
@@ -69,16 +78,16 @@
     if (classes.isEmpty()) {
       throw new ConfigException("settings lack grades");
     }
-    List<PolicyApi.Tenant> tenants = new ArrayList<>();
+    List<TenantQuota> tenants = new ArrayList<>();
     for (JsonNode p : root.path("parties")) {
-      tenants.add(new PolicyApi.Tenant(p.path("quota-per-s").asDouble()));
+      tenants.add(new TenantQuota(p.path("quota-per-s").asDouble()));
     }
     List<String> gauges = new ArrayList<>();
     for (JsonNode g : extra.path("gauges")) {
       gauges.add(g.asText());
     }
-    PolicyApi.Settings settings =
-        new PolicyApi.Settings(
+    PolicySettings settings =
+        new PolicySettings(
             need(extra, "cpus").asInt(),
             root.path("servers").asInt(),
             extra.path("clients-total").asInt(),
--- a/src/main/java/rosecleat/config/Standalone.java
+++ b/src/main/java/rosecleat/config/Standalone.java
@@ -5,10 +5,10 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import rosecleat.policy.PolicyApi.Below;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Say;
-import rosecleat.policy.PolicyApi.Settings;
+import rosecleat.policy.CancelMode;
+import rosecleat.policy.DownstreamMode;
+import rosecleat.policy.LoadAdviceMode;
+import rosecleat.policy.PolicySettings;
 
 /**
  * The configuration of a broker that no platform starts: all of it stands in the broker's own file.
@@ -40,8 +40,8 @@
         NodeConfig.address(root.path("operators").path("listen").asText(""), "operators.listen");
     int cores = limits.path("cores").asInt(CORES * Math.max(1, root.path("services").size()));
     double heldKb = limits.path("memory_mb").asLong(MEMORY_MB) * HELD_PART;
-    Settings settings =
-        new Settings(
+    PolicySettings settings =
+        new PolicySettings(
             cores,
             1,
             0,
@@ -60,15 +60,15 @@
             true,
             false,
             0.2,
-            Halt.DROP,
-            Say.OFF,
+            CancelMode.DROP,
+            LoadAdviceMode.OFF,
             0,
             1_000_000,
             false,
             false,
             30_000_000,
             0,
-            Below.OFF,
+            DownstreamMode.OFF,
             0,
             0,
             0,
@@ -89,47 +89,6 @@
         JsonNodeFactory.instance.objectNode());
   }
 
-  /**
-   * The same where so many requests are worked on at once: the places of the instances in force,
-   * not cores of ours.
-   */
-  public static Settings with(Settings s, int cores) {
-    return new Settings(
-        cores,
-        s.servers(),
-        s.callers(),
-        s.cold(),
-        s.coldShare(),
-        s.warmUs(),
-        s.memoryKb(),
-        s.runFactor(),
-        s.keyKb(),
-        s.fallMultiple(),
-        s.fallSpanUs(),
-        s.graceUs(),
-        s.slackUs(),
-        s.passesDeadline(),
-        s.tellsGone(),
-        s.marksRetry(),
-        s.worthByWork(),
-        s.overShareWorth(),
-        s.halt(),
-        s.say(),
-        s.heededUs(),
-        s.maxHoldOffUs(),
-        s.readiness(),
-        s.deepChecks(),
-        s.idleUs(),
-        s.shareReadsUs(),
-        s.below(),
-        s.callsOut(),
-        s.callsSpanUs(),
-        s.callLingerUs(),
-        s.roundUs(),
-        s.classes(),
-        s.tenants());
-  }
-
   /** Differs between processes, and is the same whenever one starts. */
   private static long seed(String name) {
     long seed = 1_125_899_906_842_597L;
--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -4,10 +4,10 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import rosecleat.log.Log;
-import rosecleat.policy.Decisions;
-import rosecleat.policy.Decisions.CallOutcome;
-import rosecleat.policy.Decisions.Order;
-import rosecleat.policy.Decisions.Report;
+import rosecleat.policy.CallOutcome;
+import rosecleat.policy.PolicyCommand;
+import rosecleat.policy.PolicyEngine;
+import rosecleat.policy.PolicyEvent;
 
 /**
  * The life of every request, whatever wire it came by: it is held, run, called for and answered as
@@ -39,7 +39,7 @@
   private static final double RECKON_US = 500_000;
 
   private volatile Rules rules;
-  private final Decisions decisions;
+  private final PolicyEngine decisions;
   private final DownstreamClient ledger;
   private final LongSupplier clock;
   private final Counters counters;
@@ -61,7 +61,7 @@
   /** A core that holds nothing yet, in the only process of its node. */
   public Core(
       Rules rules,
-      Decisions decisions,
+      PolicyEngine decisions,
       DownstreamClient ledger,
       LongSupplier clock,
       Counters counters,
@@ -72,7 +72,7 @@
   /** A core that holds nothing yet, beside other processes of its node. */
   public Core(
       Rules rules,
-      Decisions decisions,
+      PolicyEngine decisions,
       DownstreamClient ledger,
       IdempotencyClaims claims,
       LongSupplier clock,
@@ -92,7 +92,7 @@
 
   /** Whether the cores are up. */
   public boolean ready() {
-    return decisions.begun();
+    return decisions.started();
   }
 
   /** What health checks are told: bad where the module or an operator says so. */
@@ -183,9 +183,9 @@
    */
   public void begin(Runner runner, boolean cold, long tookUs) {
     gauged = runner;
-    if (!decisions.begun()
+    if (!decisions.started()
         && !draining) { // told to leave before the cores were up, it takes up nothing
-      decisions.begin(clock.getAsLong() - Math.max(0, tookUs), cold);
+      decisions.start(clock.getAsLong() - Math.max(0, tookUs), cold);
       obey();
     }
   }
@@ -198,7 +198,7 @@
     long waitUs = request.waitUs() > 0 ? request.waitUs() : klass.dueUs();
     InFlightRequest life =
         new InFlightRequest(++lastSeq, request, klass, tenant(request), request.atUs() + waitUs);
-    if (!decisions.begun()) {
+    if (!decisions.started()) {
       work.answer(life, new Response.Rejected(0, false));
       return () -> {};
     }
@@ -209,7 +209,7 @@
     }
     long leftUs = Math.max(1, life.dueUs - now);
     report(
-        new Report.Arrived(
+        new PolicyEvent.Arrived(
             life.seq,
             request.klass(),
             request.tenant(),
@@ -245,7 +245,7 @@
       work.release(life);
     }
     boolean waited = life.state == RequestState.HELD || life.state == RequestState.ATTACHED;
-    report(new Report.Gone(life.seq));
+    report(new PolicyEvent.Cancelled(life.seq));
     if (waited) {
       work.over(life);
     }
@@ -282,7 +282,7 @@
     life.state = RequestState.AT_CALL;
     life.notice = notice;
     life.callBody = body;
-    report(new Report.NeedsCall(life.seq));
+    report(new PolicyEvent.NeedsCall(life.seq));
   }
 
   /** A call below has ended; the reply comes with {@link CallResult#OK} only. */
@@ -299,24 +299,24 @@
     } else {
       life.state = RequestState.AT_CALL;
     }
-    report(new Report.Called(life.seq, outcome(end), took));
+    report(new PolicyEvent.Called(life.seq, outcome(end), took));
   }
 
   private static CallOutcome outcome(CallResult end) {
     return switch (end) {
       case OK -> CallOutcome.OK;
-      case REJECTED -> CallOutcome.SHED;
+      case REJECTED -> CallOutcome.REJECTED;
       case FAILED -> CallOutcome.FAILED;
       case TIMED_OUT -> CallOutcome.TIMEOUT;
-      case UNREACHABLE -> CallOutcome.UNREACHED;
-      case INTERRUPTED -> CallOutcome.CUT;
+      case UNREACHABLE -> CallOutcome.UNREACHABLE;
+      case INTERRUPTED -> CallOutcome.RESET;
     };
   }
 
   /** The gauges have come. */
   public void gauges(double[] values) {
-    if (decisions.begun()) {
-      report(new Report.GaugesRead(values));
+    if (decisions.started()) {
+      report(new PolicyEvent.GaugesRead(values));
     }
   }
 
@@ -345,8 +345,8 @@
     draining = true;
     good = false;
     graceEndUs = toldUs + rules.graceUs();
-    if (decisions.begun()) {
-      report(new Report.Draining(leftUs));
+    if (decisions.started()) {
+      report(new PolicyEvent.Draining(leftUs));
     }
   }
 
@@ -364,7 +364,7 @@
   /** Runs what is due by the clock; returns when to call again. */
   public long tick() {
     long now = clock.getAsLong();
-    if (!decisions.begun()) {
+    if (!decisions.started()) {
       return now + TICK_US;
     }
     if (now >= nextExpiry) {
@@ -391,13 +391,13 @@
     double part = Math.min(1, (now - reckonedUs) / RECKON_US);
     busy += part * (Math.min(1, (double) running / rules.cores()) - busy);
     reckonedUs = now;
-    report(new Report.Reckoned(busy, running));
+    report(new PolicyEvent.LoadMeasured(busy, running));
   }
 
   // ---- orders
 
-  private void report(Report report) {
-    decisions.report(clock.getAsLong(), report);
+  private void report(PolicyEvent report) {
+    decisions.handle(clock.getAsLong(), report);
     obey();
   }
 
@@ -410,7 +410,9 @@
     }
     obeying = true;
     try {
-      for (Order order = decisions.pick(); order != null; order = decisions.pick()) {
+      for (PolicyCommand order = decisions.nextCommand();
+          order != null;
+          order = decisions.nextCommand()) {
         obey(order);
       }
     } finally {
@@ -418,32 +420,32 @@
     }
   }
 
-  private void obey(Order order) {
-    if (order instanceof Order.Run o) {
+  private void obey(PolicyCommand order) {
+    if (order instanceof PolicyCommand.Run o) {
       with(o.id(), life -> work.run(life, life.request.atUs() > graceEndUs));
-    } else if (order instanceof Order.Refuse o) {
-      with(o.id(), life -> work.refuse(life, o.holdOffUs(), o.last()));
-    } else if (order instanceof Order.Fail o) {
+    } else if (order instanceof PolicyCommand.Reject o) {
+      with(o.id(), life -> work.refuse(life, o.retryAfterUs(), o.noRetry()));
+    } else if (order instanceof PolicyCommand.Fail o) {
       with(o.id(), work::fail);
-    } else if (order instanceof Order.Halt o) {
+    } else if (order instanceof PolicyCommand.Cancel o) {
       with(o.id(), work::stop);
-    } else if (order instanceof Order.Call o) {
+    } else if (order instanceof PolicyCommand.Call o) {
       with(o.id(), life -> work.call(life, o.untilUs()));
-    } else if (order instanceof Order.SkipCall o) {
+    } else if (order instanceof PolicyCommand.SkipCall o) {
       with(o.id(), work::skip);
-    } else if (order instanceof Order.Keep o) {
+    } else if (order instanceof PolicyCommand.RememberKey o) {
       with(o.id(), life -> work.keep(life, o.forUs()));
-    } else if (order instanceof Order.Forget o) {
+    } else if (order instanceof PolicyCommand.ForgetKey o) {
       with(o.id(), work::forget);
-    } else if (order instanceof Order.Reuse o) {
+    } else if (order instanceof PolicyCommand.ReplayResult o) {
       with(o.id(), work::reuse);
-    } else if (order instanceof Order.Health o) {
-      good = o.good();
-    } else if (order instanceof Order.Say o) {
+    } else if (order instanceof PolicyCommand.SetHealth o) {
+      good = o.healthy();
+    } else if (order instanceof PolicyCommand.SetLoadAdvice o) {
       credit = o.value();
-    } else if (order instanceof Order.Idle o) {
-      idleUs = o.us() > 0 ? o.us() : rules.idleUs();
-    } else if (order instanceof Order.Note o) {
+    } else if (order instanceof PolicyCommand.SetIdleTimeout o) {
+      idleUs = o.timeoutUs() > 0 ? o.timeoutUs() : rules.idleUs();
+    } else if (order instanceof PolicyCommand.LogLine o) {
       log.info(o.line());
     }
   }
--- a/src/main/java/rosecleat/core/Work.java
+++ b/src/main/java/rosecleat/core/Work.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import rosecleat.log.Log;
-import rosecleat.policy.Decisions.Report;
-import rosecleat.policy.Decisions.RunOutcome;
+import rosecleat.policy.PolicyEvent;
+import rosecleat.policy.RunOutcome;
 
 /**
  * The requests in hand, and what is done to them: the steps of their lives, each with its due
@@ -25,7 +25,7 @@
   private final LongSupplier clock;
   private final Counters counters;
   private final Log log;
-  private final Consumer<Report> reports;
+  private final Consumer<PolicyEvent> reports;
   private final IdempotencyClaims claims;
   private final IdempotencyTable keys;
   private final Map<Long, InFlightRequest> lives = new HashMap<>();
@@ -39,7 +39,7 @@
       LongSupplier clock,
       Counters counters,
       Log log,
-      Consumer<Report> reports) {
+      Consumer<PolicyEvent> reports) {
     this.ledger = ledger;
     this.claims = claims;
     this.clock = clock;
@@ -146,14 +146,14 @@
                 Progress.MAY_HAVE_RUN,
                 FailureReason.EARLIER_ATTEMPT_MAY_HAVE_RUN,
                 FailureCause.BACKEND));
-        settle(life, RunOutcome.MOOT, 0); // the module takes it for running
+        settle(life, RunOutcome.NOT_STARTED, 0); // the module takes it for running
         return;
       }
     }
     if (late) {
       counters.add("late.notrun");
       answer(life, life.ran ? givenUp(life) : new Response.Rejected(0, false));
-      settle(life, RunOutcome.MOOT, 0);
+      settle(life, RunOutcome.NOT_STARTED, 0);
       return;
     }
     if (keyed(life)) {
@@ -202,7 +202,7 @@
           new Response.Rejected(
               0, false)); // lapsed elsewhere and not free yet, or no room for more claims
     }
-    settle(life, RunOutcome.MOOT, 0);
+    settle(life, RunOutcome.NOT_STARTED, 0);
     return false;
   }
 
@@ -327,7 +327,7 @@
   /** Its runner holds it for over. */
   void moot(InFlightRequest life, long tookUs) {
     answer(life, failed(Progress.SENT, FailureReason.RUN_NOT_STARTED, FailureCause.TIME));
-    settle(life, RunOutcome.MOOT, tookUs);
+    settle(life, RunOutcome.NOT_STARTED, tookUs);
     resolve(life, null);
   }
 
@@ -355,16 +355,16 @@
     life.stopping = false;
     if (life.owed()) { // held again, with nothing to show for its work
       life.state = RequestState.HELD;
-      reports.accept(new Report.Ended(life.seq, RunOutcome.HALTED, tookUs));
+      reports.accept(new PolicyEvent.Ended(life.seq, RunOutcome.CANCELLED, tookUs));
     } else {
-      settle(life, RunOutcome.HALTED, tookUs);
+      settle(life, RunOutcome.CANCELLED, tookUs);
     }
     resolve(life, null);
   }
 
   private void settle(InFlightRequest life, RunOutcome outcome, long tookUs) {
     over(life);
-    reports.accept(new Report.Ended(life.seq, outcome, tookUs));
+    reports.accept(new PolicyEvent.Ended(life.seq, outcome, tookUs));
   }
 
   /** Answers the repeats that waited for a run with what it brought. */
@@ -428,7 +428,7 @@
     byId.remove(life.request.id(), life);
     if (life.elsewhere) { // the module takes it for running, and would do so for ever
       life.elsewhere = false;
-      reports.accept(new Report.Ended(life.seq, RunOutcome.MOOT, 0));
+      reports.accept(new PolicyEvent.Ended(life.seq, RunOutcome.NOT_STARTED, 0));
     }
   }
 }
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -8,13 +8,15 @@
 import java.util.function.IntPredicate;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.SettingsReader;
-import rosecleat.config.Standalone;
 import rosecleat.core.Core;
 import rosecleat.core.NameIndex;
 import rosecleat.core.Runner;
 import rosecleat.front.resp.RequestCatalog;
-import rosecleat.policy.Decisions;
-import rosecleat.policy.PolicyApi;
+import rosecleat.policy.ClassAndTenantNames;
+import rosecleat.policy.Idempotency;
+import rosecleat.policy.PolicySettings;
+import rosecleat.policy.PriorityClass;
+import rosecleat.policy.TenantQuota;
 
 /**
  * The files of a node as its parts see them: each class and tenant by the number that it keeps over
@@ -28,10 +30,10 @@
   private static final long RESULT_BYTES = Math.min(8 << 20, Runtime.getRuntime().maxMemory() / 5);
 
   /** A class under its name; {@code own} where balancers may name it, else a contract made it. */
-  private record Term(String name, boolean own, PolicyApi.Klass grade) {}
+  private record Term(String name, boolean own, PriorityClass grade) {}
 
   private final NameIndex<Term> classes = new NameIndex<>();
-  private final NameIndex<PolicyApi.Tenant> tenants = new NameIndex<>();
+  private final NameIndex<TenantQuota> tenants = new NameIndex<>();
   private ProcessConfig setup;
   private SettingsReader.Start start;
   private List<String> classKeys;
@@ -66,13 +68,15 @@
   }
 
   /** The settings for the module; a tenant that is dropped has no share any more. */
-  PolicyApi.Settings settings() {
-    List<PolicyApi.Tenant> shares = new ArrayList<>();
+  PolicySettings settings() {
+    List<TenantQuota> shares = new ArrayList<>();
     List<String> names = tenants.names();
     for (int n = 0; n < names.size(); n++) {
-      shares.add(names.get(n) == null ? new PolicyApi.Tenant(0) : tenants.terms().get(n));
+      shares.add(names.get(n) == null ? new TenantQuota(0) : tenants.terms().get(n));
     }
-    return inRoom().with(classes.terms().stream().map(Term::grade).toList(), List.copyOf(shares));
+    return inRoom()
+        .withClassesAndTenants(
+            classes.terms().stream().map(Term::grade).toList(), List.copyOf(shares));
   }
 
   /** The instances in force work on so many requests at once. */
@@ -84,11 +88,9 @@
    * The settings with the room that there is: where all work is done elsewhere, its limit begins at
    * the places there.
    */
-  private PolicyApi.Settings inRoom() {
+  private PolicySettings inRoom() {
     int own = setup.broker() == null ? -1 : setup.broker().ownRoom();
-    return own < 0
-        ? start.settings()
-        : Standalone.with(start.settings(), Math.max(1, own + places));
+    return own < 0 ? start.settings() : start.settings().withCores(Math.max(1, own + places));
   }
 
   /** The names of the gauges, in the order they come. */
@@ -98,24 +100,24 @@
 
   /** What the core works under. */
   Core.Rules rules() {
-    PolicyApi.Settings s = inRoom();
+    PolicySettings s = inRoom();
     return new Core.Rules(
         s.cores(),
         classes.terms().stream().map(IndexedSettings::klass).toList(),
         tenants.names(),
         s.slackUs(),
         s.graceUs(),
-        s.idleUs(),
+        s.maxIdleUs(),
         RESULT_BYTES);
   }
 
   private static Core.RequestClass klass(Term term) {
     return new Core.RequestClass(
         term.name,
-        term.grade.effect() == PolicyApi.Effect.KEYED,
-        term.grade.calls(),
-        term.grade.windowUs(),
-        term.grade.dueUs());
+        term.grade.idempotency() == Idempotency.KEYED,
+        term.grade.callsDownstream(),
+        term.grade.retryWindowUs(),
+        term.grade.deadlineUs());
   }
 
   /** The names that balancers' requests may use. */
@@ -133,8 +135,8 @@
    * The names that what was learnt goes by; two contracts of one class with other terms differ in
    * them.
    */
-  Decisions.Names learntNames() {
-    return new Decisions.Names(classes.names(), tenants.names());
+  ClassAndTenantNames learntNames() {
+    return new ClassAndTenantNames(classes.names(), tenants.names());
   }
 
   /** The node's name. */
@@ -143,8 +145,8 @@
   }
 
   /** The figures of each class in force, by the name that what was learnt of it goes by. */
-  Map<String, PolicyApi.Klass> figures() {
-    Map<String, PolicyApi.Klass> figures = new HashMap<>();
+  Map<String, PriorityClass> figures() {
+    Map<String, PriorityClass> figures = new HashMap<>();
     for (int n = 0; n < classes.names().size(); n++) {
       if (classes.names().get(n) != null) {
         figures.put(classes.names().get(n), classes.terms().get(n).grade);
@@ -154,8 +156,8 @@
   }
 
   /** The figures of each tenant in force, by name. */
-  Map<String, PolicyApi.Tenant> quotas() {
-    Map<String, PolicyApi.Tenant> quotas = new HashMap<>();
+  Map<String, TenantQuota> quotas() {
+    Map<String, TenantQuota> quotas = new HashMap<>();
     for (int n = 0; n < tenants.names().size(); n++) {
       if (tenants.names().get(n) != null) {
         quotas.put(tenants.names().get(n), tenants.terms().get(n));
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -11,7 +11,7 @@
 import rosecleat.core.Runner;
 import rosecleat.front.resp.RespWarmup;
 import rosecleat.log.Log;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.PolicyEngine;
 import rosecleat.runtime.RuntimeWarmup;
 
 /**
@@ -79,7 +79,7 @@
       core =
           new Core(
               numbering.rules(),
-              new Decisions(numbering.settings(), numbering.gauges(), config.seed()),
+              new PolicyEngine(numbering.settings(), numbering.gauges(), config.seed()),
               ledger,
               () -> nowUs,
               counters,
--- a/src/main/java/rosecleat/node/LimitShares.java
+++ b/src/main/java/rosecleat/node/LimitShares.java
@@ -2,8 +2,9 @@
 
 import java.util.List;
 import java.util.function.LongSupplier;
-import rosecleat.policy.Decisions;
-import rosecleat.policy.PolicyApi;
+import rosecleat.policy.LimitUsage;
+import rosecleat.policy.PolicyEngine;
+import rosecleat.policy.PolicySettings;
 import rosecleat.takeover.ResourceAmounts;
 import rosecleat.takeover.TakeoverCoordinator;
 
@@ -11,14 +12,14 @@
 final class LimitShares {
   private final TakeoverCoordinator handover;
   private final IndexedSettings numbering;
-  private final Decisions decisions;
+  private final PolicyEngine decisions;
   private final LongSupplier clock;
   private ResourceAmounts grant = ResourceAmounts.NONE;
 
   LimitShares(
       TakeoverCoordinator handover,
       IndexedSettings numbering,
-      Decisions decisions,
+      PolicyEngine decisions,
       LongSupplier clock) {
     this.handover = handover;
     this.numbering = numbering;
@@ -48,23 +49,24 @@
   }
 
   private void find(boolean leaving) {
-    PolicyApi.Settings s = numbering.settings();
-    Decisions.Taken taken = decisions.taken(clock.getAsLong());
+    PolicySettings s = numbering.settings();
+    LimitUsage taken = decisions.usage(clock.getAsLong());
     grant =
         handover.grant(
-            new ResourceAmounts(s.callsOut(), s.memoryKb(), s.cores() * s.fallMultiple()),
-            new ResourceAmounts(taken.calls().get(0), taken.memoryKb(), taken.running()),
-            taken.calls(),
+            new ResourceAmounts(
+                s.concurrentCalls(), s.memoryKb(), s.cores() * s.overloadMultiple()),
+            new ResourceAmounts(taken.meanCalls().get(0), taken.memoryKb(), taken.running()),
+            taken.meanCalls(),
             leaving);
   }
 
   private void tell(List<Integer> renamed) {
-    decisions.retune(clock.getAsLong(), limits(), numbering.gauges(), renamed);
+    decisions.reconfigure(clock.getAsLong(), limits(), numbering.gauges(), renamed);
   }
 
   /** The settings in force, with this process's part of the limits. */
-  PolicyApi.Settings limits() {
-    PolicyApi.Settings s = numbering.settings();
-    return s.within(grant.memoryKb(), Math.max(1, grant.running() / s.cores()), grant.calls());
+  PolicySettings limits() {
+    PolicySettings s = numbering.settings();
+    return s.withLimits(grant.memoryKb(), Math.max(1, grant.running() / s.cores()), grant.calls());
   }
 }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -16,8 +16,9 @@
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.net.MonotonicClock;
-import rosecleat.policy.Decisions;
-import rosecleat.policy.PolicyApi;
+import rosecleat.policy.Estimate;
+import rosecleat.policy.PolicyEngine;
+import rosecleat.policy.PolicySettings;
 import rosecleat.registry.RosterClient;
 import rosecleat.runtime.NoRuntime;
 import rosecleat.runtime.RuntimeLink;
@@ -51,7 +52,7 @@
   private final LongSupplier clock = new MonotonicClock();
   private final Counters counters;
   private final IndexedSettings numbering;
-  private final Decisions decisions;
+  private final PolicyEngine decisions;
   private final Core core;
   private final Runner runner;
   private final RuntimeLink runtime;
@@ -100,7 +101,7 @@
       handover = others == null ? new TakeoverCoordinator(null, counters, log) : others;
       numbering = new IndexedSettings(new ProcessConfig(config, broker));
       index = new IndexClient(loop, config.index(), clock, counters, log);
-      decisions = new Decisions(numbering.settings(), numbering.gauges(), config.seed());
+      decisions = new PolicyEngine(numbering.settings(), numbering.gauges(), config.seed());
       core = new Core(numbering.rules(), decisions, index, handover.claims(), clock, counters, log);
       shares = new LimitShares(handover, numbering, decisions, clock);
       if (learning != null) {
@@ -348,9 +349,9 @@
   }
 
   /** What the module has learnt; for any thread. */
-  CompletableFuture<List<Decisions.Lesson>> lessons() {
-    CompletableFuture<List<Decisions.Lesson>> answer = new CompletableFuture<>();
-    loop.execute(() -> answer.complete(decisions.learnt(numbering.learntNames())));
+  CompletableFuture<List<Estimate>> lessons() {
+    CompletableFuture<List<Estimate>> answer = new CompletableFuture<>();
+    loop.execute(() -> answer.complete(decisions.estimates(numbering.learntNames())));
     return answer;
   }
 
@@ -374,7 +375,7 @@
   /**
    * The settings in force, with this process's part of the limits; for use on the node's thread.
    */
-  PolicyApi.Settings limits() {
+  PolicySettings limits() {
     return shares.limits();
   }
 
@@ -384,7 +385,8 @@
         (config.mgmt() == null ? 0 : AdminServer.MAX_DESCRIPTORS)
             + (uwsgi == null ? 0 : 2 * numbering.broker().connections());
     DescriptorBudget places =
-        DescriptorBudget.of(config.sockets(), others, numbering.settings().callsOut(), shared);
+        DescriptorBudget.of(
+            config.sockets(), others, numbering.settings().concurrentCalls(), shared);
     index.lines(places.index());
     resp.setMaxConnections(places.balancers());
   }
--- a/src/main/java/rosecleat/node/StatePersistence.java
+++ b/src/main/java/rosecleat/node/StatePersistence.java
@@ -14,8 +14,9 @@
 import rosecleat.facts.SettingsDigests;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.policy.Decisions;
-import rosecleat.policy.PolicyApi;
+import rosecleat.policy.PolicyEngine;
+import rosecleat.policy.PolicySettings;
+import rosecleat.policy.PriorityClass;
 import rosecleat.state.Memory;
 import rosecleat.state.Opener;
 
@@ -54,7 +55,7 @@
   /** The node stands: its module is given what was found, and what it learns is kept. */
   void serve(
       IndexedSettings of,
-      Decisions decisions,
+      PolicyEngine decisions,
       EventLoop loop,
       LongSupplier clock,
       Counters counters) {
@@ -89,21 +90,28 @@
   }
 
   private SettingsDigests reckoned() {
-    PolicyApi.Settings s = numbering.settings();
+    PolicySettings s = numbering.settings();
     Map<String, String> classes = new HashMap<>();
     Map<String, String> tenants = new HashMap<>();
     Map<Fact.Key, Double> ceilings = new HashMap<>();
     double callUs = Double.MAX_VALUE;
-    for (Map.Entry<String, PolicyApi.Klass> each : numbering.figures().entrySet()) {
-      PolicyApi.Klass k = each.getValue();
-      classes.put(each.getKey(), digest(k.toString()));
-      ceilings.put(new Fact.Key(FactKind.RUN_TIME, each.getKey()), (double) k.aimUs());
-      callUs = k.calls() ? Math.min(callUs, CALL_PART * k.aimUs()) : callUs;
+    for (Map.Entry<String, PriorityClass> each : numbering.figures().entrySet()) {
+      PriorityClass k = each.getValue();
+      classes.put(each.getKey(), digest(k.digestText()));
+      ceilings.put(new Fact.Key(FactKind.RUN_TIME, each.getKey()), (double) k.latencyObjectiveUs());
+      callUs = k.callsDownstream() ? Math.min(callUs, CALL_PART * k.latencyObjectiveUs()) : callUs;
     }
-    numbering.quotas().forEach((name, tenant) -> tenants.put(name, digest(tenant.toString())));
+    numbering.quotas().forEach((name, tenant) -> tenants.put(name, digest(tenant.digestText())));
     ceilings.put(new Fact.Key(FactKind.CALL_TIME, ""), callUs);
     String server =
-        digest(s.cores() + " " + s.fallMultiple() + " " + s.callsOut() + " " + s.callsSpanUs());
+        digest(
+            s.cores()
+                + " "
+                + s.overloadMultiple()
+                + " "
+                + s.concurrentCalls()
+                + " "
+                + s.callWindowUs());
     return new SettingsDigests(numbering.node(), server, classes, tenants, ceilings);
   }
 
--- /dev/null
+++ b/src/main/java/rosecleat/policy/ClassAndTenantNames.java
@@ -0,0 +1,11 @@
+package rosecleat.policy;
+
+import java.util.List;
+
+/**
+ * The names that class and tenant indexes stand for.
+ *
+ * @param classes the name of each class, null where the index is not in use
+ * @param tenants the name of each tenant, null where the index is not in use
+ */
+public record ClassAndTenantNames(List<String> classes, List<String> tenants) {}
--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -1,4 +1,5 @@
-// The decisions of one server. Its interface (events in, actions out, settings) is PolicyApi.java.
+// The decisions of one server. Its interface (events in, actions out, settings) is
+// PolicyEvents.java.
 package rosecleat.policy;
 
 import java.util.ArrayList;
@@ -17,7 +18,7 @@
  * Khojasteh and Mišić: a smoothed utilisation gate with random refusal, and a running limit led by
  * latency. Not thread-safe; everything it knows came in by its own events.
  */
-public final class Policy implements PolicyApi {
+public final class Policy implements PolicyEvents {
   // ---- constants: unit; reason; whose -----------------------------------------------------------
   private static final double ALPHA =
       0.1; // per event; weight of the newest offered load; open, ours
@@ -107,8 +108,8 @@
   }
 
   private static final class Item {
-    Request q;
-    Klass k;
+    PolicyRequest q;
+    PriorityClass k;
     long arrived;
     long due;
     long aim;
@@ -133,8 +134,8 @@
 
   private record Kept(long until, long id, boolean inTable, double kb) {}
 
-  private Settings s;
-  private final Actions out;
+  private PolicySettings s;
+  private final PolicyActions out;
   private final SplittableRandom random;
   private final Map<Long, Item> items = new HashMap<>();
   private final List<Item> held = new ArrayList<>(); // in order of coming
@@ -210,7 +211,7 @@
   private double reuse; // us; what keeping connections saves less what it costs, an arrival
 
   /** A server's policy with its settings, its seed and its host's actions. */
-  public Policy(Settings settings, long seed, Actions actions) {
+  public Policy(PolicySettings settings, long seed, PolicyActions actions) {
     out = actions;
     random = new SplittableRandom(seed);
     use(settings);
@@ -218,9 +219,10 @@
   }
 
   /**
-   * Settings to go by from now on; what was learnt of classes and tenants stays with their numbers.
+   * PolicySettings to go by from now on; what was learnt of classes and tenants stays with their
+   * numbers.
    */
-  private void use(Settings settings) {
+  private void use(PolicySettings settings) {
     s = settings;
     mean = Arrays.copyOf(mean, s.classes().size());
     samples = Arrays.copyOf(samples, mean.length);
@@ -229,7 +231,7 @@
     int known = tenantPart.length;
     tenantPart = Arrays.copyOf(tenantPart, s.tenants().size());
     served = Arrays.copyOf(served, tenantPart.length);
-    quotas = s.tenants().stream().mapToDouble(Tenant::quotaPerS).sum();
+    quotas = s.tenants().stream().mapToDouble(TenantQuota::quotaPerS).sum();
     for (int t = known; t < tenantPart.length; t++) {
       tenantPart[t] =
           quotas > 0 ? s.tenants().get(t).quotaPerS() / quotas : 0; // until it is known better
@@ -239,16 +241,16 @@
   // ---- events -----------------------------------------------------------------------------------
 
   @Override
-  public void begin(long now) {
+  public void start(long now) {
     clock = born = lastTick = lastStep = lastEnd = ratesAt = now;
     callsFrom =
-        callsSpan() > s.callsSpanUs() ? now + (long) (random.nextDouble() * callsSpan()) : now;
-    out.health(true, true); // from store: checks that do real work would take it from requests
-    out.wake(TICK_US, 0);
+        callsSpan() > s.callWindowUs() ? now + (long) (random.nextDouble() * callsSpan()) : now;
+    out.setHealth(true, true); // from store: checks that do real work would take it from requests
+    out.startTimer(TICK_US, 0);
   }
 
   @Override
-  public void retuned(long now, Settings settings, List<Integer> renamed) {
+  public void reconfigured(long now, PolicySettings settings, List<Integer> renamed) {
     clock = now;
     use(settings);
     renamed.forEach(
@@ -256,20 +258,23 @@
   }
 
   @Override
-  public void arrived(long now, Request q) {
+  public void arrived(long now, PolicyRequest q) {
     clock = now;
     Item it = new Item();
     it.q = q;
-    it.kb = q.heldKb();
-    it.k = s.classes().get(q.klass());
+    it.kb = q.queuedKb();
+    it.k = s.classes().get(q.classIndex());
     it.arrived = now - q.ageUs();
-    it.due = Math.max(now, q.leftUs() > 0 ? now + q.leftUs() : it.arrived + it.k.dueUs());
+    it.due =
+        Math.max(now, q.timeoutUs() > 0 ? now + q.timeoutUs() : it.arrived + it.k.deadlineUs());
     it.aim =
         Math.min(
             it.due,
             it.arrived
-                + it.k.aimUs()
-                + (long) (it.k.aimStretch() * (q.hintUs() > 0 ? q.hintUs() : mean[q.klass()])));
+                + it.k.latencyObjectiveUs()
+                + (long)
+                    (it.k.objectiveRunTimeFactor()
+                        * (q.runTimeHintUs() > 0 ? q.runTimeHintUs() : mean[q.classIndex()])));
     it.due = Math.min(it.due, stopAt);
     items.put(q.id(), it);
     held.add(it);
@@ -277,12 +282,12 @@
     rates(now);
     arrivals += 1;
     for (int t = 0; t < tenantPart.length; t++) {
-      tenantPart[t] += ((t == q.tenant() ? 1 : 0) - tenantPart[t]) / SAMPLE;
+      tenantPart[t] += ((t == q.tenantIndex() ? 1 : 0) - tenantPart[t]) / SAMPLE;
     }
     mechanism();
     lastArrival = now;
-    countCaller(now, q.caller());
-    unread += 0.1 * (Math.min(1, (double) q.ageUs() / it.k.aimUs()) - unread);
+    countCaller(now, q.callerId());
+    unread += 0.1 * (Math.min(1, (double) q.ageUs() / it.k.latencyObjectiveUs()) - unread);
     double worth = worthOf(it);
     ring[(int) (ringCount++ % RING)] = worth;
     admit(now, it, worth);
@@ -296,28 +301,30 @@
     if (it == null) {
       return;
     }
-    if (outcome == Outcome.HALTED
+    if (outcome == Outcome.CANCELLED
         && it.owed) { // dropped or paused without an answer: it is held again
       leave(it);
       it.state = State.HELD;
       it.halted = false;
       held.add(it);
-      it.kb = s.halt() == Halt.PAUSE ? it.kb : it.q.heldKb();
+      it.kb = s.cancelMode() == CancelMode.PAUSE ? it.kb : it.q.queuedKb();
       memoryKb += it.kb;
       return;
     }
     boolean wasRun = it.state != State.ATTACHED;
-    if (outcome == Outcome.OK ? wasRun : outcome == Outcome.HALTED && it.state == State.RUNNING) {
+    if (outcome == Outcome.OK
+        ? wasRun
+        : outcome == Outcome.CANCELLED && it.state == State.RUNNING) {
       learn(
           it,
           Math.max(1, tookUs - it.off),
           outcome == Outcome.OK ? 1 : 0); // time at calls is no slowness
     }
-    if (wasRun && outcome == Outcome.OK || outcome == Outcome.ERROR) {
+    if (wasRun && outcome == Outcome.OK || outcome == Outcome.FAILED) {
       rates(now);
       completions += 1;
-      if (outcome == Outcome.OK && it.q.tenant() < served.length) {
-        served[it.q.tenant()] += 1;
+      if (outcome == Outcome.OK && it.q.tenantIndex() < served.length) {
+        served[it.q.tenantIndex()] += 1;
       }
       mechanism();
     }
@@ -329,7 +336,7 @@
         out.log("work moves again");
       }
       if (outcome == Outcome.OK && shareable(it)) {
-        keep(now, it, s.shareReadsUs());
+        keep(now, it, s.readSharingUs());
       }
     }
     over(it);
@@ -337,7 +344,7 @@
   }
 
   @Override
-  public void needsCall(long now, long id) {
+  public void callNeeded(long now, long id) {
     clock = now;
     Item it = items.get(id);
     if (it == null || it.state != State.RUNNING) {
@@ -354,13 +361,13 @@
   }
 
   @Override
-  public void called(long now, long id, Outcome outcome, long tookUs) {
+  public void callEnded(long now, long id, Outcome outcome, long tookUs) {
     clock = now;
     Item it = items.get(id);
     if (it != null && it.state == State.CALLING) {
-      boolean neverRan = outcome == Outcome.FULL || outcome == Outcome.UNREACHED;
-      callOver(it, outcome == Outcome.OK || outcome == Outcome.ERROR || neverRan);
-      turnedAway |= outcome == Outcome.FULL;
+      boolean neverRan = outcome == Outcome.REJECTED || outcome == Outcome.UNREACHABLE;
+      callOver(it, outcome == Outcome.OK || outcome == Outcome.FAILED || neverRan);
+      turnedAway |= outcome == Outcome.REJECTED;
       if (!neverRan) { // how soon a call was turned away says nothing of how long calls take
         callTook += (tookUs - callTook) * (callTook == 0 ? 1 : 0.1);
         callUsual += (callTook - callUsual) * Math.max(0.002, 1.0 / ++callsEnded);
@@ -370,7 +377,7 @@
         setState(it, State.RUNNING);
       } else {
         setState(it, State.AT_CALL);
-        if ((neverRan || it.k.effect() == Effect.SAFE) && it.calls < CALL_TRIES) {
+        if ((neverRan || it.k.idempotency() == Idempotency.SAFE) && it.calls < CALL_TRIES) {
           callers.add(it);
         } else {
           withoutCall(it);
@@ -382,7 +389,7 @@
   }
 
   @Override
-  public void gone(long now, long id) {
+  public void cancelled(long now, long id) {
     clock = now;
     Item it = items.get(id);
     if (it == null) {
@@ -394,19 +401,19 @@
   }
 
   @Override
-  public void woken(long now, long tag, Gauges g) {
+  public void timerFired(long now, long tag, ServerGauges g) {
     clock = now;
-    out.wake(TICK_US, 0);
+    out.startTimer(TICK_US, 0);
     double gap = now - lastTick;
     lastTick = now;
-    if (g.coreUse >= 0) {
-      coreUse = g.coreUse;
+    if (g.coreUtilisation >= 0) {
+      coreUse = g.coreUtilisation;
     }
     expireKeys(now);
-    double wanting = Math.max(1, Math.max(running, g.onCores) / s.cores());
+    double wanting = Math.max(1, Math.max(running, g.runnable) / s.cores());
     crowding += Math.min(1, gap / CROWDING_US) * (wanting - crowding);
     double reads =
-        g.onCores < 0 ? 0 : Math.max(0, g.onCores - running) / Math.max(s.cores(), g.onCores);
+        g.runnable < 0 ? 0 : Math.max(0, g.runnable - running) / Math.max(s.cores(), g.runnable);
     reading += Math.min(1, gap / CROWDING_US) * (reads - reading);
     watch(now, gap, wanting);
     sweep(now);
@@ -419,7 +426,7 @@
   }
 
   @Override
-  public void drain(long now, long leftUs) {
+  public void draining(long now, long leftUs) {
     clock = now;
     drainAt = now;
     stopAt = now + leftUs;
@@ -455,10 +462,10 @@
    * too much.
    */
   private void learn(Item it, long workedUs, int ended) {
-    int c = it.q.klass();
+    int c = it.q.classIndex();
     double alone =
         workedUs / crowding; // what reading and other runs took of the cores is no slowness
-    double unit = it.q.hintUs() > 0 ? alone / it.q.hintUs() : alone;
+    double unit = it.q.runTimeHintUs() > 0 ? alone / it.q.runTimeHintUs() : alone;
     if (samples[c] == 0) {
       mean[c] = unit;
     }
@@ -477,9 +484,9 @@
 
   /** The run time to expect now; 0 while nothing of the class has ended here. */
   private double expected(Item it) {
-    int c = it.q.klass();
+    int c = it.q.classIndex();
     double base = samples[c] < toldRuns[c] ? told[c] : mean[c];
-    return base * (it.q.hintUs() > 0 ? it.q.hintUs() : 1) * stretch * crowding;
+    return base * (it.q.runTimeHintUs() > 0 ? it.q.runTimeHintUs() : 1) * stretch * crowding;
   }
 
   /**
@@ -489,7 +496,7 @@
    */
   private void countCaller(long now, long caller) {
     double worth =
-        Math.min(s.idleUs(), WORTH_US / Math.max(uAv, 0.01)); // cores that idle pay its tax
+        Math.min(s.maxIdleUs(), WORTH_US / Math.max(uAv, 0.01)); // cores that idle pay its tax
     Iterator<Long> times = seen.values().iterator(); // in order of coming; the older are as new
     while (times.hasNext() && now - times.next() >= worth) {
       times.remove();
@@ -508,18 +515,18 @@
    * tens of arrivals.
    */
   private double shareWorth(int t) {
-    if (t >= tenantPart.length || s.overShareWorth() >= 1 || s.servers() == 0 || quotas <= 0) {
+    if (t >= tenantPart.length || s.overQuotaWeight() >= 1 || s.servers() == 0 || quotas <= 0) {
       return 1;
     }
     double part = s.tenants().get(t).quotaPerS() / quotas;
     if (part <= 0) {
-      return s.overShareWorth();
+      return s.overQuotaWeight();
     }
     double rate = arrivals / (RATE_US / 1e6) * s.servers() / quotas;
     double over = tenantPart[t] / part * Math.min(1, rate);
     double chance = Math.sqrt((1 - part) / part / (2 * SAMPLE)); // so far a thin sample strays
     double had = served[t] / (RATE_US / 1e6) * s.servers() / s.tenants().get(t).quotaPerS();
-    return over <= 1 + chance || had < ENOUGH ? 1 : s.overShareWorth();
+    return over <= 1 + chance || had < ENOUGH ? 1 : s.overQuotaWeight();
   }
 
   /**
@@ -528,9 +535,9 @@
    * retries are as good as new.
    */
   private double worthOf(Item it) {
-    return it.k.worth()
-        * shareWorth(it.q.tenant())
-        * (it.q.retry() ? (1 + it.k.lateWorth()) / 2 : 1);
+    return it.k.priorityWeight()
+        * shareWorth(it.q.tenantIndex())
+        * (it.q.retry() ? (1 + it.k.lateWeight()) / 2 : 1);
   }
 
   // ---- what was learnt --------------------------------------------------------------------------
@@ -539,7 +546,7 @@
    * What was learnt here and holds beyond the moment; where little was, what was taken in is passed
    * on.
    */
-  Learnt learnt() {
+  LearnedEstimates learnt() {
     double[] base = new double[mean.length];
     int[] runs = samples.clone();
     for (int c = 0; c < base.length; c++) {
@@ -547,22 +554,23 @@
       base[c] = known ? mean[c] * calm : told[c];
       runs[c] = known ? samples[c] : toldRuns[c];
     }
-    return new Learnt(base, runs, callUsual, callsEnded, limit, callLimit, tenantPart, ringCount);
+    return new LearnedEstimates(
+        base, runs, callUsual, callsEnded, limit, callLimit, tenantPart, ringCount);
   }
 
   /**
    * Takes in what was learnt elsewhere; run times stand in until some are seen. Harm: wrong ones
    * mislead.
    */
-  void take(Learnt l) {
-    told = l.runUs().clone();
-    toldRuns = Arrays.stream(l.runs()).map(n -> Math.min(n, KNOWN)).toArray();
-    callUsual = callTook = callsEnded == 0 && callTook == 0 ? l.callUs() : callTook;
-    limit = Math.max(limit, Math.min(l.limit(), CROWD_PART * crowd()));
+  void take(LearnedEstimates l) {
+    told = l.runTimesUs().clone();
+    toldRuns = Arrays.stream(l.runCounts()).map(n -> Math.min(n, KNOWN)).toArray();
+    callUsual = callTook = callsEnded == 0 && callTook == 0 ? l.callTimeUs() : callTook;
+    limit = Math.max(limit, Math.min(l.concurrencyLimit(), CROWD_PART * crowd()));
     callLimit =
         l.callLimit() > 0 ? Math.min(callLimit, Math.max(CALLS_LEAST, l.callLimit())) : callLimit;
     double part = Math.min(1, l.arrivals() / SAMPLE);
-    Arrays.setAll(tenantPart, t -> tenantPart[t] + part * (l.parts()[t] - tenantPart[t]));
+    Arrays.setAll(tenantPart, t -> tenantPart[t] + part * (l.tenantShares()[t] - tenantPart[t]));
   }
 
   // ---- admission gate ---------------------------------------------------------------------------
@@ -588,7 +596,7 @@
 
   private void admit(long now, Item it, double worth) {
     boolean late = drainAt >= 0 && it.arrived > drainAt + s.graceUs();
-    if (it.q.original() != 0 && repeat(now, it, late)) {
+    if (it.q.originalId() != 0 && repeat(now, it, late)) {
       return;
     }
     // an arrival read late must not bind its own refusal: with none held before it a run may start
@@ -598,7 +606,7 @@
     double chance = bound ? 1 - fCf(arriving(worth * ALIKE)) : 0;
     refusal += 0.05 * (chance - refusal);
     over += 0.05 * ((it.q.rank() < level ? 0 : behind() ? 1 : chance) - over);
-    boolean keyed = it.k.effect() == Effect.KEYED;
+    boolean keyed = it.k.idempotency() == Idempotency.KEYED;
     if (late
         || hung
         || memoryKb > HOLD_PART * s.memoryKb()
@@ -612,7 +620,7 @@
       }
       it.effects.leader = it;
       table.put(it.q.id(), it.effects);
-      keep(now, it, Math.max(1, it.arrived + it.k.windowUs() + s.slackUs() - now));
+      keep(now, it, Math.max(1, it.arrived + it.k.retryWindowUs() + s.slackUs() - now));
     }
   }
 
@@ -647,10 +655,11 @@
 
   private double crowd() {
     double share = 1;
-    if (s.cold() && s.warmUs() > 0) {
-      share = Math.min(1, s.coldShare() + (1 - s.coldShare()) * (lastTick - born) / s.warmUs());
+    if (s.coldStart() && s.warmupUs() > 0) {
+      share =
+          Math.min(1, s.coldCapacity() + (1 - s.coldCapacity()) * (lastTick - born) / s.warmupUs());
     }
-    return s.cores() * (1 + (s.fallMultiple() - 1) * share);
+    return s.cores() * (1 + (s.overloadMultiple() - 1) * share);
   }
 
   private void adaptLimit() {
@@ -674,7 +683,8 @@
       for (int i = 0; i < held.size(); i++) {
         Item it = held.get(i);
         if (spent(it)
-            || memoryKb + s.runFactor() * it.q.heldKb() - it.kb > MEMORY_PART * s.memoryKb()) {
+            || memoryKb + s.runMemoryFactor() * it.q.queuedKb() - it.kb
+                > MEMORY_PART * s.memoryKb()) {
           continue;
         }
         if (hopeless(now, it)) {
@@ -685,7 +695,7 @@
           continue;
         }
         boolean late = now + RUN_PART * expected(it) > it.aim;
-        double worth = (bound ? worthOf(it) : 1) * (late ? it.k.lateWorth() : 1);
+        double worth = (bound ? worthOf(it) : 1) * (late ? it.k.lateWeight() : 1);
         if (worth > bestWorth) {
           best = it;
           bestWorth = worth;
@@ -701,8 +711,8 @@
   private void start(long now, Item it) {
     held.remove(it);
     busy.add(it);
-    memoryKb += s.runFactor() * it.q.heldKb() - it.kb;
-    it.kb = s.runFactor() * it.q.heldKb();
+    memoryKb += s.runMemoryFactor() * it.q.queuedKb() - it.kb;
+    it.kb = s.runMemoryFactor() * it.q.queuedKb();
     it.ran = true;
     it.started = now;
     it.off = 0;
@@ -720,17 +730,17 @@
 
   /** A request that repeats one we kept: true when it is dealt with, false when it is new work. */
   private boolean repeat(long now, Item it, boolean late) {
-    if (it.k.effect() == Effect.SAFE) {
-      if (s.shareReadsUs() <= 0 || late || hung) {
+    if (it.k.idempotency() == Idempotency.SAFE) {
+      if (s.readSharingUs() <= 0 || late || hung) {
         return false;
       }
       attach(it);
       return true;
     }
-    if (it.k.effect() != Effect.KEYED) {
+    if (it.k.idempotency() != Idempotency.KEYED) {
       return false;
     }
-    Effects known = table.get(it.q.original());
+    Effects known = table.get(it.q.originalId());
     if (known != null && !known.ran && (known.leader == null || known.leader.state != State.HELD)) {
       it.effects = known; // no try ever ran: this one is new work
       return false;
@@ -748,15 +758,15 @@
     held.remove(it);
     busy.add(it);
     it.state = State.ATTACHED;
-    out.reuse(it.q.id());
+    out.replayResult(it.q.id());
   }
 
   private boolean shareable(Item it) {
-    return it.k.effect() == Effect.SAFE && s.shareReadsUs() > 0 && it.q.key() != 0;
+    return it.k.idempotency() == Idempotency.SAFE && s.readSharingUs() > 0 && it.q.readKey() != 0;
   }
 
   private void keep(long now, Item it, long forUs) {
-    out.keep(it.q.id(), forUs);
+    out.rememberKey(it.q.id(), forUs);
     memoryKb += s.keyKb();
     kept.add(new Kept(now + forUs, it.q.id(), it.effects != null, s.keyKb()));
   }
@@ -780,20 +790,20 @@
     if (running == 0 && now < it.aim) {
       return false;
     }
-    long end = it.k.lateWorth() > 0 && !bound(now) ? it.due - MARGIN_US : it.aim;
+    long end = it.k.lateWeight() > 0 && !bound(now) ? it.due - MARGIN_US : it.aim;
     boolean hopeless = now + RUN_PART * expected(it) >= end;
-    toldRuns[it.q.klass()] -=
-        hopeless && now < end && toldRuns[it.q.klass()] > 0 ? 1 : 0; // it may be wrong
+    toldRuns[it.q.classIndex()] -=
+        hopeless && now < end && toldRuns[it.q.classIndex()] > 0 ? 1 : 0; // it may be wrong
     return hopeless;
   }
 
   /** An effect that has run: held again after a drop, it must not run a second time. */
   private static boolean spent(Item it) {
-    return it.ran && it.k.effect() != Effect.SAFE;
+    return it.ran && it.k.idempotency() != Idempotency.SAFE;
   }
 
   private boolean mayRefuse(Item it) {
-    return it.k.effect() == Effect.SAFE
+    return it.k.idempotency() == Idempotency.SAFE
         || !it.ran && (it.effects == null ? it.state != State.ATTACHED : !it.effects.ran);
   }
 
@@ -828,7 +838,7 @@
             : behind()
                 ? 0.5 + 0.5 * random.nextDouble()
                 : Math.min(1, AWAY * reading) * random.nextDouble();
-    out.refuse(it.q.id(), (long) (stay * s.maxHoldOffUs()), !shut && !mayGoOn(it));
+    out.reject(it.q.id(), (long) (stay * s.maxRetryAfterUs()), !shut && !mayGoOn(it));
     letGo(it);
   }
 
@@ -838,7 +848,7 @@
    * try costs a read.
    */
   private boolean mayGoOn(Item it) {
-    return s.marksRetry() && !it.q.retry() && refusal <= SELDOM && !behind();
+    return s.marksRetries() && !it.q.retry() && refusal <= SELDOM && !behind();
   }
 
   /** Nothing is owed for it any more: drops what waits, stops what runs. */
@@ -854,9 +864,9 @@
    * Frees the cores of work nobody waits for; a keyed run goes on, its result may answer a repeat.
    */
   private void stopWork(Item it) {
-    if (s.halt() != Halt.OFF && it.k.effect() != Effect.KEYED && !it.halted) {
+    if (s.cancelMode() != CancelMode.OFF && it.k.idempotency() != Idempotency.KEYED && !it.halted) {
       it.halted = true;
-      out.halt(it.q.id());
+      out.cancel(it.q.id());
     }
   }
 
@@ -872,10 +882,10 @@
       Item it = busy.get(i);
       boolean useless =
           it.state == State.RUNNING
-              && it.k.effect() == Effect.SAFE
-              && it.k.lateWorth() == 0
+              && it.k.idempotency() == Idempotency.SAFE
+              && it.k.lateWeight() == 0
               && now > it.aim
-              && s.halt() != Halt.OFF
+              && s.cancelMode() != CancelMode.OFF
               && !held.isEmpty();
       if (it.owed && (now >= it.due - MARGIN_US || useless)) {
         int size = busy.size();
@@ -900,14 +910,14 @@
     while (now >= callPause && (best = dearestCaller()) != null && callsOut() < callLimit) {
       double room = callsRoom(now);
       long until = callUntil(now, best, room);
-      if (best.k.worthWithoutCall() > 0 && now + callTook >= until || until - now > room) {
+      if (best.k.weightWithoutCall() > 0 && now + callTook >= until || until - now > room) {
         break;
       }
       callers.remove(best);
       makeCall(now, best, until);
     }
     for (Item it : List.copyOf(callers)) {
-      if (it.k.worthWithoutCall() > 0 && now + callTook >= inTime(it)) {
+      if (it.k.weightWithoutCall() > 0 && now + callTook >= inTime(it)) {
         callers.remove(it);
         withoutCall(it);
       }
@@ -925,7 +935,9 @@
    */
   private void adaptCalls() {
     double part =
-        s.below() == Below.SHARED ? Math.min(1, CALLS_PART * s.callsOut() / CALLS_LEAST) : 1;
+        s.downstreamMode() == DownstreamMode.SHARED
+            ? Math.min(1, CALLS_PART * s.concurrentCalls() / CALLS_LEAST)
+            : 1;
     double least =
         CALLS_LEAST * part; // the smaller its part, the less the length of calls is its doing
     if (turnedAway || callTook > CALLS_SLOW * callUsual) {
@@ -963,7 +975,7 @@
 
   /** What the answer loses without the call. */
   private double callWorth(Item it) {
-    return worthOf(it) * (1 - it.k.worthWithoutCall());
+    return worthOf(it) * (1 - it.k.weightWithoutCall());
   }
 
   /**
@@ -971,7 +983,7 @@
    * anything.
    */
   private double inTime(Item it) {
-    if (it.k.worthWithoutCall() <= 0) {
+    if (it.k.weightWithoutCall() <= 0) {
       return it.due - MARGIN_US;
     }
     double whole = expected(it);
@@ -989,11 +1001,11 @@
    */
   private long callUntil(long now, Item it, double room) {
     double end = Math.max(inTime(it), now + QUICK * expected(it));
-    if (it.k.worthWithoutCall() > 0 && callTook > 0) {
+    if (it.k.weightWithoutCall() > 0 && callTook > 0) {
       end = Math.min(end, now + PATIENCE * callTook);
     }
-    if (s.below() == Below.SHARED) {
-      double share = s.callsOut() * callsSpan();
+    if (s.downstreamMode() == DownstreamMode.SHARED) {
+      double share = s.concurrentCalls() * callsSpan();
       double longest = (share >= 4 * s.callLingerUs() ? share / 2 : share) - s.callLingerUs();
       end = Math.min(end, now + Math.min(longest, Math.max(CALLS_SLOW * callUsual, room / 2)));
     }
@@ -1006,11 +1018,11 @@
    * follow, so any later one too.
    */
   private double callsRoom(long now) {
-    return s.below() != Below.SHARED
+    return s.downstreamMode() != DownstreamMode.SHARED
         ? Double.MAX_VALUE
         : now < callsFrom
             ? 0
-            : s.callsOut() * callsSpan() - callsTaken(now, callsSpan()) - s.callLingerUs();
+            : s.concurrentCalls() * callsSpan() - callsTaken(now, callsSpan()) - s.callLingerUs();
   }
 
   /**
@@ -1019,8 +1031,8 @@
    * Harm: calls may meet.
    */
   private double callsSpan() {
-    double span = s.callsOut() <= 0 ? 0 : 2.0 * s.callLingerUs() / s.callsOut();
-    return Math.max(s.callsSpanUs(), span);
+    double span = s.concurrentCalls() <= 0 ? 0 : 2.0 * s.callLingerUs() / s.concurrentCalls();
+    return Math.max(s.callWindowUs(), span);
   }
 
   /** The time at calls in a span that ends at a time, where no further call is made. */
@@ -1048,7 +1060,7 @@
   }
 
   private void withoutCall(Item it) {
-    if (it.k.worthWithoutCall() > 0 && it.owed) {
+    if (it.k.weightWithoutCall() > 0 && it.owed) {
       setState(it, State.RUNNING);
       out.skipCall(it.q.id());
     } else if (it.owed) {
@@ -1097,7 +1109,10 @@
     for (Item it : busy) {
       if (it.state == State.RUNNING) {
         // before enough runs of its class have ended, little is known: its wanted time stands in
-        double run = samples[it.q.klass()] < KNOWN ? it.k.aimUs() * crowding : expected(it);
+        double run =
+            samples[it.q.classIndex()] < KNOWN
+                ? it.k.latencyObjectiveUs() * crowding
+                : expected(it);
         run *= Math.max(1, wanting / crowding);
         each += gap / Math.max(TICK_US, run);
       }
@@ -1142,10 +1157,10 @@
    */
   private void idle(boolean keep) {
     double moved = idle * (keep ? IDLE_UP : IDLE_DOWN);
-    idle = Math.min(s.idleUs(), Math.max(SHORT_US, moved));
-    if (Math.abs(idle - idleSaid) > 0.25 * idleSaid || idle >= s.idleUs() && idle > idleSaid) {
+    idle = Math.min(s.maxIdleUs(), Math.max(SHORT_US, moved));
+    if (Math.abs(idle - idleSaid) > 0.25 * idleSaid || idle >= s.maxIdleUs() && idle > idleSaid) {
       idleSaid = idle;
-      out.idle((long) idle);
+      out.setIdleTimeout((long) idle);
     }
   }
 
@@ -1164,10 +1179,10 @@
     boolean shut = shut();
     if (healthy == shut) {
       healthy = !shut;
-      out.health(healthy, true);
+      out.setHealth(healthy, true);
     }
     double value =
-        switch (s.say()) {
+        switch (s.loadAdviceMode()) {
           case OFF -> Double.NaN;
           case LEVEL -> shut ? 1 : level;
           case CREDIT ->
@@ -1179,9 +1194,9 @@
                           (slowness() > LAME ? 1 : CREDIT) * limit / Math.max(1, s.callers()));
           case WEIGHT -> shut ? 0 : slowness() > SLOW ? 1 / slowness() : 1;
         };
-    if (s.say() != Say.OFF && !(Math.abs(value - said) < 0.01)) {
+    if (s.loadAdviceMode() != LoadAdviceMode.OFF && !(Math.abs(value - said) < 0.01)) {
       said = value;
-      out.say(value);
+      out.setLoadAdvice(value);
     }
   }
 }
--- a/src/main/java/rosecleat/simulator/Link.java
+++ b/src/main/java/rosecleat/simulator/Link.java
@@ -11,9 +11,13 @@
 import java.util.Map;
 import rosecleat.config.ConfigException;
 import rosecleat.config.SettingsReader;
+import rosecleat.policy.Outcome;
 import rosecleat.policy.Policy;
-import rosecleat.policy.PolicyApi;
-import rosecleat.policy.PolicyApi.Outcome;
+import rosecleat.policy.PolicyActions;
+import rosecleat.policy.PolicyEvents;
+import rosecleat.policy.PolicyRequest;
+import rosecleat.policy.PolicySettings;
+import rosecleat.policy.ServerGauges;
 
 /**
  * Reads batches of events, hands each to the policy of its server, and writes one reply to each
@@ -42,10 +46,10 @@
 
   /** Makes the policy of a server that starts. */
   interface Maker {
-    PolicyApi make(PolicyApi.Settings settings, long seed, PolicyApi.Actions actions);
+    PolicyEvents make(PolicySettings settings, long seed, PolicyActions actions);
   }
 
-  private record Instance(PolicyApi policy, List<String> gauges) {}
+  private record Instance(PolicyEvents policy, List<String> gauges) {}
 
   private final InputStream in;
   private final OutputStream out;
@@ -53,7 +57,7 @@
   private final SettingsReader reader = new SettingsReader();
   private final Map<Integer, Instance> instances = new HashMap<>();
   private final Reply reply = new Reply();
-  private final PolicyApi.Gauges gauges = new PolicyApi.Gauges();
+  private final ServerGauges gauges = new ServerGauges();
   private final byte[] header = new byte[HEADER];
   private ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
 
@@ -110,10 +114,10 @@
       String text = text(at + 12, tail, end);
       SettingsReader.Start start = settings(text);
       try {
-        PolicyApi policy =
+        PolicyEvents policy =
             maker.make(start.settings(), body.getLong(at + 4), reply.actionsOf(server));
         instances.put(server, new Instance(policy, start.gauges()));
-        policy.begin(now);
+        policy.start(now);
       } catch (RuntimeException e) {
         reply.internalError(server, describe(e));
       }
@@ -145,13 +149,13 @@
   }
 
   private void dispatch(long now, int code, int at, Instance instance) {
-    PolicyApi policy = instance.policy;
+    PolicyEvents policy = instance.policy;
     switch (code) {
       case ACCEPT -> {
         int bits = body.getShort(at + 42) & 0xffff;
         policy.arrived(
             now,
-            new PolicyApi.Request(
+            new PolicyRequest(
                 body.getLong(at + 4),
                 body.getShort(at + 12) & 0xffff,
                 body.getInt(at + 14),
@@ -168,23 +172,23 @@
       }
       case SETTLED ->
           policy.ended(now, body.getLong(at + 4), outcome(body.get(at + 12)), u32(at + 13));
-      case WANTS_CALL -> policy.needsCall(now, body.getLong(at + 4));
+      case WANTS_CALL -> policy.callNeeded(now, body.getLong(at + 4));
       case DOWNSTREAM ->
-          policy.called(now, body.getLong(at + 4), outcome(body.get(at + 12)), u32(at + 13));
-      case TERMINATE_SOON -> policy.drain(now, u32(at + 4));
-      case EXPIRED -> policy.gone(now, body.getLong(at + 4));
+          policy.callEnded(now, body.getLong(at + 4), outcome(body.get(at + 12)), u32(at + 13));
+      case TERMINATE_SOON -> policy.draining(now, u32(at + 4));
+      case EXPIRED -> policy.cancelled(now, body.getLong(at + 4));
       case TIMEOUT_FIRED -> {
         readGauges(at + 12, instance.gauges);
-        policy.woken(now, body.getLong(at + 4), gauges);
+        policy.timerFired(now, body.getLong(at + 4), gauges);
       }
       default -> {} // an event this adapter does not know
     }
   }
 
   private void readGauges(int at, List<String> names) {
-    gauges.coreUse = -1;
-    gauges.onCores = -1;
-    gauges.memory = -1;
+    gauges.coreUtilisation = -1;
+    gauges.runnable = -1;
+    gauges.memoryShare = -1;
     gauges.connections = -1;
     int n = Math.min(body.get(at) & 0xff, names.size());
     if (at + 1 + 4 * n > body.limit()) {
@@ -193,9 +197,9 @@
     for (int i = 0; i < n; i++) {
       double value = body.getFloat(at + 1 + 4 * i);
       switch (names.get(i)) {
-        case "core_use" -> gauges.coreUse = value;
-        case "on_cores" -> gauges.onCores = value;
-        case "heap_share" -> gauges.memory = value;
+        case "core_use" -> gauges.coreUtilisation = value;
+        case "on_cores" -> gauges.runnable = value;
+        case "heap_share" -> gauges.memoryShare = value;
         case "links" -> gauges.connections = value;
         default -> {} // a gauge the module has no use for
       }
@@ -218,13 +222,13 @@
   private static Outcome outcome(byte code) {
     return switch (code & 0xff) {
       case 0 -> Outcome.OK;
-      case 254 -> Outcome.FULL;
+      case 254 -> Outcome.REJECTED;
       case 253 -> Outcome.TIMEOUT;
-      case 252 -> Outcome.UNREACHED;
+      case 252 -> Outcome.UNREACHABLE;
       case 251 -> Outcome.RESET;
-      case 250 -> Outcome.HALTED;
-      case 249 -> Outcome.MOOT;
-      default -> Outcome.ERROR;
+      case 250 -> Outcome.CANCELLED;
+      case 249 -> Outcome.NOT_STARTED;
+      default -> Outcome.FAILED;
     };
   }
 
--- a/src/main/java/rosecleat/simulator/Reply.java
+++ b/src/main/java/rosecleat/simulator/Reply.java
@@ -6,7 +6,7 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import rosecleat.policy.PolicyApi;
+import rosecleat.policy.PolicyActions;
 
 /** One reply frame under construction: fixed records, then a tail of texts. */
 final class Reply {
@@ -94,15 +94,15 @@
   }
 
   /** The actions of one server, written into this reply. */
-  PolicyApi.Actions actionsOf(int server) {
-    return new PolicyApi.Actions() {
+  PolicyActions actionsOf(int server) {
+    return new PolicyActions() {
       @Override
       public void run(long id) {
         add(RUN, server, id);
       }
 
       @Override
-      public void refuse(long id, long holdOffUs, boolean last) {
+      public void reject(long id, long holdOffUs, boolean last) {
         int at = add(REFUSE, server, id);
         records.putInt(at + 12, u32(holdOffUs));
         records.put(at + 16, (byte) (last ? 1 : 0));
@@ -114,7 +114,7 @@
       }
 
       @Override
-      public void halt(long id) {
+      public void cancel(long id) {
         add(HALT, server, id);
       }
 
@@ -130,42 +130,42 @@
       }
 
       @Override
-      public void keep(long id, long forUs) {
+      public void rememberKey(long id, long forUs) {
         int at = add(KEEP, server, id);
         records.putInt(at + 12, u32(forUs));
       }
 
       @Override
-      public void forget(long id) {
+      public void forgetKey(long id) {
         add(FORGET, server, id);
       }
 
       @Override
-      public void reuse(long id) {
+      public void replayResult(long id) {
         add(REUSE, server, id);
       }
 
       @Override
-      public void health(boolean good, boolean fromStore) {
+      public void setHealth(boolean good, boolean fromStore) {
         int at = add(HEALTH, server);
         records.put(at + 4, (byte) (fromStore ? 1 : 0));
         records.put(at + 5, (byte) (good ? 1 : 0));
       }
 
       @Override
-      public void say(double value) {
+      public void setLoadAdvice(double value) {
         int at = add(SAY, server);
         records.putFloat(at + 4, (float) value);
       }
 
       @Override
-      public void idle(long us) {
+      public void setIdleTimeout(long us) {
         int at = add(IDLE, server);
         records.putInt(at + 4, u32(us));
       }
 
       @Override
-      public void wake(long inUs, long tag) {
+      public void startTimer(long inUs, long tag) {
         int at = add(WAKE, server);
         records.putInt(at + 4, u32(inUs));
         records.putLong(at + 8, tag);
--- a/src/main/java/rosecleat/state/Memory.java
+++ b/src/main/java/rosecleat/state/Memory.java
@@ -15,8 +15,10 @@
 import rosecleat.facts.FactKind;
 import rosecleat.facts.SettingsDigests;
 import rosecleat.log.Log;
-import rosecleat.policy.Decisions;
-import rosecleat.policy.Decisions.Lesson;
+import rosecleat.policy.ClassAndTenantNames;
+import rosecleat.policy.Estimate;
+import rosecleat.policy.EstimateKind;
+import rosecleat.policy.PolicyEngine;
 import rosecleat.store.Recovered;
 import rosecleat.store.Store;
 
@@ -35,8 +37,8 @@
    */
   public record Node(
       Supplier<SettingsDigests> terms,
-      Supplier<Decisions.Names> names,
-      Decisions decisions,
+      Supplier<ClassAndTenantNames> names,
+      PolicyEngine decisions,
       LongSupplier clock,
       Consumer<Runnable> loop) {}
 
@@ -82,15 +84,15 @@
       counters.add("state.opened");
       counters.add("state.findings", found.findings().size());
     }
-    if (given && node.decisions.begun()) {
+    if (given && node.decisions.started()) {
       return;
     }
     given = true;
     List<FactOwner.Kept> kept = ((FactOwner.Facts) found.fold()).all();
-    node.decisions.teach(node.names.get(), () -> lessons(kept, node.clock.getAsLong()));
+    node.decisions.restore(node.names.get(), () -> lessons(kept, node.clock.getAsLong()));
   }
 
-  private List<Lesson> lessons(List<FactOwner.Kept> kept, long nowUs) {
+  private List<Estimate> lessons(List<FactOwner.Kept> kept, long nowUs) {
     FactAggregator aggregator = new FactAggregator(node.terms.get(), settings.halfLifeUs());
     kept.forEach(each -> aggregator.add(each.node(), List.of(each.fact()), nowUs));
     List<Fact> facts = aggregator.factsAt(nowUs);
@@ -112,8 +114,8 @@
     return facts.stream()
         .map(
             f ->
-                new Lesson(
-                    Decisions.Topic.valueOf(f.kind().name()), f.subject(), f.value(), f.weight()))
+                new Estimate(
+                    EstimateKind.valueOf(f.kind().name()), f.subject(), f.value(), f.weight()))
         .toList();
   }
 
@@ -133,12 +135,12 @@
     Store to = opener.store();
     if (to == null
         || !given
-        || !node.decisions.begun()
+        || !node.decisions.started()
         || saver.isShutdown()
         || !saving.compareAndSet(false, true)) {
       return;
     }
-    List<Lesson> lessons = node.decisions.learnt(node.names.get());
+    List<Estimate> lessons = node.decisions.estimates(node.names.get());
     SettingsDigests terms = node.terms.get();
     double halfLifeUs = settings.halfLifeUs();
     saver.execute(
@@ -152,7 +154,7 @@
   }
 
   private void write(
-      Store to, List<Lesson> lessons, SettingsDigests terms, double halfLifeUs, long nowUs) {
+      Store to, List<Estimate> lessons, SettingsDigests terms, double halfLifeUs, long nowUs) {
     List<Fact> facts =
         lessons.stream()
             .map(l -> fact(l, terms, nowUs))
@@ -175,14 +177,14 @@
     }
   }
 
-  private static Fact fact(Lesson lesson, SettingsDigests terms, long nowUs) {
-    FactKind kind = FactKind.valueOf(lesson.topic().name());
-    String digest = terms.digestOf(kind, lesson.of()).orElse("");
+  private static Fact fact(Estimate estimate, SettingsDigests terms, long nowUs) {
+    FactKind kind = FactKind.valueOf(estimate.kind().name());
+    String digest = terms.digestOf(kind, estimate.subject()).orElse("");
     return new Fact(
         kind,
-        lesson.of(),
-        lesson.value(),
-        Math.min(lesson.samples(), kind.maxWeight()),
+        estimate.subject(),
+        estimate.value(),
+        Math.min(estimate.samples(), kind.maxWeight()),
         nowUs,
         digest);
   }
--- a/src/test/java/rosecleat/core/CoreTest.java
+++ b/src/test/java/rosecleat/core/CoreTest.java
@@ -14,7 +14,7 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.PolicyEngine;
 
 /**
  * The life of requests in the core, on a clock of the test's own: no wire, no thread, no waiting.
@@ -116,7 +116,7 @@
             1_500_000,
             30_000_000,
             resultBytes),
-        new Decisions(config.start().settings(), config.start().gauges(), 5),
+        new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
         ledger,
         () -> now,
         new Counters(),
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -22,7 +22,7 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.PolicyEngine;
 import rosecleat.runtime.NoRuntime;
 
 /** How long the front waits for what a connection owes it, on a clock of the test's own. */
@@ -228,7 +228,7 @@
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
     return new Core(
         new Core.Rules(2, classes(), List.of("small"), 80_000, 1_500_000, idleUs, 1 << 20),
-        new Decisions(config.start().settings(), config.start().gauges(), 5),
+        new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
         NONE,
         now::get,
         new Counters(),
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -34,7 +34,7 @@
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.net.MonotonicClock;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.PolicyEngine;
 
 /**
  * A balancer's connection against a model of its states: random steps, and after each the answers
@@ -110,7 +110,7 @@
                   1_500_000,
                   30_000_000,
                   1 << 20),
-              new Decisions(config.start().settings(), config.start().gauges(), 5),
+              new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
               new NoDownstream(),
               clock,
               new Counters(),
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -17,7 +17,7 @@
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
 import rosecleat.net.MonotonicClock;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.PolicyEngine;
 
 /** What the client makes of a request that its connection's queue would not have held. */
 class UwsgiRunnerTest {
@@ -46,7 +46,7 @@
       Core core =
           new Core(
               new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
-              new Decisions(config.start().settings(), config.start().gauges(), 5),
+              new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
               NONE,
               clock,
               counters,
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -18,7 +18,7 @@
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
 import rosecleat.net.MonotonicClock;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.PolicyEngine;
 
 /**
  * Calls that cross the end of the connection they would go by: the loop hears of that end behind
@@ -48,7 +48,7 @@
     client.tell(
         new Core(
             new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
-            new Decisions(config.start().settings(), config.start().gauges(), 5),
+            new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
             client,
             clock,
             counters,
--- a/src/test/java/rosecleat/measure/StoreSpeed.java
+++ b/src/test/java/rosecleat/measure/StoreSpeed.java
@@ -22,7 +22,9 @@
 import rosecleat.facts.SettingsDigests;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.ClassAndTenantNames;
+import rosecleat.policy.PolicyEngine;
+import rosecleat.policy.PolicyEvent;
 import rosecleat.state.Memory;
 import rosecleat.state.Opener;
 import rosecleat.store.Entry;
@@ -189,9 +191,9 @@
                 .toString()
                 .replaceAll("\"parties\":\\[.*?]", "\"parties\":[" + parties + "]"),
             Map.of());
-    Decisions decisions = new Decisions(config.start().settings(), List.of(), 1);
+    PolicyEngine decisions = new PolicyEngine(config.start().settings(), List.of(), 1);
     long[] now = {System.currentTimeMillis() * 1000};
-    decisions.begin(now[0], false);
+    decisions.start(now[0], false);
     SettingsDigests terms =
         new SettingsDigests("n1", "s", Map.of("balance-check", "c"), digests, Map.of());
     Log log = new Log(System.err);
@@ -204,7 +206,7 @@
             opener,
             new Memory.Node(
                 () -> terms,
-                () -> new Decisions.Names(config.start().classes(), names),
+                () -> new ClassAndTenantNames(config.start().classes(), names),
                 decisions,
                 () -> now[0],
                 loop::add),
@@ -213,11 +215,10 @@
     Histogram held = new Histogram(60_000_000_000L, 3);
     for (int i = 1; i <= 3_000; i++) {
       now[0] += 100_000_000; // so long that all is written again
-      decisions.report(
+      decisions.handle(
           now[0],
-          new Decisions.Report.Arrived(
-              i, 0, i % tenants, 0, 1_000_000, 8, 0.5, false, false, 1, 0, 0));
-      while (decisions.pick() != null) {
+          new PolicyEvent.Arrived(i, 0, i % tenants, 0, 1_000_000, 8, 0.5, false, false, 1, 0, 0));
+      while (decisions.nextCommand() != null) {
         continue;
       }
       long from = System.nanoTime();
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -34,6 +34,7 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
+import rosecleat.policy.Estimate;
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
@@ -157,10 +158,10 @@
     before();
     node = start(config(), null);
     await(() -> count(node, "state.taken") >= 3);
-    List<rosecleat.policy.Decisions.Lesson> lessons = node.lessons().get(5, TimeUnit.SECONDS);
+    List<Estimate> lessons = node.lessons().get(5, TimeUnit.SECONDS);
     double us =
         lessons.stream()
-            .filter(l -> l.of().equals("balance-check"))
+            .filter(l -> l.subject().equals("balance-check"))
             .findFirst()
             .orElseThrow()
             .value();
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -24,7 +24,7 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.policy.PolicyApi;
+import rosecleat.policy.PolicySettings;
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
@@ -210,7 +210,7 @@
   @Test
   void bothTogetherKeepToTheLimitsOfOne() throws Exception {
     startNewer();
-    PolicyApi.Settings whole = TestSite.config(0, 0, 0, 2_000, 500).start().settings();
+    PolicySettings whole = TestSite.config(0, 0, 0, 2_000, 500).start().settings();
     try (RespClient a = clientOf(older);
         RespClient b = clientOf(newer)) {
       for (int tag = 2; tag < 26; tag++) {
@@ -220,8 +220,9 @@
       await(() -> on(older, older::limits).memoryKb() < 0.6 * whole.memoryKb());
       double sum = on(older, older::limits).memoryKb() + on(newer, newer::limits).memoryKb();
       assertTrue(sum < 1.1 * whole.memoryKb(), sum + " of " + whole.memoryKb());
-      double calls = on(older, older::limits).callsOut() + on(newer, newer::limits).callsOut();
-      assertTrue(calls < 1.1 * whole.callsOut(), calls + " of " + whole.callsOut());
+      double calls =
+          on(older, older::limits).concurrentCalls() + on(newer, newer::limits).concurrentCalls();
+      assertTrue(calls < 1.1 * whole.concurrentCalls(), calls + " of " + whole.concurrentCalls());
     }
     older.close();
     await(() -> on(newer, newer::limits).memoryKb() == whole.memoryKb());
--- a/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
+++ b/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
@@ -8,31 +8,23 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rosecleat.policy.PolicyApi.Below;
-import rosecleat.policy.PolicyApi.Effect;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Klass;
-import rosecleat.policy.PolicyApi.Outcome;
-import rosecleat.policy.PolicyApi.Request;
-import rosecleat.policy.PolicyApi.Say;
-import rosecleat.policy.PolicyApi.Settings;
 
 /** The README's example of a host; kept here so that it compiles and runs with the tests. */
 class EmbeddingExampleTest {
   // README example begins
   /** One server's host: owns the clock and the work, and runs everything on one thread. */
-  static final class Server implements PolicyApi.Actions {
+  static final class Server implements PolicyActions {
     final Policy policy;
     final Map<Long, Runnable> work = new HashMap<>();
     final ArrayDeque<Long> toRun = new ArrayDeque<>();
     final List<String> answers = new ArrayList<>();
     long wakeInUs;
 
-    Server(Settings settings, long seed) {
+    Server(PolicySettings settings, long seed) {
       policy = new Policy(settings, seed, this);
     }
 
-    void receive(long now, Request request, Runnable job) {
+    void receive(long now, PolicyRequest request, Runnable job) {
       work.put(request.id(), job); // before the event: the module may answer or run it at once
       policy.arrived(now, request);
     }
@@ -50,7 +42,7 @@
     }
 
     @Override
-    public void refuse(long id, long holdOffUs, boolean last) {
+    public void reject(long id, long holdOffUs, boolean last) {
       answers.add("turned away " + id);
       work.remove(id);
     }
@@ -61,12 +53,12 @@
     }
 
     @Override
-    public void wake(long inUs, long tag) {
-      wakeInUs = inUs; // the host calls policy.woken(now, tag, gauges) then
+    public void startTimer(long inUs, long tag) {
+      wakeInUs = inUs; // the host calls policy.timerFired(now, tag, gauges) then
     }
 
     @Override
-    public void halt(long id) {}
+    public void cancel(long id) {}
 
     @Override
     public void call(long id, long untilUs) {}
@@ -75,22 +67,22 @@
     public void skipCall(long id) {}
 
     @Override
-    public void keep(long id, long forUs) {}
+    public void rememberKey(long id, long forUs) {}
 
     @Override
-    public void forget(long id) {}
+    public void forgetKey(long id) {}
 
     @Override
-    public void reuse(long id) {}
+    public void replayResult(long id) {}
 
     @Override
-    public void health(boolean good, boolean fromStore) {}
+    public void setHealth(boolean good, boolean fromStore) {}
 
     @Override
-    public void say(double value) {}
+    public void setLoadAdvice(double value) {}
 
     @Override
-    public void idle(long us) {}
+    public void setIdleTimeout(long us) {}
 
     @Override
     public void log(String line) {
@@ -98,9 +90,10 @@
     }
   }
 
-  static Settings settings() {
-    Klass page = new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, false, 0);
-    return new Settings(
+  static PolicySettings settings() {
+    PriorityClass page =
+        new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, false, 0);
+    return new PolicySettings(
         4,
         10,
         3,
@@ -119,15 +112,15 @@
         false,
         false,
         1,
-        Halt.OFF,
-        Say.OFF,
+        CancelMode.OFF,
+        LoadAdviceMode.OFF,
         0,
         0,
         false,
         false,
         0,
         0,
-        Below.OFF,
+        DownstreamMode.OFF,
         0,
         0,
         0,
@@ -141,9 +134,11 @@
   @Test
   void theExampleServesARequest() {
     Server server = new Server(settings(), 42);
-    server.policy.begin(0);
+    server.policy.start(0);
     server.receive(
-        1_000, new Request(1, 0, 0, 0, 3_000_000, 0, 16, 0, false, false, 1, 500, 0), () -> {});
+        1_000,
+        new PolicyRequest(1, 0, 0, 0, 3_000_000, 0, 16, 0, false, false, 1, 500, 0),
+        () -> {});
     server.runNext(1_000, 41_000);
     assertEquals(List.of("served 1"), server.answers);
     assertEquals(20_000, server.wakeInUs);
--- a/src/test/java/rosecleat/policy/FleetRamp.java
+++ b/src/test/java/rosecleat/policy/FleetRamp.java
@@ -5,12 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import rosecleat.policy.PolicyApi.Below;
-import rosecleat.policy.PolicyApi.Effect;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Klass;
-import rosecleat.policy.PolicyApi.Outcome;
-import rosecleat.policy.PolicyApi.Say;
 
 /**
  * A fleet of modules that hear nothing of each other, and what they send together: to a dependency
@@ -34,10 +28,10 @@
   private static final long CALL_US = 30_000;
   private static final long WORK_US = 20_000;
 
-  private static final Klass LESS =
-      new Klass(1, 0, 5_000_000, 0, 17_000_000, Effect.SAFE, 0, true, 0.3);
-  private static final Klass NOTHING =
-      new Klass(1, 0, 3_800_000, 0, 12_800_000, Effect.KEYED, 18_000_000, true, 0);
+  private static final PriorityClass LESS =
+      new PriorityClass(1, 0, 5_000_000, 0, 17_000_000, Idempotency.SAFE, 0, true, 0.3);
+  private static final PriorityClass NOTHING =
+      new PriorityClass(1, 0, 3_800_000, 0, 12_800_000, Idempotency.KEYED, 18_000_000, true, 0);
 
   /**
    * What a fleet sent below: the largest mean of calls held in one span, and its bound; both in
@@ -63,16 +57,16 @@
       Host h =
           new Host(
               Sites.with(
-                  Halt.DROP,
-                  Say.CREDIT,
-                  Below.SHARED,
+                  CancelMode.DROP,
+                  LoadAdviceMode.CREDIT,
+                  DownstreamMode.SHARED,
                   share,
                   100_000,
                   false,
                   List.of(),
                   List.of(LESS, NOTHING)),
               random.nextLong());
-      h.gauges.coreUse = 0.5;
+      h.gauges.coreUtilisation = 0.5;
       fleet.add(h);
     }
     Map<Host.Entry, Long> ends = new HashMap<>(); // of calls, and the beginnings of runs
@@ -115,7 +109,7 @@
         case CALLING -> call(h, e, now, ends);
         default -> {
           if (!e.owed && e.at != Host.At.OVER) {
-            h.end(e, Outcome.HALTED, 1);
+            h.end(e, Outcome.CANCELLED, 1);
           }
         }
       }
@@ -126,19 +120,19 @@
   private static void run(
       Host h, Host.Entry e, SplittableRandom random, Map<Host.Entry, Long> began) {
     if (e.halting) {
-      h.end(e, Outcome.HALTED, 1);
+      h.end(e, Outcome.CANCELLED, 1);
     } else if (e.out == null && e.callUntil == 0) {
       began.put(e, h.now);
       h.need(e); // each run calls once, at once
     } else if (random.nextInt(10) == 0) {
-      h.end(e, e.owed ? Outcome.OK : Outcome.HALTED, h.now - began.remove(e) + WORK_US);
+      h.end(e, e.owed ? Outcome.OK : Outcome.CANCELLED, h.now - began.remove(e) + WORK_US);
     }
   }
 
   private static void call(Host h, Host.Entry e, long now, Map<Host.Entry, Long> ends) {
     if (now >= AWAY_FROM_US && now < BACK_US) {
       ends.remove(e);
-      h.called(e, Outcome.UNREACHED);
+      h.called(e, Outcome.UNREACHABLE);
       return;
     }
     double cold = now < BACK_US ? 0 : Math.max(0, 1 - (now - BACK_US) / (double) RAMP_US);
@@ -157,23 +151,31 @@
     Host h =
         new Host(
             Sites.with(
-                Halt.OFF, Say.CREDIT, Below.OFF, 0, 100_000, true, List.of(), List.of(Sites.SAFE)),
+                CancelMode.OFF,
+                LoadAdviceMode.CREDIT,
+                DownstreamMode.OFF,
+                0,
+                100_000,
+                true,
+                List.of(),
+                List.of(Sites.SAFE)),
             seed);
     SplittableRandom random = new SplittableRandom(seed);
     List<Integer> running = new ArrayList<>();
-    long overForUs = h.settings.fallSpanUs();
+    long overForUs = h.settings.overloadSpanUs();
     double most = 0;
-    for (long now = 0; now < h.settings.warmUs(); now += STEP_US) {
+    for (long now = 0; now < h.settings.warmupUs(); now += STEP_US) {
       double share =
-          h.settings.coldShare() + (1 - h.settings.coldShare()) * now / h.settings.warmUs();
-      h.gauges.coreUse = h.running().isEmpty() ? 0.2 : 1;
+          h.settings.coldCapacity() + (1 - h.settings.coldCapacity()) * now / h.settings.warmupUs();
+      h.gauges.coreUtilisation = h.running().isEmpty() ? 0.2 : 1;
       h.pass(STEP_US);
       for (int caller = 0;
           caller < callers;
           caller++) { // each has as much out as it was told it may
         h.caller = caller;
         int mine = caller;
-        long out = h.entries.values().stream().filter(e -> e.q.caller() == mine && e.owed).count();
+        long out =
+            h.entries.values().stream().filter(e -> e.q.callerId() == mine && e.owed).count();
         for (double more = h.said - out; more >= 1 && h.entries.size() < 2_000; more--) {
           h.arrive(0);
         }
@@ -195,7 +197,8 @@
                 .orElse(0);
         most =
             Math.max(
-                most, mean / (h.settings.cores() * (1 + (h.settings.fallMultiple() - 1) * share)));
+                most,
+                mean / (h.settings.cores() * (1 + (h.settings.overloadMultiple() - 1) * share)));
       }
     }
     return most;
--- a/src/test/java/rosecleat/policy/Host.java
+++ b/src/test/java/rosecleat/policy/Host.java
@@ -9,19 +9,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import rosecleat.policy.PolicyApi.Actions;
-import rosecleat.policy.PolicyApi.Effect;
-import rosecleat.policy.PolicyApi.Gauges;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Outcome;
-import rosecleat.policy.PolicyApi.Request;
-import rosecleat.policy.PolicyApi.Settings;
 
 /**
  * A host for tests: passes events on, records actions, keeps the books and asserts the four rules
  * at each action.
  */
-final class Host implements Actions {
+final class Host implements PolicyActions {
   enum At {
     HELD,
     RUNNING,
@@ -32,7 +25,7 @@
   }
 
   static final class Entry {
-    Request q;
+    PolicyRequest q;
     long arrived;
     long due;
     At at = At.HELD;
@@ -53,13 +46,13 @@
     long until = Long.MAX_VALUE;
   }
 
-  final Settings settings;
+  final PolicySettings settings;
   final Policy policy;
   final Map<Long, Entry> entries = new LinkedHashMap<>();
   final Map<Long, Long> keptUntil = new HashMap<>();
   final List<String> actions = new ArrayList<>();
   final List<String> logs = new ArrayList<>();
-  final Gauges gauges = new Gauges();
+  final ServerGauges gauges = new ServerGauges();
   long now;
   long nextId = 1;
   long wakeAt;
@@ -75,12 +68,12 @@
   int calling;
   final List<Out> outs = new ArrayList<>();
 
-  Host(Settings settings, long seed) {
+  Host(PolicySettings settings, long seed) {
     this.settings = settings;
     policy = new Policy(settings, seed, this);
-    policy.begin(now);
-    gauges.coreUse = 0;
-    gauges.onCores = 0;
+    policy.start(now);
+    gauges.coreUtilisation = 0;
+    gauges.runnable = 0;
   }
 
   // ---- driving
@@ -92,7 +85,7 @@
   Entry arrive(int klass, int tenant, long age, long left, long original) {
     Entry e = new Entry();
     e.q =
-        new Request(
+        new PolicyRequest(
             nextId++,
             klass,
             tenant,
@@ -108,7 +101,8 @@
             original);
     e.arrived = now - age;
     e.due =
-        Math.max(now, left > 0 ? now + left : e.arrived + settings.classes().get(klass).dueUs());
+        Math.max(
+            now, left > 0 ? now + left : e.arrived + settings.classes().get(klass).deadlineUs());
     entries.put(e.q.id(), e);
     policy.arrived(now, e.q);
     check();
@@ -116,11 +110,11 @@
   }
 
   void end(Entry e, Outcome outcome, long took) {
-    boolean dropped = outcome == Outcome.HALTED && e.owed;
+    boolean dropped = outcome == Outcome.CANCELLED && e.owed;
     e.at = dropped ? At.HELD : At.OVER;
-    e.paused = dropped && settings.halt() == Halt.PAUSE;
+    e.paused = dropped && settings.cancelMode() == CancelMode.PAUSE;
     leaves(e, settings.callLingerUs());
-    if ((outcome == Outcome.OK || outcome == Outcome.ERROR) && e.owed) {
+    if ((outcome == Outcome.OK || outcome == Outcome.FAILED) && e.owed) {
       e.owed = false;
       e.answer = outcome.name();
       e.answeredAt = now;
@@ -131,7 +125,7 @@
 
   void need(Entry e) {
     e.at = At.NEEDS;
-    policy.needsCall(now, e.q.id());
+    policy.callNeeded(now, e.q.id());
     check();
   }
 
@@ -139,8 +133,9 @@
     long took = e.out == null ? 0 : now - e.out.from;
     leaves(e, outcome == Outcome.TIMEOUT || outcome == Outcome.RESET ? settings.callLingerUs() : 0);
     e.at = outcome == Outcome.OK ? At.RUNNING : At.NEEDS;
-    e.repeatable = outcome == Outcome.FULL || outcome == Outcome.UNREACHED || outcome == Outcome.OK;
-    policy.called(now, e.q.id(), outcome, took);
+    e.repeatable =
+        outcome == Outcome.REJECTED || outcome == Outcome.UNREACHABLE || outcome == Outcome.OK;
+    policy.callEnded(now, e.q.id(), outcome, took);
     check();
   }
 
@@ -158,14 +153,14 @@
     for (Out last : outs) {
       for (long end :
           new long[] {
-            Math.min(now, last.until), Math.min(now, last.from + settings.callsSpanUs())
+            Math.min(now, last.until), Math.min(now, last.from + settings.callWindowUs())
           }) {
         double sum = 0;
         for (Out o : outs) {
           sum +=
-              Math.max(0, Math.min(end, o.until) - Math.max(o.from, end - settings.callsSpanUs()));
+              Math.max(0, Math.min(end, o.until) - Math.max(o.from, end - settings.callWindowUs()));
         }
-        most = Math.max(most, sum / settings.callsSpanUs());
+        most = Math.max(most, sum / settings.callWindowUs());
       }
     }
     return most;
@@ -176,7 +171,7 @@
     if (e.at == At.HELD || e.at == At.ATTACHED) {
       e.at = At.OVER;
     }
-    policy.gone(now, e.q.id());
+    policy.cancelled(now, e.q.id());
     check();
   }
 
@@ -185,7 +180,7 @@
     for (Entry e : entries.values()) {
       e.due = Math.min(e.due, now + left - settings.slackUs());
     }
-    policy.drain(now, left);
+    policy.draining(now, left);
     check();
   }
 
@@ -194,7 +189,7 @@
     long until = now + us;
     while (wakeAt <= until) {
       now = Math.max(now, wakeAt);
-      policy.woken(now, 0, gauges);
+      policy.timerFired(now, 0, gauges);
       check();
     }
     now = until;
@@ -209,7 +204,7 @@
     for (Entry e : entries.values()) {
       if (e.at != At.OVER) {
         boolean small = e.at == At.HELD && !e.paused || e.at == At.ATTACHED;
-        kb += e.q.heldKb() * (small ? 1 : settings.runFactor());
+        kb += e.q.queuedKb() * (small ? 1 : settings.runMemoryFactor());
       }
     }
     for (long until : keptUntil.values()) {
@@ -222,7 +217,8 @@
     assertTrue(memory() <= settings.memoryKb(), "memory " + memory());
     long onCores = entries.values().stream().filter(e -> e.at == At.RUNNING).count();
     assertTrue(
-        onCores <= settings.cores() * (1 + (settings.fallMultiple() - 1) * settings.coldShare()),
+        onCores
+            <= settings.cores() * (1 + (settings.overloadMultiple() - 1) * settings.coldCapacity()),
         "crowd");
     for (Entry e : entries.values()) {
       assertFalse(e.owed && now > e.due + settings.slackUs(), "lost " + e.q.id());
@@ -235,8 +231,8 @@
     return e;
   }
 
-  private Effect effect(Entry e) {
-    return settings.classes().get(e.q.klass()).effect();
+  private Idempotency effect(Entry e) {
+    return settings.classes().get(e.q.classIndex()).idempotency();
   }
 
   // ---- actions, with the rules asserted
@@ -246,14 +242,14 @@
     actions.add("run " + id);
     Entry e = of(id);
     assertTrue(e.at == At.HELD, "run of what is not held");
-    assertFalse(e.ran && effect(e) != Effect.SAFE, "effect run twice");
+    assertFalse(e.ran && effect(e) != Idempotency.SAFE, "effect run twice");
     assertFalse(noticeAt >= 0 && e.arrived > noticeAt + settings.graceUs(), "run after the grace");
-    if (effect(e) == Effect.KEYED) {
+    if (effect(e) == Idempotency.KEYED) {
       assertTrue(
           keptUntil.getOrDefault(id, 0L)
-              >= e.arrived + settings.classes().get(e.q.klass()).windowUs(),
+              >= e.arrived + settings.classes().get(e.q.classIndex()).retryWindowUs(),
           "keyed run without its entry");
-      for (long o = e.q.original(); o != 0; o = entries.get(o).q.original()) {
+      for (long o = e.q.originalId(); o != 0; o = entries.get(o).q.originalId()) {
         assertFalse(entries.get(o).ran, "keyed effect run again");
       }
     }
@@ -262,12 +258,12 @@
   }
 
   @Override
-  public void refuse(long id, long holdOffUs, boolean last) {
+  public void reject(long id, long holdOffUs, boolean last) {
     actions.add("refuse " + id);
     Entry e = of(id);
-    if (effect(e) != Effect.SAFE) {
+    if (effect(e) != Idempotency.SAFE) {
       assertFalse(e.ran, "effect refused after it ran");
-      for (long o = e.q.original(); o != 0; o = entries.get(o).q.original()) {
+      for (long o = e.q.originalId(); o != 0; o = entries.get(o).q.originalId()) {
         assertFalse(entries.get(o).ran, "repeat refused after the effect ran");
       }
     }
@@ -294,9 +290,9 @@
   }
 
   @Override
-  public void halt(long id) {
+  public void cancel(long id) {
     actions.add("halt " + id);
-    assertTrue(settings.halt() != Halt.OFF, "halt where there is none");
+    assertTrue(settings.cancelMode() != CancelMode.OFF, "halt where there is none");
     of(id).halting = true;
   }
 
@@ -305,7 +301,7 @@
     actions.add("call " + id);
     Entry e = of(id);
     assertTrue(e.at == At.NEEDS);
-    assertTrue(effect(e) == Effect.SAFE || e.repeatable, "call repeated that may have run");
+    assertTrue(effect(e) == Idempotency.SAFE || e.repeatable, "call repeated that may have run");
     e.at = At.CALLING;
     e.callUntil = untilUs;
     assertTrue(untilUs >= now, "call given up before it is made");
@@ -320,46 +316,47 @@
   public void skipCall(long id) {
     actions.add("skip " + id);
     assertTrue(
-        settings.classes().get(of(id).q.klass()).worthWithoutCall() > 0, "skip that is a fault");
+        settings.classes().get(of(id).q.classIndex()).weightWithoutCall() > 0,
+        "skip that is a fault");
     of(id).at = At.RUNNING;
   }
 
   @Override
-  public void keep(long id, long forUs) {
+  public void rememberKey(long id, long forUs) {
     actions.add("keep " + id);
     keptUntil.put(id, now + forUs);
   }
 
   @Override
-  public void forget(long id) {
+  public void forgetKey(long id) {
     assertFalse(of(id).ran, "forgotten what has run");
     keptUntil.remove(id);
   }
 
   @Override
-  public void reuse(long id) {
+  public void replayResult(long id) {
     actions.add("reuse " + id);
-    assertTrue(of(id).q.original() != 0, "reuse of nothing");
+    assertTrue(of(id).q.originalId() != 0, "reuse of nothing");
     of(id).at = At.ATTACHED;
   }
 
   @Override
-  public void health(boolean isGood, boolean fromStore) {
+  public void setHealth(boolean isGood, boolean fromStore) {
     good = isGood;
   }
 
   @Override
-  public void say(double value) {
+  public void setLoadAdvice(double value) {
     said = value;
   }
 
   @Override
-  public void idle(long us) {
+  public void setIdleTimeout(long us) {
     idle = us;
   }
 
   @Override
-  public void wake(long inUs, long tag) {
+  public void startTimer(long inUs, long tag) {
     wakeAt = now + inUs;
   }
 
--- a/src/test/java/rosecleat/policy/MechanismTest.java
+++ b/src/test/java/rosecleat/policy/MechanismTest.java
@@ -5,20 +5,14 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rosecleat.policy.PolicyApi.Below;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Klass;
-import rosecleat.policy.PolicyApi.Outcome;
-import rosecleat.policy.PolicyApi.Say;
-import rosecleat.policy.PolicyApi.Tenant;
 
 /** The arithmetic of Algorithm 1 and when refusal binds. */
 class MechanismTest {
-  private static final Klass LONG =
-      new Klass(1, 0, 60_000_000, 0, 60_000_000, PolicyApi.Effect.SAFE, 0, false, 0);
+  private static final PriorityClass LONG =
+      new PriorityClass(1, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
 
   private static Host busy(Host h) {
-    h.gauges.coreUse = 1;
+    h.gauges.coreUtilisation = 1;
     h.pass(20_000);
     return h;
   }
@@ -70,7 +64,7 @@
     h.pass(7_000_000);
     h.policy.rhoAv = 9;
     assertEquals("refuse", h.arrive(0).answer);
-    h.gauges.coreUse = 0.85; // waited enough, but the cores are not busy
+    h.gauges.coreUtilisation = 0.85; // waited enough, but the cores are not busy
     h.pass(20_000);
     h.policy.rhoAv = 9;
     assertEquals("", h.arrive(0).answer);
@@ -104,7 +98,8 @@
 
   @Test
   void anArrivalCompetesOnlyWithWhatIsWorthAsMuch() {
-    Klass dear = new Klass(5, 0, 60_000_000, 0, 60_000_000, PolicyApi.Effect.SAFE, 0, false, 0);
+    PriorityClass dear =
+        new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
     Host h = busy(new Host(Sites.plain(List.of(LONG, dear)), 3));
     for (int i = 0; i < 60; i++) {
       h.arrive(i % 4 == 0 ? 1 : 0);
@@ -161,7 +156,8 @@
 
   @Test
   void aDearerArrivalThatWasDrawnTakesThePlaceOfTheCheapestHeld() {
-    Klass dear = new Klass(5, 0, 60_000_000, 0, 60_000_000, PolicyApi.Effect.SAFE, 0, false, 0);
+    PriorityClass dear =
+        new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
     Host h = busy(new Host(Sites.plain(List.of(LONG, dear)), 3));
     drawsAll(h);
     assertEquals("refuse", h.arrive(0).answer);
@@ -173,12 +169,19 @@
 
   @Test
   void tenantsInsideTheirSharesAreNotSetAgainstEachOtherByFurtherTries() {
-    List<Tenant> tenants = List.of(new Tenant(10), new Tenant(10));
+    List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(10));
     Host h =
         busy(
             new Host(
                 Sites.with(
-                    Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants, List.of(LONG)),
+                    CancelMode.DROP,
+                    LoadAdviceMode.WEIGHT,
+                    DownstreamMode.OFF,
+                    0,
+                    100_000,
+                    false,
+                    tenants,
+                    List.of(LONG)),
                 3));
     for (int i = 0; i < 80; i++) { // each at four times its quota a server, in equal parts
       h.arrive(0, i % 2, 0, 0, 0);
@@ -199,12 +202,19 @@
 
   @Test
   void aTenantWithoutAQuotaIsWhollyOverItsShare() {
-    List<Tenant> tenants = List.of(new Tenant(0), new Tenant(100));
+    List<TenantQuota> tenants = List.of(new TenantQuota(0), new TenantQuota(100));
     Host h =
         busy(
             new Host(
                 Sites.with(
-                    Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants, List.of(LONG)),
+                    CancelMode.DROP,
+                    LoadAdviceMode.WEIGHT,
+                    DownstreamMode.OFF,
+                    0,
+                    100_000,
+                    false,
+                    tenants,
+                    List.of(LONG)),
                 3));
     drawsAll(h);
     assertEquals("", h.arrive(0, 1, 0, 0, 0).answer);
@@ -213,7 +223,8 @@
 
   @Test
   void nothingHeldGivesWayToAnArrivalThatIsTurnedAwayAnyhow() {
-    Klass dear = new Klass(5, 0, 60_000_000, 0, 60_000_000, PolicyApi.Effect.SAFE, 0, false, 0);
+    PriorityClass dear =
+        new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
     Host h = busy(new Host(Sites.plain(List.of(LONG, dear)), 3));
     drawsAll(h);
     assertEquals(
@@ -223,12 +234,19 @@
 
   @Test
   void aTenantFarOverItsShareIsRefusedFirst() {
-    List<Tenant> tenants = List.of(new Tenant(10), new Tenant(100));
+    List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(100));
     Host h =
         busy(
             new Host(
                 Sites.with(
-                    Halt.DROP, Say.WEIGHT, Below.OFF, 0, 100_000, false, tenants, List.of(LONG)),
+                    CancelMode.DROP,
+                    LoadAdviceMode.WEIGHT,
+                    DownstreamMode.OFF,
+                    0,
+                    100_000,
+                    false,
+                    tenants,
+                    List.of(LONG)),
                 3));
     for (int i = 0; i < 80; i++) {
       h.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
@@ -238,7 +256,7 @@
       h.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
     }
     for (Host.Entry e : List.copyOf(h.entries.values())) { // it is served its quota
-      if (e.at == Host.At.RUNNING && e.q.tenant() == 0) {
+      if (e.at == Host.At.RUNNING && e.q.tenantIndex() == 0) {
         h.end(e, Outcome.OK, 1_000);
       }
     }
@@ -256,7 +274,7 @@
       h.arrive(0);
     }
     assertEquals(4, h.running().size());
-    h.gauges.coreUse = 0.5;
+    h.gauges.coreUtilisation = 0.5;
     h.pass(5_000_000);
     assertTrue(h.policy.limit > 4);
     assertTrue(h.policy.limit < 4 * 6);
@@ -269,10 +287,10 @@
     for (int i = 0; i < 200; i++) {
       h.arrive(0);
     }
-    h.gauges.coreUse = 0.5;
+    h.gauges.coreUtilisation = 0.5;
     h.pass(2_000_000);
     double grown = h.policy.limit;
-    h.gauges.coreUse = 1; // with cores to spare, long runs are no crowd
+    h.gauges.coreUtilisation = 1; // with cores to spare, long runs are no crowd
     for (int i = 0; i < 30; i++) {
       h.end(h.running().get(0), Outcome.OK, 100_000);
     }
--- a/src/test/java/rosecleat/policy/RulesTest.java
+++ b/src/test/java/rosecleat/policy/RulesTest.java
@@ -11,12 +11,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rosecleat.policy.PolicyApi.Below;
-import rosecleat.policy.PolicyApi.Effect;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Klass;
-import rosecleat.policy.PolicyApi.Outcome;
-import rosecleat.policy.PolicyApi.Say;
 
 /** The four rules and the failures found; {@link Host} asserts the rules at each action. */
 class RulesTest {
@@ -24,13 +18,13 @@
 
   @Test
   void everythingIsAnsweredBeforeItIsDueWhateverStandsStill() {
-    for (Halt halt : Halt.values()) {
+    for (CancelMode halt : CancelMode.values()) {
       Host h =
           new Host(
               Sites.with(
                   halt,
-                  Say.OFF,
-                  Below.OFF,
+                  LoadAdviceMode.OFF,
+                  DownstreamMode.OFF,
                   0,
                   100_000,
                   false,
@@ -61,11 +55,19 @@
 
   @Test
   void aRequestAtACallIsAnsweredInTime() {
-    Klass calling = new Klass(1, 0, 1_000_000, 0, 2_000_000, Effect.UNSAFE, 0, true, 0);
+    PriorityClass calling =
+        new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
     Host h =
         new Host(
             Sites.with(
-                Halt.DROP, Say.OFF, Below.SHARED, 1, 100_000, false, List.of(), List.of(calling)),
+                CancelMode.DROP,
+                LoadAdviceMode.OFF,
+                DownstreamMode.SHARED,
+                1,
+                100_000,
+                false,
+                List.of(),
+                List.of(calling)),
             1);
     for (int i = 0; i < 4; i++) {
       h.need(h.arrive(0));
@@ -114,10 +116,10 @@
   void aRepeatOfAFailedOrUnknownEffectNeverRuns() {
     Host h = new Host(Sites.plain(), 1);
     Host.Entry a = h.arrive(1);
-    h.end(a, Outcome.ERROR, 1000);
+    h.end(a, Outcome.FAILED, 1000);
     assertFalse(h.arrive(1, 0, 0, 0, a.q.id()).ran);
     Host.Entry lost = new Host.Entry();
-    lost.q = new PolicyApi.Request(999, 1, 0, 7, 0, 0, 10, 0.5, false, false, 1, 0, 0);
+    lost.q = new PolicyRequest(999, 1, 0, 7, 0, 0, 10, 0.5, false, false, 1, 0, 0);
     lost.ran = true;
     h.entries.put(999L, lost);
     lost.owed = false;
@@ -130,9 +132,9 @@
     Host h =
         new Host(
             Sites.with(
-                Halt.DROP,
-                Say.OFF,
-                Below.OFF,
+                CancelMode.DROP,
+                LoadAdviceMode.OFF,
+                DownstreamMode.OFF,
                 0,
                 300,
                 false,
@@ -154,22 +156,30 @@
   void anEffectThatWasDroppedIsFailedNotRunAgain() {
     Host h = new Host(Sites.plain(), 1);
     Host.Entry a = h.arrive(2);
-    h.end(a, Outcome.HALTED, 1000);
+    h.end(a, Outcome.CANCELLED, 1000);
     h.pass(40_000);
     assertEquals("fail", a.answer);
   }
 
   @Test
   void aCallIsRepeatedOnlyWhenItProvablyNeverRan() {
-    Klass calling = new Klass(1, 0, 1_000_000, 0, 2_000_000, Effect.UNSAFE, 0, true, 0);
+    PriorityClass calling =
+        new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
     Host h =
         new Host(
             Sites.with(
-                Halt.DROP, Say.OFF, Below.SHARED, 4, 100_000, false, List.of(), List.of(calling)),
+                CancelMode.DROP,
+                LoadAdviceMode.OFF,
+                DownstreamMode.SHARED,
+                4,
+                100_000,
+                false,
+                List.of(),
+                List.of(calling)),
             1);
     Host.Entry a = h.arrive(0);
     h.need(a);
-    h.called(a, Outcome.FULL);
+    h.called(a, Outcome.REJECTED);
     assertEquals(Host.At.CALLING, a.at);
     h.called(a, Outcome.TIMEOUT);
     assertEquals("fail", a.answer);
@@ -213,9 +223,17 @@
   void memoryIsNeverOutgrown() {
     Host h =
         new Host(
-            Sites.with(Halt.OFF, Say.OFF, Below.OFF, 0, 400, false, List.of(), List.of(Sites.SAFE)),
+            Sites.with(
+                CancelMode.OFF,
+                LoadAdviceMode.OFF,
+                DownstreamMode.OFF,
+                0,
+                400,
+                false,
+                List.of(),
+                List.of(Sites.SAFE)),
             1);
-    h.gauges.coreUse = 0.3;
+    h.gauges.coreUtilisation = 0.3;
     for (int i = 0; i < 200; i++) {
       h.arrive(0);
       if (i % 10 == 0) {
@@ -230,9 +248,16 @@
     Host h =
         new Host(
             Sites.with(
-                Halt.OFF, Say.OFF, Below.OFF, 0, 100_000, true, List.of(), List.of(Sites.SAFE)),
+                CancelMode.OFF,
+                LoadAdviceMode.OFF,
+                DownstreamMode.OFF,
+                0,
+                100_000,
+                true,
+                List.of(),
+                List.of(Sites.SAFE)),
             1);
-    h.gauges.coreUse = 0.3;
+    h.gauges.coreUtilisation = 0.3;
     for (int i = 0; i < 100; i++) {
       h.arrive(0);
       h.pass(20_000);
@@ -241,15 +266,15 @@
   }
 
   /** Half the worth is left without the call. */
-  private static final Klass CALLS =
-      new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0.5);
+  private static final PriorityClass CALLS =
+      new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, true, 0.5);
 
-  private static Host below(double callsOut, boolean cold, Klass... classes) {
+  private static Host below(double callsOut, boolean cold, PriorityClass... classes) {
     return new Host(
         Sites.with(
-            Halt.PAUSE,
-            Say.LEVEL,
-            Below.SHARED,
+            CancelMode.PAUSE,
+            LoadAdviceMode.LEVEL,
+            DownstreamMode.SHARED,
             callsOut,
             100_000,
             cold,
@@ -261,7 +286,7 @@
   /** So many have come, and whatever ran stands at a call. */
   private static Host allAtCalls(int arrivals, boolean cold) {
     Host h = below(40, cold, CALLS);
-    h.gauges.coreUse = 0.3;
+    h.gauges.coreUtilisation = 0.3;
     for (int i = 0; i < arrivals; i++) {
       h.arrive(0);
       h.running().forEach(h::need);
@@ -278,7 +303,7 @@
       h.need(e);
       assertEquals(Host.At.CALLING, e.at, "call " + i);
       h.gone(e);
-      h.end(e, Outcome.HALTED, 1000);
+      h.end(e, Outcome.CANCELLED, 1000);
       h.pass(300_000);
     }
   }
@@ -292,8 +317,8 @@
               share,
               false,
               CALLS,
-              new Klass(9, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0.6));
-      h.gauges.coreUse = 0.5;
+              new PriorityClass(9, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, true, 0.6));
+      h.gauges.coreUtilisation = 0.5;
       for (int step = 0; step < 3000; step++) {
         h.pass(10_000);
         int slow =
@@ -306,7 +331,7 @@
         for (Host.Entry e : List.copyOf(h.entries.values())) {
           if (e.halting && e.at == Host.At.RUNNING
               || e.at != Host.At.OVER && !e.owed && e.at != Host.At.RUNNING) {
-            h.end(e, Outcome.HALTED, 1);
+            h.end(e, Outcome.CANCELLED, 1);
           } else if (e.at == Host.At.RUNNING && r.nextInt(6) == 0) {
             if (r.nextInt(2) == 0) {
               h.need(e);
@@ -339,7 +364,9 @@
     h.pass(tookUs + 1_000); // its time at the call, by this clock
     h.called(e, Outcome.OK);
     h.end(e, Outcome.OK, tookUs);
-    assertTrue(h.policy.learnt().runUs()[0] > 0, "a run time of " + h.policy.learnt().runUs()[0]);
+    assertTrue(
+        h.policy.learnt().runTimesUs()[0] > 0,
+        "a run time of " + h.policy.learnt().runTimesUs()[0]);
     for (int i = 0; i < 5; i++) { // the host asserts that no call is given up before it is made
       Host.Entry next = h.arrive(0);
       h.pass(40_000);
@@ -361,18 +388,18 @@
     h.need(e);
     h.pass(300_000);
     h.called(e, Outcome.OK);
-    h.end(e, Outcome.HALTED, 310_000); // by itself, as where a link lost a command
+    h.end(e, Outcome.CANCELLED, 310_000); // by itself, as where a link lost a command
     h.pass(20_000);
     assertEquals(Host.At.RUNNING, e.at);
     h.pass(40_000);
     h.end(e, Outcome.OK, 40_000);
-    assertEquals(40_000, h.policy.learnt().runUs()[0], 5_000);
+    assertEquals(40_000, h.policy.learnt().runTimesUs()[0], 5_000);
   }
 
-  private static final Klass LESS_WITHOUT =
-      new Klass(1, 0, 5_000_000, 0, 17_000_000, Effect.SAFE, 0, true, 0.3);
-  private static final Klass NOTHING_WITHOUT =
-      new Klass(1, 0, 3_800_000, 0, 12_800_000, Effect.KEYED, 18_000_000, true, 0);
+  private static final PriorityClass LESS_WITHOUT =
+      new PriorityClass(1, 0, 5_000_000, 0, 17_000_000, Idempotency.SAFE, 0, true, 0.3);
+  private static final PriorityClass NOTHING_WITHOUT =
+      new PriorityClass(1, 0, 3_800_000, 0, 12_800_000, Idempotency.KEYED, 18_000_000, true, 0);
 
   /**
    * Plays calls that take so long, until 30 s have passed; the parts of the two classes whose call
@@ -404,7 +431,7 @@
         h.end(e, Outcome.OK, everyUs / 2 + callUs);
       } else if (e.at != Host.At.OVER) {
         h.gone(e);
-        h.end(e, Outcome.HALTED, everyUs / 2);
+        h.end(e, Outcome.CANCELLED, everyUs / 2);
       }
       h.pass(everyUs / 2);
     }
@@ -453,7 +480,7 @@
       h.pass(e.callUntil - h.now);
       h.called(e, Outcome.TIMEOUT);
       h.gone(e);
-      h.end(e, Outcome.HALTED, 500_000);
+      h.end(e, Outcome.CANCELLED, 500_000);
     }
     double[] made = callsMade(h, 200_000, 30_000, 0, 3_000_000);
     assertTrue(made[0] > 0.7 && made[1] > 0.7, made[0] + " " + made[1]);
@@ -484,7 +511,7 @@
               && h.now >= e.out.from + (phase == 0 ? 20_000 : 100_000)) {
             h.called(e, Outcome.OK);
           } else if (e.at == Host.At.RUNNING) {
-            h.end(e, e.owed ? Outcome.OK : Outcome.HALTED, 50_000);
+            h.end(e, e.owed ? Outcome.OK : Outcome.CANCELLED, 50_000);
           }
         }
         h.entries.values().removeIf(e -> e.at == Host.At.OVER);
@@ -516,9 +543,9 @@
       Host h =
           new Host(
               Sites.with(
-                  Halt.DROP,
-                  Say.OFF,
-                  Below.SHARED,
+                  CancelMode.DROP,
+                  LoadAdviceMode.OFF,
+                  DownstreamMode.SHARED,
                   0.02,
                   100_000,
                   false,
@@ -539,7 +566,7 @@
           h.end(e, Outcome.OK, 50_000);
         } else {
           h.gone(e);
-          h.end(e, Outcome.HALTED, 50_000);
+          h.end(e, Outcome.CANCELLED, 50_000);
         }
         h.pass(260_000);
       }
@@ -582,7 +609,7 @@
   @Test
   void fewerCallsAreOutAtATimeWhileTheyTakeLongAndMoreOnceTheyDoNot() {
     Host h = below(40, false, CALLS);
-    h.gauges.coreUse = 0.5;
+    h.gauges.coreUtilisation = 0.5;
     Set<Host.Entry> called = new HashSet<>();
     int most = 0;
     for (int step = 0; step < 900; step++) {
@@ -593,7 +620,7 @@
         if (e.at == Host.At.RUNNING && called.add(e)) {
           h.need(e);
         } else if (e.at == Host.At.RUNNING) {
-          h.end(e, e.halting && !e.owed ? Outcome.HALTED : Outcome.OK, 2_000);
+          h.end(e, e.halting && !e.owed ? Outcome.CANCELLED : Outcome.OK, 2_000);
         } else if (e.at == Host.At.CALLING && h.now >= e.out.from + length) {
           h.called(e, Outcome.OK);
         }
@@ -633,10 +660,10 @@
       h.pass(10_000);
       h.need(e);
       h.pass(i < 30 ? 30_000 : 1_000);
-      h.called(e, i < 30 ? Outcome.OK : Outcome.FULL);
+      h.called(e, i < 30 ? Outcome.OK : Outcome.REJECTED);
       if (e.at == Host.At.CALLING) { // once more, as it never ran
         h.pass(1_000);
-        h.called(e, Outcome.FULL);
+        h.called(e, Outcome.REJECTED);
       }
       h.pass(5_000);
       h.end(e, Outcome.OK, h.now - e.arrived);
@@ -707,10 +734,17 @@
     Host h =
         new Host(
             Sites.with(
-                Halt.PAUSE, Say.LEVEL, Below.OFF, 0, 400, false, List.of(), List.of(Sites.SAFE)),
+                CancelMode.PAUSE,
+                LoadAdviceMode.LEVEL,
+                DownstreamMode.OFF,
+                0,
+                400,
+                false,
+                List.of(),
+                List.of(Sites.SAFE)),
             1);
     for (int i = 0; i < 4; i++) {
-      h.end(h.arrive(0), Outcome.HALTED, 1000);
+      h.end(h.arrive(0), Outcome.CANCELLED, 1000);
     }
     for (int i = 0; i < 30; i++) {
       h.arrive(0); // the host asserts the memory
@@ -721,17 +755,17 @@
   void eventsOutOfPlaceBreakNothing() {
     Host h = below(0.2, false, CALLS);
     Host.Entry e = h.arrive(0);
-    h.policy.called(h.now, e.q.id(), Outcome.OK, 1); // no call is out
+    h.policy.callEnded(h.now, e.q.id(), Outcome.OK, 1); // no call is out
     h.need(e);
-    h.policy.needsCall(h.now, e.q.id()); // it stands at a call already
+    h.policy.callNeeded(h.now, e.q.id()); // it stands at a call already
     h.drain(400_000);
     h.pass(500_000);
     assertFalse(e.owed);
-    h.end(e, Outcome.HALTED, 1);
-    h.policy.needsCall(h.now, e.q.id());
-    h.policy.called(h.now, e.q.id(), Outcome.TIMEOUT, 1);
-    h.policy.gone(h.now, e.q.id());
-    h.policy.ended(h.now, e.q.id(), Outcome.MOOT, 1);
+    h.end(e, Outcome.CANCELLED, 1);
+    h.policy.callNeeded(h.now, e.q.id());
+    h.policy.callEnded(h.now, e.q.id(), Outcome.TIMEOUT, 1);
+    h.policy.cancelled(h.now, e.q.id());
+    h.policy.ended(h.now, e.q.id(), Outcome.NOT_STARTED, 1);
     h.policy.ended(h.now, 12345, Outcome.OK, 1);
     Host.Entry stale =
         h.arrive(0, 3, 9_000_000, 1, 0); // nothing left, and no tenant of that number
@@ -750,7 +784,11 @@
   @Test
   void withoutASharedRoomEveryCallIsLeftOutAndNoneIsLost() {
     Host h =
-        below(0, false, CALLS, new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, true, 0));
+        below(
+            0,
+            false,
+            CALLS,
+            new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, true, 0));
     Host.Entry can = h.arrive(0);
     Host.Entry cannot = h.arrive(1);
     h.need(can);
@@ -764,7 +802,7 @@
 
   @Test
   void creditWithNoCallersCountedIsAFigure() {
-    Host h = new Host(Sites.crowded(Say.CREDIT, 0), 1);
+    Host h = new Host(Sites.crowded(LoadAdviceMode.CREDIT, 0), 1);
     h.pass(200_000);
     assertTrue(h.said >= 1 && Double.isFinite(h.said), "said " + h.said);
   }
@@ -836,7 +874,7 @@
   @Test
   void aCrowdOfReadingIsNoStandstill() {
     Host h = learnt();
-    h.gauges.onCores = 40;
+    h.gauges.runnable = 40;
     seesNoStandstill(h);
   }
 
@@ -865,7 +903,7 @@
   @Test
   void aRequestReadLateRunsWhereNothingIsHeldThoughTheLoadIsHigh() {
     Host h = learnt();
-    h.gauges.coreUse = 1; // reading alone fills the cores
+    h.gauges.coreUtilisation = 1; // reading alone fills the cores
     h.pass(20_000);
     h.policy.uAv = 1;
     h.policy.rhoAv = 50;
@@ -879,13 +917,14 @@
             Sites.plain(
                 List.of(
                     Sites.SAFE,
-                    new Klass(10, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, false, 0))),
+                    new PriorityClass(
+                        10, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, false, 0))),
             1);
     for (int i = 0; i < 64; i++) {
       h.end(h.arrive(i % 4 == 0 ? 1 : 0), Outcome.OK, 100_000);
       h.pass(100_000);
     }
-    h.gauges.coreUse = 1;
+    h.gauges.coreUtilisation = 1;
     h.pass(20_000);
     h.policy.uAv = 1;
     h.policy.rhoAv = 2; // the dear ones offer half of what the server can do
@@ -901,7 +940,7 @@
    */
   @Test
   void oneOfAFewCallersMayHaveAsMuchOutAsTheServerRuns() {
-    Host h = new Host(Sites.crowded(Say.CREDIT, 32), 1);
+    Host h = new Host(Sites.crowded(LoadAdviceMode.CREDIT, 32), 1);
     h.pass(200_000);
     assertTrue(h.said >= 4, "said " + h.said); // all four cores, while the others are quiet
   }
@@ -912,7 +951,7 @@
    */
   @Test
   void aServerFarSlowerThanItWasHasNoCreditToSpare() {
-    Host h = new Host(Sites.crowded(Say.CREDIT, 8), 1);
+    Host h = new Host(Sites.crowded(LoadAdviceMode.CREDIT, 8), 1);
     for (int i = 0; i < 120; i++) {
       Host.Entry e = h.arrive(0);
       h.pass(i < 60 ? 50_000 : 400_000);
@@ -927,10 +966,10 @@
 
   @Test
   void creditIsLessThanOneForEachOfManyCallersWhileTheServerRefuses() {
-    Host h = new Host(Sites.crowded(Say.CREDIT, 1280), 1);
+    Host h = new Host(Sites.crowded(LoadAdviceMode.CREDIT, 1280), 1);
     h.pass(200_000);
     assertEquals(1, h.said, 1e-9);
-    h.gauges.coreUse = 1;
+    h.gauges.coreUtilisation = 1;
     for (int i = 0; i < 200; i++) {
       h.arrive(0);
       h.policy.uAv = 1;
@@ -942,10 +981,10 @@
         "said " + h.said); // 256 requests in all for 1280 callers, less by the refusals
     for (Host.Entry e : List.copyOf(h.entries.values())) {
       if (e.at == Host.At.RUNNING) {
-        h.end(e, e.owed ? Outcome.OK : Outcome.HALTED, 100_000);
+        h.end(e, e.owed ? Outcome.OK : Outcome.CANCELLED, 100_000);
       }
     }
-    h.gauges.coreUse = 0.2;
+    h.gauges.coreUtilisation = 0.2;
     h.policy.uAv = 0.2;
     for (int i = 0; i < 100; i++) {
       h.end(h.arrive(0), Outcome.OK, 1000);
@@ -959,9 +998,9 @@
     Host h =
         new Host(
             Sites.with(
-                Halt.PAUSE,
-                Say.LEVEL,
-                Below.OFF,
+                CancelMode.PAUSE,
+                LoadAdviceMode.LEVEL,
+                DownstreamMode.OFF,
                 0,
                 100_000,
                 false,
@@ -978,7 +1017,7 @@
       } else {
         h.pass(900_000);
         h.gone(e);
-        h.end(e, Outcome.HALTED, 900_000);
+        h.end(e, Outcome.CANCELLED, 900_000);
       }
     }
     for (int i = 0; i < 4; i++) {
@@ -1004,7 +1043,7 @@
       h.end(h.arrive(0), Outcome.OK, 1000);
       h.pass(100_000);
     }
-    assertEquals(h.settings.idleUs(), h.idle);
+    assertEquals(h.settings.maxIdleUs(), h.idle);
   }
 
   /**
@@ -1024,10 +1063,10 @@
   @Test
   void theTableIsLeftFullWhileReadingSwampsTheCores() {
     Host h = new Host(Sites.plain(), 1);
-    h.gauges.onCores = 40;
+    h.gauges.runnable = 40;
     h.pass(5_000_000);
-    assertEquals(h.settings.idleUs(), h.idle);
-    h.gauges.onCores = 0;
+    assertEquals(h.settings.maxIdleUs(), h.idle);
+    h.gauges.runnable = 0;
     h.pass(5_000_000);
     assertTrue(h.idle > 100_000); // it falls slowly: at once would let the storm back in
     h.pass(60_000_000);
@@ -1054,25 +1093,28 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7})
   void randomLegalEventsBreakNoRule(long seed) {
     SplittableRandom r = new SplittableRandom(seed);
-    Klass callSafe = new Klass(1, 0.2, 800_000, 0, 2_500_000, Effect.SAFE, 0, true, 0.4);
-    Klass callKeyed = new Klass(2, 0, 800_000, 0, 2_500_000, Effect.KEYED, 6_000_000, true, 0);
-    Klass callUnsafe = new Klass(2, 0, 800_000, 0, 2_500_000, Effect.UNSAFE, 0, true, 0);
-    Halt halt = Halt.values()[(int) (seed % 3)];
+    PriorityClass callSafe =
+        new PriorityClass(1, 0.2, 800_000, 0, 2_500_000, Idempotency.SAFE, 0, true, 0.4);
+    PriorityClass callKeyed =
+        new PriorityClass(2, 0, 800_000, 0, 2_500_000, Idempotency.KEYED, 6_000_000, true, 0);
+    PriorityClass callUnsafe =
+        new PriorityClass(2, 0, 800_000, 0, 2_500_000, Idempotency.UNSAFE, 0, true, 0);
+    CancelMode halt = CancelMode.values()[(int) (seed % 3)];
     Host h =
         new Host(
             Sites.with(
                 halt,
-                Say.values()[(int) (seed % 4)],
-                Below.SHARED,
+                LoadAdviceMode.values()[(int) (seed % 4)],
+                DownstreamMode.SHARED,
                 2,
                 900,
                 seed % 2 == 0,
-                List.of(new PolicyApi.Tenant(20), new PolicyApi.Tenant(40)),
+                List.of(new TenantQuota(20), new TenantQuota(40)),
                 List.of(callSafe, callKeyed, callUnsafe)),
             seed);
     for (int step = 0; step < 4000; step++) {
-      h.gauges.coreUse = r.nextDouble();
-      h.gauges.onCores = h.running().size();
+      h.gauges.coreUtilisation = r.nextDouble();
+      h.gauges.runnable = h.running().size();
       h.pass(r.nextInt(step % 900 < 300 ? 10_000 : 40_000));
       if (step == 3700) {
         h.drain(3_000_000);
@@ -1086,16 +1128,16 @@
           continue;
         }
         if (e.halting && e.at == Host.At.RUNNING) {
-          h.end(e, Outcome.HALTED, 1);
+          h.end(e, Outcome.CANCELLED, 1);
         } else if (e.at == Host.At.NEEDS && !e.owed) {
-          h.end(e, Outcome.HALTED, 1);
+          h.end(e, Outcome.CANCELLED, 1);
         } else if (r.nextInt(12) == 0) {
           switch (e.at) {
             case RUNNING -> {
               if (r.nextInt(3) == 0) {
                 h.need(e);
               } else {
-                h.end(e, r.nextInt(9) == 0 ? Outcome.ERROR : Outcome.OK, 80_000);
+                h.end(e, r.nextInt(9) == 0 ? Outcome.FAILED : Outcome.OK, 80_000);
               }
             }
             case CALLING -> h.called(e, Outcome.values()[r.nextInt(6)]);
@@ -1134,7 +1176,7 @@
     List<String> first = null;
     for (int pass = 0; pass < 2; pass++) {
       Host h = learnt();
-      h.gauges.coreUse = 1;
+      h.gauges.coreUtilisation = 1;
       SplittableRandom r = new SplittableRandom(5);
       for (int i = 0; i < 500; i++) {
         h.arrive(r.nextInt(3));
--- a/src/test/java/rosecleat/policy/Sites.java
+++ b/src/test/java/rosecleat/policy/Sites.java
@@ -1,47 +1,42 @@
 package rosecleat.policy;
 
 import java.util.List;
-import rosecleat.policy.PolicyApi.Below;
-import rosecleat.policy.PolicyApi.Effect;
-import rosecleat.policy.PolicyApi.Halt;
-import rosecleat.policy.PolicyApi.Klass;
-import rosecleat.policy.PolicyApi.Say;
-import rosecleat.policy.PolicyApi.Settings;
-import rosecleat.policy.PolicyApi.Tenant;
 
-/** Settings for tests; their figures are made up. */
+/** PolicySettings for tests; their figures are made up. */
 final class Sites {
-  static final Klass SAFE = new Klass(1, 0, 1_000_000, 0, 3_000_000, Effect.SAFE, 0, false, 0);
-  static final Klass KEYED =
-      new Klass(3, 0, 1_000_000, 0, 2_500_000, Effect.KEYED, 8_000_000, false, 0);
-  static final Klass UNSAFE = new Klass(5, 0, 1_000_000, 0, 2_000_000, Effect.UNSAFE, 0, false, 0);
+  static final PriorityClass SAFE =
+      new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, false, 0);
+  static final PriorityClass KEYED =
+      new PriorityClass(3, 0, 1_000_000, 0, 2_500_000, Idempotency.KEYED, 8_000_000, false, 0);
+  static final PriorityClass UNSAFE =
+      new PriorityClass(5, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, false, 0);
 
   private Sites() {}
 
-  static Settings with(
-      Halt halt,
-      Say say,
-      Below below,
+  static PolicySettings with(
+      CancelMode halt,
+      LoadAdviceMode say,
+      DownstreamMode below,
       double callsOut,
       double memoryKb,
       boolean cold,
-      List<Tenant> tenants,
-      List<Klass> classes) {
+      List<TenantQuota> tenants,
+      List<PriorityClass> classes) {
     return with(halt, say, below, callsOut, memoryKb, cold, false, 4, tenants, classes);
   }
 
-  private static Settings with(
-      Halt halt,
-      Say say,
-      Below below,
+  private static PolicySettings with(
+      CancelMode halt,
+      LoadAdviceMode say,
+      DownstreamMode below,
       double callsOut,
       double memoryKb,
       boolean cold,
       boolean marksRetry,
       int callers,
-      List<Tenant> tenants,
-      List<Klass> classes) {
-    return new Settings(
+      List<TenantQuota> tenants,
+      List<PriorityClass> classes) {
+    return new PolicySettings(
         4,
         10,
         callers,
@@ -77,16 +72,25 @@
         tenants);
   }
 
-  static Settings crowded(Say say, int callers) {
+  static PolicySettings crowded(LoadAdviceMode say, int callers) {
     return with(
-        Halt.DROP, say, Below.OFF, 0, 100_000, false, false, callers, List.of(), List.of(SAFE));
+        CancelMode.DROP,
+        say,
+        DownstreamMode.OFF,
+        0,
+        100_000,
+        false,
+        false,
+        callers,
+        List.of(),
+        List.of(SAFE));
   }
 
-  static Settings marked() {
+  static PolicySettings marked() {
     return with(
-        Halt.DROP,
-        Say.LEVEL,
-        Below.OFF,
+        CancelMode.DROP,
+        LoadAdviceMode.LEVEL,
+        DownstreamMode.OFF,
         0,
         100_000,
         false,
@@ -96,11 +100,19 @@
         List.of(SAFE, KEYED, UNSAFE));
   }
 
-  static Settings plain() {
+  static PolicySettings plain() {
     return plain(List.of(SAFE, KEYED, UNSAFE));
   }
 
-  static Settings plain(List<Klass> classes) {
-    return with(Halt.DROP, Say.LEVEL, Below.OFF, 0, 100_000, false, List.of(), classes);
+  static PolicySettings plain(List<PriorityClass> classes) {
+    return with(
+        CancelMode.DROP,
+        LoadAdviceMode.LEVEL,
+        DownstreamMode.OFF,
+        0,
+        100_000,
+        false,
+        List.of(),
+        classes);
   }
 }
--- a/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
@@ -24,7 +24,7 @@
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
-import rosecleat.policy.Decisions;
+import rosecleat.policy.PolicyEngine;
 
 /**
  * Commands that cross the end of their link, and of the one after it, on a clock of the test's own.
@@ -63,7 +63,7 @@
                 1_500_000,
                 30_000_000,
                 1 << 20),
-            new Decisions(config.start().settings(), config.start().gauges(), 5),
+            new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
             NONE,
             now::get,
             counters,
--- a/src/test/java/rosecleat/simulator/LinkTest.java
+++ b/src/test/java/rosecleat/simulator/LinkTest.java
@@ -18,7 +18,15 @@
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rosecleat.policy.PolicyApi;
+import rosecleat.policy.CancelMode;
+import rosecleat.policy.DownstreamMode;
+import rosecleat.policy.Idempotency;
+import rosecleat.policy.LoadAdviceMode;
+import rosecleat.policy.PolicyActions;
+import rosecleat.policy.PolicyEvents;
+import rosecleat.policy.PolicySettings;
+import rosecleat.policy.PriorityClass;
+import rosecleat.policy.ServerGauges;
 
 /** The wire both ways, settings, and bad input. */
 class LinkTest {
@@ -44,27 +52,27 @@
   /** Events as calls in text; each arrival is answered with the given actions. */
   private static final class Recorder implements Link.Maker {
     final List<String> calls = new ArrayList<>();
-    PolicyApi.Settings settings;
-    java.util.function.Consumer<PolicyApi.Actions> onArrival = a -> {};
+    PolicySettings settings;
+    java.util.function.Consumer<PolicyActions> onArrival = a -> {};
 
     @Override
-    public PolicyApi make(PolicyApi.Settings s, long seed, PolicyApi.Actions actions) {
+    public PolicyEvents make(PolicySettings s, long seed, PolicyActions actions) {
       settings = s;
       calls.add("make " + seed);
-      return (PolicyApi)
+      return (PolicyEvents)
           Proxy.newProxyInstance(
               getClass().getClassLoader(),
-              new Class<?>[] {PolicyApi.class},
+              new Class<?>[] {PolicyEvents.class},
               (proxy, method, args) -> {
                 StringBuilder line = new StringBuilder(method.getName());
                 for (Object arg : args) {
-                  if (arg instanceof PolicyApi.Gauges g) {
+                  if (arg instanceof ServerGauges g) {
                     line.append(" [")
-                        .append(g.coreUse)
+                        .append(g.coreUtilisation)
                         .append(' ')
-                        .append(g.onCores)
+                        .append(g.runnable)
                         .append(' ')
-                        .append(g.memory)
+                        .append(g.memoryShare)
                         .append(' ')
                         .append(g.connections)
                         .append(']');
@@ -169,23 +177,23 @@
                 gone,
                 record(1060, 9))));
     assertEquals("make 77", rec.calls.get(0));
-    assertEquals("begin 1000", rec.calls.get(1));
+    assertEquals("start 1000", rec.calls.get(1));
     assertEquals(
-        "arrived 2000 Request[id="
+        "arrived 2000 PolicyRequest[id="
             + 0x0e9dbd5d3a91c4L
-            + ", klass=0, tenant=0, key="
+            + ", classIndex=0, tenantIndex=0, readKey="
             + 0x91f03b7c55d20a64L
-            + ", leftUs=240000, hintUs=12000, heldKb=24.5, rank=0.625, retry=true, write=true,"
-            + " caller=17, ageUs=1850, original="
+            + ", timeoutUs=240000, runTimeHintUs=12000, queuedKb=24.5, rank=0.625, retry=true,"
+            + " write=true, callerId=17, ageUs=1850, originalId="
             + 0x0001f2540e6f2b19L
             + "]",
         rec.calls.get(2));
-    assertEquals("ended 2000 " + 0x0e9dbd5d3a91c4L + " HALTED 18500", rec.calls.get(3));
-    assertEquals("needsCall 2000 9", rec.calls.get(4));
-    assertEquals("called 2000 9 FULL 1", rec.calls.get(5));
-    assertEquals("drain 2000 1000000", rec.calls.get(6));
-    assertEquals("gone 2000 9", rec.calls.get(7));
-    assertTrue(rec.calls.get(8).startsWith("woken 2000 77 [0.6"));
+    assertEquals("ended 2000 " + 0x0e9dbd5d3a91c4L + " CANCELLED 18500", rec.calls.get(3));
+    assertEquals("callNeeded 2000 9", rec.calls.get(4));
+    assertEquals("callEnded 2000 9 REJECTED 1", rec.calls.get(5));
+    assertEquals("draining 2000 1000000", rec.calls.get(6));
+    assertEquals("cancelled 2000 9", rec.calls.get(7));
+    assertTrue(rec.calls.get(8).startsWith("timerFired 2000 77 [0.6"));
     assertTrue(rec.calls.get(8).endsWith(" 3.0 -1.0 120.0]"));
     assertEquals(9, rec.calls.size()); // nothing after the stop, nothing for a server never started
   }
@@ -194,21 +202,25 @@
   void settingsAreReadAndUnknownKeysSkipped() throws IOException {
     Recorder rec = new Recorder();
     serve(rec, first());
-    PolicyApi.Settings s = rec.settings;
+    PolicySettings s = rec.settings;
     assertEquals(
-        new PolicyApi.Klass(
-            2.5, 0.1, 800_000, 1.5, 3_000_000, PolicyApi.Effect.KEYED, 7_000_000, true, 0.5),
+        new PriorityClass(
+            2.5, 0.1, 800_000, 1.5, 3_000_000, Idempotency.KEYED, 7_000_000, true, 0.5),
         s.classes().get(0));
-    assertEquals(PolicyApi.Effect.UNSAFE, s.classes().get(1).effect());
+    assertEquals(Idempotency.UNSAFE, s.classes().get(1).idempotency());
     assertEquals(30, s.tenants().get(0).quotaPerS());
-    assertEquals(PolicyApi.Halt.PAUSE, s.halt());
-    assertEquals(PolicyApi.Say.CREDIT, s.say());
-    assertEquals(PolicyApi.Below.SHARED, s.below());
-    assertEquals(0.7, s.callsOut());
-    assertEquals(900_000, s.maxHoldOffUs());
+    assertEquals(CancelMode.PAUSE, s.cancelMode());
+    assertEquals(LoadAdviceMode.CREDIT, s.loadAdviceMode());
+    assertEquals(DownstreamMode.SHARED, s.downstreamMode());
+    assertEquals(0.7, s.concurrentCalls());
+    assertEquals(900_000, s.maxRetryAfterUs());
     assertEquals(1_500_000, s.graceUs());
     assertTrue(
-        s.cold() && s.worthByWork() && s.passesDeadline() && s.marksRetry() && s.deepChecks());
+        s.coldStart()
+            && s.weightByWork()
+            && s.propagatesDeadline()
+            && s.marksRetries()
+            && s.deepChecks());
   }
 
   @Test
@@ -222,12 +234,12 @@
             .replaceAll("\"clients-total\": 5,", "")
             .replaceAll("\"calls-out\": 0.7", "\"calls-out\": 0");
     serve(rec, settings(bare));
-    PolicyApi.Settings s = rec.settings;
+    PolicySettings s = rec.settings;
     assertTrue(s.tenants().isEmpty());
     assertEquals(0, s.callers());
-    assertEquals(0, s.callsOut());
-    assertEquals(0, s.classes().get(2).worthWithoutCall());
-    assertFalse(s.classes().get(0).calls());
+    assertEquals(0, s.concurrentCalls());
+    assertEquals(0, s.classes().get(2).weightWithoutCall());
+    assertFalse(s.classes().get(0).callsDownstream());
     new Link(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream())
         .serve(); // the module takes them
   }
@@ -238,18 +250,18 @@
     rec.onArrival =
         a -> {
           a.run(1);
-          a.refuse(2, 250_000, true);
+          a.reject(2, 250_000, true);
           a.fail(3);
-          a.halt(4);
+          a.cancel(4);
           a.call(5, 123_456);
           a.skipCall(6);
-          a.keep(7, 10);
-          a.forget(8);
-          a.reuse(9);
-          a.health(true, true);
-          a.say(0.25);
-          a.idle(20);
-          a.wake(500_000, 0x4d);
+          a.rememberKey(7, 10);
+          a.forgetKey(8);
+          a.replayResult(9);
+          a.setHealth(true, true);
+          a.setLoadAdvice(0.25);
+          a.setIdleTimeout(20);
+          a.startTimer(500_000, 0x4d);
           a.log("two servers known");
         };
     byte[] out = serve(rec, join(first(), frame(2000, "", record(1010, 3))));
@@ -316,8 +328,8 @@
     rec.onArrival =
         a -> {
           for (int i = 0; i < left[0]; i++) {
-            a.keep(5, 6);
-            a.say(2);
+            a.rememberKey(5, 6);
+            a.setLoadAdvice(2);
           }
           left[0] = 1;
         };
