--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -1,6 +1,5 @@
 package rosecleat.core;
 
-import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import rosecleat.log.Log;
@@ -14,31 +13,11 @@
  * the module decides, and answered once. Knows no wire. For one thread.
  */
 public final class Core {
-  /**
-   * What the core needs to know of a class; {@code calls} where each run stands still at a call
-   * before it ends.
-   */
-  public record RequestClass(
-      String name, boolean keyed, boolean calls, long windowUs, long dueUs) {}
-
-  /**
-   * Figures the core works under: microseconds and bytes; classes, and the names of tenants, by
-   * their numbers.
-   */
-  public record Rules(
-      int cores,
-      List<RequestClass> classes,
-      List<String> tenants,
-      long slackUs,
-      long graceUs,
-      long idleUs,
-      long resultBytes) {}
-
   private static final long TICK_US = 20_000;
   private static final long EXPIRE_US = 1_000_000;
   private static final double RECKON_US = 500_000;
 
-  private volatile Rules rules;
+  private volatile CoreSettings rules;
   private final PolicyEngine decisions;
   private final DownstreamClient ledger;
   private final LongSupplier clock;
@@ -60,7 +39,7 @@
 
   /** A core that holds nothing yet, in the only process of its node. */
   public Core(
-      Rules rules,
+      CoreSettings rules,
       PolicyEngine decisions,
       DownstreamClient ledger,
       LongSupplier clock,
@@ -71,7 +50,7 @@
 
   /** A core that holds nothing yet, beside other processes of its node. */
   public Core(
-      Rules rules,
+      CoreSettings rules,
       PolicyEngine decisions,
       DownstreamClient ledger,
       IdempotencyClaims claims,
@@ -84,7 +63,7 @@
     this.clock = clock;
     this.counters = counters;
     this.log = log;
-    idleUs = rules.idleUs();
+    idleUs = rules.idleTimeoutUs();
     work = new Work(rules, ledger, claims, clock, counters, log, this::report);
   }
 
@@ -96,7 +75,7 @@
   }
 
   /** What health checks are told: bad where the module or an operator says so. */
-  public boolean good() {
+  public boolean healthy() {
     return good && !aside;
   }
 
@@ -104,7 +83,7 @@
    * Operators send clients away, or take them again. Only health checks follow it: whatever still
    * comes is run and answered as ever.
    */
-  public void setAside(boolean away) {
+  public void setDrainedByOperator(boolean away) {
     if (away != aside) {
       aside = away;
       counters.add(away ? "operators.drains" : "operators.activations");
@@ -116,27 +95,27 @@
   }
 
   /** The value that goes with answers; not a number while there is none. */
-  public double credit() {
+  public double loadAdvice() {
     return credit;
   }
 
   /** How long connections may stay unused. */
-  public long idleUs() {
+  public long idleTimeoutUs() {
     return idleUs;
   }
 
   /** The longest time that the rules give a request (us). */
-  public long longestDueUs() {
-    return rules.classes().stream().mapToLong(RequestClass::dueUs).max().orElse(0);
+  public long maxTimeoutUs() {
+    return rules.maxTimeoutUs();
   }
 
   /** Requests whose answer is owed, and runs that go on. */
-  public int inHand() {
+  public int inFlight() {
     return work.size();
   }
 
   /** Requests whose answer is owed. */
-  public long owed() {
+  public long awaitingResponse() {
     return work.all().stream().filter(InFlightRequest::owed).count();
   }
 
@@ -146,13 +125,13 @@
   }
 
   /** Whether the time within which arrivals may still be run is over. */
-  public boolean pastGrace() {
+  public boolean gracePeriodOver() {
     return clock.getAsLong() > graceEndUs;
   }
 
   /** Whether each run of a class stands still at a call before it ends. */
-  public boolean calls(int klass) {
-    return rules.classes().get(klass).calls();
+  public boolean callsDownstream(int klass) {
+    return rules.classes().get(klass).callsDownstream();
   }
 
   /** The counts of this core. */
@@ -161,19 +140,19 @@
   }
 
   /** Whether a request in hand goes by a number of a class. */
-  public boolean usesClass(int klass) {
-    return work.all().stream().anyMatch(life -> life.request.klass() == klass);
+  public boolean classInUse(int klass) {
+    return work.all().stream().anyMatch(life -> life.request.classIndex() == klass);
   }
 
   /** Whether a request in hand goes by a number of a tenant. */
-  public boolean usesTenant(int tenant) {
-    return work.all().stream().anyMatch(life -> life.request.tenant() == tenant);
+  public boolean tenantInUse(int tenant) {
+    return work.all().stream().anyMatch(life -> life.request.tenantIndex() == tenant);
   }
 
   // ---- what happens
 
   /** Other rules from now on. What is in hand keeps the class it came with. */
-  public void use(Rules fresh) {
+  public void reconfigure(CoreSettings fresh) {
     rules = fresh;
     work.use(fresh);
   }
@@ -181,7 +160,7 @@
   /**
    * The cores are up, since some time; {@code runner} is the one to ask for gauges, null for none.
    */
-  public void begin(Runner runner, boolean cold, long tookUs) {
+  public void start(Runner runner, boolean cold, long tookUs) {
     gauged = runner;
     if (!decisions.started()
         && !draining) { // told to leave before the cores were up, it takes up nothing
@@ -191,13 +170,14 @@
   }
 
   /** Takes in a request; its answer comes by its front. Returns the handle to withdraw it with. */
-  public Handle submit(Request request) {
+  public RequestHandle submit(Request request) {
     counters.add("requests");
     long now = clock.getAsLong();
-    RequestClass klass = rules.classes().get(request.klass());
-    long waitUs = request.waitUs() > 0 ? request.waitUs() : klass.dueUs();
+    RequestClass klass = rules.classes().get(request.classIndex());
+    long waitUs = request.timeoutUs() > 0 ? request.timeoutUs() : klass.timeoutUs();
     InFlightRequest life =
-        new InFlightRequest(++lastSeq, request, klass, tenant(request), request.atUs() + waitUs);
+        new InFlightRequest(
+            ++lastSeq, request, klass, tenant(request), request.arrivedAtUs() + waitUs);
     if (!decisions.started()) {
       work.answer(life, new Response.Rejected(0, false));
       return () -> {};
@@ -211,28 +191,24 @@
     report(
         new PolicyEvent.Arrived(
             life.seq,
-            request.klass(),
-            request.tenant(),
-            request.key(),
+            request.classIndex(),
+            request.tenantIndex(),
+            request.readKey(),
             leftUs,
-            request.kb(),
+            request.memoryKb(),
             request.rank(),
             request.retry(),
-            klass.keyed(),
-            request.caller(),
-            Math.max(0, now - request.atUs()),
+            klass.idempotent(),
+            request.callerId(),
+            Math.max(0, now - request.arrivedAtUs()),
             work.original(life)));
     return () -> gone(life);
   }
 
   private String tenant(Request request) {
-    return request.tenant() < rules.tenants().size() ? rules.tenants().get(request.tenant()) : "";
-  }
-
-  /** Withdraws a request. */
-  public interface Handle {
-    /** Its caller has gone: no answer is owed. */
-    void gone();
+    return request.tenantIndex() < rules.tenants().size()
+        ? rules.tenants().get(request.tenantIndex())
+        : "";
   }
 
   private void gone(InFlightRequest life) {
@@ -252,7 +228,7 @@
   }
 
   /** A run has ended. */
-  public void ended(String id, RunResult end, byte[] result, long tookUs) {
+  public void runEnded(String id, RunResult end, byte[] result, long tookUs) {
     InFlightRequest life = work.of(id);
     if (life == null || !life.ran || life.state == RequestState.HELD) {
       return;
@@ -273,7 +249,7 @@
   }
 
   /** A run stands still until its call is made or left out. */
-  public void wants(String id, long notice, byte[] body) {
+  public void callRequested(String id, long notice, byte[] body) {
     InFlightRequest life = work.of(id);
     if (life == null || life.state != RequestState.RUNNING) {
       return;
@@ -286,7 +262,7 @@
   }
 
   /** A call below has ended; the reply comes with {@link CallResult#OK} only. */
-  public void called(String id, CallResult end, byte[] reply) {
+  public void callEnded(String id, CallResult end, byte[] reply) {
     InFlightRequest life = work.of(id);
     if (life == null || life.state != RequestState.CALLING) {
       return;
@@ -295,7 +271,7 @@
     long took = clock.getAsLong() - life.calledUs;
     if (end == CallResult.OK) {
       life.state = RequestState.RUNNING;
-      life.request.runner().give(id, reply);
+      life.request.runner().completeCall(id, reply);
     } else {
       life.state = RequestState.AT_CALL;
     }
@@ -314,21 +290,21 @@
   }
 
   /** The gauges have come. */
-  public void gauges(double[] values) {
+  public void gaugesReceived(double[] values) {
     if (decisions.started()) {
       report(new PolicyEvent.GaugesRead(values));
     }
   }
 
   /** A runner did not carry out an order for a request: its run can't be relied on. */
-  public void nacked(String id, boolean start) {
+  public void commandRejected(String id, boolean start) {
     InFlightRequest life = work.of(id);
     counters.add("nacks");
     if (life == null || !life.ran || life.state == RequestState.HELD) {
       return;
     }
     if (start) {
-      ended(id, RunResult.UNREACHABLE, null, 0);
+      runEnded(id, RunResult.UNREACHABLE, null, 0);
     } else if (life.state == RequestState.RUNNING) {
       work.stop(life); // it waits for what will not come
     }
@@ -344,14 +320,14 @@
     }
     draining = true;
     good = false;
-    graceEndUs = toldUs + rules.graceUs();
+    graceEndUs = toldUs + rules.gracePeriodUs();
     if (decisions.started()) {
       report(new PolicyEvent.Draining(leftUs));
     }
   }
 
   /** Answers whatever is still owed: the last thing before the end. */
-  public void answerAll(FailureReason why) {
+  public void respondToAll(FailureReason why) {
     for (InFlightRequest life : work.all()) {
       work.answer(
           life,
@@ -375,7 +351,7 @@
     long next = decisions.tick(now);
     obey();
     if (gauged != null) {
-      gauged.askGauges();
+      gauged.requestGauges();
     } else {
       reckon(now);
     }
@@ -422,7 +398,7 @@
 
   private void obey(PolicyCommand order) {
     if (order instanceof PolicyCommand.Run o) {
-      with(o.id(), life -> work.run(life, life.request.atUs() > graceEndUs));
+      with(o.id(), life -> work.run(life, life.request.arrivedAtUs() > graceEndUs));
     } else if (order instanceof PolicyCommand.Reject o) {
       with(o.id(), life -> work.refuse(life, o.retryAfterUs(), o.noRetry()));
     } else if (order instanceof PolicyCommand.Fail o) {
@@ -444,7 +420,7 @@
     } else if (order instanceof PolicyCommand.SetLoadAdvice o) {
       credit = o.value();
     } else if (order instanceof PolicyCommand.SetIdleTimeout o) {
-      idleUs = o.timeoutUs() > 0 ? o.timeoutUs() : rules.idleUs();
+      idleUs = o.timeoutUs() > 0 ? o.timeoutUs() : rules.idleTimeoutUs();
     } else if (order instanceof PolicyCommand.LogLine o) {
       log.info(o.line());
     }
--- a/src/main/java/rosecleat/core/DownstreamClient.java
+++ b/src/main/java/rosecleat/core/DownstreamClient.java
@@ -2,7 +2,7 @@
 
 /**
  * Makes the calls of paused runs to the downstream service that all nodes share. Results are
- * reported to {@link Core#called} on the core's thread.
+ * reported to {@link Core#callEnded} on the core's thread.
  */
 public interface DownstreamClient {
   /**
--- a/src/main/java/rosecleat/core/IdempotencyTable.java
+++ b/src/main/java/rosecleat/core/IdempotencyTable.java
@@ -82,13 +82,13 @@
   }
 
   private static Key key(InFlightRequest life) {
-    return new Key(life.request.kind(), life.tenant, life.request.once());
+    return new Key(life.request.className(), life.tenant, life.request.idempotencyKey());
   }
 
   /** The entry that was in force when the request came to the machine, or null. */
   Entry find(InFlightRequest life) {
     Entry entry = entries.get(key(life));
-    return entry == null || life.request.atUs() > entry.untilUs ? null : entry;
+    return entry == null || life.request.arrivedAtUs() > entry.untilUs ? null : entry;
   }
 
   /** The number of the kept try that this one repeats, 0 for new work. */
@@ -155,7 +155,7 @@
   void keep(InFlightRequest life, long untilUs) {
     Key key = key(life);
     Entry entry = entries.get(key);
-    if (entry == null || life.request.atUs() > entry.untilUs) {
+    if (entry == null || life.request.arrivedAtUs() > entry.untilUs) {
       drop(entry);
       entry = new Entry(key, digest(life.request.body()));
       entries.put(key, entry);
--- a/src/main/java/rosecleat/core/InFlightRequest.java
+++ b/src/main/java/rosecleat/core/InFlightRequest.java
@@ -6,7 +6,7 @@
   final Request request;
 
   /** The class it came with; settings that change later change nothing of it. */
-  final Core.RequestClass klass;
+  final RequestClass klass;
 
   final String tenant;
   final long dueUs;
@@ -23,7 +23,7 @@
   byte[] callBody;
   private boolean owed = true;
 
-  InFlightRequest(long seq, Request request, Core.RequestClass klass, String tenant, long dueUs) {
+  InFlightRequest(long seq, Request request, RequestClass klass, String tenant, long dueUs) {
     this.seq = seq;
     this.request = request;
     this.klass = klass;
@@ -47,7 +47,7 @@
       return false;
     }
     owed = false;
-    request.front().respond(response);
+    request.responder().respond(response);
     return true;
   }
 
--- a/src/main/java/rosecleat/core/Request.java
+++ b/src/main/java/rosecleat/core/Request.java
@@ -3,39 +3,41 @@
 import java.util.Map;
 
 /**
- * A request as any front hands it over.
+ * A request as any front end submits it.
  *
- * @param id the name that the runner and the ledger know it by; new with every try
- * @param atUs when it came to the machine, Unix microseconds
- * @param waitUs how long its caller waits from {@code atUs}; 0 where the caller did not say
- * @param klass the position of its class
- * @param kind the name of its class
- * @param tenant the position of its tenant
- * @param caller the number of whoever sent it
- * @param retry whether it is marked as a further try
- * @param kb the memory booked for it
- * @param rank its rank, from 0 to under 1
- * @param once what all tries of one request share, null outside keyed classes
- * @param key what a read is about, 0 for nothing
+ * @param id the name by which the runner and the downstream client know the request; unique to each
+ *     attempt
+ * @param arrivedAtUs when the request arrived at this machine, in Unix microseconds
+ * @param timeoutUs how long the caller waits, counted from {@code arrivedAtUs}, in microseconds; 0
+ *     where the caller did not say
+ * @param classIndex the position of the request's class
+ * @param className the name of the request's class
+ * @param tenantIndex the position of the request's tenant
+ * @param callerId identifies the sender
+ * @param retry whether the caller marked the request as a retry
+ * @param memoryKb the memory reserved for the request, in KB
+ * @param rank the request's rank among those of its caller, from 0 to less than 1
+ * @param idempotencyKey shared by all attempts of one request; null outside idempotent classes
+ * @param readKey identifies what a read is about; 0 for nothing
  * @param body what the runner is given, unchanged
- * @param attributes what else its front knows and its runner may pass on, by name
- * @param runner what does its work
- * @param front where its one answer goes
+ * @param attributes what else the front end knows and the runner may pass on, by name
+ * @param runner executes the request
+ * @param responder receives the one response
  */
 public record Request(
     String id,
-    long atUs,
-    long waitUs,
-    int klass,
-    String kind,
-    int tenant,
-    long caller,
+    long arrivedAtUs,
+    long timeoutUs,
+    int classIndex,
+    String className,
+    int tenantIndex,
+    long callerId,
     boolean retry,
-    double kb,
+    double memoryKb,
     double rank,
-    String once,
-    long key,
+    String idempotencyKey,
+    long readKey,
     byte[] body,
     Map<String, String> attributes,
     Runner runner,
-    Responder front) {}
+    Responder responder) {}
--- a/src/main/java/rosecleat/core/Runner.java
+++ b/src/main/java/rosecleat/core/Runner.java
@@ -6,20 +6,28 @@
  */
 public interface Runner {
   /**
-   * Starts the run of a request whose response is due at a Unix time in microseconds. Its end is
-   * reported to {@link Core#ended}.
+   * Starts the run of a request whose response is due at {@code deadlineUs}, a Unix time in
+   * microseconds. Its end is reported to {@link Core#runEnded}.
    */
-  void start(Request request, long dueUs);
+  void start(Request request, long deadlineUs);
 
   /** Cancels a run; its end is still reported. */
-  void stop(String id);
+  void cancel(String id);
 
   /** Delivers the reply to the downstream call that a paused run waits for. */
-  void give(String id, byte[] reply);
+  void completeCall(String id, byte[] reply);
 
-  /** Resumes a paused run without the downstream call that its notice {@code notice} requested. */
-  void omit(String id, long notice);
+  /**
+   * Resumes a paused run without its downstream call.
+   *
+   * @param id the request's id
+   * @param callNumber the number of the call, as given to {@link Core#callRequested}
+   */
+  void skipCall(String id, long callNumber);
 
-  /** Requests the gauges, where this runner has any; they are reported to {@link Core#gauges}. */
-  default void askGauges() {}
+  /**
+   * Requests the gauges, where this runner has any; they are reported to {@link
+   * Core#gaugesReceived}.
+   */
+  default void requestGauges() {}
 }
--- a/src/main/java/rosecleat/core/Work.java
+++ b/src/main/java/rosecleat/core/Work.java
@@ -20,7 +20,7 @@
   /** A run that has not ended so long after its answer was due is not waited for any more (us). */
   private static final long LOST_US = 30_000_000;
 
-  private Core.Rules rules;
+  private CoreSettings rules;
   private final DownstreamClient ledger;
   private final LongSupplier clock;
   private final Counters counters;
@@ -33,7 +33,7 @@
 
   /** Nothing in hand yet; what happens to requests here is reported to the module. */
   Work(
-      Core.Rules rules,
+      CoreSettings rules,
       DownstreamClient ledger,
       IdempotencyClaims claims,
       LongSupplier clock,
@@ -46,14 +46,14 @@
     this.counters = counters;
     this.log = log;
     this.reports = reports;
-    keys = new IdempotencyTable(rules.resultBytes());
+    keys = new IdempotencyTable(rules.maxResultBytes());
     use(rules);
   }
 
   /** Other rules from now on; what is in hand keeps its class. */
-  void use(Core.Rules fresh) {
+  void use(CoreSettings fresh) {
     rules = fresh;
-    keys.keepLate(fresh.classes().stream().mapToLong(Core.RequestClass::dueUs).max().orElse(0));
+    keys.keepLate(fresh.maxTimeoutUs());
   }
 
   // ---- what is in hand
@@ -87,7 +87,7 @@
         && keys.find(life) == null
         && claims.status(IdempotencyTable.name(life))
             instanceof IdempotencyClaims.OwnedByPeer others
-        && life.request.atUs() <= others.untilUs()) {
+        && life.request.arrivedAtUs() <= others.untilUs()) {
       keys.elsewhere(life, others);
     }
     if (keyed(life) && keys.differs(life)) {
@@ -183,7 +183,7 @@
       return true;
     }
     if (standing instanceof IdempotencyClaims.OwnedByPeer others
-        && life.request.atUs() <= others.untilUs()) {
+        && life.request.arrivedAtUs() <= others.untilUs()) {
       IdempotencyTable.Entry entry = keys.elsewhere(life, others);
       if (keys.differs(life)) {
         answer(
@@ -227,7 +227,10 @@
   }
 
   private long keyUntil(InFlightRequest life) {
-    return life.request.atUs() + life.klass.windowUs() + rules.slackUs() + SOCKET_SLACK_US;
+    return life.request.arrivedAtUs()
+        + life.klass.idempotencyWindowUs()
+        + rules.deadlineSlackUs()
+        + SOCKET_SLACK_US;
   }
 
   /**
@@ -271,7 +274,7 @@
         && life.state != RequestState.OVER) {
       life.stopping = true;
       counters.add("stops");
-      life.request.runner().stop(life.request.id());
+      life.request.runner().cancel(life.request.id());
     }
   }
 
@@ -289,7 +292,7 @@
     if (life.state == RequestState.AT_CALL) {
       life.state = RequestState.RUNNING;
       counters.add("skips");
-      life.request.runner().omit(life.request.id(), life.notice);
+      life.request.runner().skipCall(life.request.id(), life.notice);
     }
   }
 
@@ -401,7 +404,7 @@
   // ---- answers
 
   private static boolean keyed(InFlightRequest life) {
-    return life.klass.keyed();
+    return life.klass.idempotent();
   }
 
   static Response.Failed failed(Progress progress, FailureReason reason, FailureCause cause) {
--- a/src/main/java/rosecleat/front/resp/Fields.java
+++ b/src/main/java/rosecleat/front/resp/Fields.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rosecleat.core.Core;
 import rosecleat.core.Request;
+import rosecleat.core.RequestClass;
 import rosecleat.core.Responder;
 import rosecleat.core.Runner;
 import rosecleat.net.TextSyntax;
@@ -20,10 +20,10 @@
 
   private final Map<String, Integer> classes = new HashMap<>();
   private final Map<String, Integer> tenants = new HashMap<>();
-  private final List<Core.RequestClass> grades;
+  private final List<RequestClass> grades;
   private final Runner runner;
 
-  Fields(List<Core.RequestClass> grades, List<String> tenantNames, Runner runner) {
+  Fields(List<RequestClass> grades, List<String> tenantNames, Runner runner) {
     this.grades = grades;
     this.runner = runner;
     for (int n = 0; n < grades.size(); n++) {
@@ -78,8 +78,8 @@
     valid("rank", rank >= 0 && rank < 1);
     long retry = number("retry", fields.getOrDefault("retry", "0"), 1);
     valid("retry", retry <= 1);
-    Core.RequestClass grade = grades.get(klass);
-    String once = grade.keyed() ? need(fields, "once") : null;
+    RequestClass grade = grades.get(klass);
+    String once = grade.idempotent() ? need(fields, "once") : null;
     valid("once", once == null || TextSyntax.isName(once));
     String key = fields.getOrDefault("key", "0");
     valid("key", TextSyntax.isLowerHex(key, 1, 16));
--- a/src/main/java/rosecleat/front/resp/RequestCatalog.java
+++ b/src/main/java/rosecleat/front/resp/RequestCatalog.java
@@ -1,7 +1,7 @@
 package rosecleat.front.resp;
 
 import java.util.List;
-import rosecleat.core.Core;
+import rosecleat.core.RequestClass;
 import rosecleat.core.Runner;
 
 /**
@@ -12,5 +12,4 @@
  * @param tenants the tenant names by index; null at an index that is not in use
  * @param runner what executes the requests
  */
-public record RequestCatalog(
-    List<Core.RequestClass> classes, List<String> tenants, Runner runner) {}
+public record RequestCatalog(List<RequestClass> classes, List<String> tenants, Runner runner) {}
--- a/src/main/java/rosecleat/front/resp/RespFrontend.java
+++ b/src/main/java/rosecleat/front/resp/RespFrontend.java
@@ -13,6 +13,7 @@
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Failure;
+import rosecleat.core.RequestHandle;
 import rosecleat.core.Response;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
@@ -168,7 +169,7 @@
    */
   public void closeIdleConnections(boolean all) {
     long now = clock.getAsLong();
-    long idleUs = core.idleUs();
+    long idleUs = core.idleTimeoutUs();
     for (Peer peer : new ArrayList<>(peers)) {
       // in the middle of a message a connection is in use, however slowly its bytes come
       if (all || peer.use() != Connection.Use.BUSY && !peer.checks && now - peer.usedUs > idleUs) {
@@ -191,7 +192,7 @@
     private final Connection connection;
     private final RespParser parser = new RespParser(LONGEST_STRING);
     private final Tags tags = new Tags();
-    private final Map<Long, Core.Handle> open = new HashMap<>();
+    private final Map<Long, RequestHandle> open = new HashMap<>();
     private long usedUs = clock.getAsLong();
     private final long bornUs = clock.getAsLong();
     private boolean spoke;
@@ -257,8 +258,8 @@
     public void closed(Failure failure, boolean atEnd) {
       peers.remove(this);
       listener.released(connection);
-      for (Core.Handle handle : new ArrayList<>(open.values())) {
-        handle.gone(); // nobody is left to hear the answer
+      for (RequestHandle handle : new ArrayList<>(open.values())) {
+        handle.cancel(); // nobody is left to hear the answer
       }
       open.clear();
     }
@@ -277,16 +278,16 @@
       switch (word) {
         case "DO" -> request(tag, words);
         case "UNDO" -> {
-          Core.Handle handle = open.remove(tag);
+          RequestHandle handle = open.remove(tag);
           if (handle != null) {
             counters.add("resp.undo");
-            handle.gone();
+            handle.cancel();
           }
         }
         case "PING" -> {
           checks = true;
           counters.add("resp.checks");
-          connection.write(RespReplies.health(tag, core.good(), core.credit()));
+          connection.write(RespReplies.health(tag, core.healthy(), core.loadAdvice()));
         }
         default -> failed(tag, "its word is unknown");
       }
@@ -317,7 +318,7 @@
       }
       errors = 0;
       honest = true;
-      Core.Handle handle = core.submit(read.request());
+      RequestHandle handle = core.submit(read.request());
       if (!answered[0]) {
         open.put(tag, handle);
       }
@@ -325,13 +326,13 @@
 
     private void reply(long tag, Response answer) {
       usedUs = clock.getAsLong();
-      connection.write(RespReplies.answer(tag, answer, core.credit()));
+      connection.write(RespReplies.answer(tag, answer, core.loadAdvice()));
     }
 
     private void failed(long tag, String why) {
       counters.add("resp.bad");
       log.warn("request " + tag + " of a balancer failed: " + why);
-      connection.write(RespReplies.answer(tag, Response.invalidRequest(why), core.credit()));
+      connection.write(RespReplies.answer(tag, Response.invalidRequest(why), core.loadAdvice()));
       erred();
     }
 
--- a/src/main/java/rosecleat/front/resp/RespWarmup.java
+++ b/src/main/java/rosecleat/front/resp/RespWarmup.java
@@ -4,6 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import rosecleat.core.Core;
+import rosecleat.core.RequestClass;
 
 /**
  * Takes made-up requests from their bytes to the bytes of their answers, in memory: no socket is
@@ -13,7 +14,7 @@
   private final RespParser parser = new RespParser(4 << 10);
   private final Tags tags = new Tags();
   private final Fields fields;
-  private final List<Core.RequestClass> classes;
+  private final List<RequestClass> classes;
   private final List<String> tenants;
 
   /** Requests by these names. */
@@ -25,7 +26,7 @@
 
   /** Hands request number {@code n}, from 1 upward, to a core; false where it could not be read. */
   public boolean request(Core core, int n, long nowUs) {
-    Core.RequestClass klass = classes.get(n % classes.size());
+    RequestClass klass = classes.get(n % classes.size());
     String id = String.format("%016x", n);
     String told =
         "id="
@@ -35,10 +36,10 @@
             + ",from="
             + n % 8
             + ",wait="
-            + klass.dueUs() / 1000
+            + klass.timeoutUs() / 1000
             + ",kb=10.5,rank=0.5000"
             + (tenants.isEmpty() ? "" : ",tenant=" + tenants.get(n % tenants.size()))
-            + (klass.keyed() ? ",once=" + id : "");
+            + (klass.idempotent() ? ",once=" + id : "");
     StringBuilder text = new StringBuilder("*5\r\n");
     for (String word : List.of("DO", Integer.toString(n), klass.name(), told, "made up")) {
       text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
@@ -48,7 +49,7 @@
           parser.next(ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8)));
       tags.use(n);
       Fields.Outcome read =
-          fields.read(words, answer -> RespReplies.answer(n, answer, core.credit()));
+          fields.read(words, answer -> RespReplies.answer(n, answer, core.loadAdvice()));
       if (read.wrong() == null) {
         core.submit(read.request());
       }
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -43,7 +43,7 @@
   public void start(Request request, long dueUs) {
     Backend.Sample sample = samples.get(request.attributes().get(UwsgiRunner.OPERATION));
     if (sample == null) { // its operation is no sample any more
-      loop.execute(() -> core.ended(request.id(), RunResult.UNREACHABLE, null, 0));
+      loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, null, 0));
       return;
     }
     byte[] reply =
@@ -59,22 +59,22 @@
             () -> {
               runs.remove(request.id());
               core.counters().add("sample.runs");
-              core.ended(request.id(), RunResult.OK, reply, sample.tookUs());
+              core.runEnded(request.id(), RunResult.OK, reply, sample.tookUs());
             }));
   }
 
   @Override
-  public void stop(String id) {
+  public void cancel(String id) {
     Future<?> run = runs.remove(id);
     if (run != null) {
       run.cancel(false);
-      loop.execute(() -> core.ended(id, RunResult.CANCELLED, null, 0));
+      loop.execute(() -> core.runEnded(id, RunResult.CANCELLED, null, 0));
     }
   }
 
   @Override
-  public void give(String id, byte[] reply) {}
+  public void completeCall(String id, byte[] reply) {}
 
   @Override
-  public void omit(String id, long notice) {}
+  public void skipCall(String id, long notice) {}
 }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -15,6 +15,7 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Failure;
 import rosecleat.core.Progress;
+import rosecleat.core.RequestHandle;
 import rosecleat.core.Response;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
@@ -148,7 +149,7 @@
         new UwsgiParser(config.limits().packetBytes(), config.limits().bodyBytes());
     private final long acceptedUs = clock.getAsLong();
     private Future<?> patience;
-    private Core.Handle handle;
+    private RequestHandle handle;
     private Operation operation;
     private long dueUs;
     private boolean taken;
@@ -198,8 +199,8 @@
         return;
       }
       operation = read.operation();
-      dueUs = read.request().atUs() + read.request().waitUs();
-      Core.Handle submitted = core.submit(read.request());
+      dueUs = read.request().arrivedAtUs() + read.request().timeoutUs();
+      RequestHandle submitted = core.submit(read.request());
       if (!answered) {
         handle = submitted;
       }
@@ -225,7 +226,7 @@
         counters.add("uwsgi.cut"); // with part of its reply still here
       }
       if (handle != null) {
-        handle.gone(); // the caller closed before its answer
+        handle.cancel(); // the caller closed before its answer
       }
     }
 
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -81,7 +81,7 @@
   }
 
   @Override
-  public void stop(String id) {
+  public void cancel(String id) {
     Run run = runs.get(id);
     if (run != null) {
       loop.execute(
@@ -91,10 +91,10 @@
   }
 
   @Override
-  public void give(String id, byte[] reply) {}
+  public void completeCall(String id, byte[] reply) {}
 
   @Override
-  public void omit(String id, long notice) {}
+  public void skipCall(String id, long notice) {}
 
   /** One run on one connection. */
   private final class Run implements Connection.ConnectHandler, Connection.Owner {
@@ -124,8 +124,8 @@
                 new InstanceBalancer.LeaseRequest(
                     service,
                     known.get(OPERATION),
-                    request.once(),
-                    request.once() == null ? 0 : Long.parseLong(known.get(UNTIL)),
+                    request.idempotencyKey(),
+                    request.idempotencyKey() == null ? 0 : Long.parseLong(known.get(UNTIL)),
                     request.body().length),
                 startedUs);
         return lease.map(InstanceBalancer.Lease::address).orElse(null);
@@ -164,7 +164,8 @@
       vars.put(
           "HTTP_X_DEADLINE_MS",
           Long.toString(
-              Math.max(1, (request.atUs() + request.waitUs() - clock.getAsLong()) / 1000)));
+              Math.max(
+                  1, (request.arrivedAtUs() + request.timeoutUs() - clock.getAsLong()) / 1000)));
       return vars;
     }
 
@@ -221,7 +222,7 @@
       counters.add("backend." + how.counterSuffix());
       long tookUs = clock.getAsLong() - startedUs;
       lease.ifPresent(held -> held.release(how, tookUs, received));
-      core.ended(request.id(), how, result, tookUs);
+      core.runEnded(request.id(), how, result, tookUs);
     }
   }
 }
--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -151,7 +151,7 @@
       boolean sent = call.line != null;
       counters.add(sent ? "index.late" : "index.unsent");
       drop(call);
-      core.called(call.id, sent ? CallResult.TIMED_OUT : CallResult.UNREACHABLE, null);
+      core.callEnded(call.id, sent ? CallResult.TIMED_OUT : CallResult.UNREACHABLE, null);
     }
   }
 
@@ -184,7 +184,7 @@
     if (calls.remove(call.id, call)) {
       stopTimer(call);
       waiting.remove(call);
-      core.called(call.id, end, reply);
+      core.callEnded(call.id, end, reply);
     }
   }
 
--- a/src/main/java/rosecleat/node/DrainShutdown.java
+++ b/src/main/java/rosecleat/node/DrainShutdown.java
@@ -19,12 +19,12 @@
 
   @Override
   boolean sendsAway() {
-    return core.pastGrace();
+    return core.gracePeriodOver();
   }
 
   @Override
   boolean step(boolean hurry) {
-    boolean shut = core.pastGrace() && fronts.stopListening(hurry ? 0 : CALM_US);
-    return shut && core.owed() == 0 && fronts.open() == 0;
+    boolean shut = core.gracePeriodOver() && fronts.stopListening(hurry ? 0 : CALM_US);
+    return shut && core.awaitingResponse() == 0 && fronts.open() == 0;
   }
 }
--- a/src/main/java/rosecleat/node/GracefulShutdown.java
+++ b/src/main/java/rosecleat/node/GracefulShutdown.java
@@ -37,7 +37,7 @@
     long now = clock.getAsLong();
     boolean done = step(now > endUs - 2 * LAST_US);
     if (now > endUs - LAST_US) {
-      core.answerAll(FailureReason.NODE_STOPPED);
+      core.respondToAll(FailureReason.NODE_STOPPED);
       fronts.closeAll(); // told the end in order, while there is time for it to be heard
     }
     return done || now > endUs - EARLY_US;
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -8,8 +8,9 @@
 import java.util.function.IntPredicate;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.SettingsReader;
-import rosecleat.core.Core;
+import rosecleat.core.CoreSettings;
 import rosecleat.core.NameIndex;
+import rosecleat.core.RequestClass;
 import rosecleat.core.Runner;
 import rosecleat.front.resp.RequestCatalog;
 import rosecleat.policy.ClassAndTenantNames;
@@ -99,9 +100,9 @@
   }
 
   /** What the core works under. */
-  Core.Rules rules() {
+  CoreSettings rules() {
     PolicySettings s = inRoom();
-    return new Core.Rules(
+    return new CoreSettings(
         s.cores(),
         classes.terms().stream().map(IndexedSettings::klass).toList(),
         tenants.names(),
@@ -111,8 +112,8 @@
         RESULT_BYTES);
   }
 
-  private static Core.RequestClass klass(Term term) {
-    return new Core.RequestClass(
+  private static RequestClass klass(Term term) {
+    return new RequestClass(
         term.name,
         term.grade.idempotency() == Idempotency.KEYED,
         term.grade.callsDownstream(),
@@ -122,7 +123,7 @@
 
   /** The names that balancers' requests may use. */
   RequestCatalog names(Runner runner) {
-    List<Core.RequestClass> named = new ArrayList<>();
+    List<RequestClass> named = new ArrayList<>();
     List<String> current = classes.names();
     for (int n = 0; n < current.size(); n++) {
       Term term = classes.terms().get(n);
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -39,17 +39,17 @@
         }
 
         @Override
-        public void stop(String id) {}
+        public void cancel(String id) {}
 
         @Override
-        public void give(String id, byte[] reply) {}
+        public void completeCall(String id, byte[] reply) {}
 
         @Override
-        public void omit(String id, long notice) {}
+        public void skipCall(String id, long notice) {}
 
         @Override
-        public void askGauges() {
-          core.gauges(new double[] {0.5, 3, 0.1, 4});
+        public void requestGauges() {
+          core.gaugesReceived(new double[] {0.5, 3, 0.1, 4});
         }
       };
 
@@ -84,7 +84,7 @@
               () -> nowUs,
               counters,
               quiet);
-      core.begin(runner, false, 0);
+      core.start(runner, false, 0);
       RespWarmup front = new RespWarmup(numbering.names(runner));
       for (int n = 1; n <= REQUESTS && System.nanoTime() < endNs; n++) {
         front.request(core, n, nowUs);
@@ -99,13 +99,13 @@
   private void finish() {
     while (!started.isEmpty()) {
       Request request = started.remove();
-      if (core.calls(request.klass())) {
-        core.wants(request.id(), 1, notices.notice("wants", request.id(), request.body()));
+      if (core.callsDownstream(request.classIndex())) {
+        core.callRequested(request.id(), 1, notices.notice("wants", request.id(), request.body()));
       }
       while (!calls.isEmpty()) {
-        core.called(calls.remove(), CallResult.OK, REPLY);
+        core.callEnded(calls.remove(), CallResult.OK, REPLY);
       }
-      core.ended(request.id(), RunResult.OK, notices.notice("end", request.id(), REPLY), 20_000);
+      core.runEnded(request.id(), RunResult.OK, notices.notice("end", request.id(), REPLY), 20_000);
     }
   }
 }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -125,7 +125,7 @@
         loop.execute(() -> sharing.pools().tell(this::room));
       }
       makeRoom();
-      handover.keepLate(core.longestDueUs());
+      handover.keepLate(core.maxTimeoutUs());
       if (!handover.predecessorLives()) {
         listen();
         if (!listening) {
@@ -143,7 +143,7 @@
     loop.execute(
         () -> {
           if (runtime == null) {
-            core.begin(null, false, 0);
+            core.start(null, false, 0);
           } else {
             runtime.connect();
           }
@@ -200,7 +200,7 @@
   long leave(Runnable done) {
     boolean handsOver = handover.successorLives();
     long leftUs =
-        handsOver ? Math.min(core.longestDueUs(), LONGEST_US) + KILLED_US : config.stopUs();
+        handsOver ? Math.min(core.maxTimeoutUs(), LONGEST_US) + KILLED_US : config.stopUs();
     long noticeUs = MonotonicClock.systemTimeUs();
     loop.execute(
         () -> {
@@ -211,7 +211,7 @@
           log.info(
               "told to leave"
                   + (handsOver ? " by a newer process that takes over, " : ", ")
-                  + core.inHand()
+                  + core.inFlight()
                   + " in hand");
           if (sharing != null) {
             sharing.depart();
@@ -257,10 +257,10 @@
                   + fresh.index()
                   + ", roster "
                   + fresh.roster());
-          List<Integer> renamed = numbering.take(setup, core::usesClass, core::usesTenant);
+          List<Integer> renamed = numbering.take(setup, core::classInUse, core::tenantInUse);
           shares.retune(renamed, leaving != null);
-          core.use(numbering.rules());
-          handover.keepLate(core.longestDueUs());
+          core.reconfigure(numbering.rules());
+          handover.keepLate(core.maxTimeoutUs());
           makeRoom();
           resp.reconfigure(numbering.names(runner));
           if (uwsgi != null) {
@@ -303,7 +303,7 @@
     long lateUs = now - beatUs;
     if (lateUs > LATE_US) {
       counters.add("beats.late");
-      log.warn("the loop was " + lateUs / 1000 + " ms late, with " + core.inHand() + " in hand");
+      log.warn("the loop was " + lateUs / 1000 + " ms late, with " + core.inFlight() + " in hand");
     }
     if (now >= nextLookUs) {
       nextLookUs = now + LOOK_US;
@@ -330,7 +330,7 @@
   /** What the other processes of this node say and do. */
   private void look(long now) {
     handover.look(now);
-    core.setAside(handover.drained());
+    core.setDrainedByOperator(handover.drained());
     if (!listening && (core.ready() || !handover.predecessorLives())) {
       listen();
     }
@@ -369,7 +369,7 @@
   private void room() {
     numbering.places(sharing.pools().places());
     shares.retune(List.of(), leaving != null);
-    core.use(numbering.rules());
+    core.reconfigure(numbering.rules());
   }
 
   /**
--- a/src/main/java/rosecleat/node/NodeOperations.java
+++ b/src/main/java/rosecleat/node/NodeOperations.java
@@ -44,7 +44,7 @@
   private void set(boolean aside) {
     handover.drain(aside);
     if (node != null) {
-      node.core().setAside(aside);
+      node.core().setDrainedByOperator(aside);
     }
   }
 }
--- a/src/main/java/rosecleat/node/TakeoverShutdown.java
+++ b/src/main/java/rosecleat/node/TakeoverShutdown.java
@@ -49,6 +49,6 @@
     if (shut) {
       fronts.closeIdle(CALM_US);
     }
-    return shut && core.inHand() == 0 && fronts.open() == 0;
+    return shut && core.inFlight() == 0 && fronts.open() == 0;
   }
 }
--- a/src/main/java/rosecleat/runtime/NoRuntime.java
+++ b/src/main/java/rosecleat/runtime/NoRuntime.java
@@ -19,15 +19,15 @@
 
   @Override
   public void start(Request request, long dueUs) {
-    loop.execute(() -> core.ended(request.id(), RunResult.UNREACHABLE, null, 0));
+    loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, null, 0));
   }
 
   @Override
-  public void stop(String id) {}
+  public void cancel(String id) {}
 
   @Override
-  public void give(String id, byte[] reply) {}
+  public void completeCall(String id, byte[] reply) {}
 
   @Override
-  public void omit(String id, long notice) {}
+  public void skipCall(String id, long notice) {}
 }
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeLink.java
@@ -217,14 +217,17 @@
         "{\"type\":\"start\",\"job\":\""
             + request.id()
             + "\",\"kind\":\""
-            + request.kind()
+            + request.className()
             + "\",\"data\":\""
             + base64(request.body())
             + "\"}";
-    if (!send(request.id(), command, request.once() == null || core.calls(request.klass()))) {
+    if (!send(
+        request.id(),
+        command,
+        request.idempotencyKey() == null || core.callsDownstream(request.classIndex()))) {
       loop.execute(
           () ->
-              core.ended(
+              core.runEnded(
                   request.id(),
                   RunResult.UNREACHABLE,
                   null,
@@ -233,22 +236,22 @@
   }
 
   @Override
-  public void stop(String id) {
+  public void cancel(String id) {
     send(id, "{\"type\":\"stop\",\"job\":\"" + id + "\"}", true);
   }
 
   @Override
-  public void give(String id, byte[] reply) {
+  public void completeCall(String id, byte[] reply) {
     send(id, "{\"type\":\"give\",\"job\":\"" + id + "\",\"data\":\"" + base64(reply) + "\"}", true);
   }
 
   @Override
-  public void omit(String id, long notice) {
+  public void skipCall(String id, long notice) {
     send(id, "{\"type\":\"omit\",\"job\":\"" + id + "\",\"n\":" + notice + "}", true);
   }
 
   @Override
-  public void askGauges() {
+  public void requestGauges() {
     long now = clock.getAsLong();
     if (now - askedUs
         > STOOD_US) { // this process itself stood still: what came meanwhile has not been read yet
@@ -339,7 +342,7 @@
       case "ready" -> ready(message);
       case "end" -> {
         byte[] result = data(message);
-        core.ended(
+        core.runEnded(
             job,
             result == null ? RunResult.INTERRUPTED : end(message.text("state")),
             result,
@@ -348,9 +351,10 @@
       case "wants" -> {
         byte[] body = data(message);
         if (body == null) {
-          core.nacked(job, false); // the call can't be made: it waits for what will not come
+          core.commandRejected(
+              job, false); // the call can't be made: it waits for what will not come
         } else {
-          core.wants(job, n, body);
+          core.callRequested(job, n, body);
         }
       }
       case "load" -> {
@@ -358,7 +362,7 @@
         if (message.text("ref").equals(RESUMED)) {
           resumed();
         }
-        core.gauges(message.numbers());
+        core.gaugesReceived(message.numbers());
       }
       case "nack" -> {
         log.warn("the runtime did not carry out " + message.text("state") + " for " + job);
@@ -376,7 +380,7 @@
             + ", since "
             + message.micros("took") / 1000
             + " ms");
-    core.begin(this, message.text("state").equals("cold"), message.micros("took"));
+    core.start(this, message.text("state").equals("cold"), message.micros("took"));
     if (!suspect.isEmpty()) {
       write("{\"type\":\"gauges\",\"ref\":\"" + RESUMED + "\"}");
     }
@@ -405,7 +409,7 @@
             }
           } else {
             counters.add("runtime.unproven");
-            core.ended(
+            core.runEnded(
                 id,
                 RunResult.INTERRUPTED,
                 null,
@@ -421,8 +425,8 @@
     unproven.remove(job);
     suspect.remove(job);
     switch (command) {
-      case "start" -> core.nacked(job, true);
-      case "give", "omit" -> core.nacked(job, false);
+      case "start" -> core.commandRejected(job, true);
+      case "give", "omit" -> core.commandRejected(job, false);
       default -> {} // a stop of what is over
     }
   }
--- a/src/test/java/rosecleat/core/CoreTest.java
+++ b/src/test/java/rosecleat/core/CoreTest.java
@@ -26,7 +26,7 @@
   private static final class Try implements Responder {
     final List<Response> answers = new ArrayList<>();
     final List<Long> times = new ArrayList<>();
-    Core.Handle handle;
+    RequestHandle handle;
     String id;
 
     @Override
@@ -62,17 +62,17 @@
         }
 
         @Override
-        public void stop(String id) {
+        public void cancel(String id) {
           orders.add("stop " + id);
         }
 
         @Override
-        public void give(String id, byte[] reply) {
+        public void completeCall(String id, byte[] reply) {
           orders.add("give " + id);
         }
 
         @Override
-        public void omit(String id, long notice) {
+        public void skipCall(String id, long notice) {
           orders.add("omit " + id + " " + notice);
         }
       };
@@ -97,18 +97,18 @@
 
   private void start(long resultBytes) {
     core = fresh(resultBytes);
-    core.begin(null, false, 0);
+    core.start(null, false, 0);
   }
 
   private Core fresh(long resultBytes) {
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
-    List<Core.RequestClass> classes =
+    List<RequestClass> classes =
         List.of(
-            new Core.RequestClass("balance-check", false, false, 0, 1_200_000),
-            new Core.RequestClass("card-refresh", false, true, 0, 1_200_000),
-            new Core.RequestClass("card-load", true, false, WINDOW_US, 1_200_000));
+            new RequestClass("balance-check", false, false, 0, 1_200_000),
+            new RequestClass("card-refresh", false, true, 0, 1_200_000),
+            new RequestClass("card-load", true, false, WINDOW_US, 1_200_000));
     return new Core(
-        new Core.Rules(
+        new CoreSettings(
             TestSite.CORES,
             classes,
             List.of("big", "small"),
@@ -158,7 +158,7 @@
   }
 
   private void end(Try one, RunResult how, String result) {
-    core.ended(one.id, how, result == null ? null : result.getBytes(), 10_000);
+    core.runEnded(one.id, how, result == null ? null : result.getBytes(), 10_000);
   }
 
   private void pass(long us) {
@@ -209,7 +209,7 @@
   @Test
   void aWithdrawnLoadRunsOnForItsRepeat() {
     Try first = load("a");
-    first.handle.gone();
+    first.handle.cancel();
     Try second = load("a");
     end(first, RunResult.OK, "done");
     assertTrue(first.answers.isEmpty());
@@ -299,13 +299,13 @@
   @Test
   void aWithdrawnCallIsGivenUpAndItsRunStopped() {
     Try one = send(1, null, "x");
-    core.wants(one.id, 7, "call".getBytes());
+    core.callRequested(one.id, 7, "call".getBytes());
     assertEquals("call id1", orders.get(1));
-    one.handle.gone();
+    one.handle.cancel();
     assertEquals(List.of("cancel id1", "stop id1"), orders.subList(2, 4));
-    core.called(one.id, CallResult.OK, "late".getBytes()); // crosses: nothing comes of it
+    core.callEnded(one.id, CallResult.OK, "late".getBytes()); // crosses: nothing comes of it
     end(one, RunResult.CANCELLED, null);
-    assertEquals(0, core.inHand());
+    assertEquals(0, core.inFlight());
     assertEquals(4, orders.size());
     assertTrue(one.answers.isEmpty());
   }
@@ -313,11 +313,11 @@
   @Test
   void aNoticeToLeaveThatComesBeforeTheCoresAreUpHolds() {
     core = fresh(1 << 20);
-    assertTrue(core.good());
+    assertTrue(core.healthy());
     core.drain(now, 3_000_000);
-    assertTrue(!core.good());
-    core.begin(null, false, 0);
-    assertTrue(!core.good());
+    assertTrue(!core.healthy());
+    core.start(null, false, 0);
+    assertTrue(!core.healthy());
     assertInstanceOf(Response.Rejected.class, send(0, null, "x").only());
     assertEquals(0, starts());
   }
@@ -327,11 +327,11 @@
     Try first = load("a"); // of a keyed class: not stopped when it is given up on
     Try second = load("b");
     pass(1_500_000);
-    assertEquals(2, core.inHand());
+    assertEquals(2, core.inFlight());
     pass(32_000_000);
     assertEquals(Progress.MAY_HAVE_RUN, first.failed());
     assertEquals(Progress.MAY_HAVE_RUN, second.failed());
-    assertEquals(0, core.inHand());
+    assertEquals(0, core.inFlight());
     Try third = send(0, null, "x"); // the cores are free again
     end(third, RunResult.OK, "done");
     assertArrayEquals("done".getBytes(), third.served());
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -13,9 +13,11 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
+import rosecleat.core.CoreSettings;
 import rosecleat.core.Counters;
 import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
+import rosecleat.core.RequestClass;
 import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.fakes.RespClient;
@@ -82,7 +84,7 @@
         on(
             loop,
             () -> {
-              core.begin(null, false, 0);
+              core.start(null, false, 0);
               return 0;
             });
         owed.send(
@@ -108,7 +110,7 @@
         on(
             loop,
             () -> {
-              core.ended("00000000000000b1", RunResult.OK, new byte[] {'r'}, 1);
+              core.runEnded("00000000000000b1", RunResult.OK, new byte[] {'r'}, 1);
               return 0;
             });
         assertEquals("r", owed.answer().get(3));
@@ -122,13 +124,13 @@
     public void start(Request request, long dueUs) {}
 
     @Override
-    public void stop(String id) {}
+    public void cancel(String id) {}
 
     @Override
-    public void give(String id, byte[] reply) {}
+    public void completeCall(String id, byte[] reply) {}
 
     @Override
-    public void omit(String id, long notice) {}
+    public void skipCall(String id, long notice) {}
   }
 
   /** Guards a slow sender: half a message is no idle connection, and is not asked to close. */
@@ -220,14 +222,14 @@
         });
   }
 
-  private static List<Core.RequestClass> classes() {
-    return List.of(new Core.RequestClass("balance-check", false, false, 0, 1_000_000));
+  private static List<RequestClass> classes() {
+    return List.of(new RequestClass("balance-check", false, false, 0, 1_000_000));
   }
 
   private static Core core(AtomicLong now, long idleUs, Log log) {
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
     return new Core(
-        new Core.Rules(2, classes(), List.of("small"), 80_000, 1_500_000, idleUs, 1 << 20),
+        new CoreSettings(2, classes(), List.of("small"), 80_000, 1_500_000, idleUs, 1 << 20),
         new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
         NONE,
         now::get,
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -24,9 +24,11 @@
 import net.jqwik.api.constraints.Size;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
+import rosecleat.core.CoreSettings;
 import rosecleat.core.Counters;
 import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
+import rosecleat.core.RequestClass;
 import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.fakes.RespClient;
@@ -58,15 +60,15 @@
     }
 
     @Override
-    public void stop(String id) {
+    public void cancel(String id) {
       seen.add("stop " + id);
     }
 
     @Override
-    public void give(String id, byte[] reply) {}
+    public void completeCall(String id, byte[] reply) {}
 
     @Override
-    public void omit(String id, long notice) {}
+    public void skipCall(String id, long notice) {}
   }
 
   private static final class NoDownstream implements DownstreamClient {
@@ -95,14 +97,14 @@
       NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
       loop = new EventLoop(log);
       MonotonicClock clock = new MonotonicClock();
-      List<Core.RequestClass> classes =
+      List<RequestClass> classes =
           List.of(
-              new Core.RequestClass("balance-check", false, false, 0, 60_000_000),
-              new Core.RequestClass("card-refresh", false, true, 0, 60_000_000),
-              new Core.RequestClass("card-load", true, false, 4_000_000, 60_000_000));
+              new RequestClass("balance-check", false, false, 0, 60_000_000),
+              new RequestClass("card-refresh", false, true, 0, 60_000_000),
+              new RequestClass("card-load", true, false, 4_000_000, 60_000_000));
       core =
           new Core(
-              new Core.Rules(
+              new CoreSettings(
                   TestSite.CORES,
                   classes,
                   List.of("big", "small"),
@@ -127,7 +129,7 @@
       front.listen();
       on(
           () -> {
-            core.begin(null, false, 0);
+            core.start(null, false, 0);
             return null;
           });
       client = new RespClient(front.port(), random);
@@ -207,7 +209,7 @@
   }
 
   private Object end(String id, RunResult how, String result) {
-    core.ended(id, how, result == null ? null : result.getBytes(StandardCharsets.UTF_8), 1_000);
+    core.runEnded(id, how, result == null ? null : result.getBytes(StandardCharsets.UTF_8), 1_000);
     return null;
   }
 
@@ -287,7 +289,7 @@
     assertEquals(model.expected, got);
     model.expected.clear();
     assertNull(orders.seen.poll(), "an order nobody expected");
-    assertEquals(model.open.size(), (int) on(() -> (int) core.owed()));
+    assertEquals(model.open.size(), (int) on(() -> (int) core.awaitingResponse()));
   }
 
   private static List<String> answered(List<String> words) {
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
+import rosecleat.core.CoreSettings;
 import rosecleat.core.Counters;
 import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
@@ -45,7 +46,7 @@
       NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
       Core core =
           new Core(
-              new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
+              new CoreSettings(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
               new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
               NONE,
               clock,
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
+import rosecleat.core.CoreSettings;
 import rosecleat.core.Counters;
 import rosecleat.fakes.FakeIndex;
 import rosecleat.fakes.TestSite;
@@ -47,7 +48,7 @@
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
     client.tell(
         new Core(
-            new Core.Rules(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
+            new CoreSettings(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
             new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
             client,
             clock,
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -100,7 +100,7 @@
   void aBeatThatFailsIsFollowedByOthers() throws Exception {
     startReady();
     AtomicBoolean thrown = new AtomicBoolean();
-    node.onLoop(() -> node.core().begin(new FailingOnce(thrown), false, 0));
+    node.onLoop(() -> node.core().start(new FailingOnce(thrown), false, 0));
     await(thrown::get);
     CompletableFuture<Void> left = new CompletableFuture<>();
     node.leave(() -> left.complete(null));
@@ -114,16 +114,16 @@
     public void start(Request ask, long dueUs) {}
 
     @Override
-    public void stop(String id) {}
+    public void cancel(String id) {}
 
     @Override
-    public void give(String id, byte[] reply) {}
+    public void completeCall(String id, byte[] reply) {}
 
     @Override
-    public void omit(String id, long notice) {}
+    public void skipCall(String id, long notice) {}
 
     @Override
-    public void askGauges() {
+    public void requestGauges() {
       if (!thrown.getAndSet(true)) {
         throw new IllegalStateException("thrown by the test");
       }
@@ -424,7 +424,7 @@
     assertEquals("OK", answer("card-refresh").get(1));
     assertEquals(
         2, count("index.connections")); // a reply that never came may still come on the first
-    assertEquals(0, ask(Core::inHand));
+    assertEquals(0, ask(Core::inFlight));
   }
 
   @Test
@@ -579,7 +579,7 @@
     client.send(RespClient.array("PING", 5, ""));
     assertEquals("DOWN", client.answer().get(1));
     assertEquals("OK", answer("balance-check").get(1)); // within the grace
-    await(() -> ask(Core::pastGrace));
+    await(() -> ask(Core::gracePeriodOver));
     Thread.sleep(5); // requests tell whole milliseconds
     assertEquals(
         "BUSY", answer("balance-check").get(1)); // behind it: nothing is run, all is answered
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -200,7 +200,7 @@
       assertEquals("FAILED", b.answer().get(1));
       assertEquals(0, newRuntime.startsOf("lost"));
     }
-    assertEquals(0, ask(newer, Core::inHand));
+    assertEquals(0, ask(newer, Core::inFlight));
   }
 
   /**
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -173,7 +173,7 @@
     Thread.sleep(1_200);
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(bytes, 0, 10); // begun within the grace, whole only after it
-      rig.await(core -> core.pastGrace());
+      rig.await(core -> core.gracePeriodOver());
       socket.getOutputStream().write(bytes, 10, bytes.length - 10);
       Reply refused = UwsgiClient.read(socket);
       assertEquals(503, refused.status());
@@ -334,7 +334,7 @@
         core ->
             rig.backend.closedOnUs.get() == 1
                 && core.counters().get("gone") == 1
-                && core.inHand() == 0);
+                && core.inFlight() == 0);
   }
 
   @Test
--- a/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
@@ -16,9 +16,11 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
+import rosecleat.core.CoreSettings;
 import rosecleat.core.Counters;
 import rosecleat.core.DownstreamClient;
 import rosecleat.core.Request;
+import rosecleat.core.RequestClass;
 import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
@@ -55,9 +57,9 @@
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
     core =
         new Core(
-            new Core.Rules(
+            new CoreSettings(
                 2,
-                List.of(new Core.RequestClass("balance-check", false, false, 0, 1_000_000)),
+                List.of(new RequestClass("balance-check", false, false, 0, 1_000_000)),
                 List.of("small"),
                 80_000,
                 1_500_000,
