--- a/src/main/java/rosecleat/fleet/MembershipProtocol.java
+++ b/src/main/java/rosecleat/fleet/MembershipProtocol.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import rosecleat.fleet.wire.Ack;
@@ -22,9 +23,9 @@
 
 /**
  * One process's part in its fleet: what it holds of the others, and what it says to whom. Driven by
- * {@link #wake}, {@link #datagram} and {@link Talk}; what is to be done comes out of {@link
- * #effects}. Its clock is any that never goes back (us); it need not be the time of day. For one
- * thread.
+ * {@link #onTimer}, {@link #onDatagram} and {@link Talk}; what is to be done comes out of {@link
+ * #drainEffects}. Its clock is any that never goes back (us); it need not be the time of day. For
+ * one thread.
  */
 public final class MembershipProtocol {
   private static final long NEVER = Long.MAX_VALUE;
@@ -97,46 +98,45 @@
   // ---- what others ask of it
 
   /** What is to be done since it was last asked, in order. */
-  public List<Effect> effects() {
+  public List<Effect> drainEffects() {
     List<Effect> all = List.copyOf(effects);
     effects.clear();
     return all;
   }
 
   /** Who it is. */
-  public MemberId self() {
+  public MemberId localId() {
     return self.id;
   }
 
   /** Itself, as it is told to others. */
-  public MemberNews news() {
+  public MemberNews selfUpdate() {
     return WireCodec.news(self, self.state, 0);
   }
 
-  /** Where another is reached; null where it is not there. */
-  public Endpoint reach(String name) {
+  /** The endpoint of another member that is alive, or empty where there is none of the name. */
+  public Optional<Endpoint> endpointOf(String name) {
     for (Member member : members.named(name)) {
       if (member != self && member.state == MemberState.ALIVE) {
-        return member.at;
+        return Optional.of(member.at);
       }
     }
-    return null;
+    return Optional.empty();
   }
 
   /** MemberList known, dead ones with them. */
-  public int size() {
+  public int memberCount() {
     return members.size();
   }
 
   /** How slow it holds itself to be: 0 for not at all, up to {@link Tuning#WORST_HEALTH}. */
-  public int health() {
+  public int localHealth() {
     return health;
   }
 
-  /** How another stands; null where it is not known. */
-  public MemberState state(MemberId id) {
-    Member member = members.get(id);
-    return member == null ? null : member.state;
+  /** The state of a member, or empty where it is not known. */
+  public Optional<MemberState> stateOf(MemberId id) {
+    return Optional.ofNullable(members.get(id)).map(member -> member.state);
   }
 
   /** The digest of those that are there. */
@@ -145,7 +145,7 @@
   }
 
   /** Whether its view is settled; see {@link ConvergenceDetector}. */
-  public boolean settled(long nowUs) {
+  public boolean isSettled(long nowUs) {
     agreement.look(members.digest(), nowUs);
     return agreement.holds(members, !seeds.isEmpty(), nowUs);
   }
@@ -168,11 +168,11 @@
     seen.sort(
         Comparator.comparing((MembershipView.MemberInfo s) -> s.id().name())
             .thenComparingLong(s -> s.id().epoch()));
-    return new MembershipView(self.id, settled(nowUs), members.digest(), List.copyOf(seen));
+    return new MembershipView(self.id, isSettled(nowUs), members.digest(), List.copyOf(seen));
   }
 
   /** All records of a kind. */
-  public List<FleetRecord> records(String kind) {
+  public List<FleetRecord> recordsOfKind(String kind) {
     List<FleetRecord> found = new ArrayList<>();
     for (RecordStore.StoredRecord held : records.all()) {
       if (held.record.kind().equals(kind)) {
@@ -222,7 +222,7 @@
   }
 
   /** It is reached elsewhere from now on. */
-  public void moveTo(Endpoint at, long nowUs) {
+  public void changeEndpoint(Endpoint at, long nowUs) {
     members.change(
         self,
         () -> {
@@ -235,7 +235,7 @@
   // ---- time
 
   /** Runs what is due; returns when to call again. */
-  public long wake(long nowUs) {
+  public long onTimer(long nowUs) {
     lastUs = nowUs;
     forgive(nowUs);
     if (nowUs >= nextCertainUs) {
@@ -338,7 +338,7 @@
     meetSomebody(nowUs);
     wakeAppeals(nowUs);
     lookForCut();
-    boolean settled = settled(nowUs);
+    boolean settled = isSettled(nowUs);
     if (settled != wasSettled) {
       wasSettled = settled;
       effects.add(new Effect.ViewChanged());
@@ -659,7 +659,7 @@
   // ---- what comes
 
   /** Takes a datagram; what is no good costs a count. */
-  public void datagram(byte[] bytes, long nowUs) {
+  public void onDatagram(byte[] bytes, long nowUs) {
     lastUs = nowUs;
     Datagram d = WireCodec.datagram(Checksum.verify(bytes, cluster));
     WireCodec.MemberUpdate from = d == null || !d.hasFrom() ? null : WireCodec.news(d.getFrom());
@@ -1176,9 +1176,14 @@
     }
   }
 
-  /** An exchange that this process opens, or (false) that another opened. */
-  public SyncSession talk(boolean opener) {
-    return new SyncSession(opener);
+  /** A push/pull synchronization that this process opens. */
+  public ExchangeSession openSync() {
+    return new SyncSession(true);
+  }
+
+  /** A push/pull synchronization that another member has opened. */
+  public ExchangeSession acceptSync() {
+    return new SyncSession(false);
   }
 
   private Exchange.Builder greeting() {
--- a/src/main/java/rosecleat/fleet/transport/MembershipService.java
+++ b/src/main/java/rosecleat/fleet/transport/MembershipService.java
@@ -70,13 +70,13 @@
   /** Who hears of news, on the task's own thread; must not wait. */
   public interface Listener {
     /** The view has changed. */
-    void changed(MembershipView view);
+    void viewChanged(MembershipView view);
 
     /** A record has come or (null payload) aged out. */
-    void recorded(FleetRecord record);
+    void recordChanged(FleetRecord record);
 
     /** One more of something. */
-    void counted(String what, long more);
+    void counterIncreased(String counter, long increment);
   }
 
   private final class Conversation {
@@ -156,13 +156,13 @@
   }
 
   /** Answers exchanges of a further kind; before {@link #start}. */
-  public void answer(int kind, Supplier<ExchangeSession> with) {
+  public void registerResponder(int kind, Supplier<ExchangeSession> with) {
     answers.put(kind, with);
   }
 
   /** Begins. */
   public void start() {
-    answers.put(MEMBERS, () -> fleet.talk(false));
+    answers.put(MEMBERS, () -> fleet.acceptSync());
     thread.start();
   }
 
@@ -172,19 +172,19 @@
   }
 
   /** Where it is reached; for any thread once it has started. */
-  public Endpoint at() {
+  public Endpoint endpoint() {
     return at;
   }
 
   /** Leaves a message for the task; false where its mailbox is full. For any thread. */
-  public boolean post(Consumer<MembershipProtocol> message) {
+  public boolean submit(Consumer<MembershipProtocol> message) {
     boolean taken = mailbox.offer(message);
     selector.wakeup();
     return taken;
   }
 
   /** Opens an exchange of a further kind; on the task's own thread. False where too many go on. */
-  public boolean meet(int kind, Endpoint with, ExchangeSession dialogue) {
+  public boolean startExchange(int kind, Endpoint with, ExchangeSession dialogue) {
     long out = conversations.values().stream().filter(c -> c.opened).count();
     if (out >= MOST_OUT || with.equals(at)) {
       return false;
@@ -209,8 +209,8 @@
   /**
    * Says that it goes, and ends once that is said; waits so long at the most (ms). For any thread.
    */
-  public void leave(long mostMs) {
-    post(
+  public void leaveAndStop(long mostMs) {
+    submit(
         f -> {
           f.leave(nowUs());
           obey();
@@ -307,7 +307,7 @@
     close(formerUdp);
     elsewhere = false;
     at = endpoint(settings.advertise);
-    fleet.moveTo(at, nowUs);
+    fleet.changeEndpoint(at, nowUs);
     log.info("fleet: listens at " + at + " now");
   }
 
@@ -329,7 +329,7 @@
   }
 
   private void turn() throws IOException {
-    long due = guarded(() -> fleet.wake(nowUs()), nowUs() + settings.periodUs);
+    long due = guarded(() -> fleet.onTimer(nowUs()), nowUs() + settings.periodUs);
     obey();
     due = Math.min(due, look());
     long waitMs =
@@ -364,12 +364,12 @@
     }
   }
 
-  private interface Step {
+  private interface RouteChange {
     long run() throws IOException;
   }
 
   /** Guards the task: whatever one message or connection throws ends that alone. */
-  private long guarded(Step step, long otherwise) {
+  private long guarded(RouteChange step, long otherwise) {
     try {
       return step.run();
     } catch (IOException | RuntimeException e) {
@@ -384,15 +384,15 @@
   private long look() {
     long now = nowUs();
     if (now < lookUs) {
-      return changed || fleet.settled(now) != view.settled() ? lookUs : Long.MAX_VALUE;
+      return changed || fleet.isSettled(now) != view.settled() ? lookUs : Long.MAX_VALUE;
     }
     lookUs = now + LOOK_US;
-    if (changed || fleet.settled(now) != view.settled()) {
+    if (changed || fleet.isSettled(now) != view.settled()) {
       changed = false;
       view = fleet.view(now);
-      hearer.changed(view);
+      hearer.viewChanged(view);
     }
-    counts.forEach(hearer::counted);
+    counts.forEach(hearer::counterIncreased);
     counts.clear();
     return Long.MAX_VALUE;
   }
@@ -424,7 +424,7 @@
       byte[] bytes = new byte[packet.remaining()];
       packet.get(bytes);
       count("datagrams.in");
-      fleet.datagram(bytes, nowUs());
+      fleet.onDatagram(bytes, nowUs());
       obey();
     }
   }
@@ -527,12 +527,12 @@
 
   /** Carries out what the decisions ask. */
   private void obey() {
-    for (Effect effect : fleet.effects()) {
+    for (Effect effect : fleet.drainEffects()) {
       if (effect instanceof Effect.SendDatagram send) {
         send(send);
       } else if (effect instanceof Effect.StartSync meet) {
         count("meet." + meet.why());
-        meet(MEMBERS, meet.with(), fleet.talk(true));
+        startExchange(MEMBERS, meet.with(), fleet.openSync());
       } else if (effect instanceof Effect.WriteLog say) {
         if (say.warning()) {
           log.warn("fleet: " + say.line());
@@ -544,7 +544,7 @@
       } else if (effect instanceof Effect.ViewChanged) {
         changed = true;
       } else if (effect instanceof Effect.RecordChanged one) {
-        hearer.recorded(one.record());
+        hearer.recordChanged(one.record());
       }
     }
   }
--- a/src/main/java/rosecleat/node/FleetIntegration.java
+++ b/src/main/java/rosecleat/node/FleetIntegration.java
@@ -11,6 +11,7 @@
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.FleetConfig;
@@ -23,11 +24,11 @@
 import rosecleat.fleet.transport.MembershipService;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
-import rosecleat.routes.Book;
-import rosecleat.routes.Entry;
-import rosecleat.routes.Follow;
 import rosecleat.routes.Instance;
-import rosecleat.routes.Table;
+import rosecleat.routes.RouteEntry;
+import rosecleat.routes.RouteStore;
+import rosecleat.routes.RouteSyncSession;
+import rosecleat.routes.RouteTable;
 
 /**
  * What a process shares with its fleet, put in the node's terms. Loaded only where the broker's
@@ -52,7 +53,7 @@
       JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
 
   /** A table with its generation in this process. */
-  private record InForce(Table table, long generation) {}
+  private record InForce(RouteTable table, long generation) {}
 
   private final MembershipService task;
   private final FleetConfig settings;
@@ -60,9 +61,9 @@
   private final Log log;
   private final Map<String, String> routesOf = new ConcurrentHashMap<>();
   private final Map<String, String> heldBy = new HashMap<>();
-  private final Book book = new Book();
+  private final RouteStore book = new RouteStore();
   private final InstancePools pools;
-  private volatile InForce inForce = new InForce(Table.EMPTY, 0);
+  private volatile InForce inForce = new InForce(RouteTable.EMPTY, 0);
   private RoutesFile waiting;
   private boolean following;
   private boolean told;
@@ -91,28 +92,28 @@
                 settings.periodUs()),
             new MembershipService.Listener() {
               @Override
-              public void changed(MembershipView view) {}
+              public void viewChanged(MembershipView view) {}
 
               @Override
-              public void recorded(FleetRecord record) {
+              public void recordChanged(FleetRecord record) {
                 heard(record);
               }
 
               @Override
-              public void counted(String what, long more) {
-                loop.execute(() -> counters.add("fleet." + what, more));
+              public void counterIncreased(String counter, long increment) {
+                loop.execute(() -> counters.add("fleet." + counter, increment));
               }
             },
             log);
-    task.answer(ROUTES_EXCHANGE, () -> follow(false));
+    task.registerResponder(ROUTES_EXCHANGE, () -> follow(false));
     task.start();
-    log.info("fleet: " + task.view().self() + " listens at " + task.at());
-    task.post(fleet -> tell(fleet));
+    log.info("fleet: " + task.view().self() + " listens at " + task.endpoint());
+    task.submit(fleet -> tell(fleet));
     if (broker.routes() != null) {
       waiting = broker.routes();
       loop.schedule(
           settings.seeds().isEmpty() ? 0 : LISTEN * settings.periodUs(),
-          () -> task.post(this::publish));
+          () -> task.submit(this::publish));
     }
     again();
   }
@@ -122,15 +123,15 @@
     loop.schedule(
         settings.periodUs(),
         () -> {
-          task.post(this::catchUp); // where its mailbox is full now, the next time does
+          task.submit(this::catchUp); // where its mailbox is full now, the next time does
           again();
         });
   }
 
   // ---- on the fleet's task
 
-  private Follow follow(boolean opener) {
-    return new Follow(
+  private RouteSyncSession follow(boolean opener) {
+    return new RouteSyncSession(
         book,
         opener,
         settings.cluster(),
@@ -154,23 +155,24 @@
     if (digests.length == 2) {
       routesOf.put(record.owner(), digests[0]);
       heldBy.put(record.owner(), digests[1]);
-      if (!digests[1].equals(hex(book.holds()))) {
-        task.post(this::catchUp);
+      if (!digests[1].equals(hex(book.stateDigest()))) {
+        task.submit(this::catchUp);
       }
     }
   }
 
   /** Asks one that holds something else, one at a time: whoever told it last. */
   private void catchUp(MembershipProtocol fleet) {
-    fleetNews = fleet.news();
-    String mine = hex(book.holds());
+    fleetNews = fleet.selfUpdate();
+    String mine = hex(book.stateDigest());
     if (following) {
       return;
     }
     for (Map.Entry<String, String> other : heldBy.entrySet()) {
-      Endpoint at = other.getValue().equals(mine) ? null : fleet.reach(other.getKey());
-      if (at != null) {
-        following = task.meet(ROUTES_EXCHANGE, at, follow(true));
+      Optional<Endpoint> peer =
+          other.getValue().equals(mine) ? Optional.empty() : fleet.endpointOf(other.getKey());
+      if (peer.isPresent()) {
+        following = task.startExchange(ROUTES_EXCHANGE, peer.get(), follow(true));
         if (following) {
           return;
         }
@@ -184,14 +186,14 @@
     loop.execute(() -> pools.use(fresh.table.services()));
     log.info("routes: " + hex(fresh.table.digest()) + " is in force");
     if (task != null) {
-      task.post(this::tell);
+      task.submit(this::tell);
     }
   }
 
   private void tell(MembershipProtocol fleet) {
-    fleetNews = fleet.news();
-    String payload = hex(book.table().digest()) + ":" + hex(book.holds());
-    routesOf.put(fleet.self().name(), hex(book.table().digest()));
+    fleetNews = fleet.selfUpdate();
+    String payload = hex(book.table().digest()) + ":" + hex(book.stateDigest());
+    routesOf.put(fleet.localId().name(), hex(book.table().digest()));
     fleet.publish(
         ROUTES, "", payload.getBytes(StandardCharsets.US_ASCII), ROUTES_TTL_MS, task.nowUs());
     catchUp(fleet);
@@ -207,13 +209,13 @@
     if (file == null) {
       return;
     }
-    Book written = new Book(); // a file is known by what it holds, as a table is
+    RouteStore written = new RouteStore(); // a file is known by what it holds, as a table is
     written.publish("", entries(file));
     String digest = hex(written.table().digest());
     boolean old = false;
-    for (FleetRecord record : fleet.records(FILE)) {
+    for (FleetRecord record : fleet.recordsOfKind(FILE)) {
       old |=
-          record.owner().equals(fleet.self().name())
+          record.owner().equals(fleet.localId().name())
               && new String(record.payload(), StandardCharsets.US_ASCII).equals(digest);
     }
     if (old && !told) {
@@ -233,11 +235,11 @@
     }
   }
 
-  private static Map<Entry.Key, Instance> entries(RoutesFile file) {
-    Map<Entry.Key, Instance> all = new HashMap<>();
+  private static Map<RouteEntry.Key, Instance> entries(RoutesFile file) {
+    Map<RouteEntry.Key, Instance> all = new HashMap<>();
     for (RoutesFile.Line line : file.instances()) {
       all.put(
-          new Entry.Key(line.service(), line.name()),
+          new RouteEntry.Key(line.service(), line.name()),
           new Instance(
               line.at().getAddress().getHostAddress(),
               line.at().getPort(),
@@ -259,7 +261,7 @@
     if (task == null) {
       take(fresh);
     } else {
-      task.post(
+      task.submit(
           fleet -> {
             waiting = fresh;
             publish(fleet);
@@ -317,8 +319,8 @@
                             .put("zone", i.zone())
                             .put("weight", i.weight())
                             .put("state", i.state().name().toLowerCase(Locale.ROOT));
-                    if (i.places() > 0) {
-                      one.put("places", i.places());
+                    if (i.capacity() > 0) {
+                      one.put("places", i.capacity());
                     }
                   });
             });
@@ -340,14 +342,14 @@
   /** The process goes: its fleet is told at once, while it still serves what it holds. */
   void depart() {
     if (task != null) {
-      task.post(fleet -> fleet.leave(task.nowUs()));
+      task.submit(fleet -> fleet.leave(task.nowUs()));
     }
   }
 
   /** The process ends: its fleet is told, and waited for so long at the most (ms). */
   void leave(long mostMs) {
     if (task != null) {
-      task.leave(mostMs);
+      task.leaveAndStop(mostMs);
     }
   }
 
--- a/src/main/java/rosecleat/node/InstancePools.java
+++ b/src/main/java/rosecleat/node/InstancePools.java
@@ -9,14 +9,14 @@
 import java.util.SplittableRandom;
 import rosecleat.core.RunResult;
 import rosecleat.front.uwsgi.InstanceBalancer;
-import rosecleat.pool.Pool;
+import rosecleat.pool.InstancePool;
 import rosecleat.routes.Instance;
 
 /** The instances of all services as runs are given places at them. For the loop. */
 final class InstancePools implements InstanceBalancer {
   private final String zone;
   private final SplittableRandom random = new SplittableRandom();
-  private final Map<String, Pool> pools = new HashMap<>();
+  private final Map<String, InstancePool> pools = new HashMap<>();
   private Runnable changed = () -> {};
 
   InstancePools(String zone) {
@@ -33,43 +33,44 @@
   void use(Map<String, Map<String, Instance>> services) {
     services
         .keySet()
-        .forEach(service -> pools.computeIfAbsent(service, s -> new Pool(zone, random.split())));
+        .forEach(
+            service -> pools.computeIfAbsent(service, s -> new InstancePool(zone, random.split())));
     pools.forEach(
         (service, pool) -> {
-          List<Pool.Listed> listed = new ArrayList<>();
+          List<InstancePool.InstanceSpec> listed = new ArrayList<>();
           services
               .getOrDefault(service, Map.of())
               .forEach(
                   (name, i) ->
                       listed.add(
-                          new Pool.Listed(
+                          new InstancePool.InstanceSpec(
                               name,
                               i.host(),
                               i.port(),
                               i.zone(),
                               i.weight(),
-                              i.places(),
+                              i.capacity(),
                               i.state() == Instance.State.ON)));
-          pool.use(listed);
+          pool.update(listed);
         });
     changed.run();
   }
 
   /** Requests that all instances work on at once. */
   int places() {
-    return pools.values().stream().mapToInt(Pool::places).sum();
+    return pools.values().stream().mapToInt(InstancePool::capacity).sum();
   }
 
   @Override
   public boolean hasNoAvailableInstance(String service) {
-    Pool pool = pools.get(service);
-    return pool == null || pool.none();
+    InstancePool pool = pools.get(service);
+    return pool == null || pool.isEmpty();
   }
 
   @Override
   public Optional<Lease> lease(LeaseRequest request, long nowUs) {
-    Pool pool = pools.get(request.service());
-    Pool.Place place = pool == null ? null : pool.take(1);
+    InstancePool pool = pools.get(request.service());
+    InstancePool.PooledInstance place = pool == null ? null : pool.acquire(1);
     if (place == null) {
       return Optional.empty();
     }
@@ -83,7 +84,7 @@
 
           @Override
           public void release(RunResult result, long durationUs, int responseBytes) {
-            pool.give(place, 1);
+            pool.release(place, 1);
           }
         });
   }
--- a/src/main/java/rosecleat/pool/Pool.java
+++ b/src/main/java/rosecleat/pool/InstancePool.java
@@ -11,12 +11,12 @@
  * over outstanding work by weight: the process's own zone first, others once its choice has as much
  * out as it has places. For one thread.
  */
-public final class Pool {
+public final class InstancePool {
   /** Places of an instance that does not say how many it has. */
   public static final int PLACES = 4;
 
   /** An instance; what is out at it stays with it while the table changes round it. */
-  public static final class Place {
+  public static final class PooledInstance {
     private final String name;
     private final String host;
     private final int port;
@@ -27,7 +27,7 @@
     private int out;
     private double workUs;
 
-    private Place(String name, String host, int port) {
+    private PooledInstance(String name, String host, int port) {
       this.name = name;
       this.host = host;
       this.port = port;
@@ -56,30 +56,30 @@
   }
 
   /** How an instance is to stand from now on. */
-  public record Listed(
+  public record InstanceSpec(
       String name, String host, int port, String zone, double weight, int places, boolean takes) {}
 
   private final String zone;
   private final RandomGenerator random;
-  private Map<String, Place> known = new HashMap<>();
-  private List<Place> near = List.of();
-  private List<Place> far = List.of();
+  private Map<String, PooledInstance> known = new HashMap<>();
+  private List<PooledInstance> near = List.of();
+  private List<PooledInstance> far = List.of();
 
   /** A pool that is empty; {@code zone} is this process's own. */
-  public Pool(String zone, RandomGenerator random) {
+  public InstancePool(String zone, RandomGenerator random) {
     this.zone = zone;
     this.random = random;
   }
 
   /** The instances from now on. One that keeps its name and address keeps what is out at it. */
-  public void use(List<Listed> listed) {
-    Map<String, Place> fresh = new HashMap<>();
-    List<Place> here = new ArrayList<>();
-    List<Place> elsewhere = new ArrayList<>();
-    for (Listed each : listed) {
-      Place place = known.get(each.name);
+  public void update(List<InstanceSpec> listed) {
+    Map<String, PooledInstance> fresh = new HashMap<>();
+    List<PooledInstance> here = new ArrayList<>();
+    List<PooledInstance> elsewhere = new ArrayList<>();
+    for (InstanceSpec each : listed) {
+      PooledInstance place = known.get(each.name);
       if (place == null || place.port != each.port || !place.host.equals(each.host)) {
-        place = new Place(each.name, each.host, each.port);
+        place = new PooledInstance(each.name, each.host, each.port);
       }
       place.zone = each.zone;
       place.weight = each.weight;
@@ -96,27 +96,27 @@
   }
 
   /** Whether none takes anything. */
-  public boolean none() {
+  public boolean isEmpty() {
     return near.isEmpty() && far.isEmpty();
   }
 
   /** Requests that those that take any work on at once, all together. */
-  public int places() {
+  public int capacity() {
     int sum = 0;
-    for (Place place : near) {
+    for (PooledInstance place : near) {
       sum += place.places;
     }
-    for (Place place : far) {
+    for (PooledInstance place : far) {
       sum += place.places;
     }
     return sum;
   }
 
   /** Chooses an instance for so much work and books it there; null where none takes anything. */
-  public Place take(double workUs) {
-    Place chosen = better(near, workUs);
+  public PooledInstance acquire(double workUs) {
+    PooledInstance chosen = better(near, workUs);
     if (chosen == null || chosen.out >= chosen.places) {
-      Place other = better(far, workUs);
+      PooledInstance other = better(far, workUs);
       chosen =
           chosen == null
                   || other != null
@@ -133,20 +133,20 @@
   }
 
   /** What was booked is done. */
-  public void give(Place place, double workUs) {
+  public void release(PooledInstance place, double workUs) {
     place.out--;
     place.workUs =
         place.out == 0 ? 0 : Math.max(0, place.workUs - workUs); // rounding must not grow
   }
 
-  private Place better(List<Place> of, double workUs) {
+  private PooledInstance better(List<PooledInstance> of, double workUs) {
     if (of.size() < 2) {
       return of.isEmpty() ? null : of.get(0);
     }
     int first = random.nextInt(of.size());
     int second = random.nextInt(of.size() - 1);
-    Place a = of.get(first);
-    Place b = of.get(second < first ? second : second + 1);
+    PooledInstance a = of.get(first);
+    PooledInstance b = of.get(second < first ? second : second + 1);
     return a.load(workUs) <= b.load(workUs) ? a : b;
   }
 }
--- a/src/main/java/rosecleat/routes/Book.java
+++ b/src/main/java/rosecleat/routes/RouteStore.java
@@ -10,7 +10,7 @@
  * What a process holds of routes, as its fleet writes them: each entry with its time and author,
  * removed ones with them, so that a removal does not come back. For one thread.
  */
-public final class Book {
+public final class RouteStore {
   /** Entries at the most, and removed ones kept. */
   static final int MOST = 200_000;
 
@@ -19,25 +19,25 @@
   /** States kept so that a follower may be told only what has changed since. */
   static final int HISTORY = 256;
 
-  private Trie trie = Trie.EMPTY;
-  private final Map<Long, Trie> history = new HashMap<>();
+  private RouteTrie trie = RouteTrie.EMPTY;
+  private final Map<Long, RouteTrie> history = new HashMap<>();
   private final ArrayDeque<Long> order = new ArrayDeque<>();
-  private final ArrayDeque<Entry.Key> removed = new ArrayDeque<>();
+  private final ArrayDeque<RouteEntry.Key> removed = new ArrayDeque<>();
   private long time;
   private long generation;
 
   /** An empty one. */
-  public Book() {
+  public RouteStore() {
     history.put(trie.digest(), trie);
   }
 
   /** What is in force. */
-  public Table table() {
-    return new Table(trie);
+  public RouteTable table() {
+    return new RouteTable(trie);
   }
 
   /** The digest of all that is held, times and authors with it. */
-  public long holds() {
+  public long stateDigest() {
     return trie.digest();
   }
 
@@ -47,11 +47,11 @@
   }
 
   /** Takes entries, whole: those that hold against what is here. True where anything changed. */
-  public boolean merge(List<Entry> entries) {
-    Trie fresh = trie;
-    for (Entry entry : entries) {
+  public boolean merge(List<RouteEntry> entries) {
+    RouteTrie fresh = trie;
+    for (RouteEntry entry : entries) {
       time = Math.max(time, entry.time());
-      Entry mine = fresh.get(entry.key());
+      RouteEntry mine = fresh.get(entry.key());
       if (entry.beats(mine) && (mine != null || fresh.size() < MOST)) {
         fresh = fresh.with(entry);
         if (entry.instance() == null) {
@@ -60,8 +60,8 @@
       }
     }
     while (removed.size() > MOST_REMOVED) {
-      Entry.Key oldest = removed.poll();
-      Entry there = fresh.get(oldest);
+      RouteEntry.Key oldest = removed.poll();
+      RouteEntry there = fresh.get(oldest);
       if (there != null && there.instance() == null) {
         fresh = fresh.without(oldest);
       }
@@ -69,7 +69,7 @@
     return take(fresh);
   }
 
-  private boolean take(Trie fresh) {
+  private boolean take(RouteTrie fresh) {
     if (fresh.digest() == trie.digest()) {
       return false;
     }
@@ -88,32 +88,32 @@
    * What an author writes: all of its file, all at once. Entries that say what is in force already
    * are left alone, whoever wrote them; those of its own that the file lacks are removed.
    */
-  public boolean publish(String author, Map<Entry.Key, Instance> file) {
-    List<Entry> news = new ArrayList<>();
+  public boolean publish(String author, Map<RouteEntry.Key, Instance> file) {
+    List<RouteEntry> news = new ArrayList<>();
     long next = time + 1;
     file.forEach(
         (key, instance) -> {
-          Entry mine = trie.get(key);
+          RouteEntry mine = trie.get(key);
           if (mine == null || !instance.equals(mine.instance())) {
-            news.add(new Entry(key, instance, next, author));
+            news.add(new RouteEntry(key, instance, next, author));
           }
         });
     trie.each(
         e -> {
           if (e.author().equals(author) && e.instance() != null && !file.containsKey(e.key())) {
-            news.add(new Entry(e.key(), null, next, author));
+            news.add(new RouteEntry(e.key(), null, next, author));
           }
         });
     return merge(news);
   }
 
   /** All that changed since a state that is remembered; null where it is not. */
-  List<Entry> since(long digest) {
-    Trie before = history.get(digest);
+  List<RouteEntry> since(long digest) {
+    RouteTrie before = history.get(digest);
     if (before == null) {
       return null;
     }
-    List<Entry> changed = new ArrayList<>();
+    List<RouteEntry> changed = new ArrayList<>();
     before.compare(
         trie,
         (old, now) -> {
@@ -124,7 +124,7 @@
     return changed;
   }
 
-  Trie trie() {
+  RouteTrie trie() {
     return trie;
   }
 }
--- a/src/main/java/rosecleat/routes/Follow.java
+++ b/src/main/java/rosecleat/routes/RouteSyncSession.java
@@ -18,11 +18,11 @@
  * the parts that differ; what the other lacks comes last. What is torn, doubled or late changes
  * nothing that a later exchange does not mend.
  */
-public final class Follow implements ExchangeSession {
+public final class RouteSyncSession implements ExchangeSession {
   private static final int LONGEST = 64;
   private static final Instance.State[] STATES = Instance.State.values();
 
-  private final Book book;
+  private final RouteStore book;
   private final boolean opener;
   private final String cluster;
   private final Supplier<MemberNews> self;
@@ -31,8 +31,8 @@
   private int step;
 
   /** One side; {@code changed} is told of news, {@code over} when it has ended, well or not. */
-  public Follow(
-      Book book,
+  public RouteSyncSession(
+      RouteStore book,
       boolean opener,
       String cluster,
       Supplier<MemberNews> self,
@@ -66,11 +66,11 @@
       }
       return seal(first);
     }
-    if (!opener && step == 1 && in.getHolds() != book.holds() && in.getPartsCount() == 256) {
+    if (!opener && step == 1 && in.getHolds() != book.stateDigest() && in.getPartsCount() == 256) {
       return seal(answer(in));
     }
     if (opener && step == 2) {
-      List<Entry> mine = in.getJoined() ? List.of() : lacked(in);
+      List<RouteEntry> mine = in.getJoined() ? List.of() : lacked(in);
       merge(in);
       if (!mine.isEmpty()) {
         Routes.Builder last = frame();
@@ -87,7 +87,7 @@
 
   private Routes.Builder answer(Routes in) {
     Routes.Builder answer = frame();
-    List<Entry> since = book.since(in.getHolds());
+    List<RouteEntry> since = book.since(in.getHolds());
     if (since != null) {
       since.forEach(e -> answer.addEntries(write(e)));
       return answer.setJoined(true);
@@ -103,19 +103,20 @@
   }
 
   /** What is held here of the differing parts and holds against what the other told of them. */
-  private List<Entry> lacked(Routes in) {
-    Map<Entry.Key, Entry> theirs = new HashMap<>();
+  private List<RouteEntry> lacked(Routes in) {
+    Map<RouteEntry.Key, RouteEntry> theirs = new HashMap<>();
     in.getEntriesList()
         .forEach(
             s -> {
-              Entry entry = read(s);
+              RouteEntry entry = read(s);
               if (entry != null) {
                 theirs.put(entry.key(), entry);
               }
             });
-    List<Entry> lacked = new ArrayList<>();
+    List<RouteEntry> lacked = new ArrayList<>();
     for (int part : in.getDifferingList()) {
-      for (Entry mine : part < 0 || part > 255 ? List.<Entry>of() : book.trie().part(part)) {
+      for (RouteEntry mine :
+          part < 0 || part > 255 ? List.<RouteEntry>of() : book.trie().part(part)) {
         if (mine.beats(theirs.get(mine.key()))) {
           lacked.add(mine);
         }
@@ -125,9 +126,9 @@
   }
 
   private void merge(Routes in) {
-    List<Entry> entries = new ArrayList<>();
+    List<RouteEntry> entries = new ArrayList<>();
     for (Stamped each : in.getEntriesList()) {
-      Entry entry = read(each);
+      RouteEntry entry = read(each);
       if (entry == null) {
         return; // all or nothing: what is wrong in one is not to be trusted in the others
       }
@@ -139,7 +140,7 @@
   }
 
   private Routes.Builder frame() {
-    return Routes.newBuilder().setFrom(self.get()).setHolds(book.holds());
+    return Routes.newBuilder().setFrom(self.get()).setHolds(book.stateDigest());
   }
 
   private byte[] seal(Routes.Builder frame) {
@@ -154,7 +155,7 @@
     }
   }
 
-  private static Stamped write(Entry e) {
+  private static Stamped write(RouteEntry e) {
     Stamped.Builder s =
         Stamped.newBuilder()
             .setService(e.key().service())
@@ -169,11 +170,11 @@
             .setZone(i.zone())
             .setWeight(i.weight())
             .setState(i.state().ordinal())
-            .setPlaces(i.places())
+            .setPlaces(i.capacity())
             .build();
   }
 
-  private static Entry read(Stamped s) {
+  private static RouteEntry read(Stamped s) {
     if (s.getService().isEmpty()
         || s.getService().length() > LONGEST
         || s.getName().isEmpty()
@@ -183,9 +184,9 @@
         || s.getAuthor().length() > LONGEST) {
       return null;
     }
-    Entry.Key key = new Entry.Key(s.getService(), s.getName());
+    RouteEntry.Key key = new RouteEntry.Key(s.getService(), s.getName());
     if (s.getRemoved()) {
-      return new Entry(key, null, s.getTime(), s.getAuthor());
+      return new RouteEntry(key, null, s.getTime(), s.getAuthor());
     }
     if (s.getPort() <= 0
         || s.getPort() > 0xffff
@@ -198,7 +199,7 @@
         || s.getZone().length() > LONGEST) {
       return null;
     }
-    return new Entry(
+    return new RouteEntry(
         key,
         new Instance(
             s.getHost(),
--- a/src/main/java/rosecleat/routes/Table.java
+++ b/src/main/java/rosecleat/routes/RouteTable.java
@@ -9,13 +9,13 @@
  * The instances of all services at a moment. Known by what it holds: equal content has an equal
  * digest everywhere.
  */
-public final class Table {
+public final class RouteTable {
   /** No service has any. */
-  public static final Table EMPTY = new Table(Trie.EMPTY);
+  public static final RouteTable EMPTY = new RouteTable(RouteTrie.EMPTY);
 
-  private final Trie trie;
+  private final RouteTrie trie;
 
-  Table(Trie trie) {
+  RouteTable(RouteTrie trie) {
     this.trie = trie;
   }
 
@@ -39,19 +39,19 @@
   }
 
   /** One step from a table to another: an instance put, changed or (null) removed. */
-  public record Step(Entry.Key key, Instance before, Instance after) {
-    Step inverse() {
-      return new Step(key, after, before);
+  public record RouteChange(RouteEntry.Key key, Instance before, Instance after) {
+    RouteChange inverse() {
+      return new RouteChange(key, after, before);
     }
   }
 
   /**
    * The fewest steps to another table: what is new first, then what changes, and last what goes.
    */
-  public List<Step> diff(Table to) {
-    List<Step> put = new ArrayList<>();
-    List<Step> changed = new ArrayList<>();
-    List<Step> removed = new ArrayList<>();
+  public List<RouteChange> diff(RouteTable to) {
+    List<RouteChange> put = new ArrayList<>();
+    List<RouteChange> changed = new ArrayList<>();
+    List<RouteChange> removed = new ArrayList<>();
     trie.compare(
         to.trie,
         (mine, theirs) -> {
@@ -61,7 +61,7 @@
             return; // written again with the same content
           }
           (before == null ? put : after == null ? removed : changed)
-              .add(new Step((mine == null ? theirs : mine).key(), before, after));
+              .add(new RouteChange((mine == null ? theirs : mine).key(), before, after));
         });
     put.addAll(changed);
     put.addAll(removed);
--- a/src/main/java/rosecleat/routes/Trie.java
+++ b/src/main/java/rosecleat/routes/RouteTrie.java
@@ -10,17 +10,17 @@
  * of all below it: what two tries share is skipped in no time, so that a comparison costs as much
  * as they differ. Digests are sums of mixed entries, so they do not depend on the shape.
  */
-final class Trie {
-  static final Trie EMPTY = new Trie(null, null, 0, 0, 0);
+final class RouteTrie {
+  static final RouteTrie EMPTY = new RouteTrie(null, null, 0, 0, 0);
   private static final int WAYS = 16;
 
-  private final Trie[] parts;
-  private final List<Entry> leaf;
+  private final RouteTrie[] parts;
+  private final List<RouteEntry> leaf;
   private final long digest;
   private final long content;
   private final int size;
 
-  private Trie(Trie[] parts, List<Entry> leaf, long digest, long content, int size) {
+  private RouteTrie(RouteTrie[] parts, List<RouteEntry> leaf, long digest, long content, int size) {
     this.parts = parts;
     this.leaf = leaf;
     this.digest = digest;
@@ -42,8 +42,8 @@
     return size;
   }
 
-  Entry get(Entry.Key key) {
-    Trie at = this;
+  RouteEntry get(RouteEntry.Key key) {
+    RouteTrie at = this;
     long hash = key.hash();
     for (int shift = 60; at != null; shift -= 4) {
       if (at.leaf != null) {
@@ -54,53 +54,53 @@
     return null;
   }
 
-  Trie with(Entry entry) {
+  RouteTrie with(RouteEntry entry) {
     return with(entry, entry.key().hash(), 60);
   }
 
-  private Trie with(Entry entry, long hash, int shift) {
+  private RouteTrie with(RouteEntry entry, long hash, int shift) {
     if (parts == null && leaf == null) {
       return leaf(List.of(entry));
     }
     if (leaf != null) {
       long there = leaf.get(0).key().hash();
       if (there == hash) { // the same key, or one of the same hash
-        List<Entry> all = new ArrayList<>(leaf);
+        List<RouteEntry> all = new ArrayList<>(leaf);
         all.removeIf(e -> e.key().equals(entry.key()));
         all.add(entry);
         all.sort((a, b) -> a.key().compareTo(b.key()));
         return leaf(List.copyOf(all));
       }
-      Trie[] fresh = new Trie[WAYS];
+      RouteTrie[] fresh = new RouteTrie[WAYS];
       fresh[(int) (there >>> shift) & 15] = this;
       return node(fresh).with(entry, hash, shift);
     }
-    Trie[] fresh = parts.clone();
+    RouteTrie[] fresh = parts.clone();
     int way = (int) (hash >>> shift) & 15;
     fresh[way] = (fresh[way] == null ? EMPTY : fresh[way]).with(entry, hash, shift - 4);
     return node(fresh);
   }
 
   /** Without an entry, as if it had never been there. */
-  Trie without(Entry.Key key) {
+  RouteTrie without(RouteEntry.Key key) {
     return without(key, key.hash(), 60);
   }
 
-  private Trie without(Entry.Key key, long hash, int shift) {
+  private RouteTrie without(RouteEntry.Key key, long hash, int shift) {
     if (leaf != null) {
-      List<Entry> rest = leaf.stream().filter(e -> !e.key().equals(key)).toList();
+      List<RouteEntry> rest = leaf.stream().filter(e -> !e.key().equals(key)).toList();
       return rest.isEmpty() ? EMPTY : rest.size() == leaf.size() ? this : leaf(rest);
     }
     int way = (int) (hash >>> shift) & 15;
     if (parts == null || parts[way] == null) {
       return this;
     }
-    Trie[] fresh = parts.clone();
+    RouteTrie[] fresh = parts.clone();
     fresh[way] = parts[way].without(key, hash, shift - 4);
     fresh[way] = fresh[way] == EMPTY ? null : fresh[way];
-    Trie only = null;
+    RouteTrie only = null;
     int count = 0;
-    for (Trie part : fresh) {
+    for (RouteTrie part : fresh) {
       if (part != null) {
         only = part;
         count++;
@@ -109,35 +109,35 @@
     return count == 0 ? EMPTY : count == 1 && only.leaf != null ? only : node(fresh);
   }
 
-  private static Trie leaf(List<Entry> entries) {
+  private static RouteTrie leaf(List<RouteEntry> entries) {
     long digest = 0;
     long content = 0;
-    for (Entry entry : entries) {
+    for (RouteEntry entry : entries) {
       digest += entry.digest();
-      content += entry.content();
+      content += entry.contentDigest();
     }
-    return new Trie(null, entries, digest, content, entries.size());
+    return new RouteTrie(null, entries, digest, content, entries.size());
   }
 
-  private static Trie node(Trie[] parts) {
+  private static RouteTrie node(RouteTrie[] parts) {
     long digest = 0;
     long content = 0;
     int size = 0;
-    for (Trie part : parts) {
+    for (RouteTrie part : parts) {
       if (part != null) {
         digest += part.digest;
         content += part.content;
         size += part.size;
       }
     }
-    return new Trie(parts, null, digest, content, size);
+    return new RouteTrie(parts, null, digest, content, size);
   }
 
-  void each(Consumer<Entry> what) {
+  void each(Consumer<RouteEntry> what) {
     if (leaf != null) {
       leaf.forEach(what);
     } else if (parts != null) {
-      for (Trie part : parts) {
+      for (RouteTrie part : parts) {
         if (part != null) {
           part.each(what);
         }
@@ -149,11 +149,12 @@
    * Tells each key whose entry differs, with the entry there and the one in another trie; null
    * where there is none.
    */
-  void compare(Trie other, BiConsumer<Entry, Entry> told) {
+  void compare(RouteTrie other, BiConsumer<RouteEntry, RouteEntry> told) {
     compare(this, other, 60, told);
   }
 
-  private static void compare(Trie a, Trie b, int shift, BiConsumer<Entry, Entry> told) {
+  private static void compare(
+      RouteTrie a, RouteTrie b, int shift, BiConsumer<RouteEntry, RouteEntry> told) {
     if (a == b || a != null && b != null && a.digest == b.digest && a.size == b.size) {
       return;
     }
@@ -167,14 +168,14 @@
       return;
     }
     if (a.leaf != null && b.leaf != null) {
-      for (Entry mine : a.leaf) {
-        Entry theirs =
+      for (RouteEntry mine : a.leaf) {
+        RouteEntry theirs =
             b.leaf.stream().filter(e -> e.key().equals(mine.key())).findFirst().orElse(null);
         if (!mine.equals(theirs)) {
           told.accept(mine, theirs);
         }
       }
-      for (Entry theirs : b.leaf) {
+      for (RouteEntry theirs : b.leaf) {
         if (a.leaf.stream().noneMatch(e -> e.key().equals(theirs.key()))) {
           told.accept(null, theirs);
         }
@@ -186,7 +187,7 @@
     }
   }
 
-  private Trie way(int way, int shift) {
+  private RouteTrie way(int way, int shift) {
     if (leaf != null) {
       return ((int) (leaf.get(0).key().hash() >>> shift) & 15) == way ? this : null;
     }
@@ -201,8 +202,8 @@
   }
 
   /** All entries of one of the 256 parts. */
-  List<Entry> part(int which) {
-    List<Entry> found = new ArrayList<>();
+  List<RouteEntry> part(int which) {
+    List<RouteEntry> found = new ArrayList<>();
     each256(
         (at, part) -> {
           if (at == which) {
@@ -213,14 +214,14 @@
   }
 
   private interface Part {
-    void take(int at, Trie part);
+    void take(int at, RouteTrie part);
   }
 
   private void each256(Part what) {
     for (int first = 0; first < WAYS && size > 0; first++) {
-      Trie upper = way(first, 60);
+      RouteTrie upper = way(first, 60);
       for (int second = 0; second < WAYS && upper != null; second++) {
-        Trie lower = upper.way(second, 56);
+        RouteTrie lower = upper.way(second, 56);
         if (lower != null) {
           what.take(WAYS * first + second, lower);
         }
--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -62,7 +62,7 @@
                   of.agree()
                       && of.living().stream()
                           .allMatch(
-                              p -> p.fleet.settled(of.nowUs) || 2 * of.living().size() <= size));
+                              p -> p.fleet.isSettled(of.nowUs) || 2 * of.living().size() <= size));
       assertTrue(took >= 0, "size " + size + " seed " + seed + ": " + world.counts);
       assertTrue(world.largest <= 1_400, "a datagram of " + world.largest + " bytes");
     }
@@ -74,16 +74,16 @@
     for (long seed = 1; seed <= 20; seed++) {
       SimulatedCluster world = new SimulatedCluster(20, seed).acquainted();
       world.run(10);
-      assertTrue(world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
-      MemberId id = world.peers.get(7).fleet.self();
+      assertTrue(world.living().stream().allMatch(p -> p.fleet.isSettled(world.nowUs)));
+      MemberId id = world.peers.get(7).fleet.localId();
       world.peers.get(7).crash();
       double doubted =
           world.until(
-              20, () -> world.living().stream().noneMatch(p -> p.fleet.settled(world.nowUs)));
+              20, () -> world.living().stream().noneMatch(p -> p.fleet.isSettled(world.nowUs)));
       double known = doubted + world.until(20, () -> world.gone(id));
       double settled =
           world.until(
-              20, () -> world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
+              20, () -> world.living().stream().allMatch(p -> p.fleet.isSettled(world.nowUs)));
       assertTrue(
           doubted >= 0 && doubted < 4 && known < 9 && settled >= 0 && settled < 4,
           seed + ": " + doubted + " " + known + " " + settled);
@@ -109,7 +109,7 @@
   @Test
   void aProcessWhoseClockWasSetBackIsNewAllTheSame() {
     SimulatedCluster world = new SimulatedCluster(4, 9).acquainted();
-    long before = world.peers.get(3).fleet.self().epoch();
+    long before = world.peers.get(3).fleet.localId().epoch();
     world.peers.get(3).crash();
     world.run(1);
     long now = world.nowUs;
@@ -117,7 +117,7 @@
     world.peers.get(3).start(0);
     world.nowUs = now;
     double took =
-        world.until(30, () -> world.peers.get(3).fleet.self().epoch() > before && world.agree());
+        world.until(30, () -> world.peers.get(3).fleet.localId().epoch() > before && world.agree());
     assertTrue(took >= 0, "it is not seen as a later start");
   }
 
@@ -151,7 +151,8 @@
         world.until(
             60,
             () ->
-                world.peers.stream().allMatch(p -> p.fleet.records("costs").size() == 12 * 3 + 1));
+                world.peers.stream()
+                    .allMatch(p -> p.fleet.recordsOfKind("costs").size() == 12 * 3 + 1));
     assertTrue(took >= 0);
     world.peers.get(11).crash();
     took =
@@ -159,7 +160,7 @@
             80,
             () ->
                 world.living().stream()
-                    .allMatch(p -> p.fleet.records("costs").size() == 11 * 3 + 1));
+                    .allMatch(p -> p.fleet.recordsOfKind("costs").size() == 11 * 3 + 1));
     assertTrue(took > 18, "aged out after " + took);
   }
 
@@ -200,12 +201,12 @@
     for (int i = 0; i < 5_000; i++) {
       byte[] bytes = new byte[random.nextInt(300)];
       random.nextBytes(bytes);
-      victim.fleet.datagram(bytes, world.nowUs);
+      victim.fleet.onDatagram(bytes, world.nowUs);
     }
     victim.obey();
     victim.fleet.publish("x", "", new byte[10], 1_000, world.nowUs);
-    victim.fleet.wake(world.nowUs + SimulatedCluster.PERIOD);
-    for (Effect effect : victim.fleet.effects()) {
+    victim.fleet.onTimer(world.nowUs + SimulatedCluster.PERIOD);
+    for (Effect effect : victim.fleet.drainEffects()) {
       good = effect instanceof Effect.SendDatagram send ? send.bytes() : good;
     }
     world.run(1);
@@ -213,7 +214,7 @@
     for (int i = 0; i < 20_000 && good != null; i++) {
       byte[] spoilt = good.clone();
       spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
-      other.fleet.datagram(
+      other.fleet.onDatagram(
           random.nextBoolean()
               ? spoilt
               : java.util.Arrays.copyOf(spoilt, random.nextInt(spoilt.length)),
@@ -231,22 +232,24 @@
                     1,
                     0));
     for (SimulatedCluster.Peer peer : world.peers) {
-      lie.addMembers(WireCodec.news(peer.fleet.self(), peer.at(), "z", MemberState.DEAD, 1, 0));
+      lie.addMembers(WireCodec.news(peer.fleet.localId(), peer.at(), "z", MemberState.DEAD, 1, 0));
       lie.addRecords(
           RecordNews.newBuilder()
-              .setOwner(peer.fleet.self().name())
-              .setEpoch(peer.fleet.self().epoch())
+              .setOwner(peer.fleet.localId().name())
+              .setEpoch(peer.fleet.localId().epoch())
               .setKind("x")
               .setVersion(1L << 40)
               .setTtlMs(1_000));
     }
-    other.fleet.datagram(Checksum.attach(lie.build().toByteArray(), "test"), world.nowUs);
+    other.fleet.onDatagram(Checksum.attach(lie.build().toByteArray(), "test"), world.nowUs);
     other.run();
     double took =
         world.until(
-            60, () -> world.agree() && world.living().stream().allMatch(p -> p.fleet.size() < 40));
+            60,
+            () ->
+                world.agree() && world.living().stream().allMatch(p -> p.fleet.memberCount() < 40));
     assertTrue(took >= 0, "they do not agree any more: " + world.counts);
-    other.fleet.datagram(
+    other.fleet.onDatagram(
         Checksum.attach(lie.setCluster("other").build().toByteArray(), "test"), world.nowUs);
     other.run();
     assertTrue(
@@ -263,7 +266,7 @@
             new java.util.SplittableRandom(1),
             1);
     for (int i = 0; i < 5_000; i++) {
-      fleet.datagram(
+      fleet.onDatagram(
           Checksum.attach(
               rosecleat.fleet.wire.Datagram.newBuilder()
                   .setCluster("test")
@@ -280,9 +283,9 @@
               "test"),
           2);
       if (i % 100 == 0) {
-        fleet.effects();
+        fleet.drainEffects();
       }
     }
-    assertEquals(Tuning.MOST_MEMBERS, fleet.size());
+    assertEquals(Tuning.MOST_MEMBERS, fleet.memberCount());
   }
 }
--- a/src/test/java/rosecleat/fleet/SimulatedCluster.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -84,7 +84,7 @@
       if (dead) {
         return;
       }
-      long next = fleet.wake(nowUs);
+      long next = fleet.onTimer(nowUs);
       obey();
       schedule(next);
     }
@@ -106,7 +106,7 @@
     }
 
     public void obey() {
-      for (Effect effect : fleet.effects()) {
+      for (Effect effect : fleet.drainEffects()) {
         record(effect);
         if (effect instanceof Effect.SendDatagram send) {
           messages++;
@@ -123,7 +123,7 @@
               && link.test(with.index, index)
               && !with.dead) {
             exchanges++;
-            talk(this, fleet.talk(true), with, with.fleet.talk(false), null, true, with.fleet);
+            talk(this, fleet.openSync(), with, with.fleet.acceptSync(), null, true, with.fleet);
           }
         } else if (effect instanceof Effect.IncrementCounter count) {
           counts.merge(count.what(), 1L, Long::sum);
@@ -196,8 +196,8 @@
               all.addMembers(news(other));
             }
           });
-      peer.fleet.talk(false).next(Checksum.attach(all.build().toByteArray(), "test"), nowUs);
-      peer.fleet.effects();
+      peer.fleet.acceptSync().next(Checksum.attach(all.build().toByteArray(), "test"), nowUs);
+      peer.fleet.drainEffects();
     }
     run(3);
     counts.clear();
@@ -237,7 +237,7 @@
   }
 
   private rosecleat.fleet.wire.MemberNews news(Peer p) {
-    return WireCodec.news(p.fleet.self(), p.at(), "z" + p.index % 3, MemberState.ALIVE, 1, 0);
+    return WireCodec.news(p.fleet.localId(), p.at(), "z" + p.index % 3, MemberState.ALIVE, 1, 0);
   }
 
   void schedule(long us, Runnable what) {
@@ -262,7 +262,7 @@
               arrive(
                   peer,
                   () -> {
-                    peer.fleet.datagram(bytes, nowUs);
+                    peer.fleet.onDatagram(bytes, nowUs);
                     peer.run();
                   }));
     }
@@ -361,8 +361,7 @@
   /** Whether all that live hold one for gone. */
   public boolean gone(MemberId id) {
     for (Peer peer : living()) {
-      MemberState state = peer.fleet.state(id);
-      if (state != null && state.isActive()) {
+      if (peer.fleet.stateOf(id).filter(MemberState::isActive).isPresent()) {
         return false;
       }
     }
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -40,7 +40,7 @@
     SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
     world.run(world.random.nextDouble() * 2);
     SimulatedCluster.Peer victim = world.peers.get(world.random.nextInt(n));
-    MemberId id = victim.fleet.self();
+    MemberId id = victim.fleet.localId();
     victim.crash();
     return world.until(60, () -> world.gone(id));
   }
@@ -48,11 +48,11 @@
   private static double settled(int n, long seed) {
     SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
     SimulatedCluster.Peer victim = world.peers.get(world.random.nextInt(n));
-    MemberId id = victim.fleet.self();
+    MemberId id = victim.fleet.localId();
     victim.crash();
     world.until(60, () -> world.gone(id));
     return world.until(
-        60, () -> world.living().stream().allMatch(p -> p.fleet.settled(world.nowUs)));
+        60, () -> world.living().stream().allMatch(p -> p.fleet.isSettled(world.nowUs)));
   }
 
   private static double heal(int n, long seed) {
@@ -106,7 +106,7 @@
                     world.run(1);
                     for (SimulatedCluster.Peer a : world.peers) {
                       for (SimulatedCluster.Peer b : world.peers) {
-                        boolean dead = !a.fleet.state(b.fleet.self()).isActive();
+                        boolean dead = !a.fleet.stateOf(b.fleet.localId()).get().isActive();
                         if (dead && !held[a.index][b.index]) {
                           if (b.index >= n / 10) {
                             wrong++;
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 import rosecleat.fleet.wire.MemberNews;
-import rosecleat.routes.Book;
-import rosecleat.routes.Entry;
-import rosecleat.routes.Follow;
 import rosecleat.routes.Instance;
-import rosecleat.routes.Table;
+import rosecleat.routes.RouteEntry;
+import rosecleat.routes.RouteStore;
+import rosecleat.routes.RouteSyncSession;
+import rosecleat.routes.RouteTable;
 
 /**
  * What docs/measurements/routes.md keeps: what a change in a large table costs against the whole of
@@ -31,25 +31,25 @@
   }
 
   private static void row(int size, int changes) {
-    Book author = new Book();
-    Map<Entry.Key, Instance> file = new HashMap<>();
+    RouteStore author = new RouteStore();
+    Map<RouteEntry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < size; i++) {
-      file.put(new Entry.Key("service" + i % 100, "instance" + i), instance(i, 0));
+      file.put(new RouteEntry.Key("service" + i % 100, "instance" + i), instance(i, 0));
     }
     author.publish("a", file);
-    Book follower = new Book();
+    RouteStore follower = new RouteStore();
     int whole = meet(follower, author);
     long[] diff = new long[ROUNDS];
     long[] full = new long[ROUNDS];
     long[] apply = new long[ROUNDS];
     int bytes = 0;
     for (int round = 1; round <= ROUNDS; round++) {
-      Table before = author.table();
+      RouteTable before = author.table();
       for (int i = 0; i < changes; i++) {
-        file.put(new Entry.Key("service" + i % 100, "instance" + i), instance(i, round));
+        file.put(new RouteEntry.Key("service" + i % 100, "instance" + i), instance(i, round));
       }
       author.publish("a", file);
-      Table after = author.table();
+      RouteTable after = author.table();
       diff[round - 1] = time(() -> before.diff(after).size());
       full[round - 1] = time(() -> compare(before, after));
       long begun = System.nanoTime();
@@ -85,7 +85,7 @@
   }
 
   /** The baseline: both tables as maps, each key looked up. */
-  private static long compare(Table before, Table after) {
+  private static long compare(RouteTable before, RouteTable after) {
     Map<String, Map<String, Instance>> a = before.services();
     Map<String, Map<String, Instance>> b = after.services();
     long differ = 0;
@@ -107,9 +107,10 @@
   }
 
   /** An exchange; returns the bytes of the answer. */
-  private static int meet(Book one, Book other) {
-    Follow opener = new Follow(one, true, "c", () -> SELF, () -> {}, () -> {});
-    Follow answers = new Follow(other, false, "c", () -> SELF, () -> {}, () -> {});
+  private static int meet(RouteStore one, RouteStore other) {
+    RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
+    RouteSyncSession answers =
+        new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
     byte[] told = answers.next(opener.next(null, 0), 0);
     opener.next(told, 0);
     return told.length;
--- a/src/test/java/rosecleat/routes/BookTest.java
+++ b/src/test/java/rosecleat/routes/RouteStoreTest.java
@@ -15,30 +15,31 @@
 import rosecleat.fleet.wire.MemberNews;
 
 /** Books of routes against plain maps: any order, any loss, any author. */
-class BookTest {
+class RouteStoreTest {
   private static final MemberNews SELF = MemberNews.getDefaultInstance();
 
-  private static Entry entry(long c) {
+  private static RouteEntry entry(long c) {
     long what = Math.floorMod(c / 64, 5);
     Instance instance =
         what == 0 ? null : new Instance("10.0.0." + what, 9000, "z", 1, Instance.State.ON, 0);
-    return new Entry(
-        new Entry.Key("s" + Math.floorMod(c, 2), "i" + Math.floorMod(c / 2, 8)),
+    return new RouteEntry(
+        new RouteEntry.Key("s" + Math.floorMod(c, 2), "i" + Math.floorMod(c / 2, 8)),
         instance,
         1 + Math.floorMod(c / 16, 4),
         "a" + Math.floorMod(c / 400, 2));
   }
 
-  private static Book of(List<Entry> entries) {
-    Book book = new Book();
+  private static RouteStore of(List<RouteEntry> entries) {
+    RouteStore book = new RouteStore();
     entries.forEach(e -> book.merge(List.of(e)));
     return book;
   }
 
   /** Plays an exchange; {@code frames} of it arrive, then the connection breaks. */
-  private static void meet(Book one, Book other, int frames) {
-    Follow opener = new Follow(one, true, "c", () -> SELF, () -> {}, () -> {});
-    Follow answers = new Follow(other, false, "c", () -> SELF, () -> {}, () -> {});
+  private static void meet(RouteStore one, RouteStore other, int frames) {
+    RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
+    RouteSyncSession answers =
+        new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
     byte[] frame = opener.next(null, 0);
     for (int i = 0; frame != null && i < frames; i++) {
       frame = (i % 2 == 0 ? answers : opener).next(frame, 0);
@@ -50,22 +51,22 @@
       @ForAll @Size(max = 40) List<Long> mine,
       @ForAll @Size(max = 40) List<Long> theirs,
       @ForAll long seed) {
-    List<Entry> a = mine.stream().map(BookTest::entry).toList();
-    List<Entry> b = theirs.stream().map(BookTest::entry).toList();
-    List<Entry> all = new ArrayList<>(a);
+    List<RouteEntry> a = mine.stream().map(RouteStoreTest::entry).toList();
+    List<RouteEntry> b = theirs.stream().map(RouteStoreTest::entry).toList();
+    List<RouteEntry> all = new ArrayList<>(a);
     all.addAll(b);
     Collections.shuffle(all, new Random(seed));
     all.addAll(a); // some come twice
-    Book one = of(a);
-    Book other = of(b);
+    RouteStore one = of(a);
+    RouteStore other = of(b);
     meet(one, other, Math.floorMod(seed, 3)); // torn: changes nothing that matters
     meet(one, other, 9);
     meet(
         one, other,
         9); // what the answering side lacked and the opener could not know is found the other way
     meet(other, one, 9);
-    assertEquals(of(all).holds(), one.holds());
-    assertEquals(one.holds(), other.holds());
+    assertEquals(of(all).stateDigest(), one.stateDigest());
+    assertEquals(one.stateDigest(), other.stateDigest());
     assertEquals(one.table().digest(), other.table().digest());
     assertEquals(of(all).table().services(), one.table().services());
   }
@@ -73,19 +74,19 @@
   @Property(tries = 500)
   void aDiffIsTheFewestStepsAndGoesBothWays(
       @ForAll @Size(max = 60) List<Long> first, @ForAll @Size(max = 20) List<Long> then) {
-    Book book = of(first.stream().map(BookTest::entry).toList());
-    Table before = book.table();
+    RouteStore book = of(first.stream().map(RouteStoreTest::entry).toList());
+    RouteTable before = book.table();
     then.forEach(c -> book.merge(List.of(entry(c + 16 * 3))));
-    Table after = book.table();
-    Map<Entry.Key, Instance> a = flat(before);
-    Map<Entry.Key, Instance> b = flat(after);
-    List<Table.Step> steps = before.diff(after);
-    java.util.Set<Entry.Key> keys = new java.util.HashSet<>(a.keySet());
+    RouteTable after = book.table();
+    Map<RouteEntry.Key, Instance> a = flat(before);
+    Map<RouteEntry.Key, Instance> b = flat(after);
+    List<RouteTable.RouteChange> steps = before.diff(after);
+    java.util.Set<RouteEntry.Key> keys = new java.util.HashSet<>(a.keySet());
     keys.addAll(b.keySet());
     keys.removeIf(k -> java.util.Objects.equals(a.get(k), b.get(k)));
     assertEquals(keys.size(), steps.size()); // no step can do for two keys
-    Map<Entry.Key, Instance> played = new HashMap<>(a);
-    for (Table.Step step : steps) {
+    Map<RouteEntry.Key, Instance> played = new HashMap<>(a);
+    for (RouteTable.RouteChange step : steps) {
       assertEquals(played.get(step.key()), step.before());
       if (step.after() == null) {
         played.remove(step.key());
@@ -94,15 +95,17 @@
       }
     }
     assertEquals(b, played);
-    for (Table.Step step : after.diff(before)) {
+    for (RouteTable.RouteChange step : after.diff(before)) {
       assertTrue(steps.contains(step.inverse()));
     }
     assertEquals(a.equals(b), before.digest() == after.digest());
   }
 
-  private static Map<Entry.Key, Instance> flat(Table table) {
-    Map<Entry.Key, Instance> flat = new HashMap<>();
-    table.services().forEach((s, all) -> all.forEach((n, i) -> flat.put(new Entry.Key(s, n), i)));
+  private static Map<RouteEntry.Key, Instance> flat(RouteTable table) {
+    Map<RouteEntry.Key, Instance> flat = new HashMap<>();
+    table
+        .services()
+        .forEach((s, all) -> all.forEach((n, i) -> flat.put(new RouteEntry.Key(s, n), i)));
     return flat;
   }
 
@@ -113,27 +116,27 @@
   @Property(tries = 50)
   void authorsFollowTheRuleByEntry(@ForAll long seed) {
     Random random = new Random(seed);
-    Book one = new Book();
-    Book other = new Book();
-    Map<Entry.Key, Instance> file = new HashMap<>();
+    RouteStore one = new RouteStore();
+    RouteStore other = new RouteStore();
+    Map<RouteEntry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       file.put(
-          new Entry.Key("s", "i" + i),
+          new RouteEntry.Key("s", "i" + i),
           new Instance("10.0.0.1", 1 + random.nextInt(50), "", 1, Instance.State.ON, 0));
     }
     one.publish("a", file);
     other.publish("b", file); // the same by another author: the same table, known by what it holds
     assertEquals(one.table().digest(), other.table().digest());
     meet(one, other, 9);
-    Entry.Key gone = new Entry.Key("s", "i" + random.nextInt(40));
-    Map<Entry.Key, Instance> less = new HashMap<>(file);
+    RouteEntry.Key gone = new RouteEntry.Key("s", "i" + random.nextInt(40));
+    Map<RouteEntry.Key, Instance> less = new HashMap<>(file);
     less.remove(gone);
     String owner = "b"; // of equal times the greater author's entry holds
     meet(other, one, 9);
     assertTrue(one.publish(owner, less));
     meet(other, one, 9);
     assertEquals(39, flat(other.table()).size());
-    meet(of(List.of(new Entry(gone, file.get(gone), 1, "b"))), other, 9); // an old rumour
+    meet(of(List.of(new RouteEntry(gone, file.get(gone), 1, "b"))), other, 9); // an old rumour
     assertEquals(39, flat(other.table()).size());
   }
 
@@ -142,28 +145,30 @@
    */
   @org.junit.jupiter.api.Test
   void aFollowerOfAKnownStateIsToldTheChangeAlone() {
-    Book author = new Book();
-    Map<Entry.Key, Instance> file = new HashMap<>();
+    RouteStore author = new RouteStore();
+    Map<RouteEntry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < 20_000; i++) {
       file.put(
-          new Entry.Key("s" + i % 50, "i" + i),
+          new RouteEntry.Key("s" + i % 50, "i" + i),
           new Instance("10.0.0.1", 1 + i % 60_000, "", 1, Instance.State.ON, 0));
     }
     author.publish("a", file);
-    Book follower = new Book();
+    RouteStore follower = new RouteStore();
     meet(follower, author, 9);
-    assertEquals(author.holds(), follower.holds());
+    assertEquals(author.stateDigest(), follower.stateDigest());
     for (int i = 0; i < 10; i++) {
       file.put(
-          new Entry.Key("s" + i, "i" + i),
+          new RouteEntry.Key("s" + i, "i" + i),
           new Instance("10.0.0.2", 7, "", 1, Instance.State.DRAIN, 0));
     }
     author.publish("a", file);
-    Follow opener = new Follow(follower, true, "c", () -> SELF, () -> {}, () -> {});
-    Follow answers = new Follow(author, false, "c", () -> SELF, () -> {}, () -> {});
+    RouteSyncSession opener =
+        new RouteSyncSession(follower, true, "c", () -> SELF, () -> {}, () -> {});
+    RouteSyncSession answers =
+        new RouteSyncSession(author, false, "c", () -> SELF, () -> {}, () -> {});
     byte[] told = answers.next(opener.next(null, 0), 0);
     assertTrue(told.length < 1_500, "told " + told.length + " bytes");
     opener.next(told, 0);
-    assertEquals(author.holds(), follower.holds());
+    assertEquals(author.stateDigest(), follower.stateDigest());
   }
 }
