--- /dev/null
+++ b/src/main/java/rosecleat/front/resp/RespConnection.java
@@ -0,0 +1,324 @@
+package rosecleat.front.resp;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import rosecleat.core.Core;
+import rosecleat.core.Counters;
+import rosecleat.core.Failure;
+import rosecleat.core.RequestHandle;
+import rosecleat.core.Response;
+import rosecleat.log.Log;
+import rosecleat.net.Connection;
+import rosecleat.net.TextSyntax;
+
+/**
+ * The protocol on one client's connection: reads messages, submits requests to the core and writes
+ * the responses, in the order in which they become known. For the event loop.
+ *
+ * <p>A client that sends invalid messages is first asked to close the connection, then no longer
+ * read. A connection that is closed here is closed gracefully: what was read before is answered.
+ */
+final class RespConnection implements Connection.Owner {
+  private static final int MAX_STRING_BYTES = 4 << 10;
+  private static final int MAX_IN_FLIGHT = 32;
+  private static final int COMMAND_INDEX = 0;
+  private static final int TAG_INDEX = 1;
+  private static final int MAX_TAG_DIGITS = 18;
+
+  /** How long a client that was asked to close an unused connection has to do it. */
+  private static final long CLOSE_TIMEOUT_US = 1_000_000;
+
+  /** How long the first byte, or the rest of a message, may take before any valid request. */
+  private static final long UNPROVEN_READ_TIMEOUT_US = 2_200_000;
+
+  /** The same once a valid request has come: the client is merely slow. */
+  private static final long READ_TIMEOUT_US = 10_000_000;
+
+  /**
+   * Errors in a row after which the client is asked to close. Not one, since a client that names an
+   * unknown class still sends requests of others.
+   */
+  private static final int MAX_CONSECUTIVE_ERRORS = 64;
+
+  /** Errors in a row after which nothing more is read. */
+  private static final int STOP_READING_ERRORS = 2 * MAX_CONSECUTIVE_ERRORS;
+
+  private final Connection connection;
+  private final Core core;
+  private final Counters counters;
+  private final LongSupplier clock;
+  private final Log log;
+  private final Supplier<RequestDecoder> decoder;
+  private final Consumer<RespConnection> onClosed;
+  private final RespParser parser = new RespParser(MAX_STRING_BYTES);
+  private final TagWindow tags = new TagWindow();
+  private final Map<Long, RequestHandle> inFlight = new HashMap<>();
+  private final long acceptedAtUs;
+  private long lastActivityUs;
+
+  /** When the message that is incomplete began; 0 where none is. */
+  private long partialMessageSinceUs;
+
+  /** When the client was asked to close; 0 while it was not. */
+  private long closeRequestedAtUs;
+
+  private int consecutiveErrors;
+  private boolean messageReceived;
+  private boolean validRequestReceived;
+
+  /** The last message was a health check: such connections stay open however long they idle. */
+  private boolean usedForHealthChecks;
+
+  /** Nothing more is read; what was read before is still answered. */
+  private boolean readingStopped;
+
+  /** An incomplete message no longer keeps the connection open. */
+  private boolean partialMessageAbandoned;
+
+  /**
+   * Creates the protocol state of a connection.
+   *
+   * @param decoder the decoder in force, which a reload replaces
+   * @param onClosed called once, when the connection has ended
+   */
+  RespConnection(
+      Connection connection,
+      Core core,
+      LongSupplier clock,
+      Log log,
+      Supplier<RequestDecoder> decoder,
+      Consumer<RespConnection> onClosed) {
+    this.connection = connection;
+    this.core = core;
+    this.counters = core.counters();
+    this.clock = clock;
+    this.log = log;
+    this.decoder = decoder;
+    this.onClosed = onClosed;
+    acceptedAtUs = clock.getAsLong();
+    lastActivityUs = acceptedAtUs;
+  }
+
+  /** Returns the connection below. */
+  Connection connection() {
+    return connection;
+  }
+
+  /** Whether part of a message has been received. */
+  boolean isMidMessage() {
+    return parser.isMidMessage();
+  }
+
+  /** Closes as soon as every request is answered, without waiting for the rest of a message. */
+  void closeGracefully() {
+    partialMessageAbandoned = true;
+    connection.closeGracefully();
+  }
+
+  /**
+   * Asks the client to close the connection where that is due, and closes it where a timeout has
+   * passed.
+   *
+   * @param nowUs the time
+   * @param idleTimeoutUs how long the connection may be unused
+   * @param draining whether every client is asked to close
+   */
+  void checkTimeouts(long nowUs, long idleTimeoutUs, boolean draining) {
+    boolean idle =
+        use() != Connection.Use.BUSY
+            && !usedForHealthChecks
+            && nowUs - lastActivityUs > idleTimeoutUs;
+    if (draining || idle) {
+      requestClose(nowUs);
+    }
+    closeIfClientDidNot(nowUs);
+    closeIfSlow(nowUs);
+  }
+
+  @Override
+  public void received(ByteBuffer bytes) {
+    if (readingStopped) {
+      return;
+    }
+    lastActivityUs = clock.getAsLong();
+    try {
+      Optional<RespMessage> message = parser.next(bytes);
+      while (message.isPresent() && !readingStopped && !connection.isClosed()) {
+        messageReceived = true;
+        partialMessageSinceUs = 0;
+        handle(message.get());
+        message = parser.next(bytes);
+      }
+      notePartialMessage();
+    } catch (RespProtocolException e) {
+      counters.add("resp.malformed");
+      log.warn("a balancer's connection is closed: " + e.getMessage());
+      readingStopped = true;
+      requestCloseAndClose();
+    }
+  }
+
+  private void notePartialMessage() {
+    if (!parser.isMidMessage()) {
+      partialMessageSinceUs = 0;
+    } else if (partialMessageSinceUs == 0) {
+      partialMessageSinceUs = lastActivityUs;
+    }
+  }
+
+  /** An incomplete message counts: its client may be about to send the rest. */
+  @Override
+  public boolean owed() {
+    return !inFlight.isEmpty()
+        || (parser.isMidMessage() && !readingStopped && !partialMessageAbandoned);
+  }
+
+  @Override
+  public Connection.Use use() {
+    if (!inFlight.isEmpty() || parser.isMidMessage()) {
+      return Connection.Use.BUSY;
+    }
+    return messageReceived ? Connection.Use.IDLE : Connection.Use.SILENT;
+  }
+
+  /** Cancels what is in flight, since nobody is left to receive the responses. */
+  @Override
+  public void closed(Failure failure, boolean atEnd) {
+    onClosed.accept(this);
+    for (RequestHandle handle : new ArrayList<>(inFlight.values())) {
+      handle.cancel();
+    }
+    inFlight.clear();
+  }
+
+  private void handle(RespMessage message) {
+    long tag = TextSyntax.parseNumber(message.text(TAG_INDEX), MAX_TAG_DIGITS);
+    if (tag < 1) { // no response can be addressed to it, but the messages behind it may be valid
+      counters.add("resp.malformed");
+      log.warn("a balancer's connection is closed: a message with no readable tag");
+      requestCloseAndClose();
+      countError();
+      return;
+    }
+    switch (message.text(COMMAND_INDEX)) {
+      case "DO" -> submit(tag, message);
+      case "UNDO" -> cancel(tag);
+      case "PING" -> checkHealth(tag);
+      default -> rejectInvalid(tag, new RequestError(RequestError.Kind.UNKNOWN_COMMAND));
+    }
+  }
+
+  private void submit(long tag, RespMessage message) {
+    usedForHealthChecks = false;
+    if (!tags.markUsed(tag)) {
+      rejectInvalid(tag, new RequestError(RequestError.Kind.DUPLICATE_TAG));
+      return;
+    }
+    if (inFlight.size() >= MAX_IN_FLIGHT) {
+      rejectInvalid(tag, new RequestError(RequestError.Kind.TOO_MANY_IN_FLIGHT));
+      return;
+    }
+    boolean[] responded = new boolean[1];
+    DecodeResult decoded =
+        decoder
+            .get()
+            .decode(
+                message,
+                response -> {
+                  responded[0] = true;
+                  inFlight.remove(tag);
+                  respond(tag, response);
+                });
+    if (decoded instanceof DecodeResult.Decoded valid) {
+      consecutiveErrors = 0;
+      validRequestReceived = true;
+      RequestHandle handle = core.submit(valid.request());
+      if (!responded[0]) {
+        inFlight.put(tag, handle);
+      }
+    } else if (decoded instanceof DecodeResult.Invalid invalid) {
+      rejectInvalid(tag, invalid.error());
+    }
+  }
+
+  private void cancel(long tag) {
+    RequestHandle handle = inFlight.remove(tag);
+    if (handle != null) {
+      counters.add("resp.undo");
+      handle.cancel();
+    }
+  }
+
+  private void checkHealth(long tag) {
+    usedForHealthChecks = true;
+    counters.add("resp.checks");
+    connection.write(RespEncoder.health(tag, core.healthy(), core.loadAdvice()));
+  }
+
+  private void respond(long tag, Response response) {
+    lastActivityUs = clock.getAsLong();
+    connection.write(RespEncoder.response(tag, response, core.loadAdvice()));
+  }
+
+  private void rejectInvalid(long tag, RequestError error) {
+    counters.add("resp.bad");
+    log.warn("request " + tag + " of a balancer failed: " + error.description());
+    Response response = Response.invalidRequest(error.description());
+    connection.write(RespEncoder.response(tag, response, core.loadAdvice()));
+    countError();
+  }
+
+  /** Protects the other clients from one that floods the event loop with invalid messages. */
+  private void countError() {
+    consecutiveErrors++;
+    if (consecutiveErrors == MAX_CONSECUTIVE_ERRORS) {
+      counters.add("resp.errant");
+      requestCloseAndClose();
+    }
+    readingStopped |= consecutiveErrors >= STOP_READING_ERRORS;
+  }
+
+  private void requestCloseAndClose() {
+    requestClose(lastActivityUs);
+    connection.closeGracefully();
+  }
+
+  private void requestClose(long nowUs) {
+    if (closeRequestedAtUs == 0) {
+      closeRequestedAtUs = nowUs;
+      counters.add("resp.bye");
+      connection.write(RespEncoder.bye());
+    }
+  }
+
+  private void closeIfClientDidNot(long nowUs) {
+    if (closeRequestedAtUs > 0
+        && nowUs - closeRequestedAtUs > CLOSE_TIMEOUT_US
+        && nowUs - lastActivityUs > CLOSE_TIMEOUT_US) {
+      connection.closeGracefully();
+    }
+  }
+
+  /**
+   * Protects connections and memory from clients that send nothing, or an incomplete message. A
+   * client with requests in flight is spared: it still awaits responses.
+   */
+  private void closeIfSlow(long nowUs) {
+    if (!inFlight.isEmpty() || partialMessageAbandoned || readingStopped || connection.isClosed()) {
+      return;
+    }
+    long timeoutUs = validRequestReceived ? READ_TIMEOUT_US : UNPROVEN_READ_TIMEOUT_US;
+    boolean silent = !messageReceived && nowUs - acceptedAtUs > timeoutUs;
+    boolean stalled = partialMessageSinceUs > 0 && nowUs - partialMessageSinceUs > timeoutUs;
+    if (silent || stalled) {
+      counters.add("resp.slow");
+      closeGracefully();
+    }
+  }
+}
--- a/src/main/java/rosecleat/front/resp/RespParser.java
+++ b/src/main/java/rosecleat/front/resp/RespParser.java
@@ -1,155 +1,169 @@
 package rosecleat.front.resp;
 
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Optional;
 import rosecleat.net.TextSyntax;
 
 /**
- * Takes RESP arrays of bulk strings out of a stream, whatever way its bytes come in. A string over
- * the limit is skipped and stands as null in its array, so that the rest of the array can still be
- * answered.
+ * An incremental parser of RESP2 arrays of bulk strings. Memory for one message is bounded by the
+ * limits on the array's and the strings' lengths.
  */
 final class RespParser {
-  /**
-   * Strings in an array, at the most: a request has five. What is kept of one message is bounded by
-   * it.
-   */
-  private static final int MOST = 8;
+  private static final char ARRAY_TYPE = '*';
+  private static final char STRING_TYPE = '$';
 
-  /** A length that no honest peer sends; the stream is given up there. */
-  private static final long ABSURD = 1 << 24;
+  /** Strings in an array; a request has five. */
+  private static final int MAX_ARRAY_LENGTH = 8;
 
-  private static final int HEAD = 24;
+  /** Bytes of a string that may be skipped; a longer one is a protocol error. */
+  private static final long MAX_SKIPPED_STRING_BYTES = 1 << 24;
 
-  /** What stands in the stream next. */
-  private enum Next {
-    ARRAY,
-    LENGTH,
-    STRING,
-    END
-  }
+  private static final int MAX_HEADER_CHARS = 24;
+  private static final int MAX_LENGTH_DIGITS = 9;
 
-  /** Input that is no RESP array; the connection can't go on. */
-  static final class Malformed extends Exception {
-    private static final long serialVersionUID = 1L;
+  /** Stands for the length in a header that is not complete yet. */
+  private static final long INCOMPLETE = -1;
 
-    Malformed(String message) {
-      super(message, null, false, false);
-    }
+  private enum State {
+    ARRAY_HEADER,
+    STRING_HEADER,
+    STRING_BYTES,
+    STRING_END
   }
 
-  private final int longest;
-  private final StringBuilder head = new StringBuilder();
-  private Next next = Next.ARRAY;
-  private List<byte[]> array;
-  private int missing;
+  private final int maxStringBytes;
+  private final StringBuilder header = new StringBuilder();
+  private State state = State.ARRAY_HEADER;
+  private RespMessage message;
+  private int stringsMissing;
   private byte[] string;
-  private int length;
-  private int filled;
-  private int ends;
+  private int stringLength;
+  private int stringBytesRead;
+  private int terminatorBytesRead;
 
-  /** A parser that keeps strings up to a length. */
-  RespParser(int longest) {
-    this.longest = longest;
+  /** Creates a parser that skips strings over a length. */
+  RespParser(int maxStringBytes) {
+    this.maxStringBytes = maxStringBytes;
   }
 
-  /** Whether part of an array has come. */
-  boolean begun() {
-    return next != Next.ARRAY || head.length() > 0;
+  /** Whether part of a message has been received. */
+  boolean isMidMessage() {
+    return state != State.ARRAY_HEADER || header.length() > 0;
   }
 
-  /** The next array, or null when the bytes are used up. */
-  List<byte[]> next(ByteBuffer in) throws Malformed {
-    while (in.hasRemaining()) {
-      switch (next) {
-        case ARRAY -> {
-          long count = number(in, '*', MOST);
-          if (count == 0) {
-            throw new Malformed("an empty array");
-          }
-          if (count > 0) {
-            array = new ArrayList<>();
-            missing = (int) count;
-            next = Next.LENGTH;
-          }
-        }
-        case LENGTH -> {
-          long count = number(in, '$', ABSURD);
-          if (count >= 0) {
-            length = (int) count;
-            string = length > longest ? null : new byte[length];
-            filled = 0;
-            next = length == 0 ? Next.END : Next.STRING;
-          }
-        }
-        case STRING -> fill(in);
-        case END -> {
-          if (end(in)) {
-            array.add(string);
-            next = --missing == 0 ? Next.ARRAY : Next.LENGTH;
-            if (missing == 0) {
-              return array;
-            }
+  /**
+   * Parses the next message.
+   *
+   * @return the message; empty once the input is used up
+   * @throws RespProtocolException where the input is no message; the parser can't be used further
+   */
+  Optional<RespMessage> next(ByteBuffer input) throws RespProtocolException {
+    while (input.hasRemaining()) {
+      switch (state) {
+        case ARRAY_HEADER -> parseArrayHeader(input);
+        case STRING_HEADER -> parseStringHeader(input);
+        case STRING_BYTES -> readString(input);
+        case STRING_END -> {
+          if (readTerminator(input) && endString()) {
+            return Optional.of(message);
           }
         }
+        default -> throw new AssertionError(state);
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  /** The number behind a sign, -1 while its line is not whole. */
-  private long number(ByteBuffer in, char sign, long most) throws Malformed {
-    while (in.hasRemaining()) {
-      char c = (char) (in.get() & 0xff);
-      if (c != '\n') {
-        head.append(c);
-        if (head.length() > HEAD) {
-          throw new Malformed("a line of a head is too long");
-        }
-        continue;
-      }
-      int end = head.length() - 1;
-      long value =
-          end < 1 || head.charAt(0) != sign || head.charAt(end) != '\r'
-              ? -1
-              : TextSyntax.parseNumber(head, 1, end, 9);
-      head.setLength(0);
-      if (value < 0) {
-        throw new Malformed("no " + sign + " with a number");
+  private void parseArrayHeader(ByteBuffer input) throws RespProtocolException {
+    long length = parseLength(input, ARRAY_TYPE, MAX_ARRAY_LENGTH);
+    if (length == INCOMPLETE) {
+      return;
+    }
+    if (length == 0) {
+      throw new RespProtocolException(RespProtocolException.Kind.EMPTY_ARRAY, "an empty array");
+    }
+    message = new RespMessage();
+    stringsMissing = (int) length;
+    state = State.STRING_HEADER;
+  }
+
+  private void parseStringHeader(ByteBuffer input) throws RespProtocolException {
+    long length = parseLength(input, STRING_TYPE, MAX_SKIPPED_STRING_BYTES);
+    if (length == INCOMPLETE) {
+      return;
+    }
+    stringLength = (int) length;
+    string = stringLength > maxStringBytes ? null : new byte[stringLength];
+    stringBytesRead = 0;
+    state = stringLength == 0 ? State.STRING_END : State.STRING_BYTES;
+  }
+
+  private long parseLength(ByteBuffer input, char type, long max) throws RespProtocolException {
+    while (input.hasRemaining()) {
+      char next = (char) (input.get() & 0xff);
+      if (next == '\n') {
+        return lengthInHeader(type, max);
       }
-      if (value > most) {
-        throw new Malformed(value + " is too much behind " + sign);
+      header.append(next);
+      if (header.length() > MAX_HEADER_CHARS) {
+        throw new RespProtocolException(
+            RespProtocolException.Kind.HEADER_TOO_LONG, "a line of a head is too long");
       }
-      return value;
     }
-    return -1;
+    return INCOMPLETE;
   }
 
-  private void fill(ByteBuffer in) {
-    int count = Math.min(length - filled, in.remaining());
-    if (string != null) {
-      in.get(string, filled, count);
+  private long lengthInHeader(char type, long max) throws RespProtocolException {
+    int end = header.length() - 1;
+    boolean wellFormed = end >= 1 && header.charAt(0) == type && header.charAt(end) == '\r';
+    long length = wellFormed ? TextSyntax.parseNumber(header, 1, end, MAX_LENGTH_DIGITS) : -1;
+    header.setLength(0);
+    if (length < 0) {
+      throw new RespProtocolException(
+          RespProtocolException.Kind.MALFORMED_HEADER, "no " + type + " with a number");
+    }
+    if (length > max) {
+      throw new RespProtocolException(
+          RespProtocolException.Kind.LENGTH_TOO_LARGE, length + " is too much behind " + type);
+    }
+    return length;
+  }
+
+  private void readString(ByteBuffer input) {
+    int count = Math.min(stringLength - stringBytesRead, input.remaining());
+    if (string == null) {
+      input.position(input.position() + count);
     } else {
-      in.position(in.position() + count);
+      input.get(string, stringBytesRead, count);
     }
-    filled += count;
-    if (filled == length) {
-      next = Next.END;
+    stringBytesRead += count;
+    if (stringBytesRead == stringLength) {
+      state = State.STRING_END;
     }
   }
 
-  /** Takes CR LF; true once both have come. */
-  private boolean end(ByteBuffer in) throws Malformed {
-    while (in.hasRemaining()) {
-      if (in.get() != (ends == 0 ? '\r' : '\n')) {
-        throw new Malformed("a string runs past its length");
+  /** Reads the CR LF behind a string; true once both have been read. */
+  private boolean readTerminator(ByteBuffer input) throws RespProtocolException {
+    while (input.hasRemaining()) {
+      char expected = terminatorBytesRead == 0 ? '\r' : '\n';
+      if (input.get() != expected) {
+        throw new RespProtocolException(
+            RespProtocolException.Kind.UNTERMINATED_STRING, "a string runs past its length");
       }
-      if (++ends == 2) {
-        ends = 0;
+      terminatorBytesRead++;
+      if (terminatorBytesRead == 2) {
+        terminatorBytesRead = 0;
         return true;
       }
     }
     return false;
   }
+
+  /** Adds the string to the message; true where it was the last one. */
+  private boolean endString() {
+    message.append(string);
+    stringsMissing--;
+    state = stringsMissing == 0 ? State.ARRAY_HEADER : State.STRING_HEADER;
+    return stringsMissing == 0;
+  }
 }
--- a/src/main/java/rosecleat/front/resp/RespWarmup.java
+++ b/src/main/java/rosecleat/front/resp/RespWarmup.java
@@ -3,59 +3,83 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Optional;
 import rosecleat.core.Core;
 import rosecleat.core.RequestClass;
 
 /**
- * Takes made-up requests from their bytes to the bytes of their answers, in memory: no socket is
- * opened.
+ * Exercises the code between the bytes of a request and the bytes of its response with synthetic
+ * requests, so that it is compiled before clients come. Works in memory, without sockets.
  */
 public final class RespWarmup {
-  private final RespParser parser = new RespParser(4 << 10);
-  private final Tags tags = new Tags();
-  private final Fields fields;
-  private final List<RequestClass> classes;
-  private final List<String> tenants;
+  private static final int MAX_STRING_BYTES = 4 << 10;
+  private static final int CALLERS = 8;
+  private static final int US_PER_MS = 1_000;
 
-  /** Requests by these names. */
+  private final RespParser parser = new RespParser(MAX_STRING_BYTES);
+  private final TagWindow tags = new TagWindow();
+  private final RequestDecoder decoder;
+  private final RequestCatalog catalog;
+
+  /** Creates a warm-up whose requests use the classes and tenants of a catalog. */
   public RespWarmup(RequestCatalog catalog) {
-    fields = new Fields(catalog.classes(), catalog.tenants(), catalog.runner());
-    classes = catalog.classes();
-    tenants = catalog.tenants();
+    this.catalog = catalog;
+    decoder = new RequestDecoder(catalog);
   }
 
-  /** Hands request number {@code n}, from 1 upward, to a core; false where it could not be read. */
-  public boolean request(Core core, int n, long nowUs) {
-    RequestClass klass = classes.get(n % classes.size());
-    String id = String.format("%016x", n);
-    String told =
-        "id="
-            + id
-            + ",at="
-            + nowUs / 1000
-            + ",from="
-            + n % 8
-            + ",wait="
-            + klass.timeoutUs() / 1000
-            + ",kb=10.5,rank=0.5000"
-            + (tenants.isEmpty() ? "" : ",tenant=" + tenants.get(n % tenants.size()))
-            + (klass.idempotent() ? ",once=" + id : "");
-    StringBuilder text = new StringBuilder("*5\r\n");
-    for (String word : List.of("DO", Integer.toString(n), klass.name(), told, "made up")) {
-      text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
-    }
+  /**
+   * Submits a synthetic request to a core.
+   *
+   * @param number the number of the request, from 1 upward; its id and tag
+   * @param nowUs the time at which it arrives, in Unix microseconds
+   * @return false where the request could not be parsed
+   */
+  public boolean submitRequest(Core core, int number, long nowUs) {
     try {
-      List<byte[]> words =
-          parser.next(ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8)));
-      tags.use(n);
-      Fields.Outcome read =
-          fields.read(words, answer -> RespReplies.answer(n, answer, core.loadAdvice()));
-      if (read.wrong() == null) {
-        core.submit(read.request());
+      Optional<RespMessage> message = parser.next(encode(number, nowUs));
+      tags.markUsed(number);
+      DecodeResult decoded =
+          decoder.decode(
+              message.orElseThrow(),
+              response -> RespEncoder.response(number, response, core.loadAdvice()));
+      if (decoded instanceof DecodeResult.Decoded valid) {
+        core.submit(valid.request());
+        return true;
       }
-      return read.wrong() == null;
-    } catch (RespParser.Malformed e) {
       return false;
+    } catch (RespProtocolException e) {
+      return false;
+    }
+  }
+
+  private ByteBuffer encode(int number, long nowUs) {
+    RequestClass requestClass = catalog.classes().get(number % catalog.classes().size());
+    StringBuilder text = new StringBuilder("*5\r\n");
+    for (String string :
+        List.of(
+            "DO",
+            Integer.toString(number),
+            requestClass.name(),
+            fields(number, nowUs, requestClass),
+            "made up")) {
+      text.append('$').append(string.length()).append("\r\n").append(string).append("\r\n");
     }
+    return ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8));
+  }
+
+  private String fields(int number, long nowUs, RequestClass requestClass) {
+    String id = String.format("%016x", number);
+    List<String> tenants = catalog.tenants();
+    return "id="
+        + id
+        + ",at="
+        + nowUs / US_PER_MS
+        + ",from="
+        + number % CALLERS
+        + ",wait="
+        + requestClass.timeoutUs() / US_PER_MS
+        + ",kb=10.5,rank=0.5000"
+        + (tenants.isEmpty() ? "" : ",tenant=" + tenants.get(number % tenants.size()))
+        + (requestClass.idempotent() ? ",once=" + id : "");
   }
 }
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -87,7 +87,7 @@
       core.start(runner, false, 0);
       RespWarmup front = new RespWarmup(numbering.names(runner));
       for (int n = 1; n <= REQUESTS && System.nanoTime() < endNs; n++) {
-        front.request(core, n, nowUs);
+        front.submitRequest(core, n, nowUs);
         nowUs += STEP_US;
         core.tick();
         finish();
