--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongSupplier;
 import rosecleat.admin.AdminServer;
@@ -98,7 +99,8 @@
     this.loop = loop;
     this.counters = counters;
     try {
-      handover = others == null ? new TakeoverCoordinator(null, counters, log) : others;
+      handover =
+          others == null ? TakeoverCoordinator.join(Optional.empty(), counters, log) : others;
       numbering = new IndexedSettings(new ProcessConfig(config, broker));
       index = new IndexClient(loop, config.index(), clock, counters, log);
       decisions = new PolicyEngine(numbering.settings(), numbering.gauges(), config.seed());
@@ -125,8 +127,8 @@
         loop.execute(() -> sharing.pools().tell(this::room));
       }
       makeRoom();
-      handover.keepLate(core.maxTimeoutUs());
-      if (!handover.predecessorLives()) {
+      handover.setClaimRetentionUs(core.maxTimeoutUs());
+      if (!handover.predecessorIsAlive()) {
         listen();
         if (!listening) {
           throw new IOException("can't listen at " + config.listen());
@@ -198,7 +200,7 @@
    * long the process has (us); for any thread.
    */
   long leave(Runnable done) {
-    boolean handsOver = handover.successorLives();
+    boolean handsOver = handover.successorIsAlive();
     long leftUs =
         handsOver ? Math.min(core.maxTimeoutUs(), LONGEST_US) + KILLED_US : config.stopUs();
     long noticeUs = MonotonicClock.systemTimeUs();
@@ -260,7 +262,7 @@
           List<Integer> renamed = numbering.take(setup, core::classInUse, core::tenantInUse);
           shares.retune(renamed, leaving != null);
           core.reconfigure(numbering.rules());
-          handover.keepLate(core.maxTimeoutUs());
+          handover.setClaimRetentionUs(core.maxTimeoutUs());
           makeRoom();
           resp.reconfigure(numbering.names(runner));
           if (uwsgi != null) {
@@ -329,12 +331,12 @@
 
   /** What the other processes of this node say and do. */
   private void look(long now) {
-    handover.look(now);
-    core.setDrainedByOperator(handover.drained());
-    if (!listening && (core.ready() || !handover.predecessorLives())) {
+    handover.poll(now);
+    core.setDrainedByOperator(handover.isDrained());
+    if (!listening && (core.ready() || !handover.predecessorIsAlive())) {
       listen();
     }
-    boolean two = handover.shared();
+    boolean two = handover.hasPeers();
     if (two != shared) {
       shared = two;
       counters.add(two ? "shares.two" : "shares.one");
@@ -396,7 +398,7 @@
     try {
       fronts.listen();
       listening = true;
-      handover.serve();
+      handover.markServing();
       log.info(
           config.name()
               + " listens "
--- a/src/main/java/rosecleat/node/NodeOperations.java
+++ b/src/main/java/rosecleat/node/NodeOperations.java
@@ -42,7 +42,7 @@
   }
 
   private void set(boolean aside) {
-    handover.drain(aside);
+    handover.setDrained(aside);
     if (node != null) {
       node.core().setDrainedByOperator(aside);
     }
--- a/src/main/java/rosecleat/node/NodeProcess.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
@@ -69,7 +70,8 @@
     reload.install(); // before it listens: from then on a signal may come
     EventLoop loop = new EventLoop(log);
     Counters counters = new Counters();
-    TakeoverCoordinator handover = new TakeoverCoordinator(shared, counters, log);
+    TakeoverCoordinator handover =
+        TakeoverCoordinator.join(Optional.ofNullable(shared), counters, log);
     FleetIntegration sharing =
         setup.broker() == null || setup.broker().fleet() == null && setup.broker().routes() == null
             ? null
--- a/src/main/java/rosecleat/node/TakeoverShutdown.java
+++ b/src/main/java/rosecleat/node/TakeoverShutdown.java
@@ -35,7 +35,7 @@
 
   /** Whether nobody takes over any more, while this process could still do without. */
   boolean forsaken() {
-    return !shut && !handover.successorLives();
+    return !shut && !handover.successorIsAlive();
   }
 
   /**
@@ -45,7 +45,7 @@
   @Override
   boolean step(boolean hurry) {
     hurried |= hurry;
-    shut = shut || (handover.successorServes() || hurry) && fronts.handOver();
+    shut = shut || (handover.successorIsServing() || hurry) && fronts.handOver();
     if (shut) {
       fronts.closeIdle(CALM_US);
     }
--- /dev/null
+++ b/src/main/java/rosecleat/takeover/ClaimTarget.java
@@ -0,0 +1,44 @@
+package rosecleat.takeover;
+
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.Optional;
+import rosecleat.net.TextSyntax;
+
+/**
+ * A claim of an idempotency key, as the target of its symbolic link says it: {@code
+ * owner:untilUs:digest}.
+ *
+ * @param owner the number of the process that owns the claim
+ * @param untilUs the end of the key's window (us of the Unix clock)
+ * @param digest the digest of the request's body
+ */
+record ClaimTarget(int owner, long untilUs, byte[] digest) {
+  private static final String SEPARATOR = ":";
+  private static final int PARTS = 3;
+
+  /** A process number has at most this many digits, so that it fits an int. */
+  private static final int MAX_OWNER_DIGITS = 9;
+
+  private static final HexFormat HEX = HexFormat.of();
+
+  /** Parses a link's target; empty where it does not name a claim. */
+  static Optional<ClaimTarget> parse(Path target) {
+    String[] parts = target.toString().split(SEPARATOR, -1);
+    long owner = parts.length == PARTS ? TextSyntax.parseNumber(parts[0], MAX_OWNER_DIGITS) : -1;
+    if (owner < 1) {
+      return Optional.empty();
+    }
+    try {
+      long untilUs = TextSyntax.parseNumber(parts[1], TextSyntax.MAX_DIGITS);
+      return Optional.of(new ClaimTarget((int) owner, untilUs, HEX.parseHex(parts[2])));
+    } catch (IllegalArgumentException e) {
+      return Optional.empty(); // the digest is not hexadecimal
+    }
+  }
+
+  /** Returns the target of the claim's symbolic link. */
+  Path toPath() {
+    return Path.of(owner + SEPARATOR + untilUs + SEPARATOR + HEX.formatHex(digest));
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/takeover/NoPeers.java
@@ -0,0 +1,65 @@
+package rosecleat.takeover;
+
+import java.util.List;
+import rosecleat.core.IdempotencyClaims;
+
+/** The coordinator of a node that shares no folder: it is always its only process. */
+final class NoPeers implements TakeoverCoordinator {
+  private boolean drained;
+
+  @Override
+  public void poll(long nowUs) {}
+
+  @Override
+  public ResourceAmounts grant(
+      ResourceAmounts limits,
+      ResourceAmounts inUse,
+      List<Double> remainingCalls,
+      boolean shuttingDown) {
+    return limits;
+  }
+
+  @Override
+  public boolean hasPeers() {
+    return false;
+  }
+
+  @Override
+  public boolean predecessorIsAlive() {
+    return false;
+  }
+
+  @Override
+  public boolean successorIsAlive() {
+    return false;
+  }
+
+  @Override
+  public boolean successorIsServing() {
+    return false;
+  }
+
+  @Override
+  public void markServing() {}
+
+  @Override
+  public boolean isDrained() {
+    return drained;
+  }
+
+  @Override
+  public void setDrained(boolean drained) {
+    this.drained = drained;
+  }
+
+  @Override
+  public void setClaimRetentionUs(long retentionUs) {}
+
+  @Override
+  public IdempotencyClaims claims() {
+    return IdempotencyClaims.SINGLE_PROCESS;
+  }
+
+  @Override
+  public void close() {}
+}
--- a/src/main/java/rosecleat/takeover/PeerLoadReports.java
+++ b/src/main/java/rosecleat/takeover/PeerLoadReports.java
@@ -12,115 +12,143 @@
 import java.util.stream.Collectors;
 
 /**
- * How the processes of a node share its limits: each writes down what it grants itself. A process
- * may take what no older one has granted itself; one with a newer beside it keeps half of what it
- * has free, and never raises its grant again. So a figure that is read late is on the safe side.
- * What a process that is gone took of the calls below counts on until the span is over that the
- * limit on calls is a mean of: each writes how its own leave it, second by second.
+ * Load reports by which the processes of a node share its limits: each writes the part it has
+ * granted itself to a file. A process may take what no predecessor has granted itself. While a
+ * successor lives it keeps what it uses and a part of what is free, and never raises its grant
+ * again, so that a report which is read late errs on the safe side.
+ *
+ * <p>The limit on calls is a mean over a span of time, so the calls of a process that has ended
+ * count until that span is over. A report therefore lists how the calls of its process fall away,
+ * second by second.
  */
 final class PeerLoadReports {
-  private static final String LOAD = "load-";
+  private static final String REPORT_PREFIX = "load-";
   private static final double SECOND_US = 1_000_000;
 
+  /** The part of the free amounts that a process beside a successor grants itself. */
+  private static final double FREE_PART_WHILE_SERVING = 0.5;
+
+  /** The same once that process shuts down. */
+  private static final double FREE_PART_WHILE_LEAVING = 0.125;
+
   /**
-   * Of what it has free, a process beside a newer one grants itself so much while it serves, and
-   * while it leaves.
+   * The last report of a peer process.
+   *
+   * @param grant what the peer granted itself; null where it has reported nothing yet
+   * @param remainingCalls its calls that still count, by seconds since its last sign of life
+   * @param seenAtUs when the peer was last seen alive
    */
-  private static final double SERVING = 0.5;
+  private record Report(ResourceAmounts grant, List<Double> remainingCalls, long seenAtUs) {
+    static final Report NOTHING_YET = new Report(null, List.of(), 0);
 
-  private static final double LEAVING = 0.125;
+    Report seenAt(long nowUs) {
+      return new Report(grant, remainingCalls, nowUs);
+    }
 
-  private record Seen(ResourceAmounts grant, List<Double> calls, long atUs) {}
+    /** The seconds from the last sign of life to a poll of all peers. */
+    double secondsUnseen(long polledAtUs) {
+      return (polledAtUs - seenAtUs) / SECOND_US;
+    }
+
+    boolean hasExpired(long polledAtUs) {
+      return seenAtUs < polledAtUs && secondsUnseen(polledAtUs) >= remainingCalls.size();
+    }
+  }
 
   private final Path folder;
-  private final int number;
-  private final Map<Integer, Seen> seen = new HashMap<>();
-  private ResourceAmounts grant;
+  private final int ownNumber;
+  private final Map<Integer, Report> reports = new HashMap<>();
+  private ResourceAmounts ownGrant;
 
-  PeerLoadReports(Path folder, int number) {
+  PeerLoadReports(Path folder, int ownNumber) {
     this.folder = folder;
-    this.number = number;
+    this.ownNumber = ownNumber;
   }
 
-  /** Looks at what a live process says. */
-  void look(int other, long nowUs) {
+  /** Reads the report of a live peer; one that cannot be read leaves the last one in force. */
+  void read(int peer, long nowUs) {
     try {
-      List<Double> numbers = new ArrayList<>();
-      for (String word :
-          Files.readString(folder.resolve(LOAD + other), StandardCharsets.US_ASCII).split(" ")) {
-        numbers.add(Double.parseDouble(word));
-      }
-      seen.put(
-          other,
-          new Seen(
-              new ResourceAmounts(numbers.get(0), numbers.get(1), numbers.get(2)),
-              List.copyOf(numbers.subList(3, numbers.size())),
-              nowUs));
+      reports.put(
+          peer, parse(Files.readString(reportFile(peer), StandardCharsets.US_ASCII), nowUs));
     } catch (IOException | RuntimeException e) {
-      Seen before = seen.get(other); // one that has said nothing yet may take all
-      seen.put(
-          other,
-          before == null
-              ? new Seen(null, List.of(), nowUs)
-              : new Seen(before.grant, before.calls, nowUs));
+      reports.put(peer, reports.getOrDefault(peer, Report.NOTHING_YET).seenAt(nowUs));
     }
   }
 
+  private static Report parse(String text, long nowUs) {
+    List<Double> numbers = new ArrayList<>();
+    for (String word : text.split(" ")) {
+      numbers.add(Double.parseDouble(word));
+    }
+    return new Report(
+        new ResourceAmounts(numbers.get(0), numbers.get(1), numbers.get(2)),
+        List.copyOf(numbers.subList(3, numbers.size())),
+        nowUs);
+  }
+
   /**
-   * Grants this process its part, as of the last look.
+   * Grants this process its part of the node's limits.
    *
-   * @param whole the limits of the node
-   * @param taken what this process takes
-   * @param newer whether a newer process lives
-   * @param leaving whether this one leaves
+   * @param limits the limits of the node
+   * @param inUse what this process uses
+   * @param hasSuccessor whether a successor is alive
+   * @param shuttingDown whether this process shuts down
+   * @param polledAtUs when the peers were last polled
    */
   ResourceAmounts grant(
-      ResourceAmounts whole, ResourceAmounts taken, boolean newer, boolean leaving, long lookedUs) {
-    ResourceAmounts free = whole.less(others(whole, lookedUs));
-    if (!newer) {
-      grant = free;
-    } else {
-      ResourceAmounts wish = taken.plus(free.less(taken).times(leaving ? LEAVING : SERVING));
-      grant = grant == null ? wish : grant.atMost(wish);
+      ResourceAmounts limits,
+      ResourceAmounts inUse,
+      boolean hasSuccessor,
+      boolean shuttingDown,
+      long polledAtUs) {
+    ResourceAmounts free = limits.minus(takenByPeers(limits, polledAtUs));
+    if (!hasSuccessor) {
+      ownGrant = free;
+      return ownGrant;
     }
-    return grant;
+    double part = shuttingDown ? FREE_PART_WHILE_LEAVING : FREE_PART_WHILE_SERVING;
+    ResourceAmounts wanted = inUse.plus(free.minus(inUse).times(part));
+    ownGrant = ownGrant == null ? wanted : ownGrant.min(wanted);
+    return ownGrant;
   }
 
-  /** What older processes granted themselves, and what calls of those that are gone still count. */
-  private ResourceAmounts others(ResourceAmounts whole, long lookedUs) {
-    seen.values()
-        .removeIf(s -> s.atUs < lookedUs && (lookedUs - s.atUs) / SECOND_US >= s.calls.size());
+  /** Adds up the grants of live predecessors and the calls of dead peers that still count. */
+  private ResourceAmounts takenByPeers(ResourceAmounts limits, long polledAtUs) {
+    reports.values().removeIf(report -> report.hasExpired(polledAtUs));
     ResourceAmounts sum = ResourceAmounts.NONE;
-    for (Map.Entry<Integer, Seen> each : seen.entrySet()) {
-      Seen s = each.getValue();
-      if (s.atUs < lookedUs) {
-        sum =
-            sum.plus(
-                new ResourceAmounts(s.calls.get((int) ((lookedUs - s.atUs) / SECOND_US)), 0, 0));
-      } else if (each.getKey() < number) {
-        sum = sum.plus(s.grant == null ? whole : s.grant);
+    for (Map.Entry<Integer, Report> entry : reports.entrySet()) {
+      Report report = entry.getValue();
+      if (report.seenAtUs < polledAtUs) {
+        double calls = report.remainingCalls.get((int) report.secondsUnseen(polledAtUs));
+        sum = sum.plus(new ResourceAmounts(calls, 0, 0));
+      } else if (entry.getKey() < ownNumber) {
+        // a predecessor that has reported nothing yet may take everything
+        sum = sum.plus(report.grant == null ? limits : report.grant);
       }
     }
     return sum;
   }
 
-  /** Tells the others what this process granted itself, and how its calls leave their span. */
-  void tell(List<Double> calls) throws IOException {
-    Path scratch = folder.resolve("scratch-" + LOAD + number);
+  /**
+   * Writes the report of this process, whole or not at all.
+   *
+   * @param remainingCalls its calls that count now and after each further second without new ones
+   */
+  void write(List<Double> remainingCalls) throws IOException {
+    String calls = remainingCalls.stream().map(String::valueOf).collect(Collectors.joining(" "));
+    Path temporary = folder.resolve("scratch-" + REPORT_PREFIX + ownNumber);
     Files.writeString(
-        scratch,
-        grant.calls()
-            + " "
-            + grant.memoryKb()
-            + " "
-            + grant.running()
-            + " "
-            + calls.stream().map(String::valueOf).collect(Collectors.joining(" ")));
-    Files.move(scratch, folder.resolve(LOAD + number), StandardCopyOption.ATOMIC_MOVE);
+        temporary,
+        ownGrant.calls() + " " + ownGrant.memoryKb() + " " + ownGrant.running() + " " + calls);
+    Files.move(temporary, reportFile(ownNumber), StandardCopyOption.ATOMIC_MOVE);
+  }
+
+  /** Removes the report of a dead process. */
+  void remove(int deadNumber) throws IOException {
+    Files.deleteIfExists(reportFile(deadNumber));
   }
 
-  /** Takes away the file of a process that is dead. */
-  void remove(int dead) throws IOException {
-    Files.deleteIfExists(folder.resolve(LOAD + dead));
+  private Path reportFile(int number) {
+    return folder.resolve(REPORT_PREFIX + number);
   }
 }
--- a/src/main/java/rosecleat/takeover/ProcessMarkers.java
+++ b/src/main/java/rosecleat/takeover/ProcessMarkers.java
@@ -14,95 +14,105 @@
 import rosecleat.net.TextSyntax;
 
 /**
- * The marks of a node's processes: a numbered file each, locked for as long as its process lives.
- * The system frees a lock with its process, however that ends; a file that is there proves nothing.
+ * Marker files of the node's processes: each process creates a numbered file and holds a lock on it
+ * while it lives. The operating system releases the lock however the process ends, so a process is
+ * alive if and only if its marker is locked; the mere existence of a marker proves nothing. Numbers
+ * only grow: a process with a smaller number is a predecessor, one with a larger number a
+ * successor.
  */
 final class ProcessMarkers implements AutoCloseable {
-  private static final String MARK = "process-";
-  private static final String SERVES = "serves-";
+  private static final String PROCESS_PREFIX = "process-";
+  private static final String SERVING_PREFIX = "serves-";
+
+  /** A process number has at most this many digits, so that it fits an int. */
+  private static final int MAX_DIGITS = 9;
 
   private final Path folder;
-  private final int number;
-  private final FileChannel channel;
+  private final int ownNumber;
+  private final FileChannel ownMarker;
 
-  /** Sets a mark of this process, numbered after all there are. */
+  /** Creates and locks the marker of this process, numbered after all markers in the folder. */
   ProcessMarkers(Path folder) throws IOException {
     this.folder = folder;
-    int next = numbers().stream().mapToInt(n -> n).max().orElse(0);
-    FileChannel fresh = null;
-    while (fresh == null) {
+    int candidate = processNumbers().stream().mapToInt(number -> number).max().orElse(0);
+    FileChannel created = null;
+    while (created == null) {
+      candidate++;
       try {
-        fresh =
+        created =
             FileChannel.open(
-                folder.resolve(MARK + ++next),
-                StandardOpenOption.CREATE_NEW,
-                StandardOpenOption.WRITE);
+                processFile(candidate), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
       } catch (FileAlreadyExistsException e) {
-        continue; // another process started in the same instant: the next number is ours
+        continue; // another process has just taken this number
       }
     }
-    number = next;
-    channel = fresh;
-    channel.lock();
+    ownNumber = candidate;
+    ownMarker = created;
+    ownMarker.lock();
   }
 
-  /** The number of this process. */
-  int number() {
-    return number;
+  /** Returns the number of this process. */
+  int ownNumber() {
+    return ownNumber;
   }
 
-  /** The numbers of all marks, of live processes and of dead ones. */
-  Set<Integer> numbers() throws IOException {
-    Set<Integer> found = new TreeSet<>();
+  /** Lists the numbers of all markers, of live and of dead processes, in ascending order. */
+  Set<Integer> processNumbers() throws IOException {
+    Set<Integer> numbers = new TreeSet<>();
     try (Stream<Path> files = Files.list(folder)) {
       files
           .map(file -> file.getFileName().toString())
-          .filter(name -> name.startsWith(MARK))
-          .forEach(
-              name -> {
-                long n = TextSyntax.parseNumber(name.substring(MARK.length()), 9);
-                if (n > 0) {
-                  found.add((int) n);
-                }
-              });
+          .filter(name -> name.startsWith(PROCESS_PREFIX))
+          .mapToLong(
+              name -> TextSyntax.parseNumber(name.substring(PROCESS_PREFIX.length()), MAX_DIGITS))
+          .filter(number -> number > 0)
+          .forEach(number -> numbers.add((int) number));
     }
-    return found;
+    return numbers;
   }
 
-  /** Whether the process of a number lives. */
-  boolean lives(int other) {
-    if (other == number) {
-      return true; // never opened twice: closing it would free the lock
+  /** Returns whether the process of a number is alive. */
+  boolean isAlive(int number) {
+    if (number == ownNumber) {
+      return true; // its file is never opened twice: closing the second channel frees the lock
     }
-    try (FileChannel probe =
-            FileChannel.open(folder.resolve(MARK + other), StandardOpenOption.WRITE);
+    try (FileChannel probe = FileChannel.open(processFile(number), StandardOpenOption.WRITE);
         FileLock lock = probe.tryLock()) {
       return lock == null;
     } catch (OverlappingFileLockException e) {
-      return true; // it is held in this very virtual machine
+      return true; // this very virtual machine holds the lock
     } catch (IOException e) {
-      return false; // no such mark any more
+      return false; // the marker has been removed
     }
   }
 
-  /** Says that this process takes clients. */
-  void serve() throws IOException {
-    Files.write(folder.resolve(SERVES + number), new byte[0]);
+  /** Announces that this process accepts clients. */
+  void markServing() throws IOException {
+    Files.write(servingFile(ownNumber), new byte[0]);
+  }
+
+  /** Returns whether the process of a number has announced that it accepts clients. */
+  boolean isServing(int number) {
+    return Files.exists(servingFile(number));
+  }
+
+  /** Removes the markers of a dead process. */
+  void remove(int deadNumber) throws IOException {
+    Files.deleteIfExists(servingFile(deadNumber));
+    Files.deleteIfExists(processFile(deadNumber));
   }
 
-  /** Whether the process of a number said that it takes clients. */
-  boolean serves(int other) {
-    return Files.exists(folder.resolve(SERVES + other));
+  private Path processFile(int number) {
+    return folder.resolve(PROCESS_PREFIX + number);
   }
 
-  /** Takes away the marks of a process that is dead. */
-  void remove(int dead) throws IOException {
-    Files.deleteIfExists(folder.resolve(SERVES + dead));
-    Files.deleteIfExists(folder.resolve(MARK + dead));
+  private Path servingFile(int number) {
+    return folder.resolve(SERVING_PREFIX + number);
   }
 
+  /** Releases the lock, which shows this process as dead to its peers. */
   @Override
   public void close() throws IOException {
-    channel.close();
+    ownMarker.close();
   }
 }
--- a/src/main/java/rosecleat/takeover/ResourceAmounts.java
+++ b/src/main/java/rosecleat/takeover/ResourceAmounts.java
@@ -1,37 +1,40 @@
 package rosecleat.takeover;
 
 /**
- * Amounts of the limits that the processes of a node share: calls below, KB of memory, requests
- * run.
+ * Amounts of the resources whose limits the processes of a node share.
+ *
+ * @param calls calls to dependencies, as a mean over the span of the call limit
+ * @param memoryKb memory of admitted requests (KB)
+ * @param running requests that run at once
  */
 public record ResourceAmounts(double calls, double memoryKb, double running) {
-  /** Nothing. */
+  /** Nothing of any resource. */
   public static final ResourceAmounts NONE = new ResourceAmounts(0, 0, 0);
 
-  /** Both together. */
-  public ResourceAmounts plus(ResourceAmounts more) {
+  /** Returns the sum of both amounts. */
+  public ResourceAmounts plus(ResourceAmounts other) {
     return new ResourceAmounts(
-        calls + more.calls, memoryKb + more.memoryKb, running + more.running);
+        calls + other.calls, memoryKb + other.memoryKb, running + other.running);
   }
 
-  /** What is left without that, nothing at the least. */
-  public ResourceAmounts less(ResourceAmounts that) {
+  /** Returns what remains without the other amounts, never less than zero of a resource. */
+  public ResourceAmounts minus(ResourceAmounts other) {
     return new ResourceAmounts(
-        Math.max(0, calls - that.calls),
-        Math.max(0, memoryKb - that.memoryKb),
-        Math.max(0, running - that.running));
+        Math.max(0, calls - other.calls),
+        Math.max(0, memoryKb - other.memoryKb),
+        Math.max(0, running - other.running));
   }
 
-  /** So many times this. */
-  public ResourceAmounts times(double part) {
-    return new ResourceAmounts(part * calls, part * memoryKb, part * running);
+  /** Returns these amounts multiplied by a factor. */
+  public ResourceAmounts times(double factor) {
+    return new ResourceAmounts(factor * calls, factor * memoryKb, factor * running);
   }
 
-  /** The smaller of each. */
-  public ResourceAmounts atMost(ResourceAmounts that) {
+  /** Returns the smaller amount of each resource. */
+  public ResourceAmounts min(ResourceAmounts other) {
     return new ResourceAmounts(
-        Math.min(calls, that.calls),
-        Math.min(memoryKb, that.memoryKb),
-        Math.min(running, that.running));
+        Math.min(calls, other.calls),
+        Math.min(memoryKb, other.memoryKb),
+        Math.min(running, other.running));
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/takeover/SharedFolderCoordinator.java
@@ -0,0 +1,185 @@
+package rosecleat.takeover;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import rosecleat.core.Counters;
+import rosecleat.core.IdempotencyClaims;
+import rosecleat.log.Log;
+
+/**
+ * Coordinates the processes of a node through files in a folder that all of them see. A file that
+ * cannot be read or written is logged and leaves the last known state in force.
+ */
+final class SharedFolderCoordinator implements TakeoverCoordinator {
+  private static final String FOLDER = "rosecleat";
+  private static final String DRAINED = "drained";
+  private static final String CLAIMS = "keys";
+
+  /** The least time between two removals of what has expired (us). */
+  private static final long EXPIRY_PERIOD_US = 1_000_000;
+
+  private final Log log;
+  private final Path drainFile;
+  private final ProcessMarkers markers;
+  private final SymlinkClaims claims;
+  private final PeerLoadReports loadReports;
+  private boolean drained;
+  private boolean predecessorIsAlive;
+  private boolean successorIsAlive;
+  private boolean successorIsServing;
+  private long nextExpiryUs;
+  private long polledAtUs;
+
+  SharedFolderCoordinator(Path shared, Counters counters, Log log) throws IOException {
+    this.log = log;
+    Path folder = Files.createDirectories(shared.resolve(FOLDER));
+    drainFile = folder.resolve(DRAINED);
+    markers = new ProcessMarkers(folder);
+    claims = new SymlinkClaims(folder.resolve(CLAIMS), markers, counters, log);
+    loadReports = new PeerLoadReports(folder, markers.ownNumber());
+    poll(0);
+    if (predecessorIsAlive) {
+      log.info(
+          "this is process "
+              + markers.ownNumber()
+              + " of its node, and takes over from an older one");
+    }
+  }
+
+  @Override
+  public void poll(long nowUs) {
+    polledAtUs = nowUs;
+    try {
+      pollPeers(nowUs);
+      drained = Files.exists(drainFile);
+      if (nowUs >= nextExpiryUs && nowUs > 0) {
+        nextExpiryUs = nowUs + EXPIRY_PERIOD_US;
+        claims.expire(nowUs, !predecessorIsAlive);
+        if (!predecessorIsAlive) {
+          removeDeadPredecessors();
+        }
+      }
+    } catch (IOException e) {
+      log.warn("the other processes of this node can't be seen: " + e);
+    }
+  }
+
+  private void pollPeers(long nowUs) throws IOException {
+    boolean predecessor = false;
+    boolean successor = false;
+    boolean serving = false;
+    for (int number : markers.processNumbers()) {
+      if (number == markers.ownNumber() || !markers.isAlive(number)) {
+        continue;
+      }
+      loadReports.read(number, nowUs);
+      predecessor |= number < markers.ownNumber();
+      successor |= number > markers.ownNumber();
+      serving |= number > markers.ownNumber() && markers.isServing(number);
+    }
+    predecessorIsAlive = predecessor;
+    successorIsAlive = successor;
+    successorIsServing = serving;
+  }
+
+  private void removeDeadPredecessors() throws IOException {
+    for (int number : markers.processNumbers()) {
+      if (number < markers.ownNumber()) {
+        markers.remove(number);
+        loadReports.remove(number);
+      }
+    }
+  }
+
+  @Override
+  public ResourceAmounts grant(
+      ResourceAmounts limits,
+      ResourceAmounts inUse,
+      List<Double> remainingCalls,
+      boolean shuttingDown) {
+    ResourceAmounts grant =
+        loadReports.grant(limits, inUse, successorIsAlive, shuttingDown, polledAtUs);
+    if (hasPeers()) {
+      try {
+        loadReports.write(remainingCalls);
+      } catch (IOException e) {
+        log.warn("other processes can't be told what this one takes: " + e);
+      }
+    }
+    return grant;
+  }
+
+  @Override
+  public boolean hasPeers() {
+    return predecessorIsAlive || successorIsAlive;
+  }
+
+  @Override
+  public boolean predecessorIsAlive() {
+    return predecessorIsAlive;
+  }
+
+  @Override
+  public boolean successorIsAlive() {
+    try {
+      return markers.processNumbers().stream()
+          .anyMatch(number -> number > markers.ownNumber() && markers.isAlive(number));
+    } catch (IOException e) {
+      return false;
+    }
+  }
+
+  @Override
+  public boolean successorIsServing() {
+    return successorIsServing;
+  }
+
+  @Override
+  public void markServing() {
+    try {
+      markers.markServing();
+    } catch (IOException e) {
+      log.warn("the older process can't be told that this one serves: " + e);
+    }
+  }
+
+  @Override
+  public boolean isDrained() {
+    return drained;
+  }
+
+  @Override
+  public void setDrained(boolean drained) {
+    this.drained = drained;
+    try {
+      if (drained) {
+        Files.write(drainFile, new byte[0]);
+      } else {
+        Files.deleteIfExists(drainFile);
+      }
+    } catch (IOException e) {
+      log.warn("other processes can't be told what operators said: " + e);
+    }
+  }
+
+  @Override
+  public void setClaimRetentionUs(long retentionUs) {
+    claims.setRetentionUs(retentionUs);
+  }
+
+  @Override
+  public IdempotencyClaims claims() {
+    return claims;
+  }
+
+  @Override
+  public void close() {
+    try {
+      markers.close();
+    } catch (IOException e) {
+      log.warn("the mark of this process could not be closed: " + e);
+    }
+  }
+}
--- a/src/main/java/rosecleat/takeover/SymlinkClaims.java
+++ b/src/main/java/rosecleat/takeover/SymlinkClaims.java
@@ -14,161 +14,160 @@
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.Map;
+import java.util.Optional;
 import rosecleat.core.Counters;
 import rosecleat.core.IdempotencyClaims;
 import rosecleat.log.Log;
-import rosecleat.net.TextSyntax;
 
 /**
- * Claims as files in a folder that the processes of a node share. A claim is a symbolic link whose
- * target says owner, end of the window and digest: it is created whole or not at all, by one
- * process alone, and takes no page of memory. A result is a file beside it that is there whole or
- * not at all. Both go when no try can ask for them any more.
+ * Claims of idempotency keys as files in a folder that the processes of a node share.
+ *
+ * <p>A claim is a symbolic link named by the key's hash; its target names owner, end of the window
+ * and digest of the body ({@link ClaimTarget}). Creating a link is atomic, succeeds for one process
+ * alone and takes no page of memory. The result of the run is a file beside the link, put there by
+ * an atomic move. Both are removed once no retry can ask for them any more.
  */
 final class SymlinkClaims implements IdempotencyClaims {
   /**
-   * Claims of this process at a time: files count as memory. Beyond that no keyed request is begun.
+   * Claims of this process at a time: files count as memory of the node. Beyond that no request
+   * with an idempotency key is started.
    */
-  private static final int MOST_CLAIMS = 8_192;
+  private static final int MAX_CLAIMS = 8_192;
 
   /**
-   * Results kept at a time, some 4 KB each; where one had to go, repeats elsewhere fail rather than
-   * run again.
+   * Results kept at a time, some 4 KB each. Where one had to be dropped, retries at another process
+   * fail rather than run again.
    */
-  private static final int MOST_RESULTS = 2_048;
+  private static final int MAX_RESULTS = 2_048;
 
-  private static final String RESULT = ".result";
-  private static final HexFormat HEX = HexFormat.of();
+  /** How long claims outlast their window unless told otherwise (us). */
+  private static final long DEFAULT_RETENTION_US = 3_000_000;
+
+  private static final String RESULT_SUFFIX = ".result";
 
-  private record Claim(int owner, long untilUs, byte[] digest) {}
+  /** The first byte of a file with a result: an empty result and no result differ by it. */
+  private static final byte RESULT_MARK = '+';
 
-  private record Kept(String file, long untilUs) {}
+  private static final byte[] NO_RESULT = new byte[0];
+
+  private static final HexFormat HEX = HexFormat.of();
+
+  /** A claim of this process in the order in which claims were made. */
+  private record Expiry(String file, long untilUs) {}
 
   private final Path folder;
-  private final Path scratch;
-  private final ProcessMarkers marks;
+  private final Path temporary;
+  private final ProcessMarkers markers;
   private final Counters counters;
   private final Log log;
-  private final Map<String, Long> mine = new HashMap<>();
-  private final ArrayDeque<Kept> kept = new ArrayDeque<>();
-  private final ArrayDeque<String> results = new ArrayDeque<>();
-  private long lateUs = 3_000_000;
-  private boolean othersLeft;
+  private final Map<String, Long> ownedUntilUs = new HashMap<>();
+  private final ArrayDeque<Expiry> expiries = new ArrayDeque<>();
+  private final ArrayDeque<String> resultFiles = new ArrayDeque<>();
+  private long retentionUs = DEFAULT_RETENTION_US;
+  private boolean peersClaimsRemain;
 
-  SymlinkClaims(Path folder, ProcessMarkers marks, Counters counters, Log log) throws IOException {
+  SymlinkClaims(Path folder, ProcessMarkers markers, Counters counters, Log log)
+      throws IOException {
     this.folder = Files.createDirectories(folder);
-    this.marks = marks;
+    this.markers = markers;
     this.counters = counters;
     this.log = log;
-    scratch = folder.resolve("scratch-" + marks.number());
-    othersLeft = marks.number() > 1;
-  }
-
-  /** Claims outlast their window by so much, for tries that are read late. */
-  void keepLate(long us) {
-    lateUs = us;
+    temporary = folder.resolve("scratch-" + markers.ownNumber());
+    peersClaimsRemain = markers.ownNumber() > 1;
   }
 
-  private static String file(String key) {
-    try {
-      return HEX.formatHex(
-          MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8)));
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // each Java platform has it
-    }
-  }
-
-  /** The claim in a file, null where there is none. */
-  private Claim read(String file) {
-    try {
-      String[] words = Files.readSymbolicLink(folder.resolve(file)).toString().split(":", -1);
-      long owner = words.length == 3 ? TextSyntax.parseNumber(words[0], 9) : -1;
-      return owner < 1
-          ? null
-          : new Claim((int) owner, TextSyntax.parseNumber(words[1], 18), HEX.parseHex(words[2]));
-    } catch (IOException | IllegalArgumentException e) {
-      return null;
-    }
+  /** Sets how long claims outlast their window (us), for retries that are read late. */
+  void setRetentionUs(long fresh) {
+    retentionUs = fresh;
   }
 
   @Override
   public ClaimStatus status(String key) {
-    return statusOf(read(file(key)));
+    return status(readClaim(fileName(key)));
   }
 
-  private ClaimStatus statusOf(Claim claim) {
-    return claim == null
-        ? new Unclaimed()
-        : claim.owner == marks.number()
-            ? new Owned()
-            : new OwnedByPeer(claim.digest, claim.untilUs);
+  private ClaimStatus status(Optional<ClaimTarget> claim) {
+    if (claim.isEmpty()) {
+      return new Unclaimed();
+    }
+    ClaimTarget target = claim.get();
+    return target.owner() == markers.ownNumber()
+        ? new Owned()
+        : new OwnedByPeer(target.digest(), target.untilUs());
   }
 
   @Override
   public ClaimStatus claim(String key, byte[] digest, long untilUs) {
-    if (mine.size() >= MOST_CLAIMS) {
+    if (ownedUntilUs.size() >= MAX_CLAIMS) {
       counters.add("claims.full");
       return new Unclaimed();
     }
-    String file = file(key);
-    Path target = Path.of(marks.number() + ":" + untilUs + ":" + HEX.formatHex(digest));
+    String file = fileName(key);
     try {
-      if (mine.containsKey(file)) { // an earlier window's, which no other process may touch
-        Files.deleteIfExists(folder.resolve(file + RESULT));
-        Files.createSymbolicLink(scratch, target);
-        Files.move(scratch, folder.resolve(file), StandardCopyOption.ATOMIC_MOVE);
-      } else {
-        Files.createSymbolicLink(folder.resolve(file), target);
-      }
+      createLink(file, new ClaimTarget(markers.ownNumber(), untilUs, digest).toPath());
     } catch (FileAlreadyExistsException e) {
-      Claim claim = read(file);
-      return claim == null ? new Unclaimed() : statusOf(claim);
+      return status(readClaim(file));
     } catch (IOException e) {
       counters.add("claims.failed");
       log.warn("a key could not be claimed: " + e);
       return new Unclaimed();
     }
-    mine.put(file, untilUs);
-    kept.add(new Kept(file, untilUs));
+    ownedUntilUs.put(file, untilUs);
+    expiries.add(new Expiry(file, untilUs));
     counters.add("claims");
     return new Owned();
   }
 
+  private void createLink(String file, Path target) throws IOException {
+    if (!ownedUntilUs.containsKey(file)) {
+      Files.createSymbolicLink(folder.resolve(file), target);
+      return;
+    }
+    // this process owns the key from an earlier window: no peer may take it in between
+    Files.deleteIfExists(resultFile(file));
+    Files.createSymbolicLink(temporary, target);
+    Files.move(temporary, folder.resolve(file), StandardCopyOption.ATOMIC_MOVE);
+  }
+
   @Override
   public void completed(String key, byte[] result) {
-    String file = file(key);
-    if (mine.containsKey(file)) {
-      write(file, framed(result));
-      results.add(file);
-      if (results.size() > MOST_RESULTS) {
-        String oldest = results.remove();
-        if (mine.containsKey(oldest)) {
-          write(oldest, new byte[0]);
-        }
-      }
+    String file = fileName(key);
+    if (!ownedUntilUs.containsKey(file)) {
+      return;
+    }
+    writeResult(file, marked(result));
+    resultFiles.add(file);
+    if (resultFiles.size() > MAX_RESULTS) {
+      dropOldestResult();
     }
   }
 
   @Override
   public void endedWithoutResult(String key) {
-    String file = file(key);
-    if (mine.containsKey(file)) {
-      write(file, new byte[0]);
+    String file = fileName(key);
+    if (ownedUntilUs.containsKey(file)) {
+      writeResult(file, NO_RESULT);
+    }
+  }
+
+  private void dropOldestResult() {
+    String oldest = resultFiles.remove();
+    if (ownedUntilUs.containsKey(oldest)) {
+      writeResult(oldest, NO_RESULT);
     }
   }
 
-  /** A result behind a sign, so that an empty result and none differ. */
-  private static byte[] framed(byte[] result) {
-    byte[] framed = new byte[result.length + 1];
-    framed[0] = '+';
-    System.arraycopy(result, 0, framed, 1, result.length);
-    return framed;
+  private static byte[] marked(byte[] result) {
+    byte[] marked = new byte[result.length + 1];
+    marked[0] = RESULT_MARK;
+    System.arraycopy(result, 0, marked, 1, result.length);
+    return marked;
   }
 
-  private void write(String file, byte[] bytes) {
+  private void writeResult(String file, byte[] bytes) {
     try {
-      Files.write(scratch, bytes);
-      Files.move(scratch, folder.resolve(file + RESULT), StandardCopyOption.ATOMIC_MOVE);
+      Files.write(temporary, bytes);
+      Files.move(temporary, resultFile(file), StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
       counters.add("claims.failed");
       log.warn("a result could not be shared: " + e);
@@ -177,45 +176,50 @@
 
   @Override
   public void neverRan(String key) {
-    String file = file(key);
-    if (mine.remove(file) != null) {
+    String file = fileName(key);
+    if (ownedUntilUs.remove(file) != null) {
       delete(file);
     }
   }
 
   @Override
   public PeerRun peerRun(String key) {
-    String file = file(key);
+    String file = fileName(key);
     try {
-      byte[] bytes = Files.readAllBytes(folder.resolve(file + RESULT));
+      byte[] bytes = Files.readAllBytes(resultFile(file));
       return bytes.length == 0
           ? new NoResult()
           : new Completed(Arrays.copyOfRange(bytes, 1, bytes.length));
     } catch (IOException e) {
-      Claim claim = read(file);
-      return claim == null
-          ? new NeverRan()
-          : marks.lives(claim.owner) || Files.exists(folder.resolve(file + RESULT))
-              ? new Pending()
-              : new NoResult();
+      return peerRunWithoutResult(file);
+    }
+  }
+
+  /** The owner may write its result and end while this runs, so its lock is probed first. */
+  private PeerRun peerRunWithoutResult(String file) {
+    Optional<ClaimTarget> claim = readClaim(file);
+    if (claim.isEmpty()) {
+      return new NeverRan();
     }
+    boolean mayStillCome = markers.isAlive(claim.get().owner()) || Files.exists(resultFile(file));
+    return mayStillCome ? new Pending() : new NoResult();
   }
 
   /**
-   * Takes away what has lapsed of this process, and, where no older one lives, of those that are
-   * dead.
+   * Removes the expired claims of this process, and those of dead ones where no predecessor lives.
    */
-  void expire(long nowUs, boolean oldest) {
-    while (!kept.isEmpty() && kept.peek().untilUs + lateUs < nowUs) {
-      Kept lapsed = kept.remove();
-      if (mine.remove(lapsed.file, lapsed.untilUs)) { // else it was claimed anew, or is free
-        results.remove(lapsed.file);
-        delete(lapsed.file);
+  void expire(long nowUs, boolean isOldest) {
+    while (!expiries.isEmpty() && hasExpired(expiries.peek().untilUs, nowUs)) {
+      Expiry expired = expiries.remove();
+      // otherwise the key was claimed again for a later window, or released
+      if (ownedUntilUs.remove(expired.file, expired.untilUs)) {
+        resultFiles.remove(expired.file);
+        delete(expired.file);
       }
     }
     try {
-      if (oldest && (othersLeft || marks.numbers().size() > 1)) {
-        expireDead(nowUs);
+      if (isOldest && (peersClaimsRemain || markers.processNumbers().size() > 1)) {
+        expireClaimsOfDeadProcesses(nowUs);
       }
     } catch (IOException e) {
       log.warn("old claims could not be listed: " + e);
@@ -223,29 +227,59 @@
   }
 
   /**
-   * Only the oldest live process does this: two that delete could delete what a third has just
-   * claimed.
+   * Only the oldest live process does this: with two of them, one could delete a claim that a third
+   * process has made since the other deleted its predecessor.
    */
-  private void expireDead(long nowUs) throws IOException {
-    othersLeft = false;
+  private void expireClaimsOfDeadProcesses(long nowUs) throws IOException {
+    peersClaimsRemain = false;
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-      for (Path each : files) {
-        String file = each.getFileName().toString();
-        Claim claim = file.endsWith(RESULT) || mine.containsKey(file) ? null : read(file);
-        othersLeft |= claim != null;
-        if (claim != null && claim.untilUs + lateUs < nowUs && !marks.lives(claim.owner)) {
+      for (Path path : files) {
+        String file = path.getFileName().toString();
+        if (file.endsWith(RESULT_SUFFIX) || ownedUntilUs.containsKey(file)) {
+          continue;
+        }
+        Optional<ClaimTarget> claim = readClaim(file);
+        peersClaimsRemain |= claim.isPresent();
+        if (claim.isPresent()
+            && hasExpired(claim.get().untilUs(), nowUs)
+            && !markers.isAlive(claim.get().owner())) {
           delete(file);
         }
       }
     }
   }
 
+  private boolean hasExpired(long untilUs, long nowUs) {
+    return untilUs + retentionUs < nowUs;
+  }
+
   private void delete(String file) {
     try {
       Files.deleteIfExists(folder.resolve(file));
-      Files.deleteIfExists(folder.resolve(file + RESULT));
+      Files.deleteIfExists(resultFile(file));
     } catch (IOException e) {
       log.warn("a claim could not be taken away: " + e);
     }
   }
+
+  private Optional<ClaimTarget> readClaim(String file) {
+    try {
+      return ClaimTarget.parse(Files.readSymbolicLink(folder.resolve(file)));
+    } catch (IOException e) {
+      return Optional.empty();
+    }
+  }
+
+  private Path resultFile(String file) {
+    return folder.resolve(file + RESULT_SUFFIX);
+  }
+
+  private static String fileName(String key) {
+    try {
+      return HEX.formatHex(
+          MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8)));
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e); // each Java platform has it
+    }
+  }
 }
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -510,7 +511,7 @@
   @Test
   void whatOperatorsSayReachesHealthChecksAloneAndEndsWithTheirWord() throws IOException {
     Counters counters = new Counters();
-    TakeoverCoordinator handover = new TakeoverCoordinator(null, counters, log);
+    TakeoverCoordinator handover = TakeoverCoordinator.join(Optional.empty(), counters, log);
     NodeOperations operators = new NodeOperations(handover, null);
     operators.drain(); // before the node stands
     node =
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -14,6 +14,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -76,7 +77,7 @@
             config,
             broker,
             new EventLoop(log),
-            new TakeoverCoordinator(shared, counters, log),
+            TakeoverCoordinator.join(Optional.ofNullable(shared), counters, log),
             counters,
             StatePersistence.of(broker, log),
             null,
@@ -238,7 +239,7 @@
             config(),
             broker,
             new EventLoop(log),
-            new TakeoverCoordinator(null, counters, log),
+            TakeoverCoordinator.join(Optional.empty(), counters, log),
             counters,
             StatePersistence.of(broker, log),
             null,
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -55,7 +56,7 @@
             NodeConfig.parse(file, Map.of()),
             null,
             new EventLoop(log),
-            new TakeoverCoordinator(folder, counters, log),
+            TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log),
             counters,
             null,
             null,
@@ -250,12 +251,13 @@
     Counters counters = new Counters();
     try (RespClient a = clientOf(older);
         RespClient b = clientOf(newer);
-        TakeoverCoordinator told = new TakeoverCoordinator(folder, counters, log)) {
-      told.drain(true);
+        TakeoverCoordinator told =
+            TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log)) {
+      told.setDrained(true);
       for (RespClient each : List.of(a, b)) {
         await(() -> health(each).equals("DOWN"));
       }
-      told.drain(false);
+      told.setDrained(false);
       for (RespClient each : List.of(a, b)) {
         await(() -> health(each).equals("UP"));
       }
--- a/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
+++ b/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
@@ -28,7 +28,7 @@
   void whatAProcessTookCountsOnAsItLeavesTheSpan() throws IOException {
     PeerLoadReports old = new PeerLoadReports(folder, 1);
     PeerLoadReports fresh = new PeerLoadReports(folder, 2);
-    fresh.look(1, 1);
+    fresh.read(1, 1);
     assertEquals(
         ResourceAmounts.NONE,
         fresh.grant(
@@ -36,8 +36,8 @@
     assertEquals(
         new ResourceAmounts(9, 600, 60),
         old.grant(WHOLE, new ResourceAmounts(8, 200, 20), true, false, 1));
-    old.tell(List.of(8.0, 8.0, 7.5, 0.0));
-    fresh.look(1, 2);
+    old.write(List.of(8.0, 8.0, 7.5, 0.0));
+    fresh.read(1, 2);
     assertEquals(
         new ResourceAmounts(1, 400, 40), fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 2));
     assertEquals(
@@ -72,10 +72,10 @@
         case 0 -> mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, false, now).calls();
         case 1 -> {
           mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, true, now).calls();
-          old.tell(List.of(a));
+          old.write(List.of(a));
         }
         case 2 -> {
-          fresh.look(1, now);
+          fresh.read(1, now);
           mayB = fresh.grant(WHOLE, new ResourceAmounts(b, 0, 0), false, false, now).calls();
         }
         case 3 -> a = Math.max(a, mayA);
--- a/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
+++ b/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
@@ -82,8 +82,8 @@
    */
   @Test
   void lapsedClaimsGoAndAnewOnesStay() throws IOException {
-    a.keepLate(5);
-    b.keepLate(5);
+    a.setRetentionUs(5);
+    b.setRetentionUs(5);
     a.claim("old", BODY, 10);
     a.completed("old", new byte[] {7});
     a.claim("anew", BODY, 10);
@@ -123,12 +123,12 @@
 
   @Test
   void aMarkTellsWhoLives() throws IOException {
-    assertTrue(first.lives(second.number()) && second.lives(first.number()));
-    assertTrue(!first.serves(second.number()));
-    second.serve();
-    assertTrue(first.serves(second.number()));
+    assertTrue(first.isAlive(second.ownNumber()) && second.isAlive(first.ownNumber()));
+    assertTrue(!first.isServing(second.ownNumber()));
+    second.markServing();
+    assertTrue(first.isServing(second.ownNumber()));
     second.close();
-    assertTrue(!first.lives(second.number()) && first.lives(first.number()));
-    assertTrue(!first.lives(99));
+    assertTrue(!first.isAlive(second.ownNumber()) && first.isAlive(first.ownNumber()));
+    assertTrue(!first.isAlive(99));
   }
 }
--- a/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
+++ b/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
@@ -18,6 +18,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Stream;
@@ -75,9 +76,9 @@
         FileChannel two = lock("process-2");
         TakeoverCoordinator third = process()) {
       assertTrue(Files.exists(file("process-3")));
-      assertTrue(third.predecessorLives());
-      assertFalse(third.successorLives());
-      assertTrue(third.drained());
+      assertTrue(third.predecessorIsAlive());
+      assertFalse(third.successorIsAlive());
+      assertTrue(third.isDrained());
       ResourceAmounts limits = new ResourceAmounts(20, 200_000, 300);
       assertEquals(
           new ResourceAmounts(9.5, 3_392, 200),
@@ -92,20 +93,20 @@
   @Test
   void earlierSuccessorIsSeenToLiveAndToServe() throws IOException {
     try (TakeoverCoordinator first = process()) {
-      assertFalse(first.successorLives());
+      assertFalse(first.successorIsAlive());
       copy("process-2");
       try (FileChannel two = lock("process-2")) {
-        first.look(1);
-        assertTrue(first.successorLives());
-        assertFalse(first.successorServes());
+        first.poll(1);
+        assertTrue(first.successorIsAlive());
+        assertFalse(first.successorIsServing());
         copy("serves-2");
-        first.look(2);
-        assertTrue(first.successorServes());
+        first.poll(2);
+        assertTrue(first.successorIsServing());
         assertTrue(two.isOpen());
       }
-      first.look(3);
-      assertFalse(first.successorLives());
-      assertFalse(first.successorServes());
+      first.poll(3);
+      assertFalse(first.successorIsAlive());
+      assertFalse(first.successorIsServing());
     }
   }
 
@@ -113,13 +114,13 @@
   void filesOfDeadEarlierProcessesAreReadAndRemoved() throws IOException {
     restore(shared);
     try (TakeoverCoordinator third = process()) {
-      assertFalse(third.predecessorLives());
+      assertFalse(third.predecessorIsAlive());
       readClaims(third.claims());
       assertEquals(new IdempotencyClaims.NoResult(), third.claims().peerRun("running"));
-      third.look(UNTIL_US - 1);
+      third.poll(UNTIL_US - 1);
       assertEquals(Set.of("drained", "keys", "process-3"), names(shared.resolve("rosecleat")));
       readClaims(third.claims());
-      third.look(UNTIL_US + 4_000_000 + 3_000_000 + 6);
+      third.poll(UNTIL_US + 4_000_000 + 3_000_000 + 6);
       assertEquals(Set.of(), names(file("keys")));
     }
   }
@@ -139,28 +140,28 @@
   @Test
   void drainFileComesAndGoesAsOperatorsSay() throws IOException {
     try (TakeoverCoordinator first = process()) {
-      first.drain(true);
+      first.setDrained(true);
       assertEquals(0, Files.size(file("drained")));
-      first.drain(false);
+      first.setDrained(false);
       assertFalse(Files.exists(file("drained")));
       copy("drained");
-      first.look(1);
-      assertTrue(first.drained());
+      first.poll(1);
+      assertTrue(first.isDrained());
       Files.delete(file("drained"));
-      first.look(2);
-      assertFalse(first.drained());
+      first.poll(2);
+      assertFalse(first.isDrained());
     }
   }
 
   /** The calls that made the files of the earlier version. */
   private static void writeAsTwoProcesses(TakeoverCoordinator first, TakeoverCoordinator second) {
-    first.serve();
-    second.serve();
-    first.look(1_000_000);
+    first.markServing();
+    second.markServing();
+    first.poll(1_000_000);
     first.grant(LIMITS, new ResourceAmounts(8.25, 2_048.5, 20), List.of(8.25, 7.5, 0.0), false);
-    second.look(1_000_000);
+    second.poll(1_000_000);
     second.grant(LIMITS, new ResourceAmounts(1, 512, 3), List.of(1.0, 0.0), false);
-    first.drain(true);
+    first.setDrained(true);
     IdempotencyClaims claims = first.claims();
     claims.claim("served", digest(), UNTIL_US);
     claims.completed("served", "result".getBytes(StandardCharsets.US_ASCII));
@@ -213,7 +214,7 @@
   }
 
   private TakeoverCoordinator process() throws IOException {
-    return new TakeoverCoordinator(shared, new Counters(), log);
+    return TakeoverCoordinator.join(Optional.ofNullable(shared), new Counters(), log);
   }
 
   private Path file(String name) {
