--- a/src/main/java/rosecleat/log/Log.java
+++ b/src/main/java/rosecleat/log/Log.java
@@ -7,29 +7,43 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A small logger that never blocks its callers: lines wait in a bounded queue for one writer
- * thread, and those that find it full are dropped and counted.
+ * A logger that never blocks its callers: lines go through a bounded queue to one writer thread,
+ * and lines that find the queue full are dropped and counted. Every method may be called from any
+ * thread.
  */
 public final class Log implements AutoCloseable {
-  private static final int WAITING = 1024;
-  private static final int WIDEST = 400;
-  private static final long LAST_MS = 200;
+  /** Lines that wait for the writer; at the longest line this bounds the queue's memory. */
+  private static final int QUEUE_CAPACITY = 1024;
 
-  /** A pause behind each line: what floods the log is dropped here, not written. */
-  private static final long PACE_MS = 2;
+  /** Characters of a line; longer ones are cut, since callers may send text of any length. */
+  private static final int MAX_LINE_CHARS = 400;
+
+  /** How long {@link #close()} waits for the writer. */
+  private static final long CLOSE_TIMEOUT_MS = 200;
+
+  /** The writer's pause behind each line: a flood of lines is dropped here rather than written. */
+  private static final long WRITE_INTERVAL_MS = 2;
+
+  /** How often a writer without lines looks whether the log was closed. */
+  private static final long POLL_INTERVAL_MS = 50;
+
+  private static final char DELETE = 127;
 
   private final ArrayBlockingQueue<String> lines;
   private final AtomicLong dropped = new AtomicLong();
   private final PrintStream out;
+
+  /** The thread that writes; null for a silent log. */
   private final Thread writer;
+
   private volatile boolean closed;
 
-  /** A logger that writes to a stream. */
+  /** Creates a log that writes to a stream, and starts its thread. */
   public Log(PrintStream out) {
-    this(out, WAITING);
+    this(out, QUEUE_CAPACITY);
   }
 
-  /** A logger that keeps nothing, and has no thread. */
+  /** Returns a log that discards every line and has no thread. */
   public static Log silent() {
     return new Log();
   }
@@ -40,56 +54,51 @@
     writer = null;
   }
 
-  Log(PrintStream out, int waiting) {
+  Log(PrintStream out, int queueCapacity) {
     this.out = out;
-    lines = new ArrayBlockingQueue<>(waiting);
-    writer = new Thread(this::write, "log");
+    lines = new ArrayBlockingQueue<>(queueCapacity);
+    writer = new Thread(this::writeLines, "log");
     writer.setDaemon(true);
     writer.start();
   }
 
-  /** Something worth knowing. */
+  /** Logs an ordinary event. */
   public void info(String line) {
-    add("info", line);
+    enqueue("info", line);
   }
 
-  /** Something that went wrong and was dealt with. */
+  /** Logs a failure that the program has handled. */
   public void warn(String line) {
-    add("warn", line);
+    enqueue("warn", line);
   }
 
-  /** Lines that found no room so far. */
+  /** The number of lines dropped so far because the queue was full. */
   public long dropped() {
     return dropped.get();
   }
 
-  private void add(String level, String line) {
+  private void enqueue(String level, String line) {
     if (writer == null) {
       return;
     }
-    String cut = line.length() > WIDEST ? line.substring(0, WIDEST) + "..." : line;
-    if (!lines.offer(Instant.now() + " " + level + " " + clean(cut))) {
+    String shortened =
+        line.length() > MAX_LINE_CHARS ? line.substring(0, MAX_LINE_CHARS) + "..." : line;
+    if (!lines.offer(Instant.now() + " " + level + " " + withoutControlCharacters(shortened))) {
       dropped.incrementAndGet();
     }
   }
 
-  /** Keeps what callers sent from forging lines of its own. */
-  private static String clean(String text) {
+  /** Replaces control characters, so that text from callers cannot forge a line of its own. */
+  private static String withoutControlCharacters(String text) {
     StringBuilder safe = new StringBuilder(text.length());
-    text.chars().forEach(c -> safe.append(c < ' ' || c == 127 ? '?' : (char) c));
+    text.chars().forEach(c -> safe.append(c < ' ' || c == DELETE ? '?' : (char) c));
     return safe.toString();
   }
 
-  private void write() {
+  private void writeLines() {
     try {
       while (!closed || !lines.isEmpty()) {
-        String line = lines.poll(50, TimeUnit.MILLISECONDS);
-        if (line != null) {
-          out.println(line);
-          if (!closed) {
-            Thread.sleep(PACE_MS);
-          }
-        }
+        writeNextLine();
       }
       if (dropped.get() > 0) {
         out.println(Instant.now() + " warn " + dropped.get() + " lines were dropped");
@@ -100,20 +109,31 @@
     }
   }
 
-  /** Writes what still waits, for a fifth of a second at most. */
+  private void writeNextLine() throws InterruptedException {
+    String line = lines.poll(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    if (line == null) {
+      return;
+    }
+    out.println(line);
+    if (!closed) {
+      Thread.sleep(WRITE_INTERVAL_MS);
+    }
+  }
+
+  /** Writes the lines that still wait, for 200 ms at most. */
   @Override
   public void close() {
-    close(LAST_MS);
+    close(CLOSE_TIMEOUT_MS);
   }
 
-  /** Writes what still waits, for so long at the most (ms). */
-  public void close(long mostMs) {
+  /** Writes the lines that still wait, for at most the timeout in milliseconds. */
+  public void close(long timeoutMs) {
     closed = true;
     if (writer == null) {
       return;
     }
     try {
-      writer.join(mostMs);
+      writer.join(timeoutMs);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
