--- a/src/main/java/rosecleat/cli/NodeOptions.java
+++ b/src/main/java/rosecleat/cli/NodeOptions.java
@@ -4,9 +4,11 @@
 import java.nio.file.Path;
 import java.util.Map;
 import rosecleat.config.BrokerConfig;
+import rosecleat.config.BrokerConfigReader;
 import rosecleat.config.ConfigException;
 import rosecleat.config.NodeConfig;
-import rosecleat.config.Standalone;
+import rosecleat.config.NodeConfigReader;
+import rosecleat.config.StandaloneConfig;
 import rosecleat.node.ProcessConfig;
 
 /** The options that name a node's configuration, shared by {@code serve} and {@code check}. */
@@ -38,18 +40,18 @@
     String platformFile = environment.get(CONFIG_VARIABLE);
     boolean standsAlone = brokerFile != null && (platformFile == null || platformFile.isBlank());
     return standsAlone
-        ? Standalone.read(Path.of(brokerFile))
-        : NodeConfig.fromEnvironment(environment);
+        ? StandaloneConfig.read(Path.of(brokerFile))
+        : NodeConfigReader.fromEnvironment(environment);
   }
 
   /** The configuration of the uwsgi front; null where the node has none. */
   private BrokerConfig readBrokerConfig(NodeConfig node) {
     if (brokerFile != null) {
-      return BrokerConfig.read(Path.of(brokerFile), node.start());
+      return BrokerConfigReader.read(Path.of(brokerFile), node.settings());
     }
-    if (node.runtime() == null) {
-      throw new ConfigException(
-          "the configuration names no runtime, and there is no broker's file");
+    if (node.runtimeAddress() == null) {
+      throw ConfigException.invalid(
+          "the configuration", "names no runtime, and there is no broker's file");
     }
     return null;
   }
--- a/src/main/java/rosecleat/cli/RehearseCommand.java
+++ b/src/main/java/rosecleat/cli/RehearseCommand.java
@@ -2,7 +2,7 @@
 
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
-import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.node.Rehearsal;
 
 /** {@code rehearse}: loads the classes of a serving node, for the archive that the build makes. */
@@ -13,7 +13,7 @@
 
   @Override
   public int run(Invocation invocation) throws IOException {
-    boolean allAnswered = Rehearsal.run(NodeConfig.fromEnvironment(invocation.environment()));
+    boolean allAnswered = Rehearsal.run(NodeConfigReader.fromEnvironment(invocation.environment()));
     return allAnswered ? SUCCESS : FAILURE;
   }
 }
--- a/src/main/java/rosecleat/cli/SchemaCommand.java
+++ b/src/main/java/rosecleat/cli/SchemaCommand.java
@@ -2,14 +2,14 @@
 
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
-import rosecleat.config.BrokerSchema;
+import rosecleat.config.ConfigSchema;
 
 /** {@code schema}: prints the JSON Schema of the broker file. */
 @Parameters(commandDescription = "print the JSON Schema of the broker's file")
 final class SchemaCommand implements Command {
   @Override
   public int run(Invocation invocation) throws IOException {
-    invocation.print(BrokerSchema.text().strip());
+    invocation.print(ConfigSchema.BROKER.text().strip());
     return SUCCESS;
   }
 }
--- a/src/main/java/rosecleat/config/Backend.java
+++ b/src/main/java/rosecleat/config/Backend.java
@@ -2,17 +2,28 @@
 
 import java.net.InetSocketAddress;
 
-/** What does the work of a service's operations, where it is not the machine's runtime. */
+/** What executes the operations of a service, where it is not the machine's runtime. */
 public sealed interface Backend {
-  /** One uwsgi service at an address. */
-  record Uwsgi(InetSocketAddress at) implements Backend {}
+  /**
+   * One uwsgi service.
+   *
+   * @param address where it listens
+   */
+  record Uwsgi(InetSocketAddress address) implements Backend {}
 
   /**
-   * The description's own example, answered after so long (us): for a first try without any
-   * service.
+   * The example of the operation's description, for a first try without any service.
+   *
+   * @param contentType the media type of the response
+   * @param body the body of the response
+   * @param durationUs the time until the response, in microseconds
    */
-  record Sample(String contentType, byte[] body, long tookUs) implements Backend {}
+  record Sample(String contentType, byte[] body, long durationUs) implements Backend {}
 
-  /** The instances that the table of routes names for a service. */
+  /**
+   * The instances that the fleet's routes name for a service.
+   *
+   * @param service the service's name
+   */
   record Fleet(String service) implements Backend {}
 }
--- a/src/main/java/rosecleat/config/FleetConfig.java
+++ b/src/main/java/rosecleat/config/FleetConfig.java
@@ -2,14 +2,20 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * How a process takes part in a fleet; {@code periodUs} is the failure detector's.
+ * How a process takes part in a fleet: the section {@code fleet} of the broker file.
  *
- * @param seeds where others may be met; its own address among them does no harm
+ * @param name the member's name, by default the node's
+ * @param cluster the fleet's name, by default {@code default}; members of others are ignored
+ * @param listen where the process receives the fleet's messages
+ * @param advertise the address that other members use, by default {@code listen}
+ * @param zone the failure domain that the process runs in; empty where it has none
+ * @param seeds addresses where other members may be found; the process's own among them does no
+ *     harm
+ * @param periodUs the protocol period of the failure detector in microseconds, by default 1 s
  */
 public record FleetConfig(
     String name,
@@ -19,28 +25,22 @@
     String zone,
     List<InetSocketAddress> seeds,
     long periodUs) {
-  static final String NAME = "[A-Za-z0-9._-]{1,64}";
+  private static final long DEFAULT_PERIOD_MS = 1000;
 
-  /** The section {@code fleet}; null where there is none. */
-  static FleetConfig of(JsonNode root, String nodeName) {
+  /** Reads the section of a broker file; null where there is none. */
+  static FleetConfig read(JsonNode root, String nodeName) {
     JsonNode section = root.path("fleet");
     if (section.isMissingNode()) {
       return null;
     }
-    InetSocketAddress listen =
-        NodeConfig.address(section.path("listen").asText(""), "fleet.listen");
-    InetSocketAddress advertise =
-        NodeConfig.address(section.path("advertise").asText(""), "fleet.advertise");
+    InetSocketAddress listen = address(section, "listen");
+    InetSocketAddress advertise = address(section, "advertise");
     if (listen == null) {
-      throw new ConfigException("the broker's file lacks fleet.listen");
+      throw ConfigException.invalid("the broker's file", "lacks fleet.listen");
     }
     if (advertise == null && listen.getAddress().isAnyLocalAddress()) {
-      throw new ConfigException(
-          "fleet.listen is no address that others can reach: fleet.advertise is needed");
-    }
-    List<InetSocketAddress> seeds = new ArrayList<>();
-    for (JsonNode seed : section.path("seeds")) {
-      seeds.add(NodeConfig.address(seed.asText(), "fleet.seeds"));
+      throw ConfigException.invalid(
+          "fleet.listen", "is no address that others can reach: fleet.advertise is needed");
     }
     return new FleetConfig(
         section.path("name").asText(nodeName),
@@ -48,13 +48,19 @@
         listen,
         advertise == null ? listen : advertise,
         section.path("zone").asText(""),
-        List.copyOf(seeds),
-        1000 * section.path("period_ms").asLong(1000));
+        seeds(section),
+        Units.MICROSECONDS_PER_MS * section.path("period_ms").asLong(DEFAULT_PERIOD_MS));
+  }
+
+  private static InetSocketAddress address(JsonNode section, String key) {
+    return AddressParser.parse(section.path(key).asText(""), "fleet." + key);
   }
 
-  /** The file of routes that this process publishes; null where it follows the fleet. */
-  static Path routes(JsonNode root, Path folder) {
-    JsonNode file = root.path("routes").path("file");
-    return file.isMissingNode() ? null : folder.resolve(file.asText()).normalize();
+  private static List<InetSocketAddress> seeds(JsonNode section) {
+    List<InetSocketAddress> seeds = new ArrayList<>();
+    for (JsonNode seed : section.path("seeds")) {
+      seeds.add(AddressParser.parse(seed.asText(), "fleet.seeds"));
+    }
+    return List.copyOf(seeds);
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/config/NodeConfigReader.java
@@ -0,0 +1,137 @@
+package rosecleat.config;
+
+import com.fasterxml.jackson.core.JacksonException;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+
+/** Reads the configuration that a platform gives a node: a JSON file and the environment. */
+public final class NodeConfigReader {
+  private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
+  private static final String NAME_VARIABLE = "PROXY_NAME";
+  private static final String LISTEN_VARIABLE = "PROXY_LISTEN";
+  private static final String ADMIN_VARIABLE = "PROXY_MGMT";
+
+  private static final String DOCUMENT = "the configuration";
+  private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,64}";
+  private static final String DEFAULT_SEED = "0";
+  private static final int HEXADECIMAL = 16;
+  private static final int DEFAULT_MAX_SOCKETS = 1024;
+  private static final long DEFAULT_STOP_TIMEOUT_MS = 3_000;
+
+  private static final ObjectMapper STRICT_JSON =
+      new ObjectMapper()
+          .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+          .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
+
+  private NodeConfigReader() {}
+
+  /**
+   * Reads the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN and PROXY_MGMT supply what the
+   * file lacks.
+   *
+   * @throws ConfigException where the file cannot be read or used
+   */
+  public static NodeConfig fromEnvironment(Map<String, String> environment) {
+    String path = environment.get(CONFIG_VARIABLE);
+    if (path == null || path.isBlank()) {
+      throw ConfigException.invalid(CONFIG_VARIABLE, "is not set");
+    }
+    String text;
+    try {
+      text = Files.readString(Path.of(path));
+    } catch (IOException | RuntimeException e) {
+      throw new ConfigException(new ConfigError.UnreadableFile(DOCUMENT, path));
+    }
+    return parse(text, environment);
+  }
+
+  /**
+   * Reads a configuration from its text; the environment supplies what the text lacks.
+   *
+   * @throws ConfigException where it cannot be used
+   */
+  public static NodeConfig parse(String text, Map<String, String> environment) {
+    JsonNode root = parseObject(text);
+    NodeConfigValidator.validate(root);
+    String name = name(root, environment);
+    InetSocketAddress listenAddress = listenAddress(root, environment);
+    return new NodeConfig(
+        name,
+        listenAddress,
+        address(root, "mgmt", environment.getOrDefault(ADMIN_VARIABLE, "")),
+        address(root, "runtime", ""),
+        address(root, "roster", ""),
+        address(root, "index", ""),
+        seed(root),
+        stopTimeoutUs(root),
+        maxSockets(root),
+        new SettingsReader().read(root.path("settings").toString()),
+        root);
+  }
+
+  private static JsonNode parseObject(String text) {
+    JsonNode root;
+    try {
+      root = STRICT_JSON.readTree(text);
+    } catch (JacksonException e) {
+      throw ConfigException.invalid(DOCUMENT, "is not JSON");
+    }
+    if (root == null || !root.isObject()) {
+      throw ConfigException.invalid(DOCUMENT, "is not a JSON object");
+    }
+    return root;
+  }
+
+  private static String name(JsonNode root, Map<String, String> environment) {
+    String name = root.path("name").asText(environment.getOrDefault(NAME_VARIABLE, ""));
+    if (!name.matches(NAME_PATTERN)) {
+      throw ConfigException.invalid(DOCUMENT, "lacks a usable name");
+    }
+    return name;
+  }
+
+  private static InetSocketAddress listenAddress(JsonNode root, Map<String, String> environment) {
+    InetSocketAddress address =
+        address(root, "listen", environment.getOrDefault(LISTEN_VARIABLE, ""));
+    if (address == null) {
+      throw ConfigException.invalid(DOCUMENT, "lacks listen");
+    }
+    return address;
+  }
+
+  private static InetSocketAddress address(JsonNode root, String key, String defaultText) {
+    return AddressParser.parse(root.path(key).asText(defaultText), key);
+  }
+
+  private static long seed(JsonNode root) {
+    try {
+      return Long.parseUnsignedLong(root.path("seed").asText(DEFAULT_SEED), HEXADECIMAL);
+    } catch (NumberFormatException e) {
+      throw ConfigException.invalid("seed", "is not a hexadecimal number of 64 bits");
+    }
+  }
+
+  private static long stopTimeoutUs(JsonNode root) {
+    long timeoutMs = root.path("stop_ms").asLong(DEFAULT_STOP_TIMEOUT_MS);
+    return positiveInt(timeoutMs, "stop_ms") * Units.MICROSECONDS_PER_MS;
+  }
+
+  private static int maxSockets(JsonNode root) {
+    long sockets = root.path("limits").path("sockets").asLong(DEFAULT_MAX_SOCKETS);
+    return positiveInt(sockets, "limits.sockets");
+  }
+
+  private static int positiveInt(long value, String key) {
+    if (value <= 0 || value > Integer.MAX_VALUE) {
+      throw ConfigException.invalid(key, "is out of range");
+    }
+    return (int) value;
+  }
+}
--- a/src/main/java/rosecleat/config/SettingsReader.java
+++ b/src/main/java/rosecleat/config/SettingsReader.java
@@ -15,15 +15,21 @@
 import rosecleat.policy.TenantQuota;
 
 /**
- * Turns the settings text of a start into the module's settings. Keys it does not know are skipped.
+ * Reads the policy's settings from JSON. Unknown keys are ignored. A reader has no state of its own
+ * and may be used again.
  */
 public final class SettingsReader {
+  /** The word that an absent enumerated setting stands for. */
+  private static final String DEFAULT_WORD = "off";
+
+  private static final double DEFAULT_OVER_QUOTA_WEIGHT = 1;
+
   private static final Map<String, Idempotency> EFFECTS =
       Map.of(
           "pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
-  private static final Map<String, CancelMode> HALTS =
+  private static final Map<String, CancelMode> CANCEL_MODES =
       Map.of("off", CancelMode.OFF, "drop", CancelMode.DROP, "pause", CancelMode.PAUSE);
-  private static final Map<String, LoadAdviceMode> SAYS =
+  private static final Map<String, LoadAdviceMode> LOAD_ADVICE_MODES =
       Map.of(
           "off",
           LoadAdviceMode.OFF,
@@ -33,118 +39,147 @@
           LoadAdviceMode.CREDIT,
           "weight",
           LoadAdviceMode.WEIGHT);
-  private static final Map<String, DownstreamMode> BELOWS =
+  private static final Map<String, DownstreamMode> DOWNSTREAM_MODES =
       Map.of(
           "off", DownstreamMode.OFF, "shared", DownstreamMode.SHARED, "tier", DownstreamMode.TIER);
 
   private final ObjectMapper mapper = new ObjectMapper();
 
-  /** The settings, and the names of the gauges, classes and tenants in the order they come. */
-  public record Start(
-      PolicySettings settings, List<String> gauges, List<String> classes, List<String> tenants) {}
-
   /**
-   * Reads the settings text; what is missing or unknown is a {@link ConfigException} of one line.
+   * Reads the settings.
+   *
+   * @throws ConfigException that names the first key that is missing or has an unknown word
    */
-  public Start read(String text) {
+  public NamedSettings read(String text) {
+    JsonNode root = parse(text);
+    JsonNode extra = root.path("extra");
+    List<PriorityClass> classes = classes(root.path("grades"), extra);
+    List<TenantQuota> tenants = tenants(root.path("parties"));
+    return new NamedSettings(
+        policySettings(root, extra, classes, tenants),
+        texts(extra.path("gauges")),
+        names(root.path("grades")),
+        names(root.path("parties")));
+  }
+
+  private JsonNode parse(String text) {
     JsonNode root;
     try {
       root = mapper.readTree(text);
     } catch (JsonProcessingException e) {
-      throw new ConfigException("settings are not JSON");
+      throw ConfigException.invalid("settings", "are not JSON");
     }
     if (root == null || !root.isObject()) {
-      throw new ConfigException("settings are not a JSON object");
+      throw ConfigException.invalid("settings", "are not a JSON object");
     }
-    JsonNode extra = root.path("extra");
-    JsonNode rules = root.path("rules");
-    JsonNode bounds = root.path("bounds");
+    return root;
+  }
+
+  private static List<PriorityClass> classes(JsonNode section, JsonNode extra) {
     List<PriorityClass> classes = new ArrayList<>();
-    JsonNode grades = root.path("grades");
-    for (int i = 0; i < grades.size(); i++) {
-      JsonNode g = grades.get(i);
-      classes.add(
-          new PriorityClass(
-              need(g, "credit").asDouble(),
-              g.path("late-worth").asDouble(),
-              need(g, "promise-us").asLong(),
-              g.path("aim-stretch").asDouble(),
-              need(g, "deadline-us").asLong(),
-              word(EFFECTS, need(g, "effect"), "effect"),
-              g.path("window-us").asLong(),
-              extra.path("class-calls").path(i).asBoolean(),
-              extra.path("worth-without").path(i).asDouble()));
+    for (int i = 0; i < section.size(); i++) {
+      boolean callsDownstream = extra.path("class-calls").path(i).asBoolean();
+      double weightWithoutCall = extra.path("worth-without").path(i).asDouble();
+      classes.add(priorityClass(section.get(i), callsDownstream, weightWithoutCall));
     }
     if (classes.isEmpty()) {
-      throw new ConfigException("settings lack grades");
+      throw ConfigException.invalid("settings", "lack grades");
     }
+    return List.copyOf(classes);
+  }
+
+  private static PriorityClass priorityClass(
+      JsonNode entry, boolean callsDownstream, double weightWithoutCall) {
+    return new PriorityClass(
+        required(entry, "credit").asDouble(),
+        entry.path("late-worth").asDouble(),
+        required(entry, "promise-us").asLong(),
+        entry.path("aim-stretch").asDouble(),
+        required(entry, "deadline-us").asLong(),
+        choice(EFFECTS, required(entry, "effect"), "effect"),
+        entry.path("window-us").asLong(),
+        callsDownstream,
+        weightWithoutCall);
+  }
+
+  private static List<TenantQuota> tenants(JsonNode section) {
     List<TenantQuota> tenants = new ArrayList<>();
-    for (JsonNode p : root.path("parties")) {
-      tenants.add(new TenantQuota(p.path("quota-per-s").asDouble()));
-    }
-    List<String> gauges = new ArrayList<>();
-    for (JsonNode g : extra.path("gauges")) {
-      gauges.add(g.asText());
+    for (JsonNode entry : section) {
+      tenants.add(new TenantQuota(entry.path("quota-per-s").asDouble()));
     }
-    PolicySettings settings =
-        new PolicySettings(
-            need(extra, "cpus").asInt(),
-            root.path("servers").asInt(),
-            extra.path("clients-total").asInt(),
-            extra.path("cold").asBoolean(),
-            rules.path("cold-share").asDouble(),
-            rules.path("ramp-time-us").asLong(),
-            need(extra, "mem-limit-kb").asDouble(),
-            need(extra, "run-factor").asDouble(),
-            extra.path("key-kb").asDouble(),
-            need(rules, "fall-multiple").asDouble(),
-            need(rules, "overload-for-us").asLong(),
-            need(rules, "stop-sending-within-us").asLong(),
-            need(rules, "answer-slack-us").asLong(),
-            extra.path("passes-deadline").asBoolean(),
-            extra.path("tells-gone").asBoolean(),
-            root.path("clients").path("marks-retry").asBoolean(),
-            root.path("worth-by").asText().equals("work"),
-            root.path("over-share-worth").asDouble(1),
-            word(HALTS, extra.path("halt"), "halt"),
-            word(SAYS, extra.path("say"), "say"),
-            extra.path("heeded-us").asLong(),
-            bounds.path("retry-after").asBoolean() ? bounds.path("max-retry-after-us").asLong() : 0,
-            extra.path("readiness").asBoolean(),
-            extra.path("deep-checks").asBoolean(),
-            extra.path("idle-us").asLong(),
-            extra.path("share-for-us").asLong(),
-            word(BELOWS, extra.path("below"), "below"),
-            extra.path("calls-out").asDouble(),
-            extra.path("calls-over-us").asLong(),
-            extra.path("lingers-us").asLong(),
-            root.path("round-us").asLong(),
-            List.copyOf(classes),
-            List.copyOf(tenants));
-    return new Start(settings, List.copyOf(gauges), names(grades), names(root.path("parties")));
+    return List.copyOf(tenants);
+  }
+
+  private static PolicySettings policySettings(
+      JsonNode root, JsonNode extra, List<PriorityClass> classes, List<TenantQuota> tenants) {
+    JsonNode rules = root.path("rules");
+    return new PolicySettings(
+        required(extra, "cpus").asInt(),
+        root.path("servers").asInt(),
+        extra.path("clients-total").asInt(),
+        extra.path("cold").asBoolean(),
+        rules.path("cold-share").asDouble(),
+        rules.path("ramp-time-us").asLong(),
+        required(extra, "mem-limit-kb").asDouble(),
+        required(extra, "run-factor").asDouble(),
+        extra.path("key-kb").asDouble(),
+        required(rules, "fall-multiple").asDouble(),
+        required(rules, "overload-for-us").asLong(),
+        required(rules, "stop-sending-within-us").asLong(),
+        required(rules, "answer-slack-us").asLong(),
+        extra.path("passes-deadline").asBoolean(),
+        extra.path("tells-gone").asBoolean(),
+        root.path("clients").path("marks-retry").asBoolean(),
+        root.path("worth-by").asText().equals("work"),
+        root.path("over-share-worth").asDouble(DEFAULT_OVER_QUOTA_WEIGHT),
+        choice(CANCEL_MODES, extra.path("halt"), "halt"),
+        choice(LOAD_ADVICE_MODES, extra.path("say"), "say"),
+        extra.path("heeded-us").asLong(),
+        maxRetryAfterUs(root.path("bounds")),
+        extra.path("readiness").asBoolean(),
+        extra.path("deep-checks").asBoolean(),
+        extra.path("idle-us").asLong(),
+        extra.path("share-for-us").asLong(),
+        choice(DOWNSTREAM_MODES, extra.path("below"), "below"),
+        extra.path("calls-out").asDouble(),
+        extra.path("calls-over-us").asLong(),
+        extra.path("lingers-us").asLong(),
+        root.path("round-us").asLong(),
+        classes,
+        tenants);
+  }
+
+  /** 0 where callers do not heed the time to wait that a rejection names. */
+  private static long maxRetryAfterUs(JsonNode bounds) {
+    return bounds.path("retry-after").asBoolean() ? bounds.path("max-retry-after-us").asLong() : 0;
+  }
+
+  private static List<String> texts(JsonNode list) {
+    List<String> texts = new ArrayList<>();
+    list.forEach(element -> texts.add(element.asText()));
+    return List.copyOf(texts);
   }
 
   private static List<String> names(JsonNode list) {
     List<String> names = new ArrayList<>();
-    for (JsonNode entry : list) {
-      names.add(entry.path("name").asText());
-    }
+    list.forEach(element -> names.add(element.path("name").asText()));
     return List.copyOf(names);
   }
 
-  private static JsonNode need(JsonNode node, String key) {
-    JsonNode found = node.path(key);
-    if (found.isMissingNode() || found.isNull()) {
-      throw new ConfigException("settings lack " + key);
+  private static JsonNode required(JsonNode section, String key) {
+    JsonNode value = section.path(key);
+    if (value.isMissingNode() || value.isNull()) {
+      throw ConfigException.invalid("settings", "lack " + key);
     }
-    return found;
+    return value;
   }
 
-  private static <T> T word(Map<String, T> words, JsonNode node, String what) {
-    T found = words.get(node.isMissingNode() || node.isNull() ? "off" : node.asText());
-    if (found == null) {
-      throw new ConfigException("settings have an unknown word for " + what);
+  private static <T> T choice(Map<String, T> choices, JsonNode value, String key) {
+    String word = value.isMissingNode() || value.isNull() ? DEFAULT_WORD : value.asText();
+    T choice = choices.get(word);
+    if (choice == null) {
+      throw ConfigException.invalid("settings", "have an unknown word for " + key);
     }
-    return found;
+    return choice;
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/config/StandaloneConfig.java
@@ -0,0 +1,133 @@
+package rosecleat.config;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.List;
+import rosecleat.policy.CancelMode;
+import rosecleat.policy.DownstreamMode;
+import rosecleat.policy.LoadAdviceMode;
+import rosecleat.policy.PolicySettings;
+
+/**
+ * Makes the configuration of a node that no platform starts, from the broker file alone. Its
+ * classes and tenants are those of its contracts and budgets, and nothing lies downstream of it but
+ * its services.
+ */
+public final class StandaloneConfig {
+  /** Requests executed at once where the file does not say: so many for each service. */
+  static final int CORES_PER_SERVICE = 4;
+
+  private static final String DEFAULT_NAME = "broker";
+  private static final long DEFAULT_MEMORY_MB = 256;
+  private static final int DEFAULT_MAX_SOCKETS = 1024;
+  private static final long DEFAULT_STOP_TIMEOUT_MS = 5_000;
+
+  /** The part of the process's memory that requests may take, in kilobytes per megabyte. */
+  private static final double REQUEST_MEMORY_KB_PER_MB = 1024 / 4.0;
+
+  private static final int SERVERS = 1;
+
+  /** How many callers there are is not known. */
+  private static final int UNKNOWN_CALLERS = 0;
+
+  private static final double COLD_CAPACITY = 1;
+  private static final double RUN_MEMORY_FACTOR = 2;
+  private static final double KEY_KB = 16;
+  private static final double OVERLOAD_MULTIPLE = 8;
+  private static final long OVERLOAD_SPAN_US = 2 * Units.MICROSECONDS_PER_SECOND;
+  private static final long GRACE_US = Units.MICROSECONDS_PER_SECOND;
+  private static final long SLACK_US = 80 * Units.MICROSECONDS_PER_MS;
+  private static final double OVER_QUOTA_WEIGHT = 0.2;
+  private static final long MAX_RETRY_AFTER_US = Units.MICROSECONDS_PER_SECOND;
+  private static final long IDLE_TIMEOUT_US = 30 * Units.MICROSECONDS_PER_SECOND;
+  private static final long ROUND_US = Units.MICROSECONDS_PER_MS;
+
+  private static final long HASH_START = 1_125_899_906_842_597L;
+  private static final long HASH_FACTOR = 31;
+
+  private StandaloneConfig() {}
+
+  /**
+   * Reads the node's configuration from a broker file.
+   *
+   * @throws ConfigException where the file cannot be read or used
+   */
+  public static NodeConfig read(Path file) {
+    JsonNode root = BrokerFile.read(file);
+    JsonNode limits = root.path("limits");
+    String fleetName = root.path("fleet").path("name").asText(DEFAULT_NAME);
+    String name = root.path("name").asText(fleetName);
+    InetSocketAddress adminAddress =
+        AddressParser.parse(root.path("operators").path("listen").asText(""), "operators.listen");
+    return new NodeConfig(
+        name,
+        null,
+        adminAddress,
+        null,
+        null,
+        null,
+        seed(name),
+        limits.path("stop_ms").asLong(DEFAULT_STOP_TIMEOUT_MS) * Units.MICROSECONDS_PER_MS,
+        (int) limits.path("sockets").asLong(DEFAULT_MAX_SOCKETS),
+        new NamedSettings(
+            policySettings(cores(root), requestMemoryKb(limits)), List.of(), List.of(), List.of()),
+        JsonNodeFactory.instance.objectNode());
+  }
+
+  private static int cores(JsonNode root) {
+    int services = Math.max(1, root.path("services").size());
+    return root.path("limits").path("cores").asInt(CORES_PER_SERVICE * services);
+  }
+
+  private static double requestMemoryKb(JsonNode limits) {
+    return limits.path("memory_mb").asLong(DEFAULT_MEMORY_MB) * REQUEST_MEMORY_KB_PER_MB;
+  }
+
+  private static PolicySettings policySettings(int cores, double memoryKb) {
+    return new PolicySettings(
+        cores,
+        SERVERS,
+        UNKNOWN_CALLERS,
+        /* coldStart= */ false,
+        COLD_CAPACITY,
+        /* warmupUs= */ 0,
+        memoryKb,
+        RUN_MEMORY_FACTOR,
+        KEY_KB,
+        OVERLOAD_MULTIPLE,
+        OVERLOAD_SPAN_US,
+        GRACE_US,
+        SLACK_US,
+        /* propagatesDeadline= */ true,
+        /* signalsCancellation= */ true,
+        /* marksRetries= */ true,
+        /* weightByWork= */ false,
+        OVER_QUOTA_WEIGHT,
+        CancelMode.DROP,
+        LoadAdviceMode.OFF,
+        /* adviceHeededUs= */ 0,
+        MAX_RETRY_AFTER_US,
+        /* readinessChecks= */ false,
+        /* deepChecks= */ false,
+        IDLE_TIMEOUT_US,
+        /* readSharingUs= */ 0,
+        DownstreamMode.OFF,
+        /* concurrentCalls= */ 0,
+        /* callWindowUs= */ 0,
+        /* callLingerUs= */ 0,
+        ROUND_US,
+        List.of(),
+        List.of());
+  }
+
+  /** A seed that differs between names, and is the same at each start. */
+  private static long seed(String name) {
+    long seed = HASH_START;
+    for (int i = 0; i < name.length(); i++) {
+      seed = HASH_FACTOR * seed + name.charAt(i);
+    }
+    return seed;
+  }
+}
--- a/src/main/java/rosecleat/front/uwsgi/Requests.java
+++ b/src/main/java/rosecleat/front/uwsgi/Requests.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import rosecleat.config.Backend;
 import rosecleat.config.BrokerConfig;
-import rosecleat.config.BrokerConfig.Operation;
+import rosecleat.config.ServiceOperation;
 import rosecleat.core.Request;
 import rosecleat.core.Responder;
 import rosecleat.core.Runner;
@@ -20,7 +20,7 @@
 /** Turns the vars and the body of a uwsgi request into the core's request, by its contract. */
 final class Requests {
   /** The core's request with its operation, or the reply to what is wrong. */
-  record Outcome(Request request, Operation operation, HttpReply wrong) {}
+  record Outcome(Request request, ServiceOperation operation, HttpReply wrong) {}
 
   /** Callers of this front are numbered from here on, one a team. */
   private static final int CALLERS = 1_000_000;
@@ -67,7 +67,7 @@
       return wrong(400, Map.of(), "REQUEST_METHOD or PATH_INFO is missing");
     }
     Routes.Found found = routes.find(method, path);
-    Operation operation = found.operation();
+    ServiceOperation operation = found.operation();
     if (operation == null && method.equals("OPTIONS") && !found.allow().isEmpty()) {
       return new Outcome(
           null, null, new HttpReply(204, Map.of("Allow", found.allow()), new byte[0]));
@@ -77,18 +77,19 @@
           ? wrong(404, Map.of(), "no such operation")
           : wrong(405, Map.of("Allow", found.allow()), "the operation has other methods");
     }
-    String team = packet.var(config.vars().team());
-    Integer tenant = operation.tenants().get(team);
+    String team = packet.var(config.variables().team());
+    Integer tenant = operation.tenantIndexByTeam().get(team);
     if (tenant == null) {
       return wrong(403, Map.of(), "the team has no budget with this service");
     }
-    String wait = packet.var(config.vars().deadlineMs());
+    String wait = packet.var(config.variables().deadlineMs());
     if (!wait.matches("([1-9][0-9]{0,8})?")) {
-      return wrong(400, Map.of(), config.vars().deadlineMs() + " is no number of milliseconds");
+      return wrong(
+          400, Map.of(), config.variables().deadlineMs() + " is no number of milliseconds");
     }
-    String key = packet.var(config.vars().key());
-    if (operation.keyed() && !key.matches("[0-9A-Za-z_-]{1,64}")) {
-      return wrong(400, Map.of(), config.vars().key() + " is missing or malformed");
+    String key = packet.var(config.variables().idempotencyKey());
+    if (operation.idempotent() && !key.matches("[0-9A-Za-z_-]{1,64}")) {
+      return wrong(400, Map.of(), config.variables().idempotencyKey() + " is missing or malformed");
     }
     byte[] body =
         operation.backend() == null
@@ -109,14 +110,14 @@
             id(),
             nowUs,
             waitUs,
-            operation.klass(),
-            operation.kind(),
+            operation.classIndex(),
+            operation.className(),
             tenant,
             caller(team),
-            packet.var(config.vars().retry()).equals("1"),
-            operation.kb(),
+            packet.var(config.variables().retry()).equals("1"),
+            operation.memoryKb(),
             operation.rank(),
-            operation.keyed() ? key : null,
+            operation.idempotent() ? key : null,
             0,
             body,
             operation.backend() == null ? Map.of() : passedOn(packet, operation, nowUs),
@@ -156,16 +157,18 @@
     return URLDecoder.decode(text, StandardCharsets.UTF_8);
   }
 
-  private static Map<String, String> passedOn(UwsgiPacket packet, Operation operation, long nowUs) {
+  private static Map<String, String> passedOn(
+      UwsgiPacket packet, ServiceOperation operation, long nowUs) {
     Map<String, String> vars = new HashMap<>(packet.vars());
     vars.remove("CONTENT_LENGTH"); // the client writes its own
     vars.put("REQUEST_METHOD", operation.method()); // a HEAD is asked for by its GET
     vars.put(UwsgiRunner.OPERATION, operation.id());
     if (operation.backend() instanceof Backend.Uwsgi uwsgi) {
-      vars.put(UwsgiRunner.BACKEND, uwsgi.at().getHostString() + ":" + uwsgi.at().getPort());
+      vars.put(
+          UwsgiRunner.BACKEND, uwsgi.address().getHostString() + ":" + uwsgi.address().getPort());
     } else if (operation.backend() instanceof Backend.Fleet fleet) {
       vars.put(UwsgiRunner.SERVICE, fleet.service());
-      vars.put(UwsgiRunner.UNTIL, Long.toString(nowUs + operation.windowUs()));
+      vars.put(UwsgiRunner.UNTIL, Long.toString(nowUs + operation.idempotencyWindowUs()));
     }
     return vars;
   }
--- a/src/main/java/rosecleat/front/uwsgi/Routes.java
+++ b/src/main/java/rosecleat/front/uwsgi/Routes.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import rosecleat.config.BrokerConfig.Operation;
+import rosecleat.config.ServiceOperation;
 
 /** Finds the operation of a method and a path; literal segments go before templates. */
 final class Routes {
@@ -13,18 +13,18 @@
    * What was found: an operation with its path parameters, or the methods the path may be asked by,
    * or nothing.
    */
-  record Found(Operation operation, Map<String, String> parameters, String allow) {}
+  record Found(ServiceOperation operation, Map<String, String> parameters, String allow) {}
 
   private static final class Node {
     final Map<String, Node> literal = new LinkedHashMap<>();
     final Map<String, Node> template = new LinkedHashMap<>();
-    final Map<String, Operation> methods = new LinkedHashMap<>();
+    final Map<String, ServiceOperation> methods = new LinkedHashMap<>();
   }
 
   private final Node root = new Node();
 
-  Routes(List<Operation> operations) {
-    for (Operation operation : operations) {
+  Routes(List<ServiceOperation> operations) {
+    for (ServiceOperation operation : operations) {
       Node node = root;
       for (String segment : operation.path().substring(1).split("/", -1)) {
         boolean variable = segment.startsWith("{") && segment.endsWith("}");
@@ -74,7 +74,7 @@
     }
     if (at == segments.length) {
       allow(node, allowed);
-      Operation operation = node.methods.get(method);
+      ServiceOperation operation = node.methods.get(method);
       if (operation == null && method.equals("HEAD")) {
         operation = node.methods.get("GET"); // answered as that is, without the body
       }
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.Future;
 import rosecleat.config.Backend;
-import rosecleat.config.BrokerConfig.Operation;
+import rosecleat.config.ServiceOperation;
 import rosecleat.core.Core;
 import rosecleat.core.Request;
 import rosecleat.core.RunResult;
@@ -29,9 +29,9 @@
   }
 
   /** The examples in force. */
-  void use(List<Operation> operations) {
+  void use(List<ServiceOperation> operations) {
     Map<String, Backend.Sample> fresh = new HashMap<>();
-    for (Operation operation : operations) {
+    for (ServiceOperation operation : operations) {
       if (operation.backend() instanceof Backend.Sample sample) {
         fresh.put(operation.id(), sample);
       }
@@ -55,11 +55,11 @@
     runs.put(
         request.id(),
         loop.schedule(
-            sample.tookUs(),
+            sample.durationUs(),
             () -> {
               runs.remove(request.id());
               core.counters().add("sample.runs");
-              core.runEnded(request.id(), RunResult.OK, reply, sample.tookUs());
+              core.runEnded(request.id(), RunResult.OK, reply, sample.durationUs());
             }));
   }
 
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -10,7 +10,8 @@
 import java.util.function.LongSupplier;
 import rosecleat.config.Backend;
 import rosecleat.config.BrokerConfig;
-import rosecleat.config.BrokerConfig.Operation;
+import rosecleat.config.ServiceOperation;
+import rosecleat.config.UwsgiLimits;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Failure;
@@ -70,14 +71,14 @@
     if (listener != null) {
       return; // it stands, and the other front could not listen
     }
-    BrokerConfig.Limits limits = config.limits();
+    UwsgiLimits limits = config.limits();
     listener =
         new Listener(
             loop,
-            config.listen(),
-            config.connections(),
+            config.listenAddress(),
+            config.maxConnections(),
             new Connection.Limits(
-                8 << 10, 64 << 10, limits.replyBytes() + HEAD_ROOM, limits.stallUs()),
+                8 << 10, 64 << 10, limits.responseBytes() + HEAD_ROOM, limits.stallTimeoutUs()),
             this::adopt,
             true);
   }
@@ -135,7 +136,7 @@
     counters.add("uwsgi.connections");
     Caller caller = new Caller(connection);
     callers.add(caller);
-    caller.patience = loop.schedule(config.limits().readUs(), caller::slow);
+    caller.patience = loop.schedule(config.limits().requestTimeoutUs(), caller::slow);
     connection.start(caller);
   }
 
@@ -150,7 +151,7 @@
     private final long acceptedUs = clock.getAsLong();
     private Future<?> patience;
     private RequestHandle handle;
-    private Operation operation;
+    private ServiceOperation operation;
     private long dueUs;
     private boolean taken;
     private boolean answered;
@@ -281,8 +282,8 @@
           own == null
               ? result
               : own.body(); // the runtime's, or of a program that kept bodies alone
-      if (body.length > config.limits().replyBytes()
-          || replying + body.length > config.limits().repliesBytes()) {
+      if (body.length > config.limits().responseBytes()
+          || replying + body.length > config.limits().bufferedResponseBytes()) {
         counters.add("uwsgi.noroom");
         log.warn("no room for a reply of " + body.length + " bytes, " + replying + " wait");
         reply(HttpReply.words(502, progress(Progress.RAN), "no room for the reply"), PLAIN);
@@ -311,7 +312,8 @@
       patience.cancel(false);
       patience =
           loop.schedule(
-              config.limits().replyUs(), () -> connection.abort("the reply was not taken in time"));
+              config.limits().responseTimeoutUs(),
+              () -> connection.abort("the reply was not taken in time"));
     }
 
     private static Map<String, String> progress(Progress progress) {
--- a/src/main/java/rosecleat/node/FleetIntegration.java
+++ b/src/main/java/rosecleat/node/FleetIntegration.java
@@ -237,16 +237,16 @@
 
   private static Map<RouteEntry.Key, Instance> entries(RoutesFile file) {
     Map<RouteEntry.Key, Instance> all = new HashMap<>();
-    for (RoutesFile.Line line : file.instances()) {
+    for (RoutesFile.InstanceEntry line : file.instances()) {
       all.put(
           new RouteEntry.Key(line.service(), line.name()),
           new Instance(
-              line.at().getAddress().getHostAddress(),
-              line.at().getPort(),
+              line.address().getAddress().getHostAddress(),
+              line.address().getPort(),
               line.zone(),
               line.weight(),
-              Instance.State.valueOf(line.state().toUpperCase(Locale.ROOT)),
-              line.places()));
+              Instance.State.valueOf(line.state().name()),
+              line.capacity()));
     }
     return all;
   }
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -5,9 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalInt;
 import java.util.function.IntPredicate;
 import rosecleat.config.BrokerConfig;
-import rosecleat.config.SettingsReader;
+import rosecleat.config.NamedSettings;
 import rosecleat.core.CoreSettings;
 import rosecleat.core.NameIndex;
 import rosecleat.core.RequestClass;
@@ -36,7 +37,7 @@
   private final NameIndex<Term> classes = new NameIndex<>();
   private final NameIndex<TenantQuota> tenants = new NameIndex<>();
   private ProcessConfig setup;
-  private SettingsReader.Start start;
+  private NamedSettings start;
   private List<String> classKeys;
   private int places;
 
@@ -50,21 +51,21 @@
    */
   List<Integer> take(ProcessConfig fresh, IntPredicate usesClass, IntPredicate usesTenant) {
     setup = fresh;
-    start = fresh.broker() == null ? fresh.node().start() : fresh.broker().start();
+    start = fresh.broker() == null ? fresh.node().settings() : fresh.broker().settings();
     int own =
         fresh
             .node()
-            .start()
-            .classes()
+            .settings()
+            .classNames()
             .size(); // contracts add theirs behind; balancers can't name those
     List<Term> terms = new ArrayList<>();
     classKeys = new ArrayList<>();
-    for (int i = 0; i < start.classes().size(); i++) {
-      Term term = new Term(start.classes().get(i), i < own, start.settings().classes().get(i));
+    for (int i = 0; i < start.classNames().size(); i++) {
+      Term term = new Term(start.classNames().get(i), i < own, start.policy().classes().get(i));
       terms.add(term);
       classKeys.add(i < own ? term.name : "a contract's " + term);
     }
-    tenants.take(start.tenants(), start.settings().tenants(), usesTenant);
+    tenants.take(start.tenantNames(), start.policy().tenants(), usesTenant);
     return classes.take(classKeys, terms, usesClass);
   }
 
@@ -90,13 +91,16 @@
    * the places there.
    */
   private PolicySettings inRoom() {
-    int own = setup.broker() == null ? -1 : setup.broker().ownRoom();
-    return own < 0 ? start.settings() : start.settings().withCores(Math.max(1, own + places));
+    OptionalInt localCapacity =
+        setup.broker() == null ? OptionalInt.empty() : setup.broker().localCapacity();
+    return localCapacity.isEmpty()
+        ? start.policy()
+        : start.policy().withCores(Math.max(1, localCapacity.getAsInt() + places));
   }
 
   /** The names of the gauges, in the order they come. */
   List<String> gauges() {
-    return start.gauges();
+    return start.gaugeNames();
   }
 
   /** What the core works under. */
@@ -173,8 +177,8 @@
         ? null
         : setup
             .broker()
-            .renumbered(
+            .withIndexes(
                 classKeys.stream().map(classes::of).toList(),
-                start.tenants().stream().map(tenants::of).toList());
+                start.tenantNames().stream().map(tenants::of).toList());
   }
 }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -102,7 +102,7 @@
       handover =
           others == null ? TakeoverCoordinator.join(Optional.empty(), counters, log) : others;
       numbering = new IndexedSettings(new ProcessConfig(config, broker));
-      index = new IndexClient(loop, config.index(), clock, counters, log);
+      index = new IndexClient(loop, config.indexAddress(), clock, counters, log);
       decisions = new PolicyEngine(numbering.settings(), numbering.gauges(), config.seed());
       core = new Core(numbering.rules(), decisions, index, handover.claims(), clock, counters, log);
       shares = new LimitShares(handover, numbering, decisions, clock);
@@ -111,12 +111,14 @@
       }
       index.tell(core);
       runtime =
-          config.runtime() == null
+          config.runtimeAddress() == null
               ? null
-              : new RuntimeLink(loop, config.runtime(), core, clock, log);
+              : new RuntimeLink(loop, config.runtimeAddress(), core, clock, log);
       runner = runtime == null ? new NoRuntime(loop, core) : runtime;
-      roster = new RosterClient(loop, config.roster(), config.name(), counters, log);
-      resp = new RespFrontend(loop, config.listen(), 1, core, numbering.names(runner), clock, log);
+      roster = new RosterClient(loop, config.registryAddress(), config.name(), counters, log);
+      resp =
+          new RespFrontend(
+              loop, config.listenAddress(), 1, core, numbering.names(runner), clock, log);
       uwsgi =
           broker == null
               ? null
@@ -131,7 +133,7 @@
       if (!handover.predecessorIsAlive()) {
         listen();
         if (!listening) {
-          throw new IOException("can't listen at " + config.listen());
+          throw new IOException("can't listen at " + config.listenAddress());
         }
       }
     } catch (IOException | RuntimeException e) {
@@ -202,7 +204,7 @@
   long leave(Runnable done) {
     boolean handsOver = handover.successorIsAlive();
     long leftUs =
-        handsOver ? Math.min(core.maxTimeoutUs(), LONGEST_US) + KILLED_US : config.stopUs();
+        handsOver ? Math.min(core.maxTimeoutUs(), LONGEST_US) + KILLED_US : config.stopTimeoutUs();
     long noticeUs = MonotonicClock.systemTimeUs();
     loop.execute(
         () -> {
@@ -252,13 +254,13 @@
           counters.add("reloads");
           log.info(
               "reloaded: classes "
-                  + fresh.start().classes()
+                  + fresh.settings().classNames()
                   + ", runtime "
-                  + fresh.runtime()
+                  + fresh.runtimeAddress()
                   + ", index "
-                  + fresh.index()
+                  + fresh.indexAddress()
                   + ", roster "
-                  + fresh.roster());
+                  + fresh.registryAddress());
           List<Integer> renamed = numbering.take(setup, core::classInUse, core::tenantInUse);
           shares.retune(renamed, leaving != null);
           core.reconfigure(numbering.rules());
@@ -275,10 +277,10 @@
             sharing.use(setup.broker().routes());
           }
           if (runtime != null) {
-            runtime.moveTo(fresh.runtime());
+            runtime.moveTo(fresh.runtimeAddress());
           }
-          index.moveTo(fresh.index());
-          roster.moveTo(fresh.roster());
+          index.moveTo(fresh.indexAddress());
+          roster.moveTo(fresh.registryAddress());
         });
   }
 
@@ -384,11 +386,11 @@
   /** Shares the descriptors out between balancers' connections and those to the index. */
   private void makeRoom() {
     int others =
-        (config.mgmt() == null ? 0 : AdminServer.MAX_DESCRIPTORS)
-            + (uwsgi == null ? 0 : 2 * numbering.broker().connections());
+        (config.adminAddress() == null ? 0 : AdminServer.MAX_DESCRIPTORS)
+            + (uwsgi == null ? 0 : 2 * numbering.broker().maxConnections());
     DescriptorBudget places =
         DescriptorBudget.of(
-            config.sockets(), others, numbering.settings().concurrentCalls(), shared);
+            config.maxSockets(), others, numbering.settings().concurrentCalls(), shared);
     index.lines(places.index());
     resp.setMaxConnections(places.balancers());
   }
@@ -402,7 +404,7 @@
       log.info(
           config.name()
               + " listens "
-              + (config.listen() == null ? "" : "on " + config.listen() + " ")
+              + (config.listenAddress() == null ? "" : "on " + config.listenAddress() + " ")
               + (uwsgi == null ? "" : "for uwsgi at port " + uwsgi.port()));
     } catch (IOException e) {
       log.warn("can't listen yet: " + e.getMessage());
--- a/src/main/java/rosecleat/node/NodeProcess.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -77,12 +77,12 @@
             ? null
             : new FleetIntegration(setup.broker(), loop, counters, log);
     NodeOperations operators = new NodeOperations(handover, sharing);
-    if (config.mgmt() != null) { // open before the warm-up: operators may ask how far it is
-      new AdminServer(loop, config.mgmt(), operators, counters, log);
-      log.info("operators are heard at " + config.mgmt());
+    if (config.adminAddress() != null) { // open before the warm-up: operators may ask how far it is
+      new AdminServer(loop, config.adminAddress(), operators, counters, log);
+      log.info("operators are heard at " + config.adminAddress());
     }
     StatePersistence learning = StatePersistence.of(setup.broker(), log); // read during the warm-up
-    if (config.runtime() != null) {
+    if (config.runtimeAddress() != null) {
       JitWarmup.play(config);
     }
     Node node =
--- a/src/main/java/rosecleat/node/ProcessConfig.java
+++ b/src/main/java/rosecleat/node/ProcessConfig.java
@@ -13,21 +13,22 @@
 public record ProcessConfig(NodeConfig node, BrokerConfig broker) {
   /** Checks that this may take the place of another in a running process. */
   public void checkAfter(ProcessConfig before) {
-    node.checkAfter(before.node);
+    node.requireAdoptableAfter(before.node);
     if (broker != null
-        && (!broker.listen().equals(before.broker.listen())
-            || broker.connections() != before.broker.connections()
+        && (!broker.listenAddress().equals(before.broker.listenAddress())
+            || broker.maxConnections() != before.broker.maxConnections()
             || !broker.limits().equals(before.broker.limits()))) {
-      throw new ConfigException("where the second front listens and its limits need a restart");
+      throw ConfigException.restartRequired(
+          "where the second front listens and its limits need a restart");
     }
     if (broker != null
         && (!Objects.equals(broker.fleet(), before.broker.fleet())
             || (broker.routes() == null) != (before.broker.routes() == null))) {
-      throw new ConfigException(
+      throw ConfigException.restartRequired(
           "its part in the fleet, and whether it publishes routes, need a restart");
     }
     if (broker != null && !Objects.equals(folder(), before.folder())) {
-      throw new ConfigException("the folder of state needs a restart");
+      throw ConfigException.restartRequired("the folder of state needs a restart");
     }
   }
 
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -53,10 +53,10 @@
                 null,
                 null,
                 config.seed(),
-                config.stopUs(),
-                config.sockets(),
-                config.start(),
-                config.file()),
+                config.stopTimeoutUs(),
+                config.maxSockets(),
+                config.settings(),
+                config.source()),
             null,
             log)) {
       node.start();
@@ -107,7 +107,9 @@
 
   private void request(NodeConfig config, Connection connection, int i) {
     String tenant =
-        config.start().tenants().isEmpty() ? "" : ",tenant=" + config.start().tenants().get(0);
+        config.settings().tenantNames().isEmpty()
+            ? ""
+            : ",tenant=" + config.settings().tenantNames().get(0);
     String fields =
         "id="
             + Long.toHexString((1L << 60) + i)
@@ -116,7 +118,7 @@
             + ",from=1,wait=5000,kb=10.5,rank=0.5000,once=key"
             + i
             + tenant;
-    String klass = config.start().classes().get(i % config.start().classes().size());
+    String klass = config.settings().classNames().get(i % config.settings().classNames().size());
     StringBuilder text = new StringBuilder("*5\r\n");
     for (String word : new String[] {"DO", Integer.toString(i), klass, fields, "body"}) {
       text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
--- a/src/main/java/rosecleat/node/StatePersistence.java
+++ b/src/main/java/rosecleat/node/StatePersistence.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 import rosecleat.config.BrokerConfig;
+import rosecleat.config.StateConfig;
 import rosecleat.core.Counters;
 import rosecleat.facts.Fact;
 import rosecleat.facts.FactKind;
@@ -31,7 +32,7 @@
    */
   private static final double CALL_PART = 0.25;
 
-  private final BrokerConfig.State state;
+  private final StateConfig state;
   private final Opener opener;
   private final Log log;
   private IndexedSettings numbering;
@@ -39,7 +40,7 @@
   private SettingsDigests terms; // of the settings in force, worked out once
 
   /** Begins to open the folder; the node may stand later. */
-  StatePersistence(BrokerConfig.State state, Log log) {
+  StatePersistence(StateConfig state, Log log) {
     this.state = state;
     this.log = log;
     opener = new Opener(state.folder(), state.maxBytes(), log);
@@ -69,8 +70,8 @@
             log);
   }
 
-  private static Memory.Settings settings(BrokerConfig.State s) {
-    return new Memory.Settings(s.everyUs(), s.halfLifeUs());
+  private static Memory.Settings settings(StateConfig s) {
+    return new Memory.Settings(s.saveIntervalUs(), s.halfLifeUs());
   }
 
   Memory memory() {
@@ -78,7 +79,7 @@
   }
 
   /** Other settings, of the same folder; its size is taken at the next start. */
-  void use(BrokerConfig.State fresh) {
+  void use(StateConfig fresh) {
     terms = null;
     memory.use(settings(fresh));
   }
--- a/src/main/java/rosecleat/node/UwsgiFrontFactory.java
+++ b/src/main/java/rosecleat/node/UwsgiFrontFactory.java
@@ -32,7 +32,7 @@
         broker,
         core,
         runner,
-        new UwsgiRunner(loop, core, clock, broker.limits().replyBytes(), instances),
+        new UwsgiRunner(loop, core, clock, broker.limits().responseBytes(), instances),
         instances,
         clock,
         log,
--- a/src/main/java/rosecleat/simulator/Link.java
+++ b/src/main/java/rosecleat/simulator/Link.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import rosecleat.config.ConfigException;
+import rosecleat.config.NamedSettings;
 import rosecleat.config.SettingsReader;
 import rosecleat.policy.Outcome;
 import rosecleat.policy.Policy;
@@ -112,11 +113,11 @@
     int server = body.getShort(at + 2) & 0xffff;
     if (code == ENLIST) {
       String text = text(at + 12, tail, end);
-      SettingsReader.Start start = settings(text);
+      NamedSettings start = settings(text);
       try {
         PolicyEvents policy =
-            maker.make(start.settings(), body.getLong(at + 4), reply.actionsOf(server));
-        instances.put(server, new Instance(policy, start.gauges()));
+            maker.make(start.policy(), body.getLong(at + 4), reply.actionsOf(server));
+        instances.put(server, new Instance(policy, start.gaugeNames()));
         policy.start(now);
       } catch (RuntimeException e) {
         reply.internalError(server, describe(e));
@@ -140,7 +141,7 @@
     }
   }
 
-  private SettingsReader.Start settings(String text) {
+  private NamedSettings settings(String text) {
     try {
       return reader.read(text);
     } catch (ConfigException e) {
--- a/src/test/java/rosecleat/config/BrokerSchemaTest.java
+++ b/src/test/java/rosecleat/config/BrokerSchemaTest.java
@@ -20,8 +20,9 @@
 
   @TempDir Path folder;
 
-  private SettingsReader.Start start() {
-    return NodeConfig.fromEnvironment(Map.of("PROXY_CONFIG", "deploy/example.json")).start();
+  private NamedSettings start() {
+    return NodeConfigReader.fromEnvironment(Map.of("PROXY_CONFIG", "deploy/example.json"))
+        .settings();
   }
 
   private String refusal(String from, String to) throws IOException {
@@ -33,12 +34,13 @@
           descriptions.resolve(name), Files.readString(Path.of("deploy/descriptions", name)));
     }
     Path file = Files.writeString(folder.resolve("broker.yaml"), text.replace(from, to));
-    return assertThrows(ConfigException.class, () -> BrokerConfig.read(file, start())).getMessage();
+    return assertThrows(ConfigException.class, () -> BrokerConfigReader.read(file, start()))
+        .getMessage();
   }
 
   @Test
   void theSampleHolds() {
-    assertEquals(4, BrokerConfig.read(SAMPLE, start()).operations().size());
+    assertEquals(4, BrokerConfigReader.read(SAMPLE, start()).operations().size());
   }
 
   @Test
--- a/src/test/java/rosecleat/core/CoreTest.java
+++ b/src/test/java/rosecleat/core/CoreTest.java
@@ -116,7 +116,7 @@
             1_500_000,
             30_000_000,
             resultBytes),
-        new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
+        new PolicyEngine(config.settings().policy(), config.settings().gaugeNames(), 5),
         ledger,
         () -> now,
         new Counters(),
--- a/src/test/java/rosecleat/fakes/TestSite.java
+++ b/src/test/java/rosecleat/fakes/TestSite.java
@@ -2,6 +2,7 @@
 
 import java.util.Map;
 import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 
 /** A small site for tests: two tenants, a read, a read with a call below, and a keyed write. */
 public final class TestSite {
@@ -45,7 +46,7 @@
                 keyedCalls,
                 CORES,
                 graceMs * 1000);
-    return NodeConfig.parse(text, Map.of());
+    return NodeConfigReader.parse(text, Map.of());
   }
 
   private static String address(String name, int port) {
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -230,7 +230,7 @@
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
     return new Core(
         new CoreSettings(2, classes(), List.of("small"), 80_000, 1_500_000, idleUs, 1 << 20),
-        new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
+        new PolicyEngine(config.settings().policy(), config.settings().gaugeNames(), 5),
         NONE,
         now::get,
         new Counters(),
--- a/src/test/java/rosecleat/front/resp/RespModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespModelTest.java
@@ -112,7 +112,7 @@
                   1_500_000,
                   30_000_000,
                   1 << 20),
-              new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
+              new PolicyEngine(config.settings().policy(), config.settings().gaugeNames(), 5),
               new NoDownstream(),
               clock,
               new Counters(),
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -47,7 +47,7 @@
       Core core =
           new Core(
               new CoreSettings(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
-              new PolicyEngine(config.start().settings(), config.start().gauges(), 5),
+              new PolicyEngine(config.settings().policy(), config.settings().gaugeNames(), 5),
               NONE,
               clock,
               counters,
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -170,7 +170,7 @@
           Files.writeString(
               work.resolve("config.json"),
               TestSite.config(runtime.port(), 0, 0, 2_000, 500)
-                  .file()
+                  .source()
                   .toString()
                   .replace("127.0.0.1:0", "127.0.0.1:" + port));
       Path broker =
--- a/src/test/java/rosecleat/measure/StoreSpeed.java
+++ b/src/test/java/rosecleat/measure/StoreSpeed.java
@@ -18,6 +18,7 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.core.Counters;
 import rosecleat.facts.SettingsDigests;
 import rosecleat.fakes.TestSite;
@@ -185,13 +186,13 @@
           .append("\",\"quota-per-s\":5}");
     }
     NodeConfig config =
-        NodeConfig.parse(
+        NodeConfigReader.parse(
             TestSite.config(1, 0, 0, 2_000, 500)
-                .file()
+                .source()
                 .toString()
                 .replaceAll("\"parties\":\\[.*?]", "\"parties\":[" + parties + "]"),
             Map.of());
-    PolicyEngine decisions = new PolicyEngine(config.start().settings(), List.of(), 1);
+    PolicyEngine decisions = new PolicyEngine(config.settings().policy(), List.of(), 1);
     long[] now = {System.currentTimeMillis() * 1000};
     decisions.start(now[0], false);
     SettingsDigests terms =
@@ -206,7 +207,7 @@
             opener,
             new Memory.Node(
                 () -> terms,
-                () -> new ClassAndTenantNames(config.start().classes(), names),
+                () -> new ClassAndTenantNames(config.settings().classNames(), names),
                 decisions,
                 () -> now[0],
                 loop::add),
--- a/src/test/java/rosecleat/node/ConfigReloaderTest.java
+++ b/src/test/java/rosecleat/node/ConfigReloaderTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.log.Log;
 
 /** SIGHUP, as a process gets it: the virtual machine that runs this test would end on it. */
@@ -29,7 +29,7 @@
       reload.install();
       hangUp();
       reload.tell(taken::add); // the signal that came before is made up for, or comes now
-      assertEquals(4400, taken.poll(10, TimeUnit.SECONDS).node().runtime().getPort());
+      assertEquals(4400, taken.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
       for (String bad :
           List.of(
               "",
@@ -56,12 +56,12 @@
       assertTrue(taken.isEmpty(), "a configuration that can't be used was taken");
       Files.writeString(file, good.replace("4400", "4401"));
       hangUp();
-      assertEquals(4401, taken.poll(10, TimeUnit.SECONDS).node().runtime().getPort());
+      assertEquals(4401, taken.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
     }
   }
 
   private static ProcessConfig read(Map<String, String> env) {
-    return new ProcessConfig(NodeConfig.fromEnvironment(env), null);
+    return new ProcessConfig(NodeConfigReader.fromEnvironment(env), null);
   }
 
   private static void hangUp() throws Exception {
--- a/src/test/java/rosecleat/node/DescriptorsTest.java
+++ b/src/test/java/rosecleat/node/DescriptorsTest.java
@@ -44,7 +44,7 @@
     Files.writeString(
         config,
         TestSite.config(runtime, index, roster, 2_000, 500)
-            .file()
+            .source()
             .toString()
             .replace("127.0.0.1:0\"", "127.0.0.1:" + listen + "\"")
             .replace("\"sockets\":1024", "\"sockets\":" + descriptors));
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Request;
@@ -223,12 +224,14 @@
     send("card-load", "k");
     await(() -> runtime.starts.size() == 1);
     String file =
-        TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500).file().toString();
+        TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500)
+            .source()
+            .toString();
     for (int round = 1;
         round <= 30;
         round++) { // many reloads, each with another name for two classes
       NodeConfig fresh =
-          NodeConfig.parse(
+          NodeConfigReader.parse(
               file.replace("card-load", "load-" + round)
                   .replace("balance-check", "check-" + round)
                   .replace("\"name\":\"big\"", "\"name\":\"big-" + round + "\""),
@@ -246,7 +249,7 @@
     assertTrue(
         runtime.starts.get(runtime.starts.size() - 1).contains("load-30"),
         runtime.starts.toString());
-    node.reload(new ProcessConfig(NodeConfig.parse(file, Map.of()), null));
+    node.reload(new ProcessConfig(NodeConfigReader.parse(file, Map.of()), null));
     send("card-load", "k");
     client.send(
         RespClient.array(
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -27,6 +27,7 @@
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.ConfigException;
 import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.fakes.FakeRuntime;
@@ -173,13 +174,14 @@
   void otherSettingsDropWhatWasLearntUnderTheOld() throws Exception {
     before();
     String other =
-        config().file().toString().replace("\"deadline-us\":1200000", "\"deadline-us\":1300000");
-    node = start(NodeConfig.parse(other, Map.of()), null);
+        config().source().toString().replace("\"deadline-us\":1200000", "\"deadline-us\":1300000");
+    node = start(NodeConfigReader.parse(other, Map.of()), null);
     await(() -> count(node, "state.dropped.other_terms") > 0);
     node.close();
     node =
         start(
-            NodeConfig.parse(config().file().toString().replace("\"t1\"", "\"t2\""), Map.of()),
+            NodeConfigReader.parse(
+                config().source().toString().replace("\"t1\"", "\"t2\""), Map.of()),
             null);
     await(() -> count(node, "state.dropped.other_node") > 0);
     assertEquals(0, count(node, "state.taken"));
@@ -267,10 +269,10 @@
     try {
       String same =
           TestSite.config(second.port(), 0, 0, 2_000, 500)
-              .file()
+              .source()
               .toString()
               .replace("127.0.0.1:0", "127.0.0.1:" + older.port());
-      Node newer = start(NodeConfig.parse(same, Map.of()), shared);
+      Node newer = start(NodeConfigReader.parse(same, Map.of()), shared);
       node = newer;
       await(() -> count(newer, "state.taken") >= 3);
       assertEquals(0, count(newer, "state.opened"), "the older one writes");
--- a/src/test/java/rosecleat/node/NodeHarness.java
+++ b/src/test/java/rosecleat/node/NodeHarness.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import rosecleat.config.BrokerConfig;
+import rosecleat.config.BrokerConfigReader;
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Core;
 import rosecleat.fakes.FakeRuntime;
@@ -87,7 +88,7 @@
     Files.writeString(folder.resolve("cards.yaml"), CARDS);
     Files.writeString(folder.resolve("loads.yaml"), LOADS);
     Files.writeString(folder.resolve("broker.yaml"), BROKER.formatted(0, backend) + more);
-    return BrokerConfig.read(folder.resolve("broker.yaml"), config.start());
+    return BrokerConfigReader.read(folder.resolve("broker.yaml"), config.settings());
   }
 
   /** Asks the core something on its own thread. */
--- a/src/test/java/rosecleat/node/SizesTest.java
+++ b/src/test/java/rosecleat/node/SizesTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.fakes.FakeIndex;
 import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
@@ -37,7 +38,7 @@
       throws Exception {
     ObjectNode root =
         (ObjectNode)
-            JSON.readTree(TestSite.config(runtime, index, 0, 2_000, 500).file().toString());
+            JSON.readTree(TestSite.config(runtime, index, 0, 2_000, 500).source().toString());
     ((ObjectNode) root.path("limits")).put("sockets", sockets);
     ObjectNode settings = (ObjectNode) root.path("settings");
     settings.put("servers", servers).remove("zones");
@@ -62,7 +63,7 @@
     for (int i = 0; i < tenants; i++) {
       parties.addObject().put("name", "tenant-" + i).put("quota-per-s", 1);
     }
-    return NodeConfig.parse(root.toString(), Map.of());
+    return NodeConfigReader.parse(root.toString(), Map.of());
   }
 
   private static String name(int klass) {
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.fakes.FakeRegistry;
@@ -47,13 +47,13 @@
   private Node node(FakeRuntime runtime, int port) throws IOException {
     String file =
         TestSite.config(runtime.port(), 0, roster.port(), 2_000, 500)
-            .file()
+            .source()
             .toString()
             .replace("127.0.0.1:0", "127.0.0.1:" + port);
     Counters counters = new Counters();
     Node node =
         new Node(
-            NodeConfig.parse(file, Map.of()),
+            NodeConfigReader.parse(file, Map.of()),
             null,
             new EventLoop(log),
             TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log),
@@ -211,7 +211,7 @@
   @Test
   void bothTogetherKeepToTheLimitsOfOne() throws Exception {
     startNewer();
-    PolicySettings whole = TestSite.config(0, 0, 0, 2_000, 500).start().settings();
+    PolicySettings whole = TestSite.config(0, 0, 0, 2_000, 500).settings().policy();
     try (RespClient a = clientOf(older);
         RespClient b = clientOf(newer)) {
       for (int tag = 2; tag < 26; tag++) {
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.config.BrokerConfig;
+import rosecleat.config.BrokerConfigReader;
 import rosecleat.config.NodeConfig;
+import rosecleat.config.NodeConfigReader;
 import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.FakeUwsgiService.Mood;
 import rosecleat.fakes.RespClient;
@@ -76,14 +77,15 @@
     assertEquals(200, get("/files/a").status());
     String file =
         TestSite.config(rig.runtime.port(), 0, 0, 3_000, 1_500)
-            .file()
+            .source()
             .toString()
             .replace("card-refresh", "card-status")
             .replace("{\"name\":\"big\"", "{\"name\":\"new\",\"quota-per-s\":5},{\"name\":\"big\"");
-    NodeConfig fresh = NodeConfig.parse(file, Map.of());
-    assertEquals(3, fresh.start().tenants().size());
+    NodeConfig fresh = NodeConfigReader.parse(file, Map.of());
+    assertEquals(3, fresh.settings().tenantNames().size());
     rig.node.reload(
-        new ProcessConfig(fresh, BrokerConfig.read(folder.resolve("broker.yaml"), fresh.start())));
+        new ProcessConfig(
+            fresh, BrokerConfigReader.read(folder.resolve("broker.yaml"), fresh.settings())));
     assertEquals(200, get("/cards/77/balance").status());
     assertEquals(200, get("/files/a").status());
     assertEquals(200, load("after", "x").status());
