--- a/src/main/java/rosecleat/admin/AdminServer.java
+++ b/src/main/java/rosecleat/admin/AdminServer.java
@@ -7,6 +7,9 @@
 import rosecleat.core.Failure;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionLimits;
+import rosecleat.net.ConnectionUsage;
 import rosecleat.net.EventLoop;
 import rosecleat.net.Listener;
 
@@ -34,8 +37,8 @@
 
   private static final long WRITE_STALL_TIMEOUT_US = 5_000_000;
 
-  private static final Connection.Limits LIMITS =
-      new Connection.Limits(
+  private static final ConnectionLimits LIMITS =
+      new ConnectionLimits(
           READ_BUFFER_BYTES, PAUSE_READING_ABOVE_BYTES, WRITE_QUEUE_BYTES, WRITE_STALL_TIMEOUT_US);
 
   private final EventLoop loop;
@@ -76,7 +79,7 @@
   }
 
   /** One connection with its one request. */
-  private final class ClientConnection implements Connection.Owner {
+  private final class ClientConnection implements ConnectionHandler {
     private final Connection connection;
     private final HttpRequestParser parser = new HttpRequestParser();
     private boolean responded;
@@ -94,8 +97,8 @@
 
     /** An incomplete request can be repeated, so its connection may be closed for another one. */
     @Override
-    public Connection.Use use() {
-      return parser.hasInput() ? Connection.Use.IDLE : Connection.Use.SILENT;
+    public ConnectionUsage usage() {
+      return parser.hasInput() ? ConnectionUsage.IDLE : ConnectionUsage.UNUSED;
     }
 
     /** Ignores whatever follows the first request. */
@@ -123,8 +126,8 @@
     }
 
     @Override
-    public void closed(Failure failure, boolean atEnd) {
-      listener.released(connection);
+    public void closed(Failure failure, boolean endOfStream) {
+      listener.connectionClosed(connection);
     }
   }
 }
--- a/src/main/java/rosecleat/front/resp/RespConnection.java
+++ b/src/main/java/rosecleat/front/resp/RespConnection.java
@@ -15,6 +15,8 @@
 import rosecleat.core.Response;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionUsage;
 import rosecleat.net.TextSyntax;
 
 /**
@@ -24,7 +26,7 @@
  * <p>A client that sends invalid messages is first asked to close the connection, then no longer
  * read. A connection that is closed here is closed gracefully: what was read before is answered.
  */
-final class RespConnection implements Connection.Owner {
+final class RespConnection implements ConnectionHandler {
   private static final int MAX_STRING_BYTES = 4 << 10;
   private static final int MAX_IN_FLIGHT = 32;
   private static final int COMMAND_INDEX = 0;
@@ -131,7 +133,7 @@
    */
   void checkTimeouts(long nowUs, long idleTimeoutUs, boolean draining) {
     boolean idle =
-        use() != Connection.Use.BUSY
+        usage() != ConnectionUsage.BUSY
             && !usedForHealthChecks
             && nowUs - lastActivityUs > idleTimeoutUs;
     if (draining || idle) {
@@ -174,22 +176,22 @@
 
   /** An incomplete message counts: its client may be about to send the rest. */
   @Override
-  public boolean owed() {
+  public boolean hasPendingResponses() {
     return !inFlight.isEmpty()
         || (parser.isMidMessage() && !readingStopped && !partialMessageAbandoned);
   }
 
   @Override
-  public Connection.Use use() {
+  public ConnectionUsage usage() {
     if (!inFlight.isEmpty() || parser.isMidMessage()) {
-      return Connection.Use.BUSY;
+      return ConnectionUsage.BUSY;
     }
-    return messageReceived ? Connection.Use.IDLE : Connection.Use.SILENT;
+    return messageReceived ? ConnectionUsage.IDLE : ConnectionUsage.UNUSED;
   }
 
   /** Cancels what is in flight, since nobody is left to receive the responses. */
   @Override
-  public void closed(Failure failure, boolean atEnd) {
+  public void closed(Failure failure, boolean endOfStream) {
     onClosed.accept(this);
     for (RequestHandle handle : new ArrayList<>(inFlight.values())) {
       handle.cancel();
--- a/src/main/java/rosecleat/front/resp/RespFrontend.java
+++ b/src/main/java/rosecleat/front/resp/RespFrontend.java
@@ -9,6 +9,7 @@
 import rosecleat.core.Core;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
 import rosecleat.net.Listener;
 
@@ -73,7 +74,7 @@
    */
   public void listen() throws IOException {
     if (listener == null && address != null) {
-      Connection.Limits limits = connectionLimits(Runtime.getRuntime().maxMemory(), maxConnections);
+      ConnectionLimits limits = connectionLimits(Runtime.getRuntime().maxMemory(), maxConnections);
       listener = new Listener(loop, address, maxConnections, limits, this::accept, true);
     }
   }
@@ -82,11 +83,11 @@
    * Returns the limits of each connection. The read buffers shrink with the number of connections,
    * since those of a node with many descriptors could otherwise fill a small heap.
    */
-  static Connection.Limits connectionLimits(long heapBytes, int maxConnections) {
+  static ConnectionLimits connectionLimits(long heapBytes, int maxConnections) {
     long perConnection = heapBytes / READ_BUFFERS_HEAP_DIVISOR / Math.max(1, maxConnections);
     long readBufferBytes =
         Math.max(MIN_READ_BUFFER_BYTES, Math.min(MAX_READ_BUFFER_BYTES, perConnection));
-    return new Connection.Limits(
+    return new ConnectionLimits(
         (int) readBufferBytes,
         PAUSE_READING_ABOVE_BYTES,
         WRITE_QUEUE_BYTES,
@@ -97,7 +98,7 @@
   public void setMaxConnections(int newMaxConnections) {
     maxConnections = newMaxConnections;
     if (listener != null) {
-      listener.places(newMaxConnections);
+      listener.setMaxConnections(newMaxConnections);
     }
   }
 
@@ -128,7 +129,7 @@
    * @return whether it no longer listens
    */
   public boolean closeListenerWhenQuiet(long quietUs) {
-    return listener == null || listener.closeWhenQuiet(quietUs);
+    return listener == null || listener.closeAfterQuietPeriod(quietUs);
   }
 
   /**
@@ -137,7 +138,7 @@
    * @return whether it no longer listens
    */
   public boolean closeListenerWhenEmpty() {
-    return listener == null || listener.closeWhenEmpty();
+    return listener == null || listener.closeWhenBacklogEmpty();
   }
 
   /** Closes every connection once its requests are answered; incomplete messages are dropped. */
@@ -169,6 +170,6 @@
 
   private void connectionClosed(RespConnection closed) {
     connections.remove(closed);
-    listener.released(closed.connection());
+    listener.connectionClosed(closed.connection());
   }
 }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -21,6 +21,9 @@
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionLimits;
+import rosecleat.net.ConnectionUsage;
 import rosecleat.net.EventLoop;
 import rosecleat.net.Listener;
 
@@ -77,7 +80,7 @@
             loop,
             config.listenAddress(),
             config.maxConnections(),
-            new Connection.Limits(
+            new ConnectionLimits(
                 8 << 10, 64 << 10, limits.responseBytes() + HEAD_ROOM, limits.stallTimeoutUs()),
             this::adopt,
             true);
@@ -85,7 +88,7 @@
 
   /** Accepts what waits, and then nothing more; true when none can come any more. */
   public boolean closeListenerWhenEmpty() {
-    return listener == null || listener.closeWhenEmpty();
+    return listener == null || listener.closeWhenBacklogEmpty();
   }
 
   /** Requests read from now on go by these contracts and budgets; where it listens stays. */
@@ -114,7 +117,7 @@
    * none can come.
    */
   public boolean closeListenerWhenQuiet(long quietUs) {
-    return listener == null || listener.closeWhenQuiet(quietUs);
+    return listener == null || listener.closeAfterQuietPeriod(quietUs);
   }
 
   /** Closes the connections on which nothing of a request has come for so long. */
@@ -144,7 +147,7 @@
    * One caller with its one request. Its patience ends what takes too long: the request, then the
    * reply.
    */
-  private final class Caller implements Connection.Owner {
+  private final class Caller implements ConnectionHandler {
     private final Connection connection;
     private final UwsgiParser parser =
         new UwsgiParser(config.limits().packetBytes(), config.limits().bodyBytes());
@@ -208,21 +211,21 @@
     }
 
     @Override
-    public Connection.Use use() {
-      return parser.begun() || taken ? Connection.Use.BUSY : Connection.Use.SILENT;
+    public ConnectionUsage usage() {
+      return parser.begun() || taken ? ConnectionUsage.BUSY : ConnectionUsage.UNUSED;
     }
 
     @Override
-    public boolean owed() {
+    public boolean hasPendingResponses() {
       return taken && !answered;
     }
 
     @Override
-    public void closed(Failure failure, boolean atEnd) {
+    public void closed(Failure failure, boolean endOfStream) {
       callers.remove(this);
       patience.cancel(false);
       replying -= booked;
-      listener.released(connection);
+      listener.connectionClosed(connection);
       if (failure.progress() != Progress.SENT) {
         counters.add("uwsgi.cut"); // with part of its reply still here
       }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -14,7 +14,10 @@
 import rosecleat.core.Request;
 import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
+import rosecleat.net.ConnectHandler;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
 
 /**
@@ -70,14 +73,14 @@
     Run run = new Run(request);
     runs.put(request.id(), run);
     run.timer = loop.schedule(dueUs + LATE_US - run.startedUs, run::late);
-    Connection.Limits limits =
-        new Connection.Limits(8 << 10, 64 << 10, HEAD_ROOM + request.body().length, 5_000_000);
+    ConnectionLimits limits =
+        new ConnectionLimits(8 << 10, 64 << 10, HEAD_ROOM + request.body().length, 5_000_000);
     InetSocketAddress at = run.place();
     if (at == null) { // told like any other end, not inside the order
       loop.execute(() -> run.end(RunResult.UNREACHABLE, null));
       return;
     }
-    Connection.dial(loop, at, DIAL_US, limits, run);
+    Connection.connect(loop, at, DIAL_US, limits, run);
   }
 
   @Override
@@ -97,7 +100,7 @@
   public void skipCall(String id, long notice) {}
 
   /** One run on one connection. */
-  private final class Run implements Connection.ConnectHandler, Connection.Owner {
+  private final class Run implements ConnectHandler, ConnectionHandler {
     private final Request request;
     private final long startedUs = clock.getAsLong();
     private final HttpParser parser = new HttpParser(replyBytes);
@@ -186,8 +189,8 @@
 
     /** A connection that breaks after the request was sent proves nothing of the run. */
     @Override
-    public void closed(Failure failure, boolean atEnd) {
-      if (atEnd && parser.whole(true)) {
+    public void closed(Failure failure, boolean endOfStream) {
+      if (endOfStream && parser.whole(true)) {
         finished();
       } else {
         end(RunResult.INTERRUPTED, null);
--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -13,7 +13,9 @@
 import rosecleat.core.DownstreamClient;
 import rosecleat.core.Failure;
 import rosecleat.log.Log;
+import rosecleat.net.ConnectHandler;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
 
 /**
@@ -195,12 +197,12 @@
     while (address != null && dialling < waiting.size() && lines + dialling < most) {
       dialling++;
       InetSocketAddress to = address;
-      Connection.dial(
+      Connection.connect(
           loop,
           to,
           DIAL_US,
-          Connection.Limits.SMALL,
-          new Connection.ConnectHandler() {
+          ConnectionLimits.SMALL,
+          new ConnectHandler() {
             @Override
             public void connected(Connection fresh) {
               dialling--;
--- a/src/main/java/rosecleat/index/Line.java
+++ b/src/main/java/rosecleat/index/Line.java
@@ -8,11 +8,12 @@
 import rosecleat.core.CallResult;
 import rosecleat.core.Failure;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
 
 /**
  * One connection to the index, with one call on it at a time: what spoils it costs no other call.
  */
-final class Line implements Connection.Owner {
+final class Line implements ConnectionHandler {
   /** What becomes of a line; told on the loop. */
   interface Keeper {
     /** The call ended with its reply. The line can take another one, unless it is {@link #over}. */
@@ -129,7 +130,7 @@
   }
 
   @Override
-  public void closed(Failure failure, boolean atEnd) {
+  public void closed(Failure failure, boolean endOfStream) {
     end(CallResult.INTERRUPTED, failure.message());
   }
 
--- a/src/main/java/rosecleat/net/EventLoop.java
+++ b/src/main/java/rosecleat/net/EventLoop.java
@@ -18,47 +18,54 @@
   private final AsynchronousChannelGroup group;
   private final Log log;
 
-  /** A loop with its thread and its channel group. */
+  /**
+   * Starts a loop with its thread and its channel group.
+   *
+   * @throws IOException where the channel group can't be opened
+   */
   public EventLoop(Log log) throws IOException {
     this.log = log;
-    executor = new ScheduledThreadPoolExecutor(1, r -> daemon(r, "loop"));
+    executor = new ScheduledThreadPoolExecutor(1, task -> daemonThread(task, "loop"));
     executor.setRemoveOnCancelPolicy(true);
     executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-    group = AsynchronousChannelGroup.withFixedThreadPool(1, r -> daemon(r, "io"));
+    group = AsynchronousChannelGroup.withFixedThreadPool(1, task -> daemonThread(task, "io"));
   }
 
-  private static Thread daemon(Runnable task, String name) {
+  private static Thread daemonThread(Runnable task, String name) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     return thread;
   }
 
-  /** The group that this loop's channels belong to. */
+  /** Returns the group to which this loop's channels belong. */
   AsynchronousChannelGroup group() {
     return group;
   }
 
-  /** Where the loop's owners report to. */
+  /** Returns the log for connections and listeners of this loop. */
   Log log() {
     return log;
   }
 
-  /** Runs a task on the loop, after those already posted. */
+  /**
+   * Runs a task on the loop, after those already posted. Safe on any thread; dropped once the loop
+   * is closed, as every connection the task could be about is closed then.
+   */
   public void execute(Runnable task) {
     try {
-      executor.execute(() -> guarded(task));
+      executor.execute(() -> runGuarded(task));
     } catch (RejectedExecutionException e) {
-      return; // the loop has closed, and with it every connection the task could be about
+      return; // the loop is closed
     }
   }
 
-  /** Runs a task on the loop after some time; cancel the future to call it off. */
+  /** Runs a task on the loop after a delay in microseconds; cancel the future to call it off. */
   public Future<?> schedule(long delayUs, Runnable task) {
-    return executor.schedule(() -> guarded(task), Math.max(0, delayUs), TimeUnit.MICROSECONDS);
+    return executor.schedule(() -> runGuarded(task), Math.max(0, delayUs), TimeUnit.MICROSECONDS);
   }
 
   /** Guards the loop: whatever a task throws ends that task alone. */
-  private void guarded(Runnable task) {
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
--- a/src/main/java/rosecleat/net/Listener.java
+++ b/src/main/java/rosecleat/net/Listener.java
@@ -5,12 +5,7 @@
 import java.net.StandardSocketOptions;
 import java.nio.channels.AsynchronousServerSocketChannel;
 import java.nio.channels.AsynchronousSocketChannel;
-import java.nio.channels.CompletionHandler;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Future;
@@ -18,83 +13,86 @@
 import rosecleat.log.Log;
 
 /**
- * A listening socket whose accept is always re-armed: at once after a success, a little later after
- * a failure.
+ * A listening socket that accepts connections up to a maximum. A failed accept is retried after a
+ * short delay and never ends the listening. At the maximum, connections that carry nothing are
+ * closed to make room, and the rest wait unaccepted in the system's backlog.
+ *
+ * <p>Everything but the bare completion handler runs on the loop.
  */
 public final class Listener {
   private static final int BACKLOG = 1024;
-  private static final long RETRY_US = 20_000;
+  private static final long ACCEPT_RETRY_DELAY_US = 20_000;
 
-  /** A call to accept that has stood for so long found nothing waiting. */
-  private static final long ARMED_NS = 5_000_000;
+  /** How often eviction is retried while the maximum is reached (us). */
+  private static final long EVICTION_RETRY_DELAY_US = 20_000;
 
-  /** So often it is looked again for a place, while none can be had (us). */
-  private static final long ROOM_US = 20_000;
-
-  /**
-   * Of all places, one in so many may be made free at once, where they are taken again as fast as
-   * they come free.
-   */
-  private static final int MOST_PART = 4;
-
-  /** Places that were needed so long ago say nothing of how many are needed now. */
-  private static final long NEED_NS = 1_000_000_000;
+  /** An accept that has been pending for so long found the backlog empty (ns). */
+  private static final long BACKLOG_EMPTY_AFTER_NS = 5_000_000;
 
   private final EventLoop loop;
   private final AsynchronousServerSocketChannel server;
-  private final Connection.Limits limits;
-  private final Consumer<Connection> taker;
+  private final ConnectionLimits limits;
+  private final Consumer<Connection> acceptHandler;
   private final Log log;
-  private int most;
+  private final IdleConnectionEvictor evictor = new IdleConnectionEvictor();
   private final Set<Connection> open = new LinkedHashSet<>();
-  private boolean waiting;
-  private boolean lookingForRoom;
-  private int needed = 1;
-  private long neededNs = System.nanoTime() - NEED_NS;
-  private boolean ending;
+  private int maxConnections;
+  private boolean pausedAtMaximum;
+  private boolean evictionScheduled;
+  private boolean closing;
   private boolean closed;
-  private volatile boolean come;
-  private long armedNs;
-  private long lastNs = System.nanoTime();
+
+  /** Set on the thread of the channels when an accept completes, until the loop has handled it. */
+  private volatile boolean acceptCompleted;
+
+  private long acceptStartedNs;
+  private long lastAcceptedNs = System.nanoTime();
 
   /**
-   * Listens at an address; each connection is handed over on the loop. At {@code most} open it
-   * makes room by closing what is of no use, and accepts no more where nothing is.
+   * Listens at an address.
+   *
+   * @param maxConnections the most connections that are open at a time
+   * @param acceptHandler is given each connection, on the loop, and must start it; it reports the
+   *     end of each to {@link #connectionClosed}
+   * @throws IOException where the address can't be bound
    */
   public Listener(
       EventLoop loop,
-      InetSocketAddress at,
-      int most,
-      Connection.Limits limits,
-      Consumer<Connection> taker)
+      InetSocketAddress address,
+      int maxConnections,
+      ConnectionLimits limits,
+      Consumer<Connection> acceptHandler)
       throws IOException {
-    this(loop, at, most, limits, taker, false);
+    this(loop, address, maxConnections, limits, acceptHandler, false);
   }
 
   /**
-   * The same; where {@code shared}, another process may listen at the address too, and takes some
-   * of what comes.
+   * Listens at an address that several processes may share.
+   *
+   * @param reusePort whether another process may listen at the address too, and accept some of the
+   *     connections
+   * @throws IOException where the address can't be bound
    */
   public Listener(
       EventLoop loop,
-      InetSocketAddress at,
-      int most,
-      Connection.Limits limits,
-      Consumer<Connection> taker,
-      boolean shared)
+      InetSocketAddress address,
+      int maxConnections,
+      ConnectionLimits limits,
+      Consumer<Connection> acceptHandler,
+      boolean reusePort)
       throws IOException {
     this.loop = loop;
     this.limits = limits;
-    this.taker = taker;
-    this.most = most;
+    this.acceptHandler = acceptHandler;
+    this.maxConnections = maxConnections;
     log = loop.log();
     server = AsynchronousServerSocketChannel.open(loop.group());
     try {
       server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      if (shared) {
+      if (reusePort) {
         server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
       }
-      server.bind(at, BACKLOG);
+      server.bind(address, BACKLOG);
     } catch (IOException | RuntimeException e) {
       Connection.closeQuietly(server);
       throw e;
@@ -102,7 +100,7 @@
     loop.execute(this::accept);
   }
 
-  /** The port it listens on. */
+  /** Returns the local port, -1 once the listener is closed. */
   public int port() {
     try {
       return ((InetSocketAddress) server.getLocalAddress()).getPort();
@@ -111,209 +109,170 @@
     }
   }
 
-  /** A connection taken here has ended: its place is free again. */
-  public void released(Connection ended) {
-    open.remove(ended);
-    resume();
+  /** Frees the place of a connection accepted here that has ended. */
+  public void connectionClosed(Connection connection) {
+    open.remove(connection);
+    resumeBelowMaximum();
   }
 
-  /** As many connections may be open from now on; those over it that are of use stay. */
-  public void places(int fresh) {
-    most = fresh;
-    resume();
+  /** Sets the most connections open at a time; those in use beyond a lower maximum stay. */
+  public void setMaxConnections(int newMaximum) {
+    maxConnections = newMaximum;
+    resumeBelowMaximum();
   }
 
-  private void resume() {
-    if (waiting && open.size() < most) {
-      waiting = false;
+  private void resumeBelowMaximum() {
+    if (pausedAtMaximum && open.size() < maxConnections) {
+      pausedAtMaximum = false;
       accept();
     }
   }
 
   /**
-   * Goes on accepting until nothing waits unaccepted, and closes at that instant: what waits at a
-   * socket that closes is reset, while others that listen at its address take all that comes later.
-   * True once it is closed.
+   * Goes on accepting until the backlog is empty, and closes at that instant: connections in the
+   * backlog of a socket that closes are reset, while later ones go to others that listen at the
+   * address. To be called again until it returns true.
+   *
+   * @return whether the listener is closed
    */
-  public boolean closeWhenEmpty() {
-    ending = true;
-    if (!closed && !waiting && !come && System.nanoTime() - armedNs > ARMED_NS) {
-      shut(); // a call to accept that has stood for a while: nothing waits
+  public boolean closeWhenBacklogEmpty() {
+    closing = true;
+    if (!closed
+        && !pausedAtMaximum
+        && !acceptCompleted
+        && System.nanoTime() - acceptStartedNs > BACKLOG_EMPTY_AFTER_NS) {
+      close();
     }
     return closed;
   }
 
-  private void shut() {
-    closed = true;
-    Connection.closeQuietly(server);
-  }
-
   /**
-   * The same, begun only once no connection has come for so long. Guards connections that the
-   * system has accepted and this program has not taken yet: closing the socket would reset them,
-   * with what they bring.
+   * Does the same as {@link #closeWhenBacklogEmpty}, begun once no connection has come for {@code
+   * quietUs} microseconds: closing would reset connections that the system has accepted and this
+   * process has not, with what they bring.
+   *
+   * @return whether the listener is closed
    */
-  public boolean closeWhenQuiet(long quietUs) {
-    return (closed || ending || (System.nanoTime() - lastNs) / 1_000 >= quietUs)
-        && closeWhenEmpty();
+  public boolean closeAfterQuietPeriod(long quietUs) {
+    return (closed || closing || (System.nanoTime() - lastAcceptedNs) / 1_000 >= quietUs)
+        && closeWhenBacklogEmpty();
+  }
+
+  private void close() {
+    closed = true;
+    Connection.closeQuietly(server);
   }
 
   private void accept() {
     if (closed) {
       return;
     }
-    if (open.size() >= most) { // guards the limit on descriptors: the rest wait unaccepted
-      waiting = true;
-      long now = System.nanoTime();
-      needed = now - neededNs < NEED_NS ? Math.min(1 + most / MOST_PART, 2 * needed) : 1;
-      neededNs = now;
-      if (!makeRoom()) {
-        log.warn(open.size() + " connections are open and in use, no more are accepted");
-      }
-      lookAgain();
-      return;
+    if (open.size() >= maxConnections) {
+      pauseAtMaximum();
+    } else if (closing) {
+      acceptBacklogAndClose();
+    } else {
+      acceptNext();
     }
-    if (ending) {
-      acceptRest();
+  }
+
+  /** Bounds the use of descriptors: further connections wait in the backlog. */
+  private void pauseAtMaximum() {
+    pausedAtMaximum = true;
+    evictor.recordDemand(maxConnections);
+    if (!evictor.evict(open)) {
+      log.warn(open.size() + " connections are open and in use, no more are accepted");
+    }
+    scheduleEviction();
+  }
+
+  /** Retries while the maximum is reached: connections become idle, and some never close. */
+  private void scheduleEviction() {
+    if (evictionScheduled) {
       return;
     }
-    armedNs = System.nanoTime();
-    try {
-      server.accept(
-          null,
-          new CompletionHandler<AsynchronousSocketChannel, Void>() {
-            @Override
-            public void completed(AsynchronousSocketChannel channel, Void none) {
-              come = true;
-              loop.execute(
-                  () -> {
-                    come = false;
-                    accepted(channel);
-                  });
-            }
+    evictionScheduled = true;
+    loop.schedule(
+        EVICTION_RETRY_DELAY_US,
+        () -> {
+          evictionScheduled = false;
+          if (pausedAtMaximum && !closed) {
+            evictor.evict(open);
+            scheduleEviction();
+          }
+        });
+  }
 
-            @Override
-            public void failed(Throwable e, Void none) {
-              loop.execute(() -> refused(e));
-            }
-          });
+  private void acceptNext() {
+    acceptStartedNs = System.nanoTime();
+    try {
+      server.accept(null, new AcceptCompletionHandler());
     } catch (RuntimeException e) {
-      refused(e);
+      retryAccept(e);
     }
   }
 
-  /** Takes all that waits, and closes in the instant in which nothing does. */
-  private void acceptRest() {
+  /** Marks the completion before it posts it, so that the listener is not closed in between. */
+  private final class AcceptCompletionHandler
+      extends LoopCompletionHandler<AsynchronousSocketChannel> {
+    AcceptCompletionHandler() {
+      super(loop, Listener.this::accepted, Listener.this::retryAccept);
+    }
+
+    @Override
+    public void completed(AsynchronousSocketChannel channel, Void attachment) {
+      acceptCompleted = true;
+      super.completed(channel, attachment);
+    }
+  }
+
+  private void accepted(AsynchronousSocketChannel channel) {
+    acceptCompleted = false;
+    handOver(channel);
+    accept();
+  }
+
+  /** Accepts the whole backlog, and closes at the instant at which it is empty. */
+  private void acceptBacklogAndClose() {
     try {
-      while (open.size() < most) {
+      while (open.size() < maxConnections) {
         Future<AsynchronousSocketChannel> next = server.accept();
-        boolean empty = !next.isDone();
-        if (empty) {
-          shut();
+        boolean backlogEmpty = !next.isDone();
+        if (backlogEmpty) {
+          close();
         }
-        if (next.isDone()) {
-          take(next.get());
+        if (next.isDone()) { // also one that came just before the close
+          handOver(next.get());
         }
-        if (empty) {
+        if (backlogEmpty) {
           return;
         }
       }
-      waiting = true;
+      pausedAtMaximum = true;
     } catch (ExecutionException | RuntimeException e) {
-      shut();
+      close();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /**
-   * While no place can be had, it is looked again for one: connections fall idle, and some never
-   * close in their turn.
-   */
-  private void lookAgain() {
-    if (!lookingForRoom) {
-      lookingForRoom = true;
-      loop.schedule(
-          ROOM_US,
-          () -> {
-            lookingForRoom = false;
-            if (waiting && !closed) {
-              makeRoom();
-              lookAgain();
-            }
-          });
-    }
-  }
-
-  /**
-   * Guards callers against being shut out by connections that nobody uses: closes those with
-   * nothing open on them, first the silent ones, then the longest unused; one, or more where places
-   * are taken as fast as they come free. A silent one that is young may be about to speak, and
-   * stays. Those used just now are told the end in order, and their places are free once they have
-   * ended, or a little later. True where a place will be free.
-   */
-  private boolean makeRoom() {
-    long now = System.nanoTime();
-    int ending = 0;
-    List<Connection> unused = new ArrayList<>();
-    Set<Connection> mute = new HashSet<>();
-    for (Connection each : List.copyOf(open)) {
-      if (each.isClosed()) {
-        ending++;
-        letGo(each);
-        continue;
-      }
-      Connection.Use use = each.use();
-      if (use == Connection.Use.SILENT && now - each.touchedNs() > Connection.CROSSING_NS) {
-        mute.add(each);
-        unused.add(each);
-      } else if (use == Connection.Use.IDLE) {
-        unused.add(each);
-      }
-    }
-    unused.sort(
-        Comparator.<Connection, Boolean>comparing(each -> !mute.contains(each))
-            .thenComparingLong(Connection::touchedNs));
-    List<Connection> go = unused.subList(0, Math.max(0, Math.min(unused.size(), needed - ending)));
-    for (Connection each : go) {
-      each.closeGracefully();
-      letGo(each);
-    }
-    return ending > 0 || !go.isEmpty();
-  }
-
-  private static void letGo(Connection each) {
-    if (each.lingers()) {
-      each.abort("its place is needed");
-    }
-  }
-
-  private void accepted(AsynchronousSocketChannel channel) {
-    take(channel);
-    accept();
-  }
-
-  private void take(AsynchronousSocketChannel channel) {
-    lastNs = System.nanoTime();
+  private void handOver(AsynchronousSocketChannel channel) {
+    lastAcceptedNs = System.nanoTime();
     Connection connection = new Connection(loop, channel, limits);
     open.add(connection);
     try {
-      taker.accept(connection);
+      acceptHandler.accept(connection);
     } catch (RuntimeException e) {
       log.warn("a connection could not be taken: " + e);
-      Connection.closeQuietly(channel);
+      connection.abort("it could not be taken");
       open.remove(connection);
     }
   }
 
-  /**
-   * Guards against running out of descriptors: a failed accept is tried again, it never ends the
-   * listening.
-   */
-  private void refused(Throwable e) {
+  private void retryAccept(Throwable cause) {
     if (!closed) {
-      log.warn("accept failed: " + e.getMessage());
-      loop.schedule(RETRY_US, this::accept);
+      log.warn("accept failed: " + cause.getMessage());
+      loop.schedule(ACCEPT_RETRY_DELAY_US, this::accept);
     }
   }
 }
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -10,7 +10,10 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.core.Failure;
 import rosecleat.log.Log;
+import rosecleat.net.ConnectHandler;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LineBuffer;
 import rosecleat.net.Listener;
@@ -23,7 +26,7 @@
 public final class Rehearsal {
   private static final int REQUESTS = 200;
   private static final long PATIENCE_S = 20;
-  private static final Connection.Limits LIMITS = Connection.Limits.SMALL;
+  private static final ConnectionLimits LIMITS = ConnectionLimits.SMALL;
 
   private final Log log = new Log(System.err);
   private final EventLoop loop;
@@ -74,12 +77,12 @@
 
   /** A balancer that sends all requests and counts what comes back. */
   private void balancer(NodeConfig config, InetSocketAddress to) {
-    Connection.dial(
+    Connection.connect(
         loop,
         to,
         1_000_000,
         LIMITS,
-        new Connection.ConnectHandler() {
+        new ConnectHandler() {
           @Override
           public void connected(Connection connection) {
             LineBuffer lines = new LineBuffer(1 << 16);
@@ -157,13 +160,13 @@
 
   /** An owner that only takes bytes. */
   private record Received(java.util.function.Consumer<ByteBuffer> taker)
-      implements Connection.Owner {
+      implements ConnectionHandler {
     @Override
     public void received(ByteBuffer bytes) {
       taker.accept(bytes);
     }
 
     @Override
-    public void closed(Failure failure, boolean atEnd) {}
+    public void closed(Failure failure, boolean endOfStream) {}
   }
 }
--- a/src/main/java/rosecleat/registry/RosterClient.java
+++ b/src/main/java/rosecleat/registry/RosterClient.java
@@ -9,7 +9,10 @@
 import rosecleat.core.Counters;
 import rosecleat.core.Failure;
 import rosecleat.log.Log;
+import rosecleat.net.ConnectHandler;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LineBuffer;
 
@@ -123,12 +126,12 @@
 
   private void dial(InetSocketAddress to) {
     dialling = true;
-    Connection.dial(
+    Connection.connect(
         loop,
         to,
         REPLY_US,
-        Connection.Limits.SMALL,
-        new Connection.ConnectHandler() {
+        ConnectionLimits.SMALL,
+        new ConnectHandler() {
           @Override
           public void connected(Connection fresh) {
             dialling = false;
@@ -176,7 +179,7 @@
     connection = fresh;
     lines = new LineBuffer(LONGEST);
     fresh.start(
-        new Connection.Owner() {
+        new ConnectionHandler() {
           @Override
           public void received(ByteBuffer bytes) {
             if (connection != fresh) {
@@ -190,7 +193,7 @@
           }
 
           @Override
-          public void closed(Failure failure, boolean atEnd) {
+          public void closed(Failure failure, boolean endOfStream) {
             if (connection == fresh) {
               connection = null;
               if (waiting) {
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeLink.java
@@ -18,7 +18,10 @@
 import rosecleat.core.RunResult;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
+import rosecleat.net.ConnectHandler;
 import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
 import rosecleat.net.LineBuffer;
 
@@ -48,8 +51,8 @@
   private static final long DOUBT_US = 1_000_000;
 
   private static final String RESUMED = "resumed";
-  private static final Connection.Limits LIMITS =
-      new Connection.Limits(16 << 10, 1 << 20, 4 << 20, 10_000_000);
+  private static final ConnectionLimits LIMITS =
+      new ConnectionLimits(16 << 10, 1 << 20, 4 << 20, 10_000_000);
 
   /**
    * A command for a run, sent at a time or still to be sent, and whether sending it again is no
@@ -101,12 +104,12 @@
     }
     dialling = true;
     InetSocketAddress to = address;
-    Connection.dial(
+    Connection.connect(
         loop,
         to,
         DIAL_US,
         LIMITS,
-        new Connection.ConnectHandler() {
+        new ConnectHandler() {
           @Override
           public void connected(Connection connection) {
             dialling = false;
@@ -163,7 +166,7 @@
     gaugesOut = false;
     LineBuffer lines = new LineBuffer(LONGEST);
     connection.start(
-        new Connection.Owner() {
+        new ConnectionHandler() {
           @Override
           public void received(ByteBuffer bytes) {
             if (link != connection) {
@@ -180,7 +183,7 @@
           }
 
           @Override
-          public void closed(Failure failure, boolean atEnd) {
+          public void closed(Failure failure, boolean endOfStream) {
             if (link != connection) {
               return;
             }
--- a/src/test/java/rosecleat/front/resp/ReadBuffersTest.java
+++ b/src/test/java/rosecleat/front/resp/ReadBuffersTest.java
@@ -14,13 +14,13 @@
   @ParameterizedTest
   @CsvSource({"12, 28", "12, 960", "40, 448", "40, 960", "40, 4000"})
   void fitIntoAPartOfTheHeap(long heap, int most) {
-    int read = RespFrontend.connectionLimits(heap << 20, most).readBytes();
+    int read = RespFrontend.connectionLimits(heap << 20, most).readBufferBytes();
     assertTrue((long) read * most <= (heap << 20) / 8, heap + " " + most + ": " + read);
   }
 
   @ParameterizedTest
   @CsvSource({"40, 1, 8192", "12, 60000, 1024"})
   void areNeitherLargerThanUsefulNorTooSmall(long heap, int most, int bytes) {
-    assertEquals(bytes, RespFrontend.connectionLimits(heap << 20, most).readBytes());
+    assertEquals(bytes, RespFrontend.connectionLimits(heap << 20, most).readBufferBytes());
   }
 }
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -36,7 +36,7 @@
    * Echoes what comes; a "q" is taken and owed an answer, which {@link #answer} gives, and a "c" is
    * a reason to close.
    */
-  private final class Echo implements Connection.Owner {
+  private final class Echo implements ConnectionHandler {
     private final Connection connection;
 
     Echo(Connection connection) {
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public boolean owed() {
+    public boolean hasPendingResponses() {
       return owes;
     }
 
@@ -64,8 +64,8 @@
     }
 
     @Override
-    public void closed(Failure failure, boolean atEnd) {
-      listener.released(connection);
+    public void closed(Failure failure, boolean endOfStream) {
+      listener.connectionClosed(connection);
       ended.complete(failure);
     }
   }
@@ -87,7 +87,7 @@
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             4,
-            Connection.Limits.SMALL,
+            ConnectionLimits.SMALL,
             Echo::new);
   }
 
@@ -215,21 +215,21 @@
     CompletableFuture<String> outcome = new CompletableFuture<>();
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       gate.hold();
-      Connection.dial(
+      Connection.connect(
           loop,
           new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
           0,
-          Connection.Limits.SMALL,
-          new Connection.ConnectHandler() {
+          ConnectionLimits.SMALL,
+          new ConnectHandler() {
             @Override
             public void connected(Connection connection) {
               connection.start(
-                  new Connection.Owner() {
+                  new ConnectionHandler() {
                     @Override
                     public void received(ByteBuffer bytes) {}
 
                     @Override
-                    public void closed(Failure failure, boolean atEnd) {}
+                    public void closed(Failure failure, boolean endOfStream) {}
                   });
               outcome.complete(
                   "connected, and can be written to: " + connection.write(ByteBuffer.allocate(1)));
--- a/src/test/java/rosecleat/net/ListenerTest.java
+++ b/src/test/java/rosecleat/net/ListenerTest.java
@@ -25,9 +25,9 @@
   private final List<Socket> clients = new ArrayList<>();
 
   /** Echoes; a "b" makes its connection busy for good. */
-  private final class Echo implements Connection.Owner {
+  private final class Echo implements ConnectionHandler {
     private final Connection connection;
-    private Connection.Use use = Connection.Use.SILENT;
+    private ConnectionUsage use = ConnectionUsage.UNUSED;
 
     Echo(Connection connection) {
       this.connection = connection;
@@ -35,20 +35,21 @@
     }
 
     @Override
-    public Connection.Use use() {
+    public ConnectionUsage usage() {
       return use;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       byte word = bytes.get();
-      use = word == 'b' || use == Connection.Use.BUSY ? Connection.Use.BUSY : Connection.Use.IDLE;
+      use =
+          word == 'b' || use == ConnectionUsage.BUSY ? ConnectionUsage.BUSY : ConnectionUsage.IDLE;
       connection.write(ByteBuffer.wrap(new byte[] {word}));
     }
 
     @Override
-    public void closed(Failure failure, boolean atEnd) {
-      listener.released(connection);
+    public void closed(Failure failure, boolean endOfStream) {
+      listener.connectionClosed(connection);
     }
   }
 
@@ -85,13 +86,13 @@
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             2_000,
-            Connection.Limits.SMALL,
+            ConnectionLimits.SMALL,
             Echo::new,
             true);
     InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
     Listener other =
         new Listener(
-            loop, at, 1 << 20, Connection.Limits.SMALL, Echo::new, true); // gets none released
+            loop, at, 1 << 20, ConnectionLimits.SMALL, Echo::new, true); // gets none released
     boolean[] closed = new boolean[1];
     loop.schedule(50_000, () -> closeWhenEmpty(closed));
     int asked = 0;
@@ -107,7 +108,7 @@
   }
 
   private void closeWhenEmpty(boolean[] closed) {
-    closed[0] = listener.closeWhenEmpty();
+    closed[0] = listener.closeWhenBacklogEmpty();
     if (!closed[0]) {
       loop.schedule(2_000, () -> closeWhenEmpty(closed));
     }
@@ -121,7 +122,7 @@
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             4,
-            Connection.Limits.SMALL,
+            ConnectionLimits.SMALL,
             Echo::new);
     Socket busy = connect();
     assertEquals('b', say(busy, 'b'));
@@ -148,7 +149,7 @@
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             2,
-            Connection.Limits.SMALL,
+            ConnectionLimits.SMALL,
             Echo::new);
     try (LoopGate gate = new LoopGate(loop)) {
       Socket first = connect();
@@ -176,7 +177,7 @@
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             2,
-            Connection.Limits.SMALL,
+            ConnectionLimits.SMALL,
             Echo::new);
     try (LoopGate gate = new LoopGate(loop)) {
       int port = listener.port();
@@ -185,10 +186,10 @@
       assertEquals('b', say(connect(), 'b'));
       Socket waits = connect();
       waits.getOutputStream().write('x');
-      assertEquals(false, gate.on(() -> listener.closeWhenQuiet(0)));
+      assertEquals(false, gate.on(() -> listener.closeAfterQuietPeriod(0)));
       busy.close();
       assertEquals('x', waits.getInputStream().read());
-      while (!gate.on(() -> listener.closeWhenQuiet(0))) {
+      while (!gate.on(() -> listener.closeAfterQuietPeriod(0))) {
         Thread.yield();
       }
       assertThrows(
@@ -208,7 +209,7 @@
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             2,
-            Connection.Limits.SMALL,
+            ConnectionLimits.SMALL,
             Echo::new);
     try (LoopGate gate = new LoopGate(loop)) {
       assertEquals('b', say(connect(), 'b'));
@@ -232,7 +233,7 @@
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             most,
-            Connection.Limits.SMALL,
+            ConnectionLimits.SMALL,
             Echo::new);
     for (int i = 0; i < most; i++) {
       connect();
