--- a/src/main/java/rosecleat/fleet/Checksum.java
+++ b/src/main/java/rosecleat/fleet/Checksum.java
@@ -5,33 +5,33 @@
 import java.util.Arrays;
 
 /**
- * A message as it travels: its hash under the cluster's name goes first. Guards against what was
- * spoilt on the way and what is of another kind or cluster; it is no signature.
+ * A checksum under the cluster's name, put before each message. Guards against corruption and
+ * against messages of another kind or cluster; it is no signature.
  */
 public final class Checksum {
-  /** Bytes that it takes. */
+  /** The bytes of a checksum. */
   public static final int BYTES = 8;
 
   private Checksum() {}
 
-  /** Seals a message. */
+  /** A message with its checksum before it. */
   public static byte[] attach(byte[] message, String cluster) {
     return ByteBuffer.allocate(BYTES + message.length)
-        .putLong(hash(message, cluster))
+        .putLong(of(message, cluster))
         .put(message)
         .array();
   }
 
-  /** What was sealed; null where it is nothing of the kind. */
-  public static byte[] verify(byte[] sealed, String cluster) {
-    if (sealed.length <= BYTES) {
+  /** The message without its checksum; null where that does not match. */
+  public static byte[] verify(byte[] bytes, String cluster) {
+    if (bytes.length <= BYTES) {
       return null;
     }
-    byte[] message = Arrays.copyOfRange(sealed, BYTES, sealed.length);
-    return ByteBuffer.wrap(sealed).getLong() == hash(message, cluster) ? message : null;
+    byte[] message = Arrays.copyOfRange(bytes, BYTES, bytes.length);
+    return ByteBuffer.wrap(bytes).getLong() == of(message, cluster) ? message : null;
   }
 
-  private static long hash(byte[] message, String cluster) {
+  private static long of(byte[] message, String cluster) {
     return Hash.of(message, Hash.of(cluster.getBytes(StandardCharsets.UTF_8), message.length));
   }
 }
--- a/src/main/java/rosecleat/fleet/ConvergenceDetector.java
+++ b/src/main/java/rosecleat/fleet/ConvergenceDetector.java
@@ -1,82 +1,79 @@
 package rosecleat.fleet;
 
 /**
- * Whether a view is settled. It is, exactly, while all of these hold:
+ * Whether a view has converged ("settled" to operators). It has, exactly, while all of these hold:
  *
  * <ol>
  *   <li>no member is suspected;
- *   <li>more than half of those that did not say that they go are there: else this process may
- *       itself be cut off;
- *   <li>since this view last changed, as many distinct members as {@link #ENOUGH}, or all others
- *       where they are fewer, have told its very digest, each as the last that it told, and none
- *       that told another one within {@link #FRESH} periods;
- *   <li>where others are there, something was heard of any of them within {@link #FRESH} periods:
- *       each is pinged once a period at the least, so silence is a sign of being cut off, also for
- *       a process that is slow to suspect;
- *   <li>it has met another since it started, or tried every seed for {@link #ALONE} periods, or has
- *       none.
+ *   <li>more than half of the members that did not leave are active: else this process may itself
+ *       be cut off;
+ *   <li>since this view last changed, {@link #MIN_AGREEING} distinct members, or all others where
+ *       they are fewer, have reported its very digest, each as its latest report, and none has
+ *       reported another one within {@link #FRESH_PERIODS} periods;
+ *   <li>where others are active, something was heard of any of them within {@link #FRESH_PERIODS}
+ *       periods: each is pinged once a period at the least, so silence is a sign of being cut off,
+ *       also for a process that is slow to suspect;
+ *   <li>it has heard from another since it started, or tried every seed for {@link #ALONE_PERIODS}
+ *       periods, or has no seeds.
  * </ol>
  *
- * After a change elsewhere it stays true wrongly until the change is told here or suspected here:
+ * <p>After a change elsewhere it stays true wrongly until the change is received or suspected here:
  * for the time of detection at the most. It comes true again within some two periods of the last
  * change, which is how long it takes for that many members to be heard.
  */
 final class ConvergenceDetector {
-  static final int ENOUGH = 3;
-  static final int FRESH = 3;
-  static final int ALONE = 3;
+  static final int MIN_AGREEING = 3;
+  static final int FRESH_PERIODS = 3;
+  static final int ALONE_PERIODS = 3;
 
   private final long periodUs;
   private final long startUs;
-  private long changedUs;
-  private long digest;
-  private boolean met;
-  private long heardUs;
+  private long viewDigest;
+  private long viewChangedUs;
+  private boolean heardAny;
+  private long lastHeardUs;
 
   ConvergenceDetector(long periodUs, long nowUs) {
     this.periodUs = periodUs;
     startUs = nowUs;
-    changedUs = nowUs;
+    viewChangedUs = nowUs;
   }
 
-  void look(long fresh, long nowUs) {
-    if (fresh != digest) {
-      digest = fresh;
-      changedUs = nowUs;
+  /** Notes the digest of this process's own view. */
+  void observe(long digest, long nowUs) {
+    if (digest != viewDigest) {
+      viewDigest = digest;
+      viewChangedUs = nowUs;
     }
   }
 
-  /** Something came from another that is there. */
-  void heard(long nowUs) {
-    met = true;
-    heardUs = nowUs;
+  /** Notes that something came from an active member. */
+  void heardFromActive(long nowUs) {
+    heardAny = true;
+    lastHeardUs = nowUs;
   }
 
-  boolean holds(MemberList members, boolean seeds, long nowUs) {
-    if (!met && seeds && nowUs - startUs < ALONE * periodUs) {
-      return false;
-    }
-    if (members.others() > 0 && nowUs - heardUs > FRESH * periodUs) {
-      return false;
-    }
-    int there = members.others() + 1;
-    if (2 * there <= members.expected()) {
-      return false;
-    }
-    int agree = 0;
+  boolean isSettled(MemberList members, boolean hasSeeds, long nowUs) {
+    boolean joining = !heardAny && hasSeeds && nowUs - startUs < ALONE_PERIODS * periodUs;
+    boolean silent = members.othersCount() > 0 && nowUs - lastHeardUs > FRESH_PERIODS * periodUs;
+    return !joining && !silent && members.hasActiveMajority() && othersAgree(members, nowUs);
+  }
+
+  private boolean othersAgree(MemberList members, long nowUs) {
+    int agreeing = 0;
     for (Member member : members.all()) {
       if (member.state == MemberState.SUSPECT) {
         return false;
       }
-      if (member.state != MemberState.ALIVE || member.toldUs < changedUs) {
+      if (member.state != MemberState.ALIVE || member.reportedUs < viewChangedUs) {
         continue;
       }
-      if (member.toldDigest == digest) {
-        agree++;
-      } else if (nowUs - member.toldUs < FRESH * periodUs) {
+      if (member.reportedDigest == viewDigest) {
+        agreeing++;
+      } else if (nowUs - member.reportedUs < FRESH_PERIODS * periodUs) {
         return false;
       }
     }
-    return agree >= Math.min(ENOUGH, members.others());
+    return agreeing >= Math.min(MIN_AGREEING, members.othersCount());
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/DatagramSender.java
@@ -0,0 +1,44 @@
+package rosecleat.fleet;
+
+import rosecleat.fleet.wire.Datagram;
+import rosecleat.fleet.wire.Ping;
+
+/** Builds datagrams of this member, adds queued updates and hands them out as effects. */
+final class DatagramSender {
+  private final ProtocolContext context;
+  private final Dissemination dissemination;
+
+  DatagramSender(ProtocolContext context, Dissemination dissemination) {
+    this.context = context;
+    this.dissemination = dissemination;
+  }
+
+  /** A datagram that says who sends it and, by digests, what it holds. */
+  Datagram.Builder newDatagram() {
+    Member self = context.self();
+    return Datagram.newBuilder()
+        .setCluster(context.cluster())
+        .setFrom(WireCodec.encode(self, self.state, 0))
+        .setDigest(context.members().viewDigest())
+        .setSync(context.syncDigest());
+  }
+
+  /** Sends a datagram with as many queued updates as fit. */
+  void send(Endpoint destination, Datagram.Builder datagram) {
+    dissemination.piggyback(datagram);
+    byte[] payload = Checksum.attach(datagram.build().toByteArray(), context.cluster());
+    context.effects().sendDatagram(destination, payload);
+  }
+
+  /** Pings a member. One that is not held for alive is told so, so that it can refute it. */
+  void ping(Member target, int sequence) {
+    Datagram.Builder datagram =
+        newDatagram()
+            .setPing(Ping.newBuilder().setSeq(sequence).setTarget(WireCodec.encode(target.id)));
+    if (target.state != MemberState.ALIVE) {
+      MemberState told = target.state == MemberState.LEFT ? MemberState.DEAD : target.state;
+      datagram.addMembers(WireCodec.encode(target, told, context.self().hash));
+    }
+    send(target.endpoint, datagram);
+  }
+}
--- a/src/main/java/rosecleat/fleet/DisseminationQueue.java
+++ b/src/main/java/rosecleat/fleet/DisseminationQueue.java
@@ -7,127 +7,126 @@
 import java.util.Map;
 
 /**
- * What is to be passed on, each so often: what was told least goes first, and of that the newest. A
- * newer rumour about the same takes the place of the older one. Bounded: what was told most gives
- * way.
+ * Updates that are to be sent a limited number of times each: those sent least go first, and of
+ * those the newest. A newer update on the same subject replaces the older one. Bounded: the updates
+ * sent most are dropped first.
  */
 final class DisseminationQueue<T> {
-  private static final int MOST = 8_192;
+  private static final int MAX_UPDATES = 8_192;
 
-  /** DisseminationQueue that do not fit a datagram are passed over, so many of them at a time. */
-  private static final int PASSED_OVER = 4;
+  /** Updates that do not fit into a datagram are skipped, up to so many at a time. */
+  private static final int MAX_SKIPPED = 4;
 
-  /** No rumour takes less than this (bytes). */
-  private static final int LEAST = 24;
+  /** No update takes less than this (bytes). */
+  private static final int MIN_UPDATE_BYTES = 24;
 
-  private static final class Rumour<T> {
-    final Object about;
-    final T news;
+  private static final class QueuedUpdate<T> {
+    final Object subject;
+    final T update;
     final int bytes;
-    final int times;
-    int told;
-    boolean dropped;
+    final int maxTransmissions;
+    int transmissions;
 
-    Rumour(Object about, T news, int bytes, int times) {
-      this.about = about;
-      this.news = news;
+    /** A removed update leaves its queue when its turn comes. */
+    boolean removed;
+
+    QueuedUpdate(Object subject, T update, int bytes, int maxTransmissions) {
+      this.subject = subject;
+      this.update = update;
       this.bytes = bytes;
-      this.times = times;
+      this.maxTransmissions = maxTransmissions;
     }
   }
 
-  /** By how often they were told. */
-  private final List<ArrayDeque<Rumour<T>>> queues = new ArrayList<>();
+  /** One queue for each number of transmissions so far. */
+  private final List<ArrayDeque<QueuedUpdate<T>>> queues = new ArrayList<>();
 
-  private final Map<Object, Rumour<T>> known = new HashMap<>();
+  private final Map<Object, QueuedUpdate<T>> bySubject = new HashMap<>();
   private long bytes;
 
-  /** Takes a rumour of so many bytes to be told {@code times}. */
-  void add(Object about, T news, int size, int times) {
-    drop(about);
-    Rumour<T> fresh = new Rumour<>(about, news, size, times);
-    known.put(about, fresh);
-    queue(0).addFirst(fresh);
-    bytes += size;
-    for (int told = queues.size() - 1; known.size() > MOST && told >= 0; told--) {
-      for (Rumour<T> old = queues.get(told).pollLast();
-          old != null;
-          old = known.size() > MOST ? queues.get(told).pollLast() : null) {
-        forget(old);
+  /** Adds an update that takes so many bytes in a datagram. */
+  void add(Object subject, T update, int updateBytes, int maxTransmissions) {
+    remove(subject);
+    QueuedUpdate<T> queued = new QueuedUpdate<>(subject, update, updateBytes, maxTransmissions);
+    bySubject.put(subject, queued);
+    queue(0).addFirst(queued);
+    bytes += updateBytes;
+    dropExcess();
+  }
+
+  private void dropExcess() {
+    for (int sent = queues.size() - 1; sent >= 0; sent--) {
+      ArrayDeque<QueuedUpdate<T>> queue = queues.get(sent);
+      while (bySubject.size() > MAX_UPDATES && !queue.isEmpty()) {
+        remove(queue.pollLast());
       }
     }
   }
 
-  private ArrayDeque<Rumour<T>> queue(int told) {
-    while (queues.size() <= told) {
+  private ArrayDeque<QueuedUpdate<T>> queue(int transmissions) {
+    while (queues.size() <= transmissions) {
       queues.add(new ArrayDeque<>());
     }
-    return queues.get(told);
+    return queues.get(transmissions);
   }
 
-  /** Nothing more is said about it. */
-  void drop(Object about) {
-    Rumour<T> old = known.get(about);
-    if (old != null) {
-      forget(old);
+  /** Sends nothing more on a subject. */
+  void remove(Object subject) {
+    QueuedUpdate<T> queued = bySubject.get(subject);
+    if (queued != null) {
+      remove(queued);
     }
   }
 
-  private void forget(Rumour<T> rumour) {
-    if (!rumour.dropped) {
-      rumour.dropped = true; // it leaves its queue when its turn comes
-      known.remove(rumour.about, rumour);
-      bytes -= rumour.bytes;
+  private void remove(QueuedUpdate<T> queued) {
+    if (!queued.removed) {
+      queued.removed = true;
+      bySubject.remove(queued.subject, queued);
+      bytes -= queued.bytes;
     }
   }
 
-  /** What fits in so many bytes, told once more. */
-  List<T> take(int room) {
-    List<T> taken = new ArrayList<>();
-    List<Rumour<T>> told = new ArrayList<>();
-    List<Rumour<T>> passed = new ArrayList<>();
-    int left = room;
-    for (int count = 0;
-        count < queues.size() && left >= LEAST && passed.size() < PASSED_OVER;
-        count++) {
-      ArrayDeque<Rumour<T>> queue = queues.get(count);
-      while (!queue.isEmpty() && left >= LEAST && passed.size() < PASSED_OVER) {
-        Rumour<T> next = queue.pollFirst();
-        if (next.dropped) {
+  /** The updates that fit into so many bytes, each counted as transmitted once more. */
+  List<T> take(int budgetBytes) {
+    List<QueuedUpdate<T>> taken = new ArrayList<>();
+    List<QueuedUpdate<T>> skipped = new ArrayList<>();
+    int left = budgetBytes;
+    for (int sent = 0; sent < queues.size(); sent++) {
+      ArrayDeque<QueuedUpdate<T>> queue = queues.get(sent);
+      while (!queue.isEmpty() && left >= MIN_UPDATE_BYTES && skipped.size() < MAX_SKIPPED) {
+        QueuedUpdate<T> next = queue.pollFirst();
+        if (next.removed) {
           continue;
         }
         if (next.bytes > left) {
-          passed.add(next);
+          skipped.add(next);
           continue;
         }
         left -= next.bytes;
-        taken.add(next.news);
-        told.add(next);
+        taken.add(next);
       }
     }
-    for (Rumour<T> each : told) {
-      if (++each.told < each.times) {
-        queue(each.told).addLast(each);
-      } else {
-        forget(each);
-      }
-    }
-    for (int i = passed.size() - 1; i >= 0; i--) {
-      queue(passed.get(i).told).addFirst(passed.get(i));
+    taken.forEach(this::requeueTransmitted);
+    for (int i = skipped.size() - 1; i >= 0; i--) {
+      queue(skipped.get(i).transmissions).addFirst(skipped.get(i));
     }
-    return taken;
+    return taken.stream().map(queued -> queued.update).toList();
   }
 
-  /** How many wait to be told. */
-  int size() {
-    return known.size();
+  private void requeueTransmitted(QueuedUpdate<T> queued) {
+    queued.transmissions++;
+    if (queued.transmissions < queued.maxTransmissions) {
+      queue(queued.transmissions).addLast(queued);
+    } else {
+      remove(queued);
+    }
   }
 
   boolean isEmpty() {
-    return known.isEmpty();
+    return bySubject.isEmpty();
   }
 
-  /** Bytes that wait to be told. */
+  /** The bytes of all queued updates. */
   long bytes() {
     return bytes;
   }
--- a/src/main/java/rosecleat/fleet/Effect.java
+++ b/src/main/java/rosecleat/fleet/Effect.java
@@ -1,22 +1,22 @@
 package rosecleat.fleet;
 
-/** What the decisions ask of whoever carries them out. */
+/** What the protocol asks its driver to do; the driver carries effects out in their order. */
 public sealed interface Effect {
   /** Send a datagram. */
-  record SendDatagram(Endpoint to, byte[] bytes) implements Effect {}
+  record SendDatagram(Endpoint destination, byte[] payload) implements Effect {}
 
-  /** Open an exchange; {@code why} is for the counters. */
-  record StartSync(Endpoint with, String why) implements Effect {}
+  /** Open a push/pull synchronization with another member. */
+  record StartSync(Endpoint peer, SyncReason reason) implements Effect {}
 
-  /** A line for the log. */
+  /** Write a line to the log. */
   record WriteLog(boolean warning, String line) implements Effect {}
 
-  /** One more of something, by name. */
-  record IncrementCounter(String what) implements Effect {}
+  /** Add one to a counter. */
+  record IncrementCounter(MembershipCounter counter) implements Effect {}
 
-  /** The view has changed. */
+  /** The membership view has changed. */
   record ViewChanged() implements Effect {}
 
-  /** A record has come, changed or (null payload) aged out. */
+  /** A record is new, has changed, or (with a null payload) has expired. */
   record RecordChanged(FleetRecord record) implements Effect {}
 }
--- a/src/main/java/rosecleat/fleet/Endpoint.java
+++ b/src/main/java/rosecleat/fleet/Endpoint.java
@@ -2,22 +2,25 @@
 
 /** Where a process is reached: a literal host and a port. */
 public record Endpoint(String host, int port) {
-  private static final int LONGEST = 64;
+  private static final int MAX_HOST_LENGTH = 64;
+  private static final int MAX_PORT = 0xffff;
 
   /** Whether it can be dialled without asking a name service. */
-  boolean usable() {
+  boolean isUsable() {
     return port > 0
-        && port <= 0xffff
+        && port <= MAX_PORT
         && !host.isEmpty()
-        && host.length() <= LONGEST
-        && host.chars()
-            .allMatch(
-                c ->
-                    c >= '0' && c <= '9'
-                        || c == '.'
-                        || c == ':'
-                        || c >= 'a' && c <= 'f'
-                        || c == '%');
+        && host.length() <= MAX_HOST_LENGTH
+        && host.chars().allMatch(Endpoint::isLiteral);
+  }
+
+  /** The characters of literal addresses; a percent sign begins a scope. */
+  private static boolean isLiteral(int character) {
+    return character >= '0' && character <= '9'
+        || character >= 'a' && character <= 'f'
+        || character == '.'
+        || character == ':'
+        || character == '%';
   }
 
   @Override
--- a/src/main/java/rosecleat/fleet/ExchangeSession.java
+++ b/src/main/java/rosecleat/fleet/ExchangeSession.java
@@ -1,13 +1,13 @@
 package rosecleat.fleet;
 
-/** One side of an exchange over a connection: frames in turn, from the one that opened it. */
+/** One side of an exchange over a connection: frames in turn, from the side that opened it. */
 public interface ExchangeSession {
   /**
-   * The next frame, given the other's last one (null at the start of the opener's); null where it
-   * is over.
+   * The next frame to send, given the other side's latest one (null for the opener's first); null
+   * where the exchange is complete.
    */
-  byte[] next(byte[] received, long nowUs);
+  byte[] nextFrame(byte[] received, long nowUs);
 
-  /** The connection ended before it was over. */
-  default void broken() {}
+  /** The connection failed before the exchange was complete. */
+  default void aborted() {}
 }
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/FailureDetector.java
@@ -0,0 +1,259 @@
+package rosecleat.fleet;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import rosecleat.fleet.wire.Ack;
+import rosecleat.fleet.wire.Datagram;
+import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.Nack;
+import rosecleat.fleet.wire.Ping;
+import rosecleat.fleet.wire.PingRequest;
+
+/**
+ * SWIM's failure detector: direct probes, indirect probes through relays where there is no answer,
+ * and the answers to other members' probes. It reports failed probes to its listener and changes no
+ * member's state itself.
+ */
+final class FailureDetector {
+  /** Hears of probes that failed. */
+  interface Listener {
+    /** A member did not answer this process, and nothing was heard of it for a period. */
+    void targetUnresponsive(Member target, long nowUs);
+
+    /** A member that others declared dead did not answer this process either. */
+    void deathVerified(Member target, long nowUs);
+  }
+
+  private static final int MAX_PROBES = 64;
+
+  /** Steps of local health that double the timeout of a probe. */
+  private static final int HEALTH_STEPS = 2;
+
+  private final ProtocolContext context;
+  private final DatagramSender sender;
+  private final LocalHealth localHealth;
+  private final Listener listener;
+  private final Map<Integer, Probe> probes = new LinkedHashMap<>();
+  private int lastSequence;
+  private long nextTimeoutUs = ProtocolContext.NEVER;
+
+  FailureDetector(
+      ProtocolContext context, DatagramSender sender, LocalHealth localHealth, Listener listener) {
+    this.context = context;
+    this.sender = sender;
+    this.localHealth = localHealth;
+    this.listener = listener;
+  }
+
+  /** When {@link #runTimeouts} is due. */
+  long nextTimeoutUs() {
+    return nextTimeoutUs;
+  }
+
+  /** The number for a further ping. */
+  int nextSequence() {
+    return ++lastSequence;
+  }
+
+  /** Whether no further probe can be begun. */
+  boolean isFull() {
+    return probes.size() >= MAX_PROBES;
+  }
+
+  /** Begins the regular probe of a member. */
+  void probe(Member target, long nowUs) {
+    long directUs = directTimeoutUs();
+    long timeoutUs = (long) (context.periodUs() * localHealth.timeoutFactor(HEALTH_STEPS));
+    probe(target, Probe.Purpose.DETECTION, nowUs + directUs, nowUs + timeoutUs);
+  }
+
+  /** Begins a probe of a member that another one suspects. */
+  void confirm(Member suspected, long nowUs) {
+    long directUs = directTimeoutUs();
+    probe(suspected, Probe.Purpose.CONFIRMATION, nowUs + directUs, nowUs + 2 * directUs);
+  }
+
+  private long directTimeoutUs() {
+    double factor = localHealth.timeoutFactor(HEALTH_STEPS);
+    return (long) (Tuning.DIRECT_TIMEOUT_PERIODS * context.periodUs() * factor);
+  }
+
+  private void probe(Member target, Probe.Purpose purpose, long directTimeoutUs, long endUs) {
+    if (isFull()) {
+      context.effects().count(MembershipCounter.PROBES_FULL);
+      return;
+    }
+    Probe probe = new Probe(nextSequence(), target, purpose, null, directTimeoutUs, endUs);
+    begin(probe);
+    sender.ping(target, probe.sequence);
+  }
+
+  /** Begins a probe of a member that another one declared dead; one at a time for each member. */
+  void verifyDeath(Member member, long nowUs) {
+    for (Probe probe : probes.values()) {
+      if (probe.target == member && probe.purpose == Probe.Purpose.VERIFICATION) {
+        return;
+      }
+    }
+    long timeoutUs = (long) (localHealth.timeoutFactor(HEALTH_STEPS) * context.periodUs());
+    Probe probe =
+        new Probe(
+            nextSequence(),
+            member,
+            Probe.Purpose.VERIFICATION,
+            null,
+            ProtocolContext.NEVER,
+            nowUs + timeoutUs);
+    begin(probe);
+    Ping.Builder ping =
+        Ping.newBuilder().setSeq(probe.sequence).setTarget(WireCodec.encode(member.id));
+    Datagram.Builder datagram =
+        sender
+            .newDatagram()
+            .setPing(ping)
+            .addMembers(WireCodec.encode(member, MemberState.DEAD, 0));
+    sender.send(member.endpoint, datagram);
+  }
+
+  private void begin(Probe probe) {
+    probes.put(probe.sequence, probe);
+    nextTimeoutUs = Math.min(nextTimeoutUs, probe.nextTimeoutUs());
+  }
+
+  /** Handles the probes whose time is over. */
+  void runTimeouts(long nowUs) {
+    for (Probe probe : List.copyOf(probes.values())) {
+      if (nowUs >= probe.endUs) {
+        probes.remove(probe.sequence);
+        probeFailed(probe, nowUs);
+      } else if (nowUs >= probe.directTimeoutUs) {
+        probe.directTimeoutUs = ProtocolContext.NEVER;
+        directAnswerOverdue(probe);
+      }
+    }
+    scheduleTimeouts();
+  }
+
+  /** Extends all probes by the time that this process was paused. */
+  void extendTimeouts(long pauseUs) {
+    for (Probe probe : probes.values()) {
+      if (probe.directTimeoutUs != ProtocolContext.NEVER) {
+        probe.directTimeoutUs += pauseUs;
+      }
+      probe.endUs += pauseUs;
+    }
+    scheduleTimeouts();
+  }
+
+  private void scheduleTimeouts() {
+    nextTimeoutUs = ProtocolContext.NEVER;
+    for (Probe probe : probes.values()) {
+      nextTimeoutUs = Math.min(nextTimeoutUs, probe.nextTimeoutUs());
+    }
+  }
+
+  /** Asks relays, in case only the path between this process and the target is broken. */
+  private void directAnswerOverdue(Probe probe) {
+    if (probe.purpose == Probe.Purpose.RELAY) {
+      Nack.Builder nack = Nack.newBuilder().setSeq(probe.requester.sequence());
+      sender.send(probe.requester.endpoint(), sender.newDatagram().setNack(nack));
+      return;
+    }
+    if (probe.purpose != Probe.Purpose.DETECTION) {
+      return;
+    }
+    Member target = probe.target;
+    MemberNews update = WireCodec.encode(target, target.state, context.self().hash);
+    PingRequest request = PingRequest.newBuilder().setSeq(probe.sequence).setTarget(update).build();
+    for (Member relay : context.members().sample(Tuning.INDIRECT_PROBES, target)) {
+      probe.relaysAsked++;
+      sender.send(relay.endpoint, sender.newDatagram().setRequest(request));
+    }
+    sender.ping(target, probe.sequence);
+  }
+
+  private void probeFailed(Probe probe, long nowUs) {
+    Member target = probe.target;
+    if (probe.purpose == Probe.Purpose.RELAY
+        || !target.state.isActive()
+        || context.members().get(target.id) != target) {
+      return;
+    }
+    context.effects().count(MembershipCounter.PROBE_FAILED);
+    if (probe.purpose == Probe.Purpose.VERIFICATION) {
+      if (target.lastHeardUs < nowUs - 2 * context.periodUs()) {
+        listener.deathVerified(target, nowUs);
+      }
+      return;
+    }
+    if (probe.purpose == Probe.Purpose.DETECTION && probe.nacks < probe.relaysAsked) {
+      localHealth.adjust(1); // relays sent no nack either: it may be this process that is cut off
+    }
+    if (target.lastHeardUs < nowUs - context.periodUs()) {
+      listener.targetUnresponsive(target, nowUs);
+    }
+  }
+
+  /** Answers a ping, unless this process is leaving. */
+  void onPing(Endpoint from, Ping ping) {
+    if (context.isLeaving()) {
+      return;
+    }
+    Datagram.Builder answer = sender.newDatagram();
+    if (ping.hasTarget() && !WireCodec.decode(ping.getTarget()).equals(context.self().id)) {
+      // for an earlier start at this address: the answer's header says who is here now
+      context.effects().count(MembershipCounter.PING_FOR_OTHER_START);
+      sender.send(from, answer);
+      return;
+    }
+    sender.send(from, answer.setAck(Ack.newBuilder().setSeq(ping.getSeq())));
+  }
+
+  /** Ends a probe that was answered; an overdue answer counts only by the sender's header. */
+  void onAck(int sequence, long nowUs) {
+    Probe probe = probes.remove(sequence);
+    if (probe == null) {
+      return;
+    }
+    if (probe.purpose == Probe.Purpose.RELAY) {
+      Ack.Builder ack = Ack.newBuilder().setSeq(probe.requester.sequence());
+      sender.send(probe.requester.endpoint(), sender.newDatagram().setAck(ack));
+    } else if (probe.purpose == Probe.Purpose.DETECTION) {
+      localHealth.adjust(-1);
+      probe.target.lastHeardUs = nowUs;
+    }
+  }
+
+  /** Notes that a relay had no answer from the target either. */
+  void onNack(int sequence) {
+    Probe probe = probes.get(sequence);
+    if (probe != null && probe.purpose != Probe.Purpose.RELAY) {
+      probe.nacks++;
+    }
+  }
+
+  /** Probes a target on behalf of another member. */
+  void onPingRequest(Endpoint from, PingRequest request, long nowUs) {
+    Optional<Member> target =
+        WireCodec.decode(request.getTarget())
+            .map(update -> context.members().get(update.id()))
+            .filter(member -> member != context.self());
+    if (target.isEmpty() || isFull()) {
+      context.effects().count(MembershipCounter.PING_REQUEST_REJECTED);
+      return;
+    }
+    long periodUs = context.periodUs();
+    Probe probe =
+        new Probe(
+            nextSequence(),
+            target.get(),
+            Probe.Purpose.RELAY,
+            new Probe.Requester(from, request.getSeq()),
+            nowUs + (long) (Tuning.DIRECT_TIMEOUT_PERIODS * periodUs),
+            nowUs + periodUs);
+    begin(probe);
+    sender.ping(probe.target, probe.sequence);
+  }
+}
--- a/src/main/java/rosecleat/fleet/FleetRecord.java
+++ b/src/main/java/rosecleat/fleet/FleetRecord.java
@@ -1,17 +1,17 @@
 package rosecleat.fleet;
 
 /**
- * A small thing that one process owns and all may read; the one with the greater epoch, then
- * version, holds.
+ * A small value that one process owns and all may read; the one with the greater epoch, then
+ * version, replaces the other.
  *
  * @param owner the name of the process that wrote it
  * @param epoch of the start that wrote it
- * @param ttlMs it is kept so long after its owner's start has gone
- * @param payload null where it has aged out
+ * @param ttlMs how long it is kept after its owner's start has gone
+ * @param payload null where it has expired
  */
 public record FleetRecord(
     String owner, long epoch, String kind, String key, long version, long ttlMs, byte[] payload) {
-  /** What it goes by. */
+  /** The identity of a record over all its versions. */
   record Key(String owner, String kind, String key) {}
 
   Key id() {
@@ -21,4 +21,9 @@
   boolean newerThan(FleetRecord other) {
     return other == null || epoch > other.epoch || epoch == other.epoch && version > other.version;
   }
+
+  /** This record as it is reported once it has expired. */
+  FleetRecord withoutPayload() {
+    return new FleetRecord(owner, epoch, kind, key, version, ttlMs, null);
+  }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/Gossip.java
@@ -0,0 +1,38 @@
+package rosecleat.fleet;
+
+/** Gossip rounds: refutation requests, and datagrams that carry queued updates alone. */
+final class Gossip {
+  private final ProtocolContext context;
+  private final Dissemination dissemination;
+  private final RefutationRequests refutations;
+  private final DatagramSender sender;
+
+  Gossip(
+      ProtocolContext context,
+      Dissemination dissemination,
+      RefutationRequests refutations,
+      DatagramSender sender) {
+    this.context = context;
+    this.dissemination = dissemination;
+    this.refutations = refutations;
+    this.sender = sender;
+  }
+
+  /** Runs a round; more members are told at a time where many updates are queued. */
+  void runRound(long nowUs) {
+    refutations.sendSome();
+    long queuedBytes = dissemination.queuedBytes();
+    if (queuedBytes > 0 && context.members().othersCount() > 0) {
+      long fanout = Tuning.GOSSIP_FANOUT + queuedBytes / Tuning.MAX_DATAGRAM_BYTES;
+      sendTo((int) Math.min(Tuning.MAX_GOSSIP_FANOUT, fanout));
+    }
+    dissemination.roundDone(queuedBytes > 0 || !refutations.isEmpty(), nowUs);
+  }
+
+  /** Sends queued updates to so many members at random. */
+  void sendTo(int members) {
+    for (Member other : context.members().sample(members, null)) {
+      sender.send(other.endpoint, sender.newDatagram());
+    }
+  }
+}
--- a/src/main/java/rosecleat/fleet/Hash.java
+++ b/src/main/java/rosecleat/fleet/Hash.java
@@ -1,23 +1,28 @@
 package rosecleat.fleet;
 
 /**
- * A 64-bit hash that is the same in every process: FNV-1a, finished as in SplitMix64. No guard
- * against chosen collisions.
+ * A 64-bit hash that is the same in every process: FNV-1a with SplitMix64's finalizer. It does not
+ * guard against chosen collisions.
  */
 final class Hash {
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
+
   private Hash() {}
 
+  /** The hash of bytes under a seed. */
   static long of(byte[] bytes, long seed) {
-    long hash = 0xcbf29ce484222325L ^ mix(seed);
-    for (byte b : bytes) {
-      hash = (hash ^ (b & 0xff)) * 0x100000001b3L;
+    long hash = FNV_OFFSET_BASIS ^ mix(seed);
+    for (byte each : bytes) {
+      hash = (hash ^ (each & 0xff)) * FNV_PRIME;
     }
     return mix(hash);
   }
 
-  static long mix(long z) {
-    z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
-    z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
-    return z ^ (z >>> 31);
+  /** SplitMix64's finalizer: each bit of the result depends on all bits of the value. */
+  static long mix(long value) {
+    long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
+    mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
+    return mixed ^ (mixed >>> 31);
   }
 }
--- a/src/main/java/rosecleat/fleet/Member.java
+++ b/src/main/java/rosecleat/fleet/Member.java
@@ -3,56 +3,75 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is held of one member. */
+/**
+ * The state that is held of one member. The state, incarnation and endpoint change only within
+ * {@link MemberList#change}, which keeps the digests right.
+ */
 final class Member {
+  private static final int MAX_WITNESSES = 4 * Tuning.SUSPICION_CONFIRMATIONS;
+
+  /** A time before all others, with room to subtract from it. */
+  private static final long LONG_AGO = Long.MIN_VALUE / 2;
+
   final MemberId id;
   final long hash;
-  Endpoint at;
+  Endpoint endpoint;
   String zone;
   MemberState state;
   long incarnation;
 
-  /** Since when it stands so; and when something last came from itself. */
-  long sinceUs;
+  /** Since when it is in its state. */
+  long stateSinceUs;
 
-  long heardUs = Long.MIN_VALUE / 2;
+  /** When something last came from the member itself. */
+  long lastHeardUs = LONG_AGO;
 
-  /** Who had no answer from it, where it is suspected. */
-  Set<Long> witnesses;
+  /** The hashes of the members whose probes of it failed, while it is suspected. */
+  Set<Long> witnesses = Set.of();
 
-  /** When a suspicion becomes certain without further witnesses, by this process's own clock. */
-  long suspectedUs;
+  /** When its suspicion began, shifted by the time that this process was paused since. */
+  long suspicionStartUs;
 
-  /** The digest that it told last, and when. */
-  long toldDigest;
+  /** The digest of its view that it reported last, and when. */
+  long reportedDigest;
 
-  long toldUs = Long.MIN_VALUE / 2;
+  long reportedUs = LONG_AGO;
 
-  Member(MemberId id, Endpoint at, String zone, MemberState state, long incarnation, long nowUs) {
+  Member(
+      MemberId id,
+      Endpoint endpoint,
+      String zone,
+      MemberState state,
+      long incarnation,
+      long nowUs) {
     this.id = id;
     this.hash = id.hash();
-    this.at = at;
+    this.endpoint = endpoint;
     this.zone = zone;
     this.state = state;
     this.incarnation = incarnation;
-    this.sinceUs = nowUs;
+    this.stateSinceUs = nowUs;
   }
 
-  /** Adds a witness of the suspicion; false where it is known. */
-  boolean witness(long who) {
-    if (witnesses == null) {
+  /** Adds a witness of the suspicion; false where it is known, or there are enough. */
+  boolean addWitness(long witness) {
+    if (witnesses.isEmpty()) {
       witnesses = new HashSet<>();
     }
-    return witnesses.size() < 4 * Tuning.WITNESSES && witnesses.add(who);
+    return witnesses.size() < MAX_WITNESSES && witnesses.add(witness);
+  }
+
+  void clearWitnesses() {
+    witnesses = Set.of();
   }
 
-  /** Its part of the digest of those that are there. */
-  long part() {
-    return state.isActive() ? Hash.mix(hash ^ at.hashCode()) : 0;
+  /** Its part of the digest of the active members. */
+  long viewDigestPart() {
+    return state.isActive() ? Hash.mix(hash ^ endpoint.hashCode()) : 0;
   }
 
-  /** Its part of the digest of all that is held. */
-  long syncPart() {
+  /** Its part of the digest of all that is held of the active members. */
+  long syncDigestPart() {
     return state.isActive() ? Hash.mix(hash + 31 * incarnation + 7919L * state.ordinal()) : 0;
   }
 }
--- a/src/main/java/rosecleat/fleet/MemberId.java
+++ b/src/main/java/rosecleat/fleet/MemberId.java
@@ -2,11 +2,16 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** One start of one process: a later start under the same name has a greater epoch. */
+/**
+ * One start of one process.
+ *
+ * @param name the process's name, unique in its cluster
+ * @param epoch greater for a later start under the same name
+ */
 public record MemberId(String name, long epoch) {
-  static final int LONGEST_NAME = 64;
+  static final int MAX_NAME_LENGTH = 64;
 
-  /** 64 bits that stand for it, equal in every process. */
+  /** A 64-bit hash of it, equal in every process. */
   long hash() {
     return Hash.of(name.getBytes(StandardCharsets.UTF_8), epoch);
   }
--- a/src/main/java/rosecleat/fleet/MemberList.java
+++ b/src/main/java/rosecleat/fleet/MemberList.java
@@ -2,184 +2,232 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
 /**
- * All members that are known, dead ones with them; the ring of those that are there, and whose turn
- * it is.
+ * All known members, dead ones with them: by identity, by name, as a ring of the active others, and
+ * as the shuffled order in which they are probed.
  */
 final class MemberList {
-  private final Map<MemberId, Member> all = new HashMap<>();
+  private final Map<MemberId, Member> byId = new HashMap<>();
   private final Map<String, List<Member>> byName = new HashMap<>();
 
-  /** Others that are there, by hash: each watches the next one. */
+  /** Active others by hash: each member probes the next one in every period. */
   private final TreeMap<Long, Member> ring = new TreeMap<>();
 
-  private final List<Member> turns = new ArrayList<>();
-  private final List<Member> gone = new ArrayList<>();
+  /** Active others in the order of the current probe round; may hold some that have gone. */
+  private final List<Member> probeOrder = new ArrayList<>();
+
+  private final List<Member> inactive = new ArrayList<>();
   private final MemberId self;
   private final RandomGenerator random;
-  private int turn;
-  private long digest;
-  private long sync;
+  private int nextProbe;
+  private long viewDigest;
+  private long syncDigest;
 
   MemberList(MemberId self, RandomGenerator random) {
     this.self = self;
     this.random = random;
   }
 
+  /** The member of an identity; null where it is not known. */
   Member get(MemberId id) {
-    return all.get(id);
+    return byId.get(id);
   }
 
+  /** All starts under a name. */
   List<Member> named(String name) {
     return byName.getOrDefault(name, List.of());
   }
 
   Collection<Member> all() {
-    return all.values();
+    return byId.values();
   }
 
   int size() {
-    return all.size();
+    return byId.size();
   }
 
-  /** Others that are there. */
-  int others() {
+  /** How many others are active. */
+  int othersCount() {
     return ring.size();
   }
 
-  /** The digest of those that are there; and of all that is held of them. */
-  long digest() {
-    return digest;
+  /** The digest of the active members. */
+  long viewDigest() {
+    return viewDigest;
   }
 
-  long sync() {
-    return sync;
+  /** The digest of the active members with their states and incarnations. */
+  long syncDigest() {
+    return syncDigest;
   }
 
   void add(Member member) {
-    all.put(member.id, member);
-    byName.computeIfAbsent(member.id.name(), n -> new ArrayList<>(1)).add(member);
-    digest ^= member.part();
-    sync ^= member.syncPart();
-    place(member);
-  }
-
-  /** Changes a member; every change of what is held goes through here. */
-  void change(Member member, Runnable how) {
-    boolean was = member.state.isActive();
-    digest ^= member.part();
-    sync ^= member.syncPart();
-    how.run();
-    digest ^= member.part();
-    sync ^= member.syncPart();
-    if (was != member.state.isActive()) {
-      unplace(member, was);
-      place(member);
+    byId.put(member.id, member);
+    byName.computeIfAbsent(member.id.name(), name -> new ArrayList<>(1)).add(member);
+    toggleDigests(member);
+    insert(member);
+  }
+
+  /** Changes a member's state, incarnation or endpoint. */
+  void change(Member member, Runnable change) {
+    boolean wasActive = member.state.isActive();
+    toggleDigests(member);
+    change.run();
+    toggleDigests(member);
+    if (wasActive != member.state.isActive()) {
+      withdraw(member, wasActive);
+      insert(member);
     }
   }
 
   void remove(Member member) {
-    digest ^= member.part();
-    sync ^= member.syncPart();
-    unplace(member, member.state.isActive());
-    all.remove(member.id);
-    List<Member> same = byName.get(member.id.name());
-    same.remove(member);
-    if (same.isEmpty()) {
+    toggleDigests(member);
+    withdraw(member, member.state.isActive());
+    byId.remove(member.id);
+    List<Member> sameName = byName.get(member.id.name());
+    sameName.remove(member);
+    if (sameName.isEmpty()) {
       byName.remove(member.id.name());
     }
   }
 
-  private void place(Member member) {
+  /** Makes room for a new member by the one that has been gone longest; false where none is. */
+  boolean removeLongestGone() {
+    Member longest = null;
+    for (Member member : inactive) {
+      if (longest == null || member.stateSinceUs < longest.stateSinceUs) {
+        longest = member;
+      }
+    }
+    if (longest != null) {
+      remove(longest);
+    }
+    return longest != null;
+  }
+
+  /** Adds a member's parts to the digests, or takes them out again. */
+  private void toggleDigests(Member member) {
+    viewDigest ^= member.viewDigestPart();
+    syncDigest ^= member.syncDigestPart();
+  }
+
+  private void insert(Member member) {
     if (member.id.equals(self)) {
       return;
     }
     if (!member.state.isActive()) {
-      gone.add(member);
+      inactive.add(member);
     } else if (ring.put(member.hash, member) == null) {
-      turns.add(
-          random.nextInt(turns.size() + 1),
-          member); // as SWIM has it: a place in the round at random
+      // SWIM: a new member gets a random place in the round
+      probeOrder.add(random.nextInt(probeOrder.size() + 1), member);
     }
   }
 
-  private void unplace(Member member, boolean wasHere) {
-    if (wasHere) {
-      ring.remove(member.hash, member); // its place in the round goes when its turn comes
+  /** Takes a member out; its place in the round goes when its turn comes. */
+  private void withdraw(Member member, boolean wasActive) {
+    if (wasActive) {
+      ring.remove(member.hash, member);
     } else {
-      gone.remove(member);
+      inactive.remove(member);
     }
   }
 
-  /** The member that this process watches: the next one round the ring. */
-  Member watched(long ownHash) {
-    Map.Entry<Long, Member> next = ring.higherEntry(ownHash);
-    return next != null ? next.getValue() : ring.isEmpty() ? null : ring.firstEntry().getValue();
+  /** The next active member on the ring after a hash; null where there is none. */
+  Member ringSuccessor(long hash) {
+    if (ring.isEmpty()) {
+      return null;
+    }
+    Map.Entry<Long, Member> next = ring.higherEntry(hash);
+    return next != null ? next.getValue() : ring.firstEntry().getValue();
   }
 
-  /** Whose turn it is to be pinged: each once in a round, in an order of this process's own. */
-  Member next() {
-    while (!turns.isEmpty()) {
-      if (turn >= turns.size()) {
-        turn = 0;
-        if (turns.size() > ring.size()) { // some came back before their old place had gone
-          turns.clear();
-          turns.addAll(ring.values());
-          if (turns.isEmpty()) {
-            return null;
-          }
+  /** The next member of the probe round, each once in a round; null where there is none. */
+  Member nextInProbeRound() {
+    while (!probeOrder.isEmpty()) {
+      if (nextProbe >= probeOrder.size()) {
+        beginProbeRound();
+        if (probeOrder.isEmpty()) {
+          return null;
         }
-        java.util.Collections.shuffle(turns, new java.util.Random(random.nextLong()));
       }
-      Member member = turns.get(turn);
-      if (ring.get(member.hash) == member) {
-        turn++;
+      Member member = probeOrder.get(nextProbe);
+      if (isOnRing(member)) {
+        nextProbe++;
         return member;
       }
-      Member last = turns.remove(turns.size() - 1);
-      if (turn < turns.size()) {
-        turns.set(turn, last);
-      }
+      removeFromRound(nextProbe);
     }
     return null;
   }
 
-  /** Some others that are there, at random, without one. */
-  List<Member> some(int count, Member without) {
+  private void beginProbeRound() {
+    nextProbe = 0;
+    if (probeOrder.size() > ring.size()) {
+      // some came back before their earlier place in the round had gone
+      probeOrder.clear();
+      probeOrder.addAll(ring.values());
+      if (probeOrder.isEmpty()) {
+        return;
+      }
+    }
+    Collections.shuffle(probeOrder, new Random(random.nextLong()));
+  }
+
+  private boolean isOnRing(Member member) {
+    return ring.get(member.hash) == member;
+  }
+
+  private void removeFromRound(int index) {
+    Member last = probeOrder.remove(probeOrder.size() - 1);
+    if (index < probeOrder.size()) {
+      probeOrder.set(index, last);
+    }
+  }
+
+  /** Up to so many active others at random; {@code excluded} may be null. */
+  List<Member> sample(int count, Member excluded) {
     List<Member> chosen = new ArrayList<>(count);
-    for (int tries = 0;
-        tries < 4 * count + 8 && chosen.size() < Math.min(count, ring.size()) && !turns.isEmpty();
-        tries++) {
-      Member one = turns.get(random.nextInt(turns.size()));
-      if (one != without && ring.get(one.hash) == one && !chosen.contains(one)) {
-        chosen.add(one);
+    int wanted = Math.min(count, ring.size());
+    int maxDraws = 4 * count + 8;
+    for (int draws = 0; draws < maxDraws && chosen.size() < wanted; draws++) {
+      if (probeOrder.isEmpty()) {
+        break;
+      }
+      Member drawn = probeOrder.get(random.nextInt(probeOrder.size()));
+      if (drawn != excluded && isOnRing(drawn) && !chosen.contains(drawn)) {
+        chosen.add(drawn);
       }
     }
     return chosen;
   }
 
-  /** One of those that are gone, at random; null where there is none. */
-  Member gone() {
-    return gone.isEmpty() ? null : gone.get(random.nextInt(gone.size()));
+  /** A member at random of those that are dead or have left; null where there is none. */
+  Member randomInactive() {
+    return inactive.isEmpty() ? null : inactive.get(random.nextInt(inactive.size()));
   }
 
-  /** Those that did not say that they go: there, or dead. */
-  int expected() {
+  /** Whether more than half of the members that did not leave are active. */
+  boolean hasActiveMajority() {
+    int active = ring.size() + 1;
     int dead = 0;
-    for (Member member : gone) {
-      dead += member.state == MemberState.DEAD && newest(member) ? 1 : 0;
+    for (Member member : inactive) {
+      if (member.state == MemberState.DEAD && isLatestStart(member)) {
+        dead++;
+      }
     }
-    return ring.size() + 1 + dead;
+    return 2 * active > active + dead;
   }
 
   /** Whether no later start of its name is known. */
-  boolean newest(Member member) {
+  boolean isLatestStart(Member member) {
     for (Member other : named(member.id.name())) {
       if (other.id.epoch() > member.id.epoch()) {
         return false;
@@ -188,7 +236,8 @@
     return true;
   }
 
-  List<Member> goneOnes() {
-    return gone;
+  /** The members that are dead or have left. */
+  List<Member> inactive() {
+    return inactive;
   }
 }
--- a/src/main/java/rosecleat/fleet/MemberState.java
+++ b/src/main/java/rosecleat/fleet/MemberState.java
@@ -1,17 +1,20 @@
 package rosecleat.fleet;
 
-/** How a member stands; a later one overrides an earlier one of the same incarnation. */
+/**
+ * The state of a member; a later one overrides an earlier one of the same incarnation. The order is
+ * that of the wire's enumeration.
+ */
 public enum MemberState {
   /** It answers. */
   ALIVE,
-  /** It did not answer somebody, and may still say that it is there. */
+  /** A probe of it failed, and it may still refute the suspicion. */
   SUSPECT,
-  /** It did not say so in time. */
+  /** It did not refute a suspicion in time. */
   DEAD,
-  /** It said that it goes. */
+  /** It left gracefully. */
   LEFT;
 
-  /** Whether it counts among those that are there. */
+  /** Whether it counts among the members that are there. */
   public boolean isActive() {
     return this == ALIVE || this == SUSPECT;
   }
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/MessageReceiver.java
@@ -0,0 +1,139 @@
+package rosecleat.fleet;
+
+import java.util.List;
+import java.util.Optional;
+import rosecleat.fleet.wire.Datagram;
+import rosecleat.fleet.wire.Exchange;
+import rosecleat.fleet.wire.MemberNews;
+
+/** Checks received messages and passes their parts to whom they concern. */
+final class MessageReceiver {
+  private final ProtocolContext context;
+  private final MemberUpdateHandler memberUpdates;
+  private final RecordReplicator records;
+  private final FailureDetector detector;
+  private final AntiEntropy antiEntropy;
+  private final ConvergenceDetector convergence;
+
+  MessageReceiver(
+      ProtocolContext context,
+      MemberUpdateHandler memberUpdates,
+      RecordReplicator records,
+      FailureDetector detector,
+      AntiEntropy antiEntropy,
+      ConvergenceDetector convergence) {
+    this.context = context;
+    this.memberUpdates = memberUpdates;
+    this.records = records;
+    this.detector = detector;
+    this.antiEntropy = antiEntropy;
+    this.convergence = convergence;
+  }
+
+  /** Handles a datagram. */
+  void onDatagram(byte[] bytes, long nowUs) {
+    Datagram datagram = WireCodec.decodeDatagram(bytes, context.cluster()).orElse(null);
+    if (datagram == null || !datagram.hasFrom()) {
+      context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
+      return;
+    }
+    MemberUpdate from = acceptSender(datagram.getFrom(), datagram.getCluster()).orElse(null);
+    if (from == null) {
+      return;
+    }
+    Member sender = handleSender(from, nowUs);
+    noteReport(sender, from, datagram.getDigest(), nowUs);
+    handleMembers(datagram.getMembersList(), MemberUpdate.Source.GOSSIP, nowUs);
+    datagram.getRecordsList().forEach(each -> records.receive(each, nowUs));
+    handleBody(from.endpoint(), datagram, nowUs);
+    if (sender != null && sender.state == MemberState.ALIVE) {
+      antiEntropy.onPeerDigest(sender, datagram.getSync(), nowUs);
+    }
+    convergence.observe(context.members().viewDigest(), nowUs);
+  }
+
+  /** Handles a frame of a synchronization (null where it is malformed); false if it is invalid. */
+  boolean onExchange(Exchange frame, long nowUs) {
+    if (frame == null || !frame.hasFrom()) {
+      context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
+      return false;
+    }
+    MemberUpdate from = acceptSender(frame.getFrom(), frame.getCluster()).orElse(null);
+    if (from == null) {
+      return false;
+    }
+    handleSender(from, nowUs);
+    handleMembers(frame.getMembersList(), MemberUpdate.Source.SYNC, nowUs);
+    frame.getRecordsList().forEach(each -> records.receive(each, nowUs));
+    convergence.observe(context.members().viewDigest(), nowUs);
+    return true;
+  }
+
+  /** The sender of a message; empty, and counted, where the message is to be ignored. */
+  private Optional<MemberUpdate> acceptSender(MemberNews from, String cluster) {
+    Optional<MemberUpdate> sender = WireCodec.decode(from);
+    if (sender.isEmpty()) {
+      context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
+      return Optional.empty();
+    }
+    if (!cluster.equals(context.cluster())) {
+      context.effects().count(MembershipCounter.FOREIGN_CLUSTER);
+      return Optional.empty();
+    }
+    Member self = context.self();
+    if (sender.get().id().equals(self.id) && sender.get().endpoint().equals(self.endpoint)) {
+      // a seed list may hold this process's own address under another name of it
+      context.effects().count(MembershipCounter.OWN_MESSAGE);
+      return Optional.empty();
+    }
+    return sender;
+  }
+
+  /** The sender speaks for itself; returns its member, null where it was not admitted. */
+  private Member handleSender(MemberUpdate from, long nowUs) {
+    memberUpdates.handle(from, MemberUpdate.Source.GOSSIP, nowUs);
+    Member sender = context.members().get(from.id());
+    if (sender != null && sender != context.self()) {
+      sender.lastHeardUs = nowUs;
+      if (sender.state.isActive()) {
+        convergence.heardFromActive(nowUs);
+      }
+    }
+    return sender;
+  }
+
+  /** Notes the digest that a sender reports; one that is held for dead here may refute that. */
+  private void noteReport(Member sender, MemberUpdate from, long digest, long nowUs) {
+    if (sender == null || sender == context.self()) {
+      return;
+    }
+    sender.reportedDigest = digest;
+    sender.reportedUs = nowUs;
+    if (sender.state == MemberState.DEAD && from.state() == MemberState.ALIVE) {
+      memberUpdates.requestRefutation(sender, nowUs);
+    }
+  }
+
+  private void handleMembers(List<MemberNews> messages, MemberUpdate.Source source, long nowUs) {
+    for (MemberNews message : messages) {
+      Optional<MemberUpdate> update = WireCodec.decode(message);
+      if (update.isPresent()) {
+        memberUpdates.handle(update.get(), source, nowUs);
+      } else {
+        context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
+      }
+    }
+  }
+
+  private void handleBody(Endpoint from, Datagram datagram, long nowUs) {
+    switch (datagram.getBodyCase()) {
+      case PING -> detector.onPing(from, datagram.getPing());
+      case ACK -> detector.onAck(datagram.getAck().getSeq(), nowUs);
+      case NACK -> detector.onNack(datagram.getNack().getSeq());
+      case REQUEST -> detector.onPingRequest(from, datagram.getRequest(), nowUs);
+      default -> {
+        // updates alone
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/PartitionDetector.java
@@ -0,0 +1,36 @@
+package rosecleat.fleet;
+
+/** Notices that half of the fleet or more is gone, so that this process may be cut off itself. */
+final class PartitionDetector {
+  private final ProtocolContext context;
+  private boolean suspected;
+
+  PartitionDetector(ProtocolContext context) {
+    this.context = context;
+  }
+
+  /** Whether this process may be cut off from the rest of the fleet. */
+  boolean isPartitionSuspected() {
+    return suspected;
+  }
+
+  /** Compares the active members with all that did not leave. */
+  void update() {
+    MemberList members = context.members();
+    boolean now = !members.hasActiveMajority();
+    if (now == suspected) {
+      return;
+    }
+    suspected = now;
+    EffectQueue effects = context.effects();
+    if (now) {
+      effects.warn(
+          "half of the fleet or more has gone: this process may be cut off, and forgets"
+              + " nobody for now");
+      effects.count(MembershipCounter.PARTITION_SUSPECTED);
+    } else {
+      effects.info("most of the fleet is there again");
+      effects.count(MembershipCounter.PARTITION_HEALED);
+    }
+  }
+}
--- a/src/main/java/rosecleat/fleet/Probe.java
+++ b/src/main/java/rosecleat/fleet/Probe.java
@@ -1,52 +1,57 @@
 package rosecleat.fleet;
 
-/**
- * A ping that is out, of this process's own or for another that asked. All times by this process's
- * clock.
- */
+/** An outstanding ping. All times are by this process's clock. */
 final class Probe {
-  final int seq;
-  final Member target;
+  /** What a probe is for. */
+  enum Purpose {
+    /** The regular probe of a period, with indirect probes where there is no direct answer. */
+    DETECTION,
+    /** A probe of a member that another one suspects, to confirm the suspicion. */
+    CONFIRMATION,
+    /** A probe of a member that another one declared dead, before that is believed. */
+    VERIFICATION,
+    /** An indirect probe on behalf of another member. */
+    RELAY
+  }
 
-  /**
-   * When others are asked, or (for another) when it is told that no answer came; none once that is
-   * done.
-   */
-  long askUs;
+  /** Where the result of a relayed probe goes, and under which number. */
+  record Requester(Endpoint endpoint, int sequence) {}
 
-  /** When it has failed. */
-  long endUs;
-
-  /** Whether it is begun for a suspicion that another told. */
-  final boolean asWitness;
+  final int sequence;
+  final Member target;
+  final Purpose purpose;
 
-  /** Whether another holds the target for dead: no answer settles it. */
-  boolean doubts;
+  /** Who asked for a {@link Purpose#RELAY}; null for any other purpose. */
+  final Requester requester;
 
-  /** Others that were asked, and those of them that said they had no answer either. */
-  int asked;
+  /** When the direct answer is overdue; {@link ProtocolContext#NEVER} once that is handled. */
+  long directTimeoutUs;
 
-  int nacks;
+  /** When the probe has failed. */
+  long endUs;
 
-  /** For another: where its answer goes, and under which number. */
-  final Endpoint asker;
+  /** Members that were asked for an indirect probe, and those of them that answered nack. */
+  int relaysAsked;
 
-  final int askerSeq;
+  int nacks;
 
   Probe(
-      int seq,
+      int sequence,
       Member target,
-      long askUs,
-      long endUs,
-      boolean asWitness,
-      Endpoint asker,
-      int askerSeq) {
-    this.seq = seq;
+      Purpose purpose,
+      Requester requester,
+      long directTimeoutUs,
+      long endUs) {
+    this.sequence = sequence;
     this.target = target;
-    this.askUs = askUs;
+    this.purpose = purpose;
+    this.requester = requester;
+    this.directTimeoutUs = directTimeoutUs;
     this.endUs = endUs;
-    this.asWitness = asWitness;
-    this.asker = asker;
-    this.askerSeq = askerSeq;
+  }
+
+  /** When this probe needs attention next. */
+  long nextTimeoutUs() {
+    return Math.min(directTimeoutUs, endUs);
   }
 }
--- a/src/main/java/rosecleat/fleet/RecordStore.java
+++ b/src/main/java/rosecleat/fleet/RecordStore.java
@@ -3,116 +3,145 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.function.Predicate;
+import rosecleat.fleet.wire.RecordNews;
 
 /**
- * The records of all owners. Which one holds is decided by epoch and version alone, so that any
+ * The records of all owners. Which version stays is decided by epoch and version alone, so that any
  * order of delivery ends the same. The time since an owner has gone travels with its records: they
- * age out everywhere at about the same time.
+ * expire everywhere at about the same time.
  */
 final class RecordStore {
-  /** All together (count and bytes), and of one owner. */
-  static final int MOST = 65_536;
+  /** Limits on the number and the bytes of all records, and on the number of one owner's. */
+  static final int MAX_RECORDS = 65_536;
 
-  static final long MOST_BYTES = 32L << 20;
-  static final int MOST_OF_ONE = 1_024;
+  static final long MAX_BYTES = 32L << 20;
+  static final int MAX_RECORDS_OF_OWNER = 1_024;
 
-  /** A record as held; {@code goneUs} is when its owner went, by this process's clock, or none. */
+  /** A record with the time at which its owner went. */
   static final class StoredRecord {
-    FleetRecord record;
-    long goneUs = Long.MAX_VALUE;
+    private static final long OWNER_ACTIVE = Long.MAX_VALUE;
+
+    private FleetRecord record;
+    private long ownerGoneUs = OWNER_ACTIVE;
 
     private StoredRecord(FleetRecord record) {
       this.record = record;
     }
 
-    long goneMs(long nowUs) {
-      return goneUs == Long.MAX_VALUE ? 0 : Math.max(1, (nowUs - goneUs) / 1000);
+    FleetRecord record() {
+      return record;
+    }
+
+    /** How long the owner has been gone (ms); 0 while it is there. */
+    long ownerGoneMs(long nowUs) {
+      return ownerGoneUs == OWNER_ACTIVE ? 0 : Math.max(1, (nowUs - ownerGoneUs) / 1000);
+    }
+
+    /** The record as a message, with or without its payload. */
+    RecordNews encode(long nowUs, boolean withPayload) {
+      return WireCodec.encode(record, ownerGoneMs(nowUs), withPayload);
+    }
+
+    private boolean isOwnerActive() {
+      return ownerGoneUs == OWNER_ACTIVE;
     }
   }
 
-  private final Map<FleetRecord.Key, StoredRecord> all = new HashMap<>();
-  private final Map<String, Integer> counts = new HashMap<>();
+  private final Map<FleetRecord.Key, StoredRecord> byKey = new HashMap<>();
+  private final Map<String, Integer> countByOwner = new HashMap<>();
   private long bytes;
-  private long sync;
-
-  /** Takes a record; true where it is news. One without room, or too large, is none. */
-  boolean take(FleetRecord record, long goneMs, long nowUs) {
-    StoredRecord held = all.get(record.id());
-    if (held != null && !record.newerThan(held.record)) {
-      if (record.epoch() == held.record.epoch()
-          && record.version() == held.record.version()
-          && goneMs > held.goneMs(nowUs)
-          && held.goneUs != Long.MAX_VALUE) {
-        held.goneUs = nowUs - goneMs * 1000; // another knows it for gone longer
-      }
+  private long syncDigest;
+
+  /** Stores a record; false where it is not newer, or exceeds a limit. */
+  boolean store(FleetRecord record, long ownerGoneMs, long nowUs) {
+    StoredRecord stored = byKey.get(record.id());
+    if (stored != null && !record.newerThan(stored.record)) {
+      mergeOwnerGone(stored, record, ownerGoneMs, nowUs);
       return false;
     }
-    int size = record.payload().length;
-    if (size > Tuning.RECORD_BYTES
-        || record.ttlMs() < goneMs
-        || held == null
-            && (all.size() >= MOST || counts.getOrDefault(record.owner(), 0) >= MOST_OF_ONE)
-        || bytes + size > MOST_BYTES) {
+    if (exceedsLimits(record, stored == null, ownerGoneMs)) {
       return false;
     }
-    if (held == null) {
-      held = new StoredRecord(record);
-      all.put(record.id(), held);
-      counts.merge(record.owner(), 1, Integer::sum);
+    if (stored == null) {
+      stored = new StoredRecord(record);
+      byKey.put(record.id(), stored);
+      countByOwner.merge(record.owner(), 1, Integer::sum);
     } else {
-      count(held.record, -1);
-      held.record = record;
-      held.goneUs = Long.MAX_VALUE;
+      account(stored.record, -1);
+      stored.record = record;
+      stored.ownerGoneUs = StoredRecord.OWNER_ACTIVE;
     }
-    if (goneMs > 0) {
-      held.goneUs = nowUs - goneMs * 1000;
+    if (ownerGoneMs > 0) {
+      stored.ownerGoneUs = nowUs - ownerGoneMs * 1000;
     }
-    count(record, 1);
+    account(record, 1);
     return true;
   }
 
-  private void count(FleetRecord record, int sign) {
+  /** Another member may know for longer that the owner of the same version has gone. */
+  private static void mergeOwnerGone(
+      StoredRecord stored, FleetRecord record, long ownerGoneMs, long nowUs) {
+    if (record.epoch() == stored.record.epoch()
+        && record.version() == stored.record.version()
+        && ownerGoneMs > stored.ownerGoneMs(nowUs)
+        && !stored.isOwnerActive()) {
+      stored.ownerGoneUs = nowUs - ownerGoneMs * 1000;
+    }
+  }
+
+  private boolean exceedsLimits(FleetRecord record, boolean isNew, long ownerGoneMs) {
+    int size = record.payload().length;
+    boolean tooMany =
+        isNew
+            && (byKey.size() >= MAX_RECORDS
+                || countByOwner.getOrDefault(record.owner(), 0) >= MAX_RECORDS_OF_OWNER);
+    return size > Tuning.MAX_RECORD_BYTES
+        || record.ttlMs() < ownerGoneMs
+        || tooMany
+        || bytes + size > MAX_BYTES;
+  }
+
+  /** Adds a record to the bytes and the digest (sign 1), or takes it out (-1). */
+  private void account(FleetRecord record, int sign) {
     bytes += (long) sign * record.payload().length;
-    sync ^= Hash.mix(record.id().hashCode() + 31 * record.epoch() + 7919 * record.version());
+    syncDigest ^= Hash.mix(record.id().hashCode() + 31 * record.epoch() + 7919 * record.version());
   }
 
-  StoredRecord get(FleetRecord.Key key) {
-    return all.get(key);
+  Optional<StoredRecord> find(FleetRecord.Key key) {
+    return Optional.ofNullable(byKey.get(key));
   }
 
   Collection<StoredRecord> all() {
-    return all.values();
+    return byKey.values();
   }
 
-  /** The digest of all versions held. */
-  long sync() {
-    return sync;
+  /** The digest of all keys with their versions. */
+  long syncDigest() {
+    return syncDigest;
   }
 
-  /**
-   * Notes which owners have gone or are back, and drops what has aged out; returns what was
-   * dropped.
-   */
-  List<FleetRecord> age(java.util.function.Predicate<FleetRecord> ownerIsHere, long nowUs) {
-    List<FleetRecord> dropped = new ArrayList<>();
-    for (java.util.Iterator<StoredRecord> each = all.values().iterator(); each.hasNext(); ) {
-      StoredRecord held = each.next();
-      if (ownerIsHere.test(held.record)) {
-        held.goneUs = Long.MAX_VALUE;
-      } else if (held.goneUs == Long.MAX_VALUE) {
-        held.goneUs = nowUs;
-      } else if (held.goneMs(nowUs) > held.record.ttlMs()) {
-        count(held.record, -1);
-        counts.merge(held.record.owner(), -1, Integer::sum);
+  /** Notes which owners have gone or are back; removes and returns what has expired. */
+  List<FleetRecord> expire(Predicate<FleetRecord> ownerIsActive, long nowUs) {
+    List<FleetRecord> expired = new ArrayList<>();
+    for (Iterator<StoredRecord> each = byKey.values().iterator(); each.hasNext(); ) {
+      StoredRecord stored = each.next();
+      if (ownerIsActive.test(stored.record)) {
+        stored.ownerGoneUs = StoredRecord.OWNER_ACTIVE;
+      } else if (stored.isOwnerActive()) {
+        stored.ownerGoneUs = nowUs;
+      } else if (stored.ownerGoneMs(nowUs) > stored.record.ttlMs()) {
+        account(stored.record, -1);
+        countByOwner.merge(stored.record.owner(), -1, Integer::sum);
         each.remove();
-        FleetRecord r = held.record;
-        dropped.add(
-            new FleetRecord(r.owner(), r.epoch(), r.kind(), r.key(), r.version(), r.ttlMs(), null));
+        expired.add(stored.record.withoutPayload());
       }
     }
-    counts.values().removeIf(n -> n <= 0);
-    return dropped;
+    countByOwner.values().removeIf(count -> count <= 0);
+    return expired;
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/SyncFrames.java
@@ -0,0 +1,91 @@
+package rosecleat.fleet;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import rosecleat.fleet.wire.Exchange;
+import rosecleat.fleet.wire.RecordNews;
+
+/** Builds the frames of a push/pull synchronization from what this member holds. */
+final class SyncFrames {
+  private final ProtocolContext context;
+
+  SyncFrames(ProtocolContext context) {
+    this.context = context;
+  }
+
+  /** A frame that says who sends it and, by a digest, what it holds. */
+  Exchange.Builder header() {
+    Member self = context.self();
+    return Exchange.newBuilder()
+        .setCluster(context.cluster())
+        .setFrom(WireCodec.encode(self, self.state, 0))
+        .setSync(context.syncDigest());
+  }
+
+  /** A header with all members, dead ones with them. */
+  Exchange.Builder allMembers() {
+    Exchange.Builder frame = header();
+    for (Member member : context.members().all()) {
+      if (member != context.self()) {
+        boolean suspected = member.state == MemberState.SUSPECT;
+        long witness = suspected ? member.witnesses.iterator().next() : 0;
+        frame.addMembers(WireCodec.encode(member, member.state, witness));
+      }
+    }
+    return frame;
+  }
+
+  /** All members, and all records without their payloads. */
+  Exchange.Builder allMembersAndRecordHeads() {
+    Exchange.Builder frame = allMembers();
+    for (RecordStore.StoredRecord stored : context.records().all()) {
+      frame.addHeads(stored.encode(context.eventTimeUs(), false));
+    }
+    return frame;
+  }
+
+  /** The records that the other side, by its heads, lacks. */
+  List<RecordNews> recordsMissingThere(List<RecordNews> theirHeads) {
+    Map<FleetRecord.Key, FleetRecord> theirs = new HashMap<>();
+    for (RecordNews head : theirHeads) {
+      WireCodec.decode(head).ifPresent(update -> theirs.put(update.record().id(), update.record()));
+    }
+    List<RecordNews> missing = new ArrayList<>();
+    for (RecordStore.StoredRecord stored : context.records().all()) {
+      if (stored.record().newerThan(theirs.get(stored.record().id()))) {
+        missing.add(stored.encode(context.eventTimeUs(), true));
+      }
+    }
+    return missing;
+  }
+
+  /** The other side's heads of records that this member lacks. */
+  List<RecordNews> headsMissingHere(List<RecordNews> theirHeads) {
+    return theirHeads.stream().filter(this::isMissingHere).toList();
+  }
+
+  private boolean isMissingHere(RecordNews head) {
+    FleetRecord theirs = WireCodec.decode(head).map(RecordUpdate::record).orElse(null);
+    if (theirs == null) {
+      return false;
+    }
+    return context
+        .records()
+        .find(theirs.id())
+        .map(stored -> theirs.newerThan(stored.record()))
+        .orElse(true);
+  }
+
+  /** The records, with payloads, that the other side asked for by their heads. */
+  List<RecordNews> requestedRecords(List<RecordNews> heads) {
+    List<RecordNews> found = new ArrayList<>();
+    for (RecordNews head : heads) {
+      WireCodec.decode(head)
+          .flatMap(update -> context.records().find(update.record().id()))
+          .ifPresent(stored -> found.add(stored.encode(context.eventTimeUs(), true)));
+    }
+    return found;
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/SyncSession.java
@@ -0,0 +1,74 @@
+package rosecleat.fleet;
+
+import rosecleat.fleet.wire.Exchange;
+
+/**
+ * One side of a push/pull synchronization, four frames at the most:
+ *
+ * <ol>
+ *   <li>the opener sends its digest;
+ *   <li>the responder says that its own is the same, which ends the session, or sends all members
+ *       and the heads of all records;
+ *   <li>the opener sends all members, the records that the responder lacks, and the heads of those
+ *       that it lacks itself;
+ *   <li>the responder sends those records.
+ * </ol>
+ */
+final class SyncSession implements ExchangeSession {
+  private final ProtocolContext context;
+  private final SyncFrames frames;
+  private final MessageReceiver receiver;
+  private final boolean opener;
+  private int step;
+
+  SyncSession(ProtocolContext context, MessageReceiver receiver, boolean opener) {
+    this.context = context;
+    this.receiver = receiver;
+    this.opener = opener;
+    frames = new SyncFrames(context);
+  }
+
+  @Override
+  public byte[] nextFrame(byte[] received, long nowUs) {
+    context.setEventTimeUs(nowUs);
+    Exchange frame = null;
+    if (received != null) {
+      frame = WireCodec.decodeExchange(received, context.cluster()).orElse(null);
+      if (!receiver.onExchange(frame, nowUs)) {
+        return null;
+      }
+    }
+    step++;
+    return opener ? nextOfOpener(frame) : nextOfResponder(frame);
+  }
+
+  private byte[] nextOfOpener(Exchange received) {
+    if (step == 1) {
+      return encode(frames.header());
+    }
+    if (step == 2 && !received.getSame()) {
+      return encode(
+          frames
+              .allMembers()
+              .addAllRecords(frames.recordsMissingThere(received.getHeadsList()))
+              .addAllWanted(frames.headsMissingHere(received.getHeadsList())));
+    }
+    return null;
+  }
+
+  private byte[] nextOfResponder(Exchange received) {
+    if (step == 1) {
+      boolean same = received.getSync() == context.syncDigest();
+      return encode(same ? frames.header().setSame(true) : frames.allMembersAndRecordHeads());
+    }
+    if (step == 2) {
+      return encode(
+          frames.header().addAllRecords(frames.requestedRecords(received.getWantedList())));
+    }
+    return null;
+  }
+
+  private byte[] encode(Exchange.Builder frame) {
+    return Checksum.attach(frame.build().toByteArray(), context.cluster());
+  }
+}
--- a/src/main/java/rosecleat/fleet/WireCodec.java
+++ b/src/main/java/rosecleat/fleet/WireCodec.java
@@ -3,6 +3,7 @@
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import rosecleat.fleet.wire.Datagram;
 import rosecleat.fleet.wire.Exchange;
 import rosecleat.fleet.wire.MemberNews;
@@ -11,129 +12,139 @@
 import rosecleat.fleet.wire.Who;
 
 /**
- * MemberList and records as messages and back. What can't be is null: names, hosts, figures out of
- * bounds.
+ * Members and records as messages and back. Decoding is empty where a name, host or number is out
+ * of its bounds.
  */
 final class WireCodec {
   private static final MemberState[] STATES = MemberState.values();
-  private static final int LONGEST_KEY = 256;
-  private static final long MOST_FIGURE = 1L << 60;
-  private static final long MOST_TTL_MS = 30L * 24 * 3_600_000;
 
-  private WireCodec() {}
+  /** The longest key of a record (characters). */
+  private static final int MAX_KEY_LENGTH = 256;
+
+  /** The greatest epoch, incarnation and version, far from overflow. */
+  private static final long MAX_NUMBER = 1L << 60;
 
-  /** What is told of a member. */
-  record MemberUpdate(
-      MemberId id, Endpoint at, String zone, MemberState state, long incarnation, long witness) {}
+  private static final long MAX_TTL_MS = 30L * 24 * 3_600_000;
 
-  /** What is told of a record; {@code goneMs} since its owner has gone. */
-  record RecordUpdate(FleetRecord record, long goneMs) {}
+  private WireCodec() {}
 
-  static MemberNews news(Member member, MemberState state, long witness) {
-    return news(member.id, member.at, member.zone, state, member.incarnation, witness);
+  static MemberNews encode(Member member, MemberState state, long witness) {
+    return encode(
+        new MemberUpdate(
+            member.id, member.endpoint, member.zone, state, member.incarnation, witness));
   }
 
-  static MemberNews news(
-      MemberId id, Endpoint at, String zone, MemberState state, long incarnation, long witness) {
+  static MemberNews encode(MemberUpdate update) {
+    Endpoint endpoint = update.endpoint();
     return MemberNews.newBuilder()
-        .setWho(who(id))
-        .setHost(ByteString.copyFrom(at.host(), StandardCharsets.US_ASCII))
-        .setPort(at.port())
-        .setZone(zone)
-        .setStandingValue(state.ordinal())
-        .setIncarnation(incarnation)
-        .setWitness(witness)
+        .setWho(encode(update.id()))
+        .setHost(ByteString.copyFrom(endpoint.host(), StandardCharsets.US_ASCII))
+        .setPort(endpoint.port())
+        .setZone(update.zone())
+        .setStandingValue(update.state().ordinal())
+        .setIncarnation(update.incarnation())
+        .setWitness(update.witness())
         .build();
   }
 
-  static Who who(MemberId id) {
+  static Who encode(MemberId id) {
     return Who.newBuilder().setName(id.name()).setEpoch(id.epoch()).build();
   }
 
-  static MemberId id(Who who) {
-    return new MemberId(who.getName(), who.getEpoch());
+  static MemberId decode(Who message) {
+    return new MemberId(message.getName(), message.getEpoch());
   }
 
-  static MemberUpdate news(MemberNews m) {
-    Endpoint at = new Endpoint(m.getHost().toString(StandardCharsets.US_ASCII), m.getPort());
-    String name = m.getWho().getName();
-    if (name.isEmpty()
-        || name.length() > MemberId.LONGEST_NAME
-        || m.getWho().getEpoch() <= 0
-        || m.getWho().getEpoch() > MOST_FIGURE
-        || !at.usable()
-        || m.getZone().length() > MemberId.LONGEST_NAME
-        || m.getStanding() == Standing.UNRECOGNIZED
-        || m.getIncarnation() < 0
-        || m.getIncarnation() > MOST_FIGURE) {
-      return null;
+  static Optional<MemberUpdate> decode(MemberNews message) {
+    String host = message.getHost().toString(StandardCharsets.US_ASCII);
+    Endpoint endpoint = new Endpoint(host, message.getPort());
+    if (!isName(message.getWho().getName())
+        || !isEpoch(message.getWho().getEpoch())
+        || !endpoint.isUsable()
+        || message.getZone().length() > MemberId.MAX_NAME_LENGTH
+        || message.getStanding() == Standing.UNRECOGNIZED
+        || !isNumber(message.getIncarnation())) {
+      return Optional.empty();
     }
-    return new MemberUpdate(
-        id(m.getWho()),
-        at,
-        m.getZone(),
-        STATES[m.getStandingValue()],
-        m.getIncarnation(),
-        m.getWitness());
+    return Optional.of(
+        new MemberUpdate(
+            decode(message.getWho()),
+            endpoint,
+            message.getZone(),
+            STATES[message.getStandingValue()],
+            message.getIncarnation(),
+            message.getWitness()));
+  }
+
+  private static boolean isName(String name) {
+    return !name.isEmpty() && name.length() <= MemberId.MAX_NAME_LENGTH;
+  }
+
+  private static boolean isEpoch(long epoch) {
+    return epoch > 0 && epoch <= MAX_NUMBER;
+  }
+
+  private static boolean isNumber(long number) {
+    return number >= 0 && number <= MAX_NUMBER;
   }
 
-  static RecordNews record(FleetRecord r, long goneMs, boolean payload) {
-    RecordNews.Builder builder =
+  static RecordNews encode(FleetRecord record, long ownerGoneMs, boolean withPayload) {
+    RecordNews.Builder message =
         RecordNews.newBuilder()
-            .setOwner(r.owner())
-            .setEpoch(r.epoch())
-            .setKind(r.kind())
-            .setKey(r.key())
-            .setVersion(r.version())
-            .setTtlMs(r.ttlMs())
-            .setGoneMs(goneMs);
-    if (payload) {
-      builder.setPayload(ByteString.copyFrom(r.payload()));
+            .setOwner(record.owner())
+            .setEpoch(record.epoch())
+            .setKind(record.kind())
+            .setKey(record.key())
+            .setVersion(record.version())
+            .setTtlMs(record.ttlMs())
+            .setGoneMs(ownerGoneMs);
+    if (withPayload) {
+      message.setPayload(ByteString.copyFrom(record.payload()));
     }
-    return builder.build();
+    return message.build();
   }
 
-  static RecordUpdate record(RecordNews n) {
-    if (n.getOwner().isEmpty()
-        || n.getOwner().length() > MemberId.LONGEST_NAME
-        || n.getKind().isEmpty()
-        || n.getKind().length() > MemberId.LONGEST_NAME
-        || n.getKey().length() > LONGEST_KEY
-        || n.getEpoch() <= 0
-        || n.getEpoch() > MOST_FIGURE
-        || n.getVersion() < 0
-        || n.getVersion() > MOST_FIGURE
-        || n.getTtlMs() < 0
-        || n.getTtlMs() > MOST_TTL_MS
-        || n.getGoneMs() < 0
-        || n.getPayload().size() > Tuning.RECORD_BYTES) {
-      return null;
+  static Optional<RecordUpdate> decode(RecordNews message) {
+    if (!isName(message.getOwner())
+        || !isName(message.getKind())
+        || message.getKey().length() > MAX_KEY_LENGTH
+        || !isEpoch(message.getEpoch())
+        || !isNumber(message.getVersion())
+        || message.getTtlMs() < 0
+        || message.getTtlMs() > MAX_TTL_MS
+        || message.getGoneMs() < 0
+        || message.getPayload().size() > Tuning.MAX_RECORD_BYTES) {
+      return Optional.empty();
     }
-    return new RecordUpdate(
+    FleetRecord record =
         new FleetRecord(
-            n.getOwner(),
-            n.getEpoch(),
-            n.getKind(),
-            n.getKey(),
-            n.getVersion(),
-            n.getTtlMs(),
-            n.getPayload().toByteArray()),
-        n.getGoneMs());
+            message.getOwner(),
+            message.getEpoch(),
+            message.getKind(),
+            message.getKey(),
+            message.getVersion(),
+            message.getTtlMs(),
+            message.getPayload().toByteArray());
+    return Optional.of(new RecordUpdate(record, message.getGoneMs()));
   }
 
-  static Datagram datagram(byte[] bytes) {
+  /** A datagram as it came, its checksum verified. */
+  static Optional<Datagram> decodeDatagram(byte[] bytes, String cluster) {
+    byte[] message = Checksum.verify(bytes, cluster);
     try {
-      return bytes == null ? null : Datagram.parseFrom(bytes);
+      return message == null ? Optional.empty() : Optional.of(Datagram.parseFrom(message));
     } catch (InvalidProtocolBufferException e) {
-      return null;
+      return Optional.empty();
     }
   }
 
-  static Exchange exchange(byte[] bytes) {
+  /** A frame of a synchronization as it came, its checksum verified. */
+  static Optional<Exchange> decodeExchange(byte[] bytes, String cluster) {
+    byte[] message = Checksum.verify(bytes, cluster);
     try {
-      return bytes == null ? null : Exchange.parseFrom(bytes);
+      return message == null ? Optional.empty() : Optional.of(Exchange.parseFrom(message));
     } catch (InvalidProtocolBufferException e) {
-      return null;
+      return Optional.empty();
     }
   }
 }
--- a/src/main/java/rosecleat/fleet/transport/MembershipService.java
+++ b/src/main/java/rosecleat/fleet/transport/MembershipService.java
@@ -483,7 +483,7 @@
   }
 
   private void say(SelectionKey key, Conversation c, byte[] heard) throws IOException {
-    byte[] next = c.dialogue.next(heard, nowUs());
+    byte[] next = c.dialogue.nextFrame(heard, nowUs());
     obey();
     if (next == null) {
       count("exchanges");
@@ -507,7 +507,7 @@
     key.cancel();
     close(c.channel);
     if (broken && c.dialogue != null) {
-      c.dialogue.broken();
+      c.dialogue.aborted();
     }
   }
 
@@ -530,17 +530,17 @@
     for (Effect effect : fleet.drainEffects()) {
       if (effect instanceof Effect.SendDatagram send) {
         send(send);
-      } else if (effect instanceof Effect.StartSync meet) {
-        count("meet." + meet.why());
-        startExchange(MEMBERS, meet.with(), fleet.openSync());
+      } else if (effect instanceof Effect.StartSync sync) {
+        count("meet." + sync.reason().counterName());
+        startExchange(MEMBERS, sync.peer(), fleet.openSync());
       } else if (effect instanceof Effect.WriteLog say) {
         if (say.warning()) {
           log.warn("fleet: " + say.line());
         } else {
           log.info("fleet: " + say.line());
         }
-      } else if (effect instanceof Effect.IncrementCounter one) {
-        count(one.what());
+      } else if (effect instanceof Effect.IncrementCounter increment) {
+        count(increment.counter().counterName());
       } else if (effect instanceof Effect.ViewChanged) {
         changed = true;
       } else if (effect instanceof Effect.RecordChanged one) {
@@ -553,19 +553,20 @@
     long now = nowUs();
     bytesLeft = Math.min(BYTES_PER_S, bytesLeft + (now - refilledUs) * BYTES_PER_S / 1_000_000);
     refilledUs = now;
-    if (bytesLeft < send.bytes().length) {
+    if (bytesLeft < send.payload().length) {
       count("datagrams.held");
       return;
     }
-    bytesLeft -= send.bytes().length;
+    bytesLeft -= send.payload().length;
     try {
       InetSocketAddress to =
-          new InetSocketAddress(InetAddress.getByName(send.to().host()), send.to().port());
-      if (datagrams.send(ByteBuffer.wrap(send.bytes()), to) == 0) {
+          new InetSocketAddress(
+              InetAddress.getByName(send.destination().host()), send.destination().port());
+      if (datagrams.send(ByteBuffer.wrap(send.payload()), to) == 0) {
         count("datagrams.full");
       } else {
         count("datagrams.out");
-        count("datagram.bytes", send.bytes().length);
+        count("datagram.bytes", send.payload().length);
       }
     } catch (IOException | RuntimeException e) {
       count("datagrams.failed");
--- a/src/main/java/rosecleat/routes/RouteSyncSession.java
+++ b/src/main/java/rosecleat/routes/RouteSyncSession.java
@@ -47,12 +47,12 @@
   }
 
   @Override
-  public void broken() {
+  public void aborted() {
     over.run();
   }
 
   @Override
-  public byte[] next(byte[] received, long nowUs) {
+  public byte[] nextFrame(byte[] received, long nowUs) {
     Routes in = received == null ? null : read(Checksum.verify(received, cluster));
     step++;
     if (received != null && in == null) {
--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -137,14 +137,15 @@
       }
       peer.run();
     }
-    byte[] large = new byte[Tuning.RECORD_BYTES]; // no rumour, but an exchange brings it
+    byte[] large = new byte[Tuning.MAX_RECORD_BYTES]; // no rumour, but an exchange brings it
     world.peers.get(1).fleet.publish("costs", "large", large, 20_000, world.nowUs);
     assertFalse(
         world
             .peers
             .get(1)
             .fleet
-            .publish("costs", "larger", new byte[Tuning.RECORD_BYTES + 1], 20_000, world.nowUs));
+            .publish(
+                "costs", "larger", new byte[Tuning.MAX_RECORD_BYTES + 1], 20_000, world.nowUs));
     world.run(5);
     world.link = (a, b) -> true;
     double took =
@@ -179,14 +180,14 @@
               new byte[] {(byte) Math.floorMod(c / 4, 4)}));
     }
     RecordStore one = new RecordStore();
-    all.forEach(r -> one.take(r, 0, 1));
+    all.forEach(r -> one.store(r, 0, 1));
     Random random = new Random(choices.hashCode());
     RecordStore other = new RecordStore();
     for (int round = 0; round < 3; round++) {
       java.util.Collections.shuffle(all, random);
-      all.forEach(r -> other.take(r, 0, 1));
+      all.forEach(r -> other.store(r, 0, 1));
     }
-    assertEquals(one.sync(), other.sync());
+    assertEquals(one.syncDigest(), other.syncDigest());
     assertEquals(one.all().size(), other.all().size());
   }
 
@@ -207,7 +208,7 @@
     victim.fleet.publish("x", "", new byte[10], 1_000, world.nowUs);
     victim.fleet.onTimer(world.nowUs + SimulatedCluster.PERIOD);
     for (Effect effect : victim.fleet.drainEffects()) {
-      good = effect instanceof Effect.SendDatagram send ? send.bytes() : good;
+      good = effect instanceof Effect.SendDatagram send ? send.payload() : good;
     }
     world.run(1);
     SimulatedCluster.Peer other = world.peers.get(1);
@@ -224,15 +225,18 @@
         rosecleat.fleet.wire.Datagram.newBuilder()
             .setCluster("test")
             .setFrom(
-                WireCodec.news(
-                    new MemberId("liar", 5),
-                    new Endpoint("10.9.9.9", 1),
-                    "",
-                    MemberState.ALIVE,
-                    1,
-                    0));
+                WireCodec.encode(
+                    new MemberUpdate(
+                        new MemberId("liar", 5),
+                        new Endpoint("10.9.9.9", 1),
+                        "",
+                        MemberState.ALIVE,
+                        1,
+                        0)));
     for (SimulatedCluster.Peer peer : world.peers) {
-      lie.addMembers(WireCodec.news(peer.fleet.localId(), peer.at(), "z", MemberState.DEAD, 1, 0));
+      lie.addMembers(
+          WireCodec.encode(
+              new MemberUpdate(peer.fleet.localId(), peer.at(), "z", MemberState.DEAD, 1, 0)));
       lie.addRecords(
           RecordNews.newBuilder()
               .setOwner(peer.fleet.localId().name())
@@ -271,13 +275,14 @@
               rosecleat.fleet.wire.Datagram.newBuilder()
                   .setCluster("test")
                   .setFrom(
-                      WireCodec.news(
-                          new MemberId("m" + i, 1),
-                          new Endpoint("10.1." + i / 250 + "." + i % 250, 7),
-                          "",
-                          MemberState.ALIVE,
-                          1,
-                          0))
+                      WireCodec.encode(
+                          new MemberUpdate(
+                              new MemberId("m" + i, 1),
+                              new Endpoint("10.1." + i / 250 + "." + i % 250, 7),
+                              "",
+                              MemberState.ALIVE,
+                              1,
+                              0)))
                   .build()
                   .toByteArray(),
               "test"),
@@ -286,6 +291,6 @@
         fleet.drainEffects();
       }
     }
-    assertEquals(Tuning.MOST_MEMBERS, fleet.memberCount());
+    assertEquals(Tuning.MAX_MEMBERS, fleet.memberCount());
   }
 }
--- a/src/test/java/rosecleat/fleet/SimulatedCluster.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -110,13 +110,13 @@
         record(effect);
         if (effect instanceof Effect.SendDatagram send) {
           messages++;
-          bytes += send.bytes().length + 28;
-          if (send.bytes().length > largest) {
-            largest = send.bytes().length;
+          bytes += send.payload().length + 28;
+          if (send.payload().length > largest) {
+            largest = send.payload().length;
           }
-          deliver(this, send.to(), send.bytes());
-        } else if (effect instanceof Effect.StartSync meet) {
-          Peer with = byAddress.get(meet.with());
+          deliver(this, send.destination(), send.payload());
+        } else if (effect instanceof Effect.StartSync sync) {
+          Peer with = byAddress.get(sync.peer());
           if (with != null
               && with != this
               && link.test(index, with.index)
@@ -126,8 +126,8 @@
             talk(this, fleet.openSync(), with, with.fleet.acceptSync(), null, true, with.fleet);
           }
         } else if (effect instanceof Effect.IncrementCounter count) {
-          counts.merge(count.what(), 1L, Long::sum);
-          if (count.what().equals("dead")) {
+          counts.merge(count.counter().counterName(), 1L, Long::sum);
+          if (count.counter().counterName().equals("dead")) {
             deadSeen++;
           }
         } else if (effect instanceof Effect.RecordChanged r) {
@@ -196,7 +196,7 @@
               all.addMembers(news(other));
             }
           });
-      peer.fleet.acceptSync().next(Checksum.attach(all.build().toByteArray(), "test"), nowUs);
+      peer.fleet.acceptSync().nextFrame(Checksum.attach(all.build().toByteArray(), "test"), nowUs);
       peer.fleet.drainEffects();
     }
     run(3);
@@ -206,14 +206,14 @@
 
   private void record(Effect effect) {
     if (effect instanceof Effect.SendDatagram send) {
-      record("send " + send.to());
-      trace = Hash.of(send.bytes(), trace);
-    } else if (effect instanceof Effect.StartSync meet) {
-      record("sync " + meet.with() + " " + meet.why());
+      record("send " + send.destination());
+      trace = Hash.of(send.payload(), trace);
+    } else if (effect instanceof Effect.StartSync sync) {
+      record("sync " + sync.peer() + " " + sync.reason().counterName());
     } else if (effect instanceof Effect.WriteLog say) {
       record("log " + say.warning() + " " + say.line());
     } else if (effect instanceof Effect.IncrementCounter count) {
-      record("count " + count.what());
+      record("count " + count.counter().counterName());
     } else if (effect instanceof Effect.ViewChanged) {
       record("changed");
     } else if (effect instanceof Effect.RecordChanged recorded) {
@@ -237,7 +237,8 @@
   }
 
   private rosecleat.fleet.wire.MemberNews news(Peer p) {
-    return WireCodec.news(p.fleet.localId(), p.at(), "z" + p.index % 3, MemberState.ALIVE, 1, 0);
+    return WireCodec.encode(
+        new MemberUpdate(p.fleet.localId(), p.at(), "z" + p.index % 3, MemberState.ALIVE, 1, 0));
   }
 
   void schedule(long us, Runnable what) {
@@ -303,7 +304,7 @@
           arrive(
               turn,
               () -> {
-                byte[] next = (myTurn ? mine : theirs).next(frame, nowUs);
+                byte[] next = (myTurn ? mine : theirs).nextFrame(frame, nowUs);
                 turn.run();
                 if (next != null) {
                   bytes += next.length;
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -111,8 +111,8 @@
     RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
     RouteSyncSession answers =
         new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
-    byte[] told = answers.next(opener.next(null, 0), 0);
-    opener.next(told, 0);
+    byte[] told = answers.nextFrame(opener.nextFrame(null, 0), 0);
+    opener.nextFrame(told, 0);
     return told.length;
   }
 }
--- a/src/test/java/rosecleat/routes/RouteStoreTest.java
+++ b/src/test/java/rosecleat/routes/RouteStoreTest.java
@@ -40,9 +40,9 @@
     RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
     RouteSyncSession answers =
         new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
-    byte[] frame = opener.next(null, 0);
+    byte[] frame = opener.nextFrame(null, 0);
     for (int i = 0; frame != null && i < frames; i++) {
-      frame = (i % 2 == 0 ? answers : opener).next(frame, 0);
+      frame = (i % 2 == 0 ? answers : opener).nextFrame(frame, 0);
     }
   }
 
@@ -166,9 +166,9 @@
         new RouteSyncSession(follower, true, "c", () -> SELF, () -> {}, () -> {});
     RouteSyncSession answers =
         new RouteSyncSession(author, false, "c", () -> SELF, () -> {}, () -> {});
-    byte[] told = answers.next(opener.next(null, 0), 0);
+    byte[] told = answers.nextFrame(opener.nextFrame(null, 0), 0);
     assertTrue(told.length < 1_500, "told " + told.length + " bytes");
-    opener.next(told, 0);
+    opener.nextFrame(told, 0);
     assertEquals(author.stateDigest(), follower.stateDigest());
   }
 }
