--- /dev/null
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -0,0 +1,112 @@
+package rosecleat.policy;
+
+/** Admits or rejects arrivals. */
+final class AdmissionController {
+  private final PolicyContext context;
+  private final RequestTable requests;
+  private final AdmissionGate gate;
+  private final RequestWeights weights;
+  private final MemoryBudget memory;
+  private final CompletionForecast forecast;
+  private final OverloadEstimator overload;
+  private final ServerAvailability availability;
+  private final IdempotencyRecords idempotency;
+  private final ResponseSender responses;
+
+  AdmissionController(
+      PolicyContext context,
+      RequestTable requests,
+      AdmissionGate gate,
+      RequestWeights weights,
+      MemoryBudget memory,
+      CompletionForecast forecast,
+      OverloadEstimator overload,
+      ServerAvailability availability,
+      IdempotencyRecords idempotency,
+      ResponseSender responses) {
+    this.context = context;
+    this.requests = requests;
+    this.gate = gate;
+    this.weights = weights;
+    this.memory = memory;
+    this.forecast = forecast;
+    this.overload = overload;
+    this.availability = availability;
+    this.idempotency = idempotency;
+    this.responses = responses;
+  }
+
+  /**
+   * Decides on an arrival that was queued.
+   *
+   * @param weight the weight of its answer
+   * @param advisedLevel the rank below which callers were advised not to send
+   */
+  void admit(TrackedRequest tracked, double weight, double advisedLevel) {
+    boolean late = availability.isPastGrace(tracked);
+    if (tracked.request.originalId() != 0 && repeats(tracked, late)) {
+      return;
+    }
+    double rejectionChance = rejectionChance(weight);
+    overload.recordDecision(rejectionChance, tracked.request.rank() < advisedLevel);
+    if (late
+        || availability.isStalled()
+        || memory.isFull()
+        || forecast.isHopeless(tracked)
+        || tracked.isKeyed() && !memory.hasRoomForKey()
+        || isDrawn(rejectionChance) && !replaceLighter(weight)) {
+      responses.reject(tracked);
+    } else if (tracked.isKeyed()) {
+      idempotency.rememberEffect(tracked);
+    }
+  }
+
+  /** Deals with a request that repeats another; false where it is new work. */
+  private boolean repeats(TrackedRequest tracked, boolean late) {
+    switch (idempotency.classify(tracked, late, availability.isStalled())) {
+      case ATTACH -> idempotency.attach(tracked);
+      case ANSWER -> responses.answer(tracked);
+      default -> {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /**
+   * The chance of a rejection by the gate: an arrival competes with what weighs as much or more.
+   */
+  private double rejectionChance(double weight) {
+    if (!gate.isBinding()) {
+      return 0;
+    }
+    // an arrival that is read late must not bind its own rejection: with none queued before it a
+    // run may start at once, unless heavier arrivals alone offer more than this server can do
+    double heavier = weights.shareAtLeast(weight / RequestWeights.EQUAL);
+    if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavier <= 1) {
+      return 0;
+    }
+    return 1 - gate.filteringCoefficient(weights.shareAtLeast(weight * RequestWeights.EQUAL));
+  }
+
+  private boolean isDrawn(double rejectionChance) {
+    return rejectionChance > 0 && context.random.nextDouble() < rejectionChance;
+  }
+
+  /** Rejects the lightest queued request in place of a heavier one; false where none is lighter. */
+  private boolean replaceLighter(double weight) {
+    TrackedRequest lightest = null;
+    double least = weight * RequestWeights.EQUAL;
+    for (TrackedRequest tracked : requests.queue()) {
+      double other = weights.weight(tracked);
+      if (other < least && tracked.mayBeRejected()) {
+        lightest = tracked;
+        least = other;
+      }
+    }
+    if (lightest != null) {
+      responses.reject(lightest);
+    }
+    return lightest != null;
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/policy/CompletionForecast.java
@@ -0,0 +1,43 @@
+package rosecleat.policy;
+
+/** Whether a request that is started now can still be answered in time. */
+final class CompletionForecast {
+  private final PolicyContext context;
+  private final RequestTable requests;
+  private final AdmissionGate gate;
+  private final ServiceTimeEstimator serviceTimes;
+
+  CompletionForecast(
+      PolicyContext context,
+      RequestTable requests,
+      AdmissionGate gate,
+      ServiceTimeEstimator serviceTimes) {
+    this.context = context;
+    this.requests = requests;
+    this.gate = gate;
+    this.serviceTimes = serviceTimes;
+  }
+
+  /**
+   * Whether no answer of any worth can come of a request any more. An idle server lets one through.
+   */
+  boolean isHopeless(TrackedRequest tracked) {
+    long now = context.nowUs();
+    if (requests.running() == 0 && now < tracked.objectiveUs) {
+      return false;
+    }
+    boolean worthLate = tracked.priorityClass.lateWeight() > 0 && !gate.isBinding();
+    long endUs =
+        worthLate ? tracked.deadlineUs - PolicyTiming.DEADLINE_MARGIN_US : tracked.objectiveUs;
+    boolean hopeless = now + serviceTimes.expectedRunTime(tracked) >= endUs;
+    if (hopeless && now < endUs) {
+      serviceTimes.doubtRestored(tracked.request.classIndex());
+    }
+    return hopeless;
+  }
+
+  /** Whether a run that starts now is expected to miss its latency objective. */
+  boolean missesObjective(TrackedRequest tracked) {
+    return context.nowUs() + serviceTimes.expectedRunTime(tracked) > tracked.objectiveUs;
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/policy/Dispatcher.java
@@ -0,0 +1,84 @@
+package rosecleat.policy;
+
+import java.util.List;
+
+/** Starts queued requests while there is capacity: by weight while the gate binds, else oldest. */
+final class Dispatcher {
+  private final PolicyContext context;
+  private final RequestTable requests;
+  private final AdmissionGate gate;
+  private final ConcurrencyLimiter concurrency;
+  private final RequestWeights weights;
+  private final MemoryBudget memory;
+  private final CompletionForecast forecast;
+  private final ServerAvailability availability;
+  private final IdempotencyRecords idempotency;
+  private final ResponseSender responses;
+
+  Dispatcher(
+      PolicyContext context,
+      RequestTable requests,
+      AdmissionGate gate,
+      ConcurrencyLimiter concurrency,
+      RequestWeights weights,
+      MemoryBudget memory,
+      CompletionForecast forecast,
+      ServerAvailability availability,
+      IdempotencyRecords idempotency,
+      ResponseSender responses) {
+    this.context = context;
+    this.requests = requests;
+    this.gate = gate;
+    this.concurrency = concurrency;
+    this.weights = weights;
+    this.memory = memory;
+    this.forecast = forecast;
+    this.availability = availability;
+    this.idempotency = idempotency;
+    this.responses = responses;
+  }
+
+  /** Starts as many queued requests as there is capacity for; rejects those that are hopeless. */
+  void dispatch() {
+    while (concurrency.hasCapacity() && !availability.isStalled()) {
+      TrackedRequest next = next();
+      if (next == null) {
+        return;
+      }
+      requests.start(next);
+      idempotency.rememberRunningRead(next);
+      context.actions.run(next.id());
+    }
+  }
+
+  /** The request to start next, null where there is none. */
+  private TrackedRequest next() {
+    List<TrackedRequest> queue = requests.queue();
+    boolean binding = gate.isBinding();
+    TrackedRequest best = null;
+    double bestWeight = -1;
+    for (int i = 0; i < queue.size(); i++) {
+      TrackedRequest tracked = queue.get(i);
+      if (tracked.mustNotRunAgain() || !memory.hasRoomToRun(tracked)) {
+        continue;
+      }
+      if (forecast.isHopeless(tracked)) {
+        responses.reject(tracked);
+        // the rejection may have taken others out: begin again
+        i = -1;
+        best = null;
+        bestWeight = -1;
+        continue;
+      }
+      double weight = binding ? weights.weight(tracked) : 1;
+      if (forecast.missesObjective(tracked)) {
+        weight *= tracked.priorityClass.lateWeight();
+      }
+      if (weight > bestWeight) {
+        best = tracked;
+        bestWeight = weight;
+      }
+    }
+    return best;
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/policy/EstimateExchange.java
@@ -0,0 +1,183 @@
+package rosecleat.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Turns what a policy has learned into estimates by name, and estimates into what it takes in. */
+final class EstimateExchange {
+  /** A limit that rests on so many seconds is taken in whole (s); chosen here. */
+  private static final double TRUSTED_S = 10;
+
+  /** Interval of the samples that the usual limit is a mean of (us); chosen here. */
+  private static final long SAMPLE_INTERVAL_US = 100_000;
+
+  /** Weight of the newest sample in the usual limit; chosen here. */
+  private static final double SAMPLE_WEIGHT = 0.03;
+
+  /** Limits on calls from here on are none (calls); chosen here. */
+  private static final double NO_CALL_LIMIT = 1e5;
+
+  private static final double US_PER_S = 1_000_000;
+
+  private final Policy policy;
+
+  /**
+   * The concurrency limit while it is in use, smoothed: the limit itself falls as soon as nothing
+   * needs it.
+   */
+  private double usualLimit;
+
+  /** The seconds of use that the usual limit rests on. */
+  private double usedSeconds;
+
+  private long lastSampleUs;
+  private double restoredArrivals;
+
+  EstimateExchange(Policy policy) {
+    this.policy = policy;
+    usualLimit = policy.concurrencyLimit();
+  }
+
+  /** Samples the limit where it is time, while half of it or more is in use. */
+  void sample(long nowUs) {
+    if (nowUs - lastSampleUs < SAMPLE_INTERVAL_US) {
+      return;
+    }
+    lastSampleUs = nowUs;
+    double limit = policy.concurrencyLimit();
+    if (policy.concurrentRequests() >= limit / 2) {
+      usualLimit += SAMPLE_WEIGHT * (limit - usualLimit);
+      usedSeconds += SAMPLE_INTERVAL_US / US_PER_S;
+    }
+  }
+
+  /** What the policy has learned, by the names in force. */
+  List<Estimate> estimates(ClassAndTenantNames names) {
+    LearnedEstimates learned = policy.learnedEstimates();
+    List<Estimate> estimates = new ArrayList<>();
+    addRunTimes(estimates, learned, names.classes());
+    addLimits(estimates, learned);
+    addTenantShares(estimates, learned, names.tenants());
+    return estimates;
+  }
+
+  private static void addRunTimes(
+      List<Estimate> estimates, LearnedEstimates learned, List<String> classes) {
+    int count = Math.min(learned.runCounts().length, classes.size());
+    for (int index = 0; index < count; index++) {
+      int runs = learned.runCounts()[index];
+      if (classes.get(index) != null && runs > 0) {
+        double runTimeUs = learned.runTimesUs()[index];
+        estimates.add(new Estimate(EstimateKind.RUN_TIME, classes.get(index), runTimeUs, runs));
+      }
+    }
+  }
+
+  private void addLimits(List<Estimate> estimates, LearnedEstimates learned) {
+    int calls = learned.callCount();
+    if (calls > 0) {
+      estimates.add(new Estimate(EstimateKind.CALL_TIME, "", learned.callTimeUs(), calls));
+    }
+    if (usedSeconds > 0) {
+      estimates.add(new Estimate(EstimateKind.LIMIT, "", usualLimit, usedSeconds));
+    }
+    if (learned.callLimit() < NO_CALL_LIMIT && calls > 0) {
+      estimates.add(new Estimate(EstimateKind.CALL_LIMIT, "", learned.callLimit(), usedSeconds));
+    }
+  }
+
+  private void addTenantShares(
+      List<Estimate> estimates, LearnedEstimates learned, List<String> tenants) {
+    double arrivals = restoredArrivals + learned.arrivals();
+    int count = Math.min(learned.tenantShares().length, tenants.size());
+    for (int index = 0; index < count; index++) {
+      if (tenants.get(index) != null && arrivals > 0) {
+        double share = learned.tenantShares()[index];
+        estimates.add(new Estimate(EstimateKind.TENANT_PART, tenants.get(index), share, arrivals));
+      }
+    }
+  }
+
+  /**
+   * Has the policy take in estimates. Limits count in part where they rest on few seconds; what
+   * names nothing here is left out.
+   */
+  void restore(PolicySettings settings, ClassAndTenantNames names, List<Estimate> estimates) {
+    Restoration restoration =
+        new Restoration(settings, names, policy.learnedEstimates().tenantShares().clone());
+    estimates.forEach(restoration::add);
+    if (restoration.limitSeconds >= 0) {
+      usedSeconds = restoration.limitSeconds;
+    }
+    restoredArrivals = restoration.arrivals;
+    policy.restore(restoration.learned());
+    usualLimit = policy.concurrencyLimit();
+  }
+
+  /** Collects estimates by name into what the policy takes in by index. */
+  private static final class Restoration {
+    private final PolicySettings settings;
+    private final ClassAndTenantNames names;
+    private final double[] runTimesUs;
+    private final int[] runCounts;
+    private final double[] tenantShares;
+    private double callTimeUs;
+    private int calls;
+    private double limit;
+
+    /** The seconds that the limit rests on, negative where none is restored. */
+    private double limitSeconds = -1;
+
+    private double callLimit;
+    private double arrivals;
+
+    Restoration(PolicySettings settings, ClassAndTenantNames names, double[] tenantShares) {
+      this.settings = settings;
+      this.names = names;
+      this.tenantShares = tenantShares;
+      runTimesUs = new double[settings.classes().size()];
+      runCounts = new int[runTimesUs.length];
+    }
+
+    void add(Estimate estimate) {
+      double value = estimate.value();
+      double samples = estimate.samples();
+      switch (estimate.kind()) {
+        case RUN_TIME -> addRunTime(estimate);
+        case CALL_TIME -> {
+          callTimeUs = value;
+          calls = (int) Math.round(samples);
+        }
+        case LIMIT -> {
+          int cores = settings.cores();
+          limit = cores + (value - cores) * Math.min(1, samples / TRUSTED_S);
+          limitSeconds = samples;
+        }
+        case CALL_LIMIT -> callLimit = samples >= TRUSTED_S ? value : 0;
+        case TENANT_PART -> addTenantShare(estimate);
+        default -> throw new IllegalArgumentException("unknown estimate " + estimate.kind());
+      }
+    }
+
+    private void addRunTime(Estimate estimate) {
+      int index = names.classes().indexOf(estimate.subject());
+      if (index >= 0 && index < runTimesUs.length) {
+        runTimesUs[index] = estimate.value();
+        runCounts[index] = (int) Math.round(estimate.samples());
+      }
+    }
+
+    private void addTenantShare(Estimate estimate) {
+      int index = names.tenants().indexOf(estimate.subject());
+      if (index >= 0 && index < settings.tenants().size()) {
+        tenantShares[index] = estimate.value();
+        arrivals = Math.max(arrivals, estimate.samples());
+      }
+    }
+
+    LearnedEstimates learned() {
+      return new LearnedEstimates(
+          runTimesUs, runCounts, callTimeUs, calls, limit, callLimit, tenantShares, arrivals);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/policy/RequestRates.java
@@ -0,0 +1,47 @@
+package rosecleat.policy;
+
+/** Recent arrivals and completions, with exponentially fading memory. */
+final class RequestRates {
+  /** Time constant of the memory (us); chosen here. */
+  private static final double MEMORY_US = 2e6;
+
+  private static final double US_PER_S = 1e6;
+
+  private double arrivals;
+  private double completions;
+  private long fadedAtUs;
+
+  void start(long nowUs) {
+    fadedAtUs = nowUs;
+  }
+
+  /** Fades the memory up to now and returns the factor. */
+  double fade(long nowUs) {
+    double factor = Math.exp(-(nowUs - fadedAtUs) / MEMORY_US);
+    arrivals *= factor;
+    completions *= factor;
+    fadedAtUs = nowUs;
+    return factor;
+  }
+
+  void countArrival() {
+    arrivals += 1;
+  }
+
+  void countCompletion() {
+    completions += 1;
+  }
+
+  double arrivals() {
+    return arrivals;
+  }
+
+  double completions() {
+    return completions;
+  }
+
+  /** Converts a count that fades like these into a rate a second. */
+  static double perSecond(double fadingCount) {
+    return fadingCount / (MEMORY_US / US_PER_S);
+  }
+}
--- a/src/main/java/rosecleat/simulator/Link.java
+++ b/src/main/java/rosecleat/simulator/Link.java
@@ -187,23 +187,13 @@
   }
 
   private void readGauges(int at, List<String> names) {
-    gauges.coreUtilisation = -1;
-    gauges.runnable = -1;
-    gauges.memoryShare = -1;
-    gauges.connections = -1;
+    gauges.clear();
     int n = Math.min(body.get(at) & 0xff, names.size());
     if (at + 1 + 4 * n > body.limit()) {
       throw new WireException("gauges run past the frame");
     }
     for (int i = 0; i < n; i++) {
-      double value = body.getFloat(at + 1 + 4 * i);
-      switch (names.get(i)) {
-        case "core_use" -> gauges.coreUtilisation = value;
-        case "on_cores" -> gauges.runnable = value;
-        case "heap_share" -> gauges.memoryShare = value;
-        case "links" -> gauges.connections = value;
-        default -> {} // a gauge the module has no use for
-      }
+      gauges.set(names.get(i), body.getFloat(at + 1 + 4 * i));
     }
   }
 
--- a/src/test/java/rosecleat/policy/MechanismTest.java
+++ b/src/test/java/rosecleat/policy/MechanismTest.java
@@ -23,50 +23,50 @@
       h.arrive(0);
     }
     h.pass(6_500_000);
-    h.policy.uAv = 1;
-    h.policy.rhoAv = 90;
+    h.policy.gate().averageUtilisation = 1;
+    h.policy.gate().averageOfferedLoad = 90;
   }
 
   @Test
   void averagesFollowTheHandWorkedSequence() {
     Host h = busy(new Host(Sites.plain(List.of(LONG)), 1));
     h.arrive(0); // nothing ended yet: rho_c is u_s = 1
-    assertEquals(0.1, h.policy.rhoAv, 1e-12);
-    assertEquals(0.1, h.policy.uAv, 1e-12);
+    assertEquals(0.1, h.policy.gate().averageOfferedLoad, 1e-12);
+    assertEquals(0.1, h.policy.gate().averageUtilisation, 1e-12);
     Host.Entry second = h.arrive(0);
-    assertEquals(0.19, h.policy.rhoAv, 1e-12);
+    assertEquals(0.19, h.policy.gate().averageOfferedLoad, 1e-12);
     h.end(second, Outcome.OK, 1000); // two arrivals over one completion: rho_c = 2
-    assertEquals(0.9 * 0.19 + 0.1 * 2, h.policy.rhoAv, 1e-12);
-    assertEquals(0.271, h.policy.uAv, 1e-12);
+    assertEquals(0.9 * 0.19 + 0.1 * 2, h.policy.gate().averageOfferedLoad, 1e-12);
+    assertEquals(0.271, h.policy.gate().averageUtilisation, 1e-12);
   }
 
   @Test
   void filterCoefficientIsClamped() {
     Host h = new Host(Sites.plain(), 1);
-    h.policy.rhoAv = 0.95;
-    assertEquals(0.8, h.policy.fCf(1), 1e-12);
-    h.policy.rhoAv = 0.5;
-    assertEquals(1, h.policy.fCf(1), 1e-12);
-    h.policy.rhoAv = 3;
-    assertEquals(0, h.policy.fCf(1), 1e-12);
-    assertEquals(0.75, h.policy.fCf(1.0 / 3), 1e-12);
+    h.policy.gate().averageOfferedLoad = 0.95;
+    assertEquals(0.8, h.policy.gate().filteringCoefficient(1), 1e-12);
+    h.policy.gate().averageOfferedLoad = 0.5;
+    assertEquals(1, h.policy.gate().filteringCoefficient(1), 1e-12);
+    h.policy.gate().averageOfferedLoad = 3;
+    assertEquals(0, h.policy.gate().filteringCoefficient(1), 1e-12);
+    assertEquals(0.75, h.policy.gate().filteringCoefficient(1.0 / 3), 1e-12);
   }
 
   @Test
   void nothingIsRefusedBeforeRefusalBinds() {
     Host h = busy(new Host(Sites.plain(List.of(LONG)), 1));
-    h.policy.uAv = 1;
-    h.policy.rhoAv = 3;
+    h.policy.gate().averageUtilisation = 1;
+    h.policy.gate().averageOfferedLoad = 3;
     for (int i = 0; i < 50; i++) { // held, but the oldest has not waited a tenth of its time
       h.arrive(0);
     }
     assertTrue(h.actions.stream().noneMatch(a -> a.startsWith("refuse")));
     h.pass(7_000_000);
-    h.policy.rhoAv = 9;
+    h.policy.gate().averageOfferedLoad = 9;
     assertEquals("refuse", h.arrive(0).answer);
     h.gauges.coreUtilisation = 0.85; // waited enough, but the cores are not busy
     h.pass(20_000);
-    h.policy.rhoAv = 9;
+    h.policy.gate().averageOfferedLoad = 9;
     assertEquals("", h.arrive(0).answer);
   }
 
@@ -79,11 +79,11 @@
     h.pass(6_100_000);
     int refused = 0;
     for (int i = 0; i < 2000; i++) {
-      h.policy.uAv = 1;
-      h.policy.rhoAv =
+      h.policy.gate().averageUtilisation = 1;
+      h.policy.gate().averageOfferedLoad =
           (1.15 - 0.1 * rhoNow(h)) / 0.9; // so that rho_av is 1.15 when the gate decides
       Host.Entry e = h.arrive(0);
-      assertEquals(1.15, h.policy.rhoAv, 0.05);
+      assertEquals(1.15, h.policy.gate().averageOfferedLoad, 0.05);
       refused += e.answer.equals("refuse") ? 1 : 0;
       if (e.answer.isEmpty()) {
         h.gone(e);
@@ -93,7 +93,7 @@
   }
 
   private static double rhoNow(Host h) {
-    return h.policy.coreUse; // nothing has ended: rho_c is u_s
+    return h.policy.load().utilisation(); // nothing has ended: rho_c is u_s
   }
 
   @Test
@@ -105,11 +105,11 @@
       h.arrive(i % 4 == 0 ? 1 : 0);
     }
     h.pass(6_500_000);
-    h.policy.uAv = 1;
+    h.policy.gate().averageUtilisation = 1;
     for (int i = 0; i < 20; i++) {
-      h.policy.rhoAv = 2;
+      h.policy.gate().averageOfferedLoad = 2;
       assertEquals("", h.arrive(1).answer);
-      h.policy.rhoAv = 2;
+      h.policy.gate().averageOfferedLoad = 2;
       assertEquals("refuse", h.arrive(0).answer);
     }
   }
@@ -124,8 +124,8 @@
     h.pass(6_500_000);
     h.retry = false;
     for (int i = 0; i < 4; i++) { // refusal binds, at an offered load that leaves no room for any
-      h.policy.uAv = 1;
-      h.policy.rhoAv = 90;
+      h.policy.gate().averageUtilisation = 1;
+      h.policy.gate().averageOfferedLoad = 90;
       h.arrive(0);
     }
     List<Host.Entry> held = h.entries.values().stream().filter(e -> e.at == Host.At.HELD).toList();
@@ -143,8 +143,8 @@
       for (int i = 0;
           i < 400;
           i++) { // far too many, of one rank: once under the level, they come unheeding
-        h.policy.uAv = 1;
-        h.policy.rhoAv = 5;
+        h.policy.gate().averageUtilisation = 1;
+        h.policy.gate().averageOfferedLoad = 5;
         h.arrive(0);
         h.pass(20_000);
       }
@@ -161,7 +161,7 @@
     Host h = busy(new Host(Sites.plain(List.of(LONG, dear)), 3));
     drawsAll(h);
     assertEquals("refuse", h.arrive(0).answer);
-    h.policy.rhoAv = 90;
+    h.policy.gate().averageOfferedLoad = 90;
     assertEquals("", h.arrive(1).answer);
     assertEquals("refuse", h.entries.get(5L).answer);
     assertEquals("", h.entries.get(6L).answer);
@@ -189,8 +189,8 @@
     h.pass(6_500_000);
     int[] refused = new int[2];
     for (int i = 0; i < 400; i++) {
-      h.policy.uAv = 1;
-      h.policy.rhoAv = 1.3;
+      h.policy.gate().averageUtilisation = 1;
+      h.policy.gate().averageOfferedLoad = 1.3;
       Host.Entry e = h.arrive(0, i % 2, 0, 0, 0);
       refused[i % 2] += e.owed ? 0 : 1;
       if (e.owed) {
@@ -260,10 +260,10 @@
         h.end(e, Outcome.OK, 1_000);
       }
     }
-    h.policy.uAv = 1;
-    h.policy.rhoAv = 2.2;
+    h.policy.gate().averageUtilisation = 1;
+    h.policy.gate().averageOfferedLoad = 2.2;
     assertEquals("", h.arrive(0, 1, 0, 0, 0).answer);
-    h.policy.rhoAv = 2.2;
+    h.policy.gate().averageOfferedLoad = 2.2;
     assertEquals("refuse", h.arrive(0, 0, 0, 0, 0).answer);
   }
 
@@ -276,9 +276,9 @@
     assertEquals(4, h.running().size());
     h.gauges.coreUtilisation = 0.5;
     h.pass(5_000_000);
-    assertTrue(h.policy.limit > 4);
-    assertTrue(h.policy.limit < 4 * 6);
-    assertEquals((int) h.policy.limit, h.running().size());
+    assertTrue(h.policy.concurrencyLimit() > 4);
+    assertTrue(h.policy.concurrencyLimit() < 4 * 6);
+    assertEquals((int) h.policy.concurrencyLimit(), h.running().size());
   }
 
   @Test
@@ -289,7 +289,7 @@
     }
     h.gauges.coreUtilisation = 0.5;
     h.pass(2_000_000);
-    double grown = h.policy.limit;
+    double grown = h.policy.concurrencyLimit();
     h.gauges.coreUtilisation = 1; // with cores to spare, long runs are no crowd
     for (int i = 0; i < 30; i++) {
       h.end(h.running().get(0), Outcome.OK, 100_000);
@@ -299,7 +299,7 @@
       h.pass(100_000);
     }
     assertTrue(grown > 4);
-    assertEquals(4, h.policy.limit, 1e-9);
+    assertEquals(4, h.policy.concurrencyLimit(), 1e-9);
   }
 
   @Test
--- a/src/test/java/rosecleat/policy/RulesTest.java
+++ b/src/test/java/rosecleat/policy/RulesTest.java
@@ -365,8 +365,8 @@
     h.called(e, Outcome.OK);
     h.end(e, Outcome.OK, tookUs);
     assertTrue(
-        h.policy.learnt().runTimesUs()[0] > 0,
-        "a run time of " + h.policy.learnt().runTimesUs()[0]);
+        h.policy.learnedEstimates().runTimesUs()[0] > 0,
+        "a run time of " + h.policy.learnedEstimates().runTimesUs()[0]);
     for (int i = 0; i < 5; i++) { // the host asserts that no call is given up before it is made
       Host.Entry next = h.arrive(0);
       h.pass(40_000);
@@ -393,7 +393,7 @@
     assertEquals(Host.At.RUNNING, e.at);
     h.pass(40_000);
     h.end(e, Outcome.OK, 40_000);
-    assertEquals(40_000, h.policy.learnt().runTimesUs()[0], 5_000);
+    assertEquals(40_000, h.policy.learnedEstimates().runTimesUs()[0], 5_000);
   }
 
   private static final PriorityClass LESS_WITHOUT =
@@ -905,8 +905,8 @@
     Host h = learnt();
     h.gauges.coreUtilisation = 1; // reading alone fills the cores
     h.pass(20_000);
-    h.policy.uAv = 1;
-    h.policy.rhoAv = 50;
+    h.policy.gate().averageUtilisation = 1;
+    h.policy.gate().averageOfferedLoad = 50;
     assertEquals(Host.At.RUNNING, h.arrive(2, 0, 300_000, 0, 0).at);
   }
 
@@ -926,10 +926,10 @@
     }
     h.gauges.coreUtilisation = 1;
     h.pass(20_000);
-    h.policy.uAv = 1;
-    h.policy.rhoAv = 2; // the dear ones offer half of what the server can do
+    h.policy.gate().averageUtilisation = 1;
+    h.policy.gate().averageOfferedLoad = 2; // the dear ones offer half of what the server can do
     assertEquals(Host.At.RUNNING, h.arrive(0, 0, 300_000, 0, 0).at);
-    h.policy.rhoAv = 20; // and now five times
+    h.policy.gate().averageOfferedLoad = 20; // and now five times
     assertEquals("refuse", h.arrive(0, 0, 300_000, 0, 0).answer);
     assertEquals(Host.At.RUNNING, h.arrive(1, 0, 300_000, 0, 0).at);
   }
@@ -972,8 +972,8 @@
     h.gauges.coreUtilisation = 1;
     for (int i = 0; i < 200; i++) {
       h.arrive(0);
-      h.policy.uAv = 1;
-      h.policy.rhoAv = 3;
+      h.policy.gate().averageUtilisation = 1;
+      h.policy.gate().averageOfferedLoad = 3;
       h.pass(20_000);
     }
     assertTrue(
@@ -985,7 +985,7 @@
       }
     }
     h.gauges.coreUtilisation = 0.2;
-    h.policy.uAv = 0.2;
+    h.policy.gate().averageUtilisation = 0.2;
     for (int i = 0; i < 100; i++) {
       h.end(h.arrive(0), Outcome.OK, 1000);
       h.pass(50_000);
