--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -36,7 +36,7 @@
    */
   private static final long STALE_US = 250_000;
 
-  /** Connections at the most until {@link #lines} says otherwise. */
+  /** Connections at the most until {@link #setMaxConnections} says otherwise. */
   private static final int LINES = 32;
 
   private final EventLoop loop;
@@ -66,12 +66,12 @@
   }
 
   /** Names who is told the outcomes. */
-  public void tell(Core to) {
+  public void setCore(Core to) {
     core = to;
   }
 
   /** The index is elsewhere from now on; calls that are out end where they were made. */
-  public void moveTo(InetSocketAddress to) {
+  public void setAddress(InetSocketAddress to) {
     if (!Objects.equals(to, address)) {
       address = to;
       while (!idle.isEmpty()) {
@@ -84,7 +84,7 @@
    * So many connections may be open from now on; further calls wait for one. Those over it go as
    * their calls end.
    */
-  public void lines(int fresh) {
+  public void setMaxConnections(int fresh) {
     most = fresh;
     dial();
   }
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -12,7 +12,7 @@
 import rosecleat.front.resp.RespWarmup;
 import rosecleat.log.Log;
 import rosecleat.policy.PolicyEngine;
-import rosecleat.runtime.RuntimeWarmup;
+import rosecleat.runtime.RuntimeMessageWarmup;
 
 /**
  * Lives of made-up requests, played in memory before a node listens. Guards its first callers: code
@@ -27,7 +27,7 @@
 
   private final ArrayDeque<Request> started = new ArrayDeque<>();
   private final ArrayDeque<String> calls = new ArrayDeque<>();
-  private final RuntimeWarmup notices = new RuntimeWarmup();
+  private final RuntimeMessageWarmup notices = new RuntimeMessageWarmup();
   private long nowUs = 1_000_000_000_000_000L;
   private Core core;
 
@@ -100,12 +100,14 @@
     while (!started.isEmpty()) {
       Request request = started.remove();
       if (core.callsDownstream(request.classIndex())) {
-        core.callRequested(request.id(), 1, notices.notice("wants", request.id(), request.body()));
+        core.callRequested(
+            request.id(), 1, notices.roundTrip("wants", request.id(), request.body()));
       }
       while (!calls.isEmpty()) {
         core.callEnded(calls.remove(), CallResult.OK, REPLY);
       }
-      core.runEnded(request.id(), RunResult.OK, notices.notice("end", request.id(), REPLY), 20_000);
+      core.runEnded(
+          request.id(), RunResult.OK, notices.roundTrip("end", request.id(), REPLY), 20_000);
     }
   }
 }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -20,9 +20,9 @@
 import rosecleat.policy.Estimate;
 import rosecleat.policy.PolicyEngine;
 import rosecleat.policy.PolicySettings;
-import rosecleat.registry.RosterClient;
-import rosecleat.runtime.NoRuntime;
-import rosecleat.runtime.RuntimeLink;
+import rosecleat.registry.RegistryClient;
+import rosecleat.runtime.RuntimeClient;
+import rosecleat.runtime.UnavailableRunner;
 import rosecleat.takeover.TakeoverCoordinator;
 
 /** The parts of one node put together: the core, its fronts and its links, all on one loop. */
@@ -56,8 +56,8 @@
   private final PolicyEngine decisions;
   private final Core core;
   private final Runner runner;
-  private final RuntimeLink runtime;
-  private final RosterClient roster;
+  private final RuntimeClient runtime;
+  private final RegistryClient roster;
   private final IndexClient index;
   private final RespFrontend resp;
   private final UwsgiFrontend uwsgi;
@@ -109,13 +109,13 @@
       if (learning != null) {
         learning.serve(numbering, decisions, loop, clock, counters);
       }
-      index.tell(core);
+      index.setCore(core);
       runtime =
           config.runtimeAddress() == null
               ? null
-              : new RuntimeLink(loop, config.runtimeAddress(), core, clock, log);
-      runner = runtime == null ? new NoRuntime(loop, core) : runtime;
-      roster = new RosterClient(loop, config.registryAddress(), config.name(), counters, log);
+              : new RuntimeClient(loop, config.runtimeAddress(), core, clock, log);
+      runner = runtime == null ? new UnavailableRunner(loop, core) : runtime;
+      roster = new RegistryClient(loop, config.registryAddress(), config.name(), counters, log);
       resp =
           new RespFrontend(
               loop, config.listenAddress(), 1, core, numbering.names(runner), clock, log);
@@ -151,7 +151,7 @@
           } else {
             runtime.connect();
           }
-          roster.begin();
+          roster.start();
           beat();
         });
   }
@@ -237,7 +237,7 @@
   }
 
   private void drain(long toldUs, long endUs) {
-    roster.leave();
+    roster.startDraining();
     core.drain(toldUs, endUs - clock.getAsLong() - GracefulShutdown.EARLY_US);
     leaving = new DrainShutdown(core, fronts, clock, endUs);
   }
@@ -277,10 +277,10 @@
             sharing.use(setup.broker().routes());
           }
           if (runtime != null) {
-            runtime.moveTo(fresh.runtimeAddress());
+            runtime.setAddress(fresh.runtimeAddress());
           }
-          index.moveTo(fresh.indexAddress());
-          roster.moveTo(fresh.registryAddress());
+          index.setAddress(fresh.indexAddress());
+          roster.setAddress(fresh.registryAddress());
         });
   }
 
@@ -391,7 +391,7 @@
     DescriptorBudget places =
         DescriptorBudget.of(
             config.maxSockets(), others, numbering.settings().concurrentCalls(), shared);
-    index.lines(places.index());
+    index.setMaxConnections(places.index());
     resp.setMaxConnections(places.balancers());
   }
 
--- a/src/main/java/rosecleat/registry/RosterClient.java
+++ b/src/main/java/rosecleat/registry/RegistryClient.java
@@ -20,7 +20,7 @@
  * Reports this node to the roster once a second over HTTP/1.1, on one connection for as long as it
  * lasts.
  */
-public final class RosterClient {
+public final class RegistryClient {
   private static final long EACH_US = 1_000_000;
   private static final long REPLY_US = 900_000;
 
@@ -61,7 +61,7 @@
   }
 
   /** A client for the node of this name; it reports nothing while the address is null. */
-  public RosterClient(
+  public RegistryClient(
       EventLoop loop, InetSocketAddress address, String name, Counters counters, Log log) {
     this.loop = loop;
     this.address = address;
@@ -71,19 +71,19 @@
   }
 
   /** Begins to report, each second from now on. */
-  public void begin() {
+  public void start() {
     report();
-    loop.schedule(EACH_US, this::begin);
+    loop.schedule(EACH_US, this::start);
   }
 
   /** Reports at once, and from now on, that this node leaves. */
-  public void leave() {
+  public void startDraining() {
     on = false;
     report();
   }
 
   /** The roster is elsewhere from now on; the old one is told nothing more. */
-  public void moveTo(InetSocketAddress to) {
+  public void setAddress(InetSocketAddress to) {
     if (Objects.equals(to, address)) {
       return;
     }
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeClient.java
@@ -29,7 +29,7 @@
  * The link to the machine's runtime: commands out, notices in, each notice applied once. A link
  * that breaks is made anew with the number of the last notice read.
  */
-public final class RuntimeLink implements Runner {
+public final class RuntimeClient implements Runner {
   private static final long DIAL_US = 2_000_000;
   private static final long RETRY_US = 100_000;
   private static final long GAUGES_US = 200_000;
@@ -87,7 +87,7 @@
   private boolean gaugesOut;
 
   /** A link to an address; {@link #connect} opens it. */
-  public RuntimeLink(
+  public RuntimeClient(
       EventLoop loop, InetSocketAddress address, Core core, LongSupplier clock, Log log) {
     this.loop = loop;
     this.address = address;
@@ -125,7 +125,7 @@
           public void failed(Failure failure) {
             dialling = false;
             counters.add("runtime.unreached");
-            loop.schedule(to.equals(address) ? RETRY_US : 0, RuntimeLink.this::connect);
+            loop.schedule(to.equals(address) ? RETRY_US : 0, RuntimeClient.this::connect);
           }
         });
   }
@@ -135,7 +135,7 @@
    * notices are read until the new one stands; the runs go on, and the new link tells all that the
    * old one did not.
    */
-  public void moveTo(InetSocketAddress to) {
+  public void setAddress(InetSocketAddress to) {
     if (!to.equals(address)) {
       address = to;
       ready = false;
--- a/src/main/java/rosecleat/runtime/RuntimeWarmup.java
+++ b/src/main/java/rosecleat/runtime/RuntimeMessageWarmup.java
@@ -6,7 +6,7 @@
 import rosecleat.net.LineBuffer;
 
 /** Reads made-up notices as a link does, in memory. */
-public final class RuntimeWarmup {
+public final class RuntimeMessageWarmup {
   private final LineBuffer lines = new LineBuffer(1 << 16);
   private long number;
 
@@ -14,7 +14,7 @@
    * What a notice of this type with these bytes brings once it was written and read; null where it
    * can't be read.
    */
-  public byte[] notice(String type, String job, byte[] data) {
+  public byte[] roundTrip(String type, String job, byte[] data) {
     String line =
         "{\"type\":\""
             + type
--- a/src/main/java/rosecleat/runtime/NoRuntime.java
+++ b/src/main/java/rosecleat/runtime/UnavailableRunner.java
@@ -7,12 +7,12 @@
 import rosecleat.net.EventLoop;
 
 /** Stands where a node has no runtime, only backends: nothing is reached, so nothing runs. */
-public final class NoRuntime implements Runner {
+public final class UnavailableRunner implements Runner {
   private final EventLoop loop;
   private final Core core;
 
   /** A runner for a core that has none. */
-  public NoRuntime(EventLoop loop, Core core) {
+  public UnavailableRunner(EventLoop loop, Core core) {
     this.loop = loop;
     this.core = core;
   }
--- a/src/test/java/rosecleat/front/resp/PatienceTest.java
+++ b/src/test/java/rosecleat/front/resp/PatienceTest.java
@@ -25,7 +25,7 @@
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.PolicyEngine;
-import rosecleat.runtime.NoRuntime;
+import rosecleat.runtime.UnavailableRunner;
 
 /** How long the front waits for what a connection owes it, on a clock of the test's own. */
 class PatienceTest {
@@ -239,7 +239,7 @@
 
   private static RespFrontend front(EventLoop loop, Core core, AtomicLong now, Log log)
       throws Exception {
-    return front(loop, core, now, log, new NoRuntime(loop, core));
+    return front(loop, core, now, log, new UnavailableRunner(loop, core));
   }
 
   private static RespFrontend front(
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -46,7 +46,7 @@
             counters,
             log);
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
-    client.tell(
+    client.setCore(
         new Core(
             new CoreSettings(2, List.of(), List.of(), 80_000, 1_500_000, 30_000_000, 1 << 20),
             new PolicyEngine(config.settings().policy(), config.settings().gaugeNames(), 5),
--- a/src/test/java/rosecleat/registry/RosterClientTest.java
+++ b/src/test/java/rosecleat/registry/RegistryClientTest.java
@@ -20,20 +20,20 @@
  * Reports that cross the end of their connection, a roster that fails, and one that says more than
  * one reply.
  */
-class RosterClientTest {
+class RegistryClientTest {
   private final Log log = new Log(System.err);
   private final FakeRegistry roster = new FakeRegistry();
   private final Counters counters = new Counters();
   private EventLoop loop;
   private LoopGate gate;
-  private RosterClient client;
+  private RegistryClient client;
 
   @BeforeEach
   void start() throws IOException {
     loop = new EventLoop(log);
     gate = new LoopGate(loop);
     client =
-        new RosterClient(
+        new RegistryClient(
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), roster.port()),
             "n1",
@@ -69,14 +69,14 @@
   void aReportIsNotPutOnAConnectionWhoseEndIsStillToBeTold() throws Exception {
     gate.on(
         () -> {
-          client.begin();
+          client.start();
           return 0;
         });
     await(() -> count("roster.reports") == 1);
     gate.hold();
     roster.cut();
     gate.settle();
-    loop.execute(client::leave);
+    loop.execute(client::startDraining);
     long leftNs = System.nanoTime();
     gate.release();
     await(() -> count("roster.reports") == 2);
@@ -96,7 +96,7 @@
     roster.mood = "503";
     gate.on(
         () -> {
-          client.begin();
+          client.start();
           return 0;
         });
     await(() -> count("roster.failed") == 1);
@@ -112,7 +112,7 @@
     roster.mood = "103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 204";
     gate.on(
         () -> {
-          client.begin();
+          client.start();
           return 0;
         });
     await(() -> count("roster.reports") == 1);
--- a/src/test/java/rosecleat/runtime/RuntimeLinkTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeClientTest.java
@@ -31,7 +31,7 @@
 /**
  * Commands that cross the end of their link, and of the one after it, on a clock of the test's own.
  */
-class RuntimeLinkTest {
+class RuntimeClientTest {
   private static final DownstreamClient NONE =
       new DownstreamClient() {
         @Override
@@ -48,7 +48,7 @@
   private EventLoop loop;
   private LoopGate gate;
   private Core core;
-  private RuntimeLink link;
+  private RuntimeClient link;
 
   @BeforeEach
   void start() throws IOException {
@@ -71,7 +71,7 @@
             counters,
             log);
     link =
-        new RuntimeLink(
+        new RuntimeClient(
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), runtime.port()),
             core,
