--- a/src/main/java/rosecleat/cli/state/FolderCommand.java
+++ b/src/main/java/rosecleat/cli/state/FolderCommand.java
@@ -6,8 +6,8 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.List;
-import rosecleat.store.Disk;
-import rosecleat.store.Folder;
+import rosecleat.store.Directory;
+import rosecleat.store.FileSystemDirectory;
 
 /** A command on one state folder, with the options that all of them take. */
 abstract class FolderCommand {
@@ -37,7 +37,7 @@
   final CommandResult run(long nowUs) {
     Path path = Path.of(folder.get(0));
     try {
-      return run(path, Folder.of(path), nowUs);
+      return run(path, FileSystemDirectory.openExisting(path), nowUs);
     } catch (NoSuchFileException e) {
       return failure(
           "there is no folder "
@@ -49,7 +49,7 @@
   }
 
   /** Runs the command on an existing folder. */
-  abstract CommandResult run(Path path, Disk folder, long nowUs) throws IOException;
+  abstract CommandResult run(Path path, Directory folder, long nowUs) throws IOException;
 
   /** The result of a command that cannot use the folder. */
   final CommandResult failure(String cause) {
--- a/src/main/java/rosecleat/cli/state/ShowCommand.java
+++ b/src/main/java/rosecleat/cli/state/ShowCommand.java
@@ -7,10 +7,12 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import rosecleat.facts.Fact;
-import rosecleat.state.FactOwner;
-import rosecleat.store.Disk;
-import rosecleat.store.Recovered;
-import rosecleat.store.Store;
+import rosecleat.state.FactState;
+import rosecleat.state.FactStateFactory;
+import rosecleat.state.NodeFact;
+import rosecleat.store.Directory;
+import rosecleat.store.RecordStore;
+import rosecleat.store.RecoveryReport;
 
 /** {@code state show}: the facts that the folder holds, as a table or as JSON. */
 @Parameters(commandDescription = "list the facts that count, with age and weight")
@@ -19,25 +21,25 @@
   private static final String ROW_FORMAT = "%-12s %-12s %-28s %12s %8s %10s";
 
   @Override
-  CommandResult run(Path path, Disk folder, long nowUs) throws IOException {
-    Recovered recovered = Store.look(folder, new FactOwner());
-    if (recovered.refusal() != null) {
-      return failure(recovered.refusal());
+  CommandResult run(Path path, Directory folder, long nowUs) throws IOException {
+    RecoveryReport recovered = RecordStore.inspect(folder, new FactStateFactory());
+    if (recovered.unsupportedFormat().isPresent()) {
+      return failure(recovered.unsupportedFormat().get().message());
     }
-    FactOwner.Facts facts = (FactOwner.Facts) recovered.fold();
+    FactState facts = (FactState) recovered.state();
     String text = printsJson() ? json(path, facts, nowUs) : table(facts, nowUs);
     return CommandResult.output(CommandResult.SUCCESS, text);
   }
 
-  private static String json(Path path, FactOwner.Facts facts, long nowUs) {
+  private static String json(Path path, FactState facts, long nowUs) {
     ObjectNode root =
-        JSON.createObjectNode().put("folder", path.toString()).put("unread", facts.unread());
+        JSON.createObjectNode().put("folder", path.toString()).put("unread", facts.unreadable());
     ArrayNode entries = root.putArray("facts");
-    for (FactOwner.Kept kept : facts.all()) {
-      Fact fact = kept.fact();
+    for (NodeFact nodeFact : facts.facts()) {
+      Fact fact = nodeFact.fact();
       entries
           .addObject()
-          .put("node", kept.node())
+          .put("node", nodeFact.node())
           .put("kind", fact.kind().wireName())
           .put("subject", fact.subject())
           .put("value", fact.value())
@@ -48,23 +50,23 @@
     return root.toPrettyString();
   }
 
-  private static String table(FactOwner.Facts facts, long nowUs) {
+  private static String table(FactState facts, long nowUs) {
     StringBuilder text =
         new StringBuilder(row("node", "kind", "subject", "value", "weight", "age s"));
-    for (FactOwner.Kept kept : facts.all()) {
-      text.append('\n').append(row(kept, nowUs));
+    for (NodeFact nodeFact : facts.facts()) {
+      text.append('\n').append(row(nodeFact, nowUs));
     }
-    text.append('\n').append(facts.all().size()).append(" facts");
-    if (facts.unread() > 0) {
-      text.append(", ").append(facts.unread()).append(" of kinds this program does not know");
+    text.append('\n').append(facts.facts().size()).append(" facts");
+    if (facts.unreadable() > 0) {
+      text.append(", ").append(facts.unreadable()).append(" of kinds this program does not know");
     }
     return text.toString();
   }
 
-  private static String row(FactOwner.Kept kept, long nowUs) {
-    Fact fact = kept.fact();
+  private static String row(NodeFact nodeFact, long nowUs) {
+    Fact fact = nodeFact.fact();
     return row(
-        kept.node(),
+        nodeFact.node(),
         fact.kind().wireName(),
         fact.subject().isEmpty() ? "-" : fact.subject(),
         number("%.4g", fact.value()),
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -222,7 +222,9 @@
           }
           counters.add(handsOver ? "leaves.handover" : "leaves.drain");
           if (learning != null && handsOver) {
-            learning.memory().leave(clock.getAsLong()); // the newer process takes the folder over
+            learning
+                .memory()
+                .saveAndRelease(clock.getAsLong()); // the newer process takes the folder over
           } else if (learning != null) {
             learning.memory().save(clock.getAsLong());
           }
@@ -322,7 +324,7 @@
     if (leaving != null && leaving.over()) {
       shares.look(true); // what it took counts on for those that stay
       if (learning != null) {
-        learning.memory().leave(now);
+        learning.memory().saveAndRelease(now);
       }
       log.info(counters.toString());
       leaving = null; // said once; the process ends now
@@ -348,7 +350,7 @@
     }
     shares.look(leaving != null);
     if (learning != null) {
-      learning.memory().look(now);
+      learning.memory().saveIfDue(now);
     }
   }
 
--- a/src/main/java/rosecleat/node/StatePersistence.java
+++ b/src/main/java/rosecleat/node/StatePersistence.java
@@ -18,12 +18,12 @@
 import rosecleat.policy.PolicyEngine;
 import rosecleat.policy.PolicySettings;
 import rosecleat.policy.PriorityClass;
-import rosecleat.state.Memory;
-import rosecleat.state.Opener;
+import rosecleat.state.StateStore;
+import rosecleat.state.StateStoreOpener;
 
 /**
  * What a node learnt, as it is kept between its processes: puts the node's settings in the terms of
- * {@link Memory}. Loaded only where the broker's file has a section {@code state}.
+ * {@link StateStore}. Loaded only where the broker's file has a section {@code state}.
  */
 final class StatePersistence {
   /**
@@ -33,17 +33,17 @@
   private static final double CALL_PART = 0.25;
 
   private final StateConfig state;
-  private final Opener opener;
+  private final StateStoreOpener opener;
   private final Log log;
   private IndexedSettings numbering;
-  private Memory memory;
+  private StateStore memory;
   private SettingsDigests terms; // of the settings in force, worked out once
 
   /** Begins to open the folder; the node may stand later. */
   StatePersistence(StateConfig state, Log log) {
     this.state = state;
     this.log = log;
-    opener = new Opener(state.folder(), state.maxBytes(), log);
+    opener = new StateStoreOpener(state.folder(), state.maxBytes(), log);
   }
 
   /** Where a broker keeps what it learnt; null where it keeps nothing. */
@@ -62,26 +62,27 @@
       Counters counters) {
     numbering = of;
     memory =
-        new Memory(
+        new StateStore(
             settings(state),
             opener,
-            new Memory.Node(this::terms, numbering::learntNames, decisions, clock, loop::execute),
+            new StateStore.Host(
+                this::terms, numbering::learntNames, decisions, clock, loop::execute),
             counters,
             log);
   }
 
-  private static Memory.Settings settings(StateConfig s) {
-    return new Memory.Settings(s.saveIntervalUs(), s.halfLifeUs());
+  private static StateStore.Settings settings(StateConfig s) {
+    return new StateStore.Settings(s.saveIntervalUs(), s.halfLifeUs());
   }
 
-  Memory memory() {
+  StateStore memory() {
     return memory;
   }
 
   /** Other settings, of the same folder; its size is taken at the next start. */
   void use(StateConfig fresh) {
     terms = null;
-    memory.use(settings(fresh));
+    memory.apply(settings(fresh));
   }
 
   /** The settings in force, as far as what was learnt depends on them. */
--- a/src/main/java/rosecleat/state/FactCodec.java
+++ b/src/main/java/rosecleat/state/FactCodec.java
@@ -10,87 +10,94 @@
 import rosecleat.state.wire.FactV1;
 import rosecleat.state.wire.Facts;
 import rosecleat.state.wire.FactsV1;
-import rosecleat.store.Entry;
+import rosecleat.store.StoredRecord;
 
 /**
- * Facts as entries of a store. Writes version 2; reads that, and version 1, which had milliseconds
- * and no terms.
+ * Encodes facts as records of a store. Writes version 2; reads that and version 1, which has times
+ * in milliseconds and no digest of the settings.
  */
 final class FactCodec {
-  /** The type of an entry that holds facts of one node. */
-  static final int TYPE = 1;
+  /** Type of a record that holds facts of one node. */
+  static final int RECORD_TYPE = 1;
 
-  /** The version that is written. */
-  static final int VERSION = 2;
+  /** The version that is written, and the newest that is read. */
+  static final int RECORD_VERSION = 2;
+
+  private static final long MICROSECONDS_PER_MILLISECOND = 1000;
 
   /**
-   * Facts of one node as they were read; {@code unread} of them are of a kind this program does not
-   * know.
+   * The content of a record.
+   *
+   * @param node the node that learned the facts
+   * @param facts the facts of known kinds
+   * @param unknownKinds the number of facts of other kinds
    */
-  record Read(String node, List<Fact> facts, int unread) {}
+  record Decoded(String node, List<Fact> facts, int unknownKinds) {}
 
   private FactCodec() {}
 
-  static Entry entry(String node, Collection<Fact> facts) {
-    Facts.Builder all = Facts.newBuilder().setNode(node);
-    for (Fact f : facts) {
-      all.addFacts(
+  static StoredRecord encode(String node, Collection<Fact> facts) {
+    Facts.Builder message = Facts.newBuilder().setNode(node);
+    for (Fact fact : facts) {
+      message.addFacts(
           rosecleat.state.wire.Fact.newBuilder()
-              .setKind(f.kind().wireName())
-              .setSubject(f.subject())
-              .setValue(f.value())
-              .setWeight(f.weight())
-              .setAtUs(f.learnedAtUs())
-              .setTerms(f.settingsDigest()));
+              .setKind(fact.kind().wireName())
+              .setSubject(fact.subject())
+              .setValue(fact.value())
+              .setWeight(fact.weight())
+              .setAtUs(fact.learnedAtUs())
+              .setTerms(fact.settingsDigest()));
     }
-    return new Entry(TYPE, VERSION, all.build().toByteArray());
+    return new StoredRecord(RECORD_TYPE, RECORD_VERSION, message.build().toByteArray());
+  }
+
+  /** Decodes a record; fails where the payload does not match its version. */
+  static Decoded decode(StoredRecord record) throws InvalidProtocolBufferException {
+    return record.version() == 1 ? decodeV1(record.payload()) : decodeV2(record.payload());
   }
 
-  /** What an entry holds; fails where it is not what its version says. */
-  static Read read(Entry entry) throws InvalidProtocolBufferException {
+  private static Decoded decodeV1(byte[] payload) throws InvalidProtocolBufferException {
+    FactsV1 message = FactsV1.parseFrom(payload);
     List<Fact> facts = new ArrayList<>();
-    int all = 0;
-    String node;
-    if (entry.version() == 1) {
-      FactsV1 old = FactsV1.parseFrom(entry.payload());
-      node = old.getNode();
-      for (FactV1 f : old.getFactsList()) {
-        all++;
-        FactKind.fromWireName(f.getKind())
-            .ifPresent(
-                kind ->
-                    facts.add(
-                        new Fact(
-                            kind,
-                            f.getSubject(),
-                            f.getValue(),
-                            f.getWeight(),
-                            micros(f.getAtMs()),
-                            "")));
+    for (FactV1 encoded : message.getFactsList()) {
+      Optional<FactKind> kind = FactKind.fromWireName(encoded.getKind());
+      if (kind.isPresent()) {
+        facts.add(
+            new Fact(
+                kind.get(),
+                encoded.getSubject(),
+                encoded.getValue(),
+                encoded.getWeight(),
+                toMicroseconds(encoded.getAtMs()),
+                ""));
       }
-    } else {
-      Facts now = Facts.parseFrom(entry.payload());
-      node = now.getNode();
-      for (rosecleat.state.wire.Fact f : now.getFactsList()) {
-        all++;
-        Optional<FactKind> kind = FactKind.fromWireName(f.getKind());
-        kind.ifPresent(
-            k ->
-                facts.add(
-                    new Fact(
-                        k,
-                        f.getSubject(),
-                        f.getValue(),
-                        f.getWeight(),
-                        f.getAtUs(),
-                        f.getTerms())));
+    }
+    return new Decoded(message.getNode(), facts, message.getFactsCount() - facts.size());
+  }
+
+  private static Decoded decodeV2(byte[] payload) throws InvalidProtocolBufferException {
+    Facts message = Facts.parseFrom(payload);
+    List<Fact> facts = new ArrayList<>();
+    for (rosecleat.state.wire.Fact encoded : message.getFactsList()) {
+      Optional<FactKind> kind = FactKind.fromWireName(encoded.getKind());
+      if (kind.isPresent()) {
+        facts.add(
+            new Fact(
+                kind.get(),
+                encoded.getSubject(),
+                encoded.getValue(),
+                encoded.getWeight(),
+                encoded.getAtUs(),
+                encoded.getTerms()));
       }
     }
-    return new Read(node, facts, all - facts.size());
+    return new Decoded(message.getNode(), facts, message.getFactsCount() - facts.size());
   }
 
-  /** Milliseconds as microseconds; a figure too large for that stays too large. */
-  private static long micros(long ms) {
-    return ms > Long.MAX_VALUE / 1000 ? Long.MAX_VALUE : ms * 1000;
+  /** Converts a time; one that is too large stays the largest, so that it lies in the future. */
+  private static long toMicroseconds(long milliseconds) {
+    return milliseconds > Long.MAX_VALUE / MICROSECONDS_PER_MILLISECOND
+        ? Long.MAX_VALUE
+        : milliseconds * MICROSECONDS_PER_MILLISECOND;
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/state/NodeFact.java
@@ -0,0 +1,11 @@
+package rosecleat.state;
+
+import rosecleat.facts.Fact;
+
+/**
+ * A fact together with the node that learned it.
+ *
+ * @param node the name of the node
+ * @param fact what it learned
+ */
+public record NodeFact(String node, Fact fact) {}
--- /dev/null
+++ b/src/main/java/rosecleat/state/StateStore.java
@@ -0,0 +1,236 @@
+package rosecleat.state;
+
+import java.util.List;
+import java.util.Locale;
+import java.util.Optional;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import rosecleat.core.Counters;
+import rosecleat.facts.Fact;
+import rosecleat.facts.FactAggregator;
+import rosecleat.facts.FactChangeFilter;
+import rosecleat.facts.SettingsDigests;
+import rosecleat.log.Log;
+import rosecleat.policy.ClassAndTenantNames;
+import rosecleat.policy.Estimate;
+import rosecleat.policy.PolicyEngine;
+import rosecleat.store.AppendFailure;
+import rosecleat.store.AppendResult;
+import rosecleat.store.RecordStore;
+import rosecleat.store.RecoveryReport;
+
+/**
+ * Keeps what a node's policy engine learns across restarts: restores it once the store was read,
+ * and saves what has changed at intervals. Until the store is open, or where it cannot be opened,
+ * the node works without it. For the node's loop, except {@link #close}; writing is done on a
+ * thread of its own.
+ */
+public final class StateStore {
+  /**
+   * How facts are kept.
+   *
+   * @param saveIntervalUs how often changes are saved (us)
+   * @param halfLifeUs half-life of facts in general (us)
+   */
+  public record Settings(long saveIntervalUs, long halfLifeUs) {}
+
+  /**
+   * What the store needs of its node.
+   *
+   * @param settings digests of the settings in force
+   * @param names names of the classes and tenants in force
+   * @param policy the policy engine
+   * @param clock the wall clock (Unix microseconds)
+   * @param loop runs a task on the node's loop; for any thread
+   */
+  public record Host(
+      Supplier<SettingsDigests> settings,
+      Supplier<ClassAndTenantNames> names,
+      PolicyEngine policy,
+      LongSupplier clock,
+      Consumer<Runnable> loop) {}
+
+  private final Host host;
+  private final Counters counters;
+  private final Log log;
+  private final StateStoreOpener opener;
+  private final FactChangeFilter changes = new FactChangeFilter(); // for the saver's thread
+
+  /** Whether a save is under way; another one is skipped meanwhile. */
+  private final AtomicBoolean saving = new AtomicBoolean();
+
+  private final ExecutorService saver = Executors.newSingleThreadExecutor(StateStore::saverThread);
+  private Settings settings;
+  private boolean opened;
+  private boolean restored;
+  private long nextSaveUs;
+  private boolean failing;
+
+  /** Creates a store that restores what an opener recovers. */
+  public StateStore(
+      Settings settings, StateStoreOpener opener, Host host, Counters counters, Log log) {
+    this.settings = settings;
+    this.opener = opener;
+    this.host = host;
+    this.counters = counters;
+    this.log = log;
+    opener.onRecovered(report -> host.loop().accept(() -> restore(report)));
+  }
+
+  private static Thread saverThread(Runnable task) {
+    Thread thread = new Thread(task, "state saver");
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  /** Replaces the settings. */
+  public void apply(Settings newSettings) {
+    settings = newSettings;
+  }
+
+  /**
+   * Passes recovered facts to the policy engine, once. A later report is used only while the module
+   * has not started.
+   */
+  private void restore(RecoveryReport report) {
+    if (!opened && opener.store().isPresent()) {
+      opened = true;
+      counters.add("state.opened");
+      counters.add("state.findings", report.issues().size());
+    }
+    if (restored && host.policy().started()) {
+      return;
+    }
+    restored = true;
+    List<NodeFact> recovered = ((FactState) report.state()).facts();
+    host.policy()
+        .restore(host.names().get(), () -> usableEstimates(recovered, host.clock().getAsLong()));
+  }
+
+  private List<Estimate> usableEstimates(List<NodeFact> recovered, long nowUs) {
+    FactAggregator aggregator = new FactAggregator(host.settings().get(), settings.halfLifeUs());
+    for (NodeFact nodeFact : recovered) {
+      aggregator.add(nodeFact.node(), List.of(nodeFact.fact()), nowUs);
+    }
+    List<Fact> facts = aggregator.factsAt(nowUs);
+    counters.add("state.taken", facts.size());
+    aggregator
+        .rejections()
+        .forEach(
+            (reason, count) ->
+                counters.add("state.dropped." + reason.name().toLowerCase(Locale.ROOT), count));
+    if (!recovered.isEmpty()) {
+      log.info(
+          "state: begins with "
+              + facts.size()
+              + " facts of "
+              + recovered.size()
+              + (aggregator.rejections().isEmpty() ? "" : ", dropped " + aggregator.rejections()));
+    }
+    return facts.stream().map(EstimateConverter::toEstimate).toList();
+  }
+
+  /** Saves what has changed if the interval has passed; called often. */
+  public void saveIfDue(long nowUs) {
+    if (nowUs >= nextSaveUs) {
+      nextSaveUs = nowUs + settings.saveIntervalUs();
+      save(nowUs);
+    }
+  }
+
+  /**
+   * Saves what has changed now. The caller's thread only copies what was learned; a save that is
+   * still under way makes this one a no-op.
+   */
+  public void save(long nowUs) {
+    Optional<RecordStore> store = opener.store();
+    if (store.isEmpty()
+        || !restored
+        || !host.policy().started()
+        || saver.isShutdown()
+        || !saving.compareAndSet(false, true)) {
+      return;
+    }
+    List<Estimate> estimates = host.policy().estimates(host.names().get());
+    SettingsDigests digests = host.settings().get();
+    double halfLifeUs = settings.halfLifeUs();
+    saver.execute(
+        () -> {
+          try {
+            appendChanges(store.get(), estimates, digests, halfLifeUs, nowUs);
+          } finally {
+            saving.set(false);
+          }
+        });
+  }
+
+  private void appendChanges(
+      RecordStore store,
+      List<Estimate> estimates,
+      SettingsDigests digests,
+      double halfLifeUs,
+      long nowUs) {
+    List<Fact> facts =
+        estimates.stream()
+            .map(estimate -> EstimateConverter.toFact(estimate, digests, nowUs))
+            .filter(fact -> EstimateConverter.isStorable(fact, digests))
+            .toList();
+    List<Fact> changed = changes.changed(facts, halfLifeUs);
+    if (changed.isEmpty()) {
+      return;
+    }
+    AppendResult result =
+        store.append(
+            List.of(FactCodec.encode(digests.node(), changed)),
+            failure -> host.loop().accept(() -> saved(changed, failure)));
+    if (result == AppendResult.FULL) {
+      host.loop().accept(() -> counters.add("state.full"));
+    }
+  }
+
+  private void saved(List<Fact> facts, Optional<AppendFailure> failure) {
+    counters.add(failure.isEmpty() ? "state.saves" : "state.failures");
+    if (failure.isEmpty() && !saver.isShutdown()) {
+      saver.execute(() -> changes.markPersisted(facts));
+    }
+    if (failing != failure.isPresent()) {
+      failing = failure.isPresent();
+      log.warn(
+          failure
+              .map(reason -> "state: what is learnt is not written down: " + reason.message())
+              .orElse("state: written down again"));
+    }
+  }
+
+  /** Saves a last time and closes the store, so that another process can open it; does not wait. */
+  public void saveAndRelease(long nowUs) {
+    save(nowUs);
+    if (!saver.isShutdown()) {
+      saver.execute(opener::beginClose);
+      saver.shutdown();
+    }
+  }
+
+  /**
+   * Closes the store and waits until the folder is free. For any thread.
+   *
+   * @param timeoutMs how long to wait (ms)
+   * @return whether it is free
+   */
+  public boolean close(long timeoutMs) {
+    saver.shutdown();
+    long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    try {
+      saver.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+    long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
+    return opener.close(Math.max(1, remainingMs));
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/store/FileNames.java
@@ -0,0 +1,85 @@
+package rosecleat.store;
+
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+
+/** The names of the files in a store's directory. */
+final class FileNames {
+  static final String LOCK = "LOCK";
+  static final String MANIFEST = "MANIFEST";
+
+  /** Suffix of a file that is renamed once it is complete. */
+  static final String TEMPORARY_SUFFIX = ".new";
+
+  private static final String SEGMENT_PREFIX = "log-";
+  private static final String SNAPSHOT_PREFIX = "snapshot-";
+  private static final String QUARANTINE_PREFIX = "damaged-";
+
+  /** A positive number that fits a long. */
+  private static final String NUMBER_PATTERN = "[1-9][0-9]{0,17}";
+
+  private static final String STORE_FILE_PATTERN =
+      "(MANIFEST|(log|snapshot)-" + NUMBER_PATTERN + ")(\\.new)?";
+  private static final String QUARANTINED_PATTERN = QUARANTINE_PREFIX + NUMBER_PATTERN + "-.+";
+
+  private FileNames() {}
+
+  static String segment(long number) {
+    return SEGMENT_PREFIX + number;
+  }
+
+  static String snapshot(long number) {
+    return SNAPSHOT_PREFIX + number;
+  }
+
+  /** Returns the numbers of all log segments, in ascending order. */
+  static List<Long> segmentNumbers(Collection<String> names) {
+    return numbers(names, SEGMENT_PREFIX);
+  }
+
+  /** Returns the numbers of all snapshots, in ascending order. */
+  static List<Long> snapshotNumbers(Collection<String> names) {
+    return numbers(names, SNAPSHOT_PREFIX);
+  }
+
+  private static List<Long> numbers(Collection<String> names, String prefix) {
+    return names.stream()
+        .filter(name -> name.matches(prefix + NUMBER_PATTERN))
+        .map(name -> Long.parseLong(name.substring(prefix.length())))
+        .sorted()
+        .toList();
+  }
+
+  /** Whether a file belongs to the store; other files are never touched. */
+  static boolean isStoreFile(String name) {
+    return name.matches(STORE_FILE_PATTERN) || quarantineNumber(name) > 0;
+  }
+
+  /** Whether a file was not completed before the process ended. */
+  static boolean isTemporary(String name) {
+    return name.endsWith(TEMPORARY_SUFFIX);
+  }
+
+  /** Returns the name of a file in quarantine. */
+  static String quarantined(long quarantineNumber, String name) {
+    return QUARANTINE_PREFIX + quarantineNumber + "-" + name;
+  }
+
+  /** Returns the files in quarantine, the oldest first. */
+  static List<String> quarantined(Collection<String> names) {
+    return names.stream()
+        .filter(name -> quarantineNumber(name) > 0)
+        .sorted(Comparator.comparingLong(FileNames::quarantineNumber))
+        .toList();
+  }
+
+  /** Returns the number under which a file was quarantined; 0 for any other file. */
+  static long quarantineNumber(String name) {
+    if (!name.matches(QUARANTINED_PATTERN)) {
+      return 0;
+    }
+    int numberStart = QUARANTINE_PREFIX.length();
+    return Long.parseLong(name.substring(numberStart, name.indexOf('-', numberStart)));
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/store/LogChainVerifier.java
@@ -0,0 +1,129 @@
+package rosecleat.store;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import rosecleat.store.RecoveryIssue.Cause;
+
+/**
+ * Finds the log segments that continue a snapshot. Each segment's header names the file before it,
+ * and how much of that is valid; the chain ends at the first segment that is corrupt or missing.
+ */
+final class LogChainVerifier {
+  private final Directory directory;
+  private final FileVerifier verifier;
+  private final RecoveryFindings findings;
+  private final Map<Long, FileHeader> headers = new LinkedHashMap<>();
+  private final List<LogSegment> segments = new ArrayList<>();
+  private long lastNumber;
+  private boolean broken;
+
+  LogChainVerifier(Directory directory, FileVerifier verifier, RecoveryFindings findings) {
+    this.directory = directory;
+    this.verifier = verifier;
+    this.findings = findings;
+  }
+
+  /**
+   * Returns the segments to replay behind a snapshot.
+   *
+   * @param snapshot number of the snapshot, 0 for none
+   * @param numbers numbers of all segments, in ascending order
+   * @param snapshotLost whether a newer snapshot is lost, which the segments continue
+   */
+  List<LogSegment> verify(long snapshot, List<Long> numbers, boolean snapshotLost)
+      throws IOException, UnsupportedFormatException {
+    lastNumber = snapshot;
+    broken = snapshotLost;
+    List<Long> later = new ArrayList<>();
+    for (long number : numbers) {
+      if (number <= snapshot) {
+        findings.addObsoleteFile(FileNames.segment(number));
+      } else {
+        later.add(number);
+        readHeader(number);
+      }
+    }
+    for (long number : later) {
+      verifySegment(number);
+    }
+    return List.copyOf(segments);
+  }
+
+  private void readHeader(long number) throws IOException, UnsupportedFormatException {
+    String name = FileNames.segment(number);
+    try (FileWindow file = new FileWindow(directory.openInput(name))) {
+      FileVerifier.readHeader(name, file)
+          .filter(header -> header.is(FileHeader.SEGMENT, number))
+          .ifPresent(header -> headers.put(number, header));
+    }
+  }
+
+  private void verifySegment(long number) throws IOException, UnsupportedFormatException {
+    String name = FileNames.segment(number);
+    FileHeader header = headers.get(number);
+    Optional<FileHeader> next = nextHeader(number);
+    if (header == null && next.isEmpty()) {
+      findings.addIssue(wholeFile(Cause.SEGMENT_NOT_STARTED, name));
+      findings.addObsoleteFile(name);
+    } else if (broken) {
+      findings.addCorruptFile(wholeFile(Cause.PREDECESSOR_LOST, name));
+    } else if (header == null) {
+      findings.addCorruptFile(wholeFile(Cause.SEGMENT_HEADER_UNREADABLE, name));
+      broken = true;
+    } else if (header.previousNumber() != lastNumber) {
+      findings.addCorruptFile(
+          RecoveryIssue.previousSegmentMissing(name, size(name), header.previousNumber()));
+      broken = true;
+    } else {
+      broken = !verifyRecords(name, number, next);
+      lastNumber = number;
+    }
+  }
+
+  private Optional<FileHeader> nextHeader(long number) {
+    return headers.values().stream()
+        .filter(header -> header.previousNumber() == number)
+        .findFirst();
+  }
+
+  /** Checks the records of one segment; false where it is corrupt. */
+  private boolean verifyRecords(String name, long number, Optional<FileHeader> next)
+      throws IOException, UnsupportedFormatException {
+    try (FileWindow file = new FileWindow(directory.openInput(name))) {
+      long end = next.isPresent() ? next.get().previousBytes() : file.size();
+      if (end > file.size()) {
+        findings.addCorruptFile(
+            RecoveryIssue.of(Cause.SEGMENT_TOO_SHORT, name, file.size(), end - file.size()));
+        return false;
+      }
+      FileVerifier.Verification result = verifier.verify(name, file, number, end);
+      if (result.problem().isPresent()) {
+        long invalidBytes = end - result.validBytes();
+        if (next.isPresent() || result.wasDurable()) {
+          findings.addCorruptFile(
+              RecoveryIssue.of(result.problem().get(), name, result.validBytes(), invalidBytes));
+          return false;
+        }
+        findings.addIssue(
+            RecoveryIssue.of(Cause.TORN_WRITE, name, result.validBytes(), invalidBytes));
+      }
+      findings.addRecords(result.records());
+      segments.add(new LogSegment(number, result.validBytes()));
+      return true;
+    }
+  }
+
+  private RecoveryIssue wholeFile(Cause cause, String name) throws IOException {
+    return RecoveryIssue.of(cause, name, 0, size(name));
+  }
+
+  private long size(String name) throws IOException {
+    try (Directory.Input input = directory.openInput(name)) {
+      return input.size();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/store/Quarantine.java
@@ -0,0 +1,65 @@
+package rosecleat.store;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Renames corrupt files so that people can look at them, and deletes the oldest ones beyond a bound
+ * on their number and size.
+ */
+final class Quarantine {
+  private static final int MAX_FILES = 4;
+
+  /** Quarantined files together take this part of the store's bound at most. */
+  private static final int MAX_BYTES_DIVISOR = 4;
+
+  private final Directory directory;
+  private final long maxBytes;
+
+  Quarantine(Directory directory, long maxStoreBytes) {
+    this.directory = directory;
+    this.maxBytes = maxStoreBytes / MAX_BYTES_DIVISOR;
+  }
+
+  /** Adds files and removes the oldest ones; returns the size of those that remain (bytes). */
+  long add(List<String> corruptFiles) throws IOException {
+    List<String> quarantined = new ArrayList<>(FileNames.quarantined(directory.list()));
+    long number =
+        quarantined.isEmpty()
+            ? 0
+            : FileNames.quarantineNumber(quarantined.get(quarantined.size() - 1));
+    // The first file is the damaged one and the others only continue it: give it the highest
+    // number, so that it is retained longest.
+    for (int i = corruptFiles.size() - 1; i >= 0; i--) {
+      String newName = FileNames.quarantined(++number, corruptFiles.get(i));
+      directory.rename(corruptFiles.get(i), newName);
+      quarantined.add(newName);
+    }
+    long bytes = deleteOldest(quarantined);
+    if (!corruptFiles.isEmpty()) {
+      directory.sync();
+    }
+    return bytes;
+  }
+
+  private long deleteOldest(List<String> oldestFirst) throws IOException {
+    long bytes = 0;
+    for (int i = oldestFirst.size() - 1; i >= 0; i--) {
+      String name = oldestFirst.get(i);
+      long size = size(name);
+      if (oldestFirst.size() - i > MAX_FILES || bytes + size > maxBytes) {
+        directory.delete(name);
+      } else {
+        bytes += size;
+      }
+    }
+    return bytes;
+  }
+
+  private long size(String name) throws IOException {
+    try (Directory.Input input = directory.openInput(name)) {
+      return input.size();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/store/RecoveryPlan.java
@@ -0,0 +1,30 @@
+package rosecleat.store;
+
+import java.util.List;
+
+/**
+ * What {@link StorageEngine} has to do with the files before it writes.
+ *
+ * @param newStore whether there is no store yet
+ * @param snapshot number of the snapshot that was replayed, 0 for none
+ * @param olderSnapshot number of the snapshot that is retained behind it, 0 for none
+ * @param segments the log segments that were replayed, in order
+ * @param highestNumber highest number of any segment or snapshot
+ * @param corruptFiles files to be quarantined
+ * @param obsoleteFiles files to be deleted
+ * @param needsNewSnapshot whether the files no longer lead to the replayed state, so that a new
+ *     snapshot has to be written
+ */
+record RecoveryPlan(
+    boolean newStore,
+    long snapshot,
+    long olderSnapshot,
+    List<LogSegment> segments,
+    long highestNumber,
+    List<String> corruptFiles,
+    List<String> obsoleteFiles,
+    boolean needsNewSnapshot) {
+  static RecoveryPlan forNewStore(List<String> obsoleteFiles) {
+    return new RecoveryPlan(true, 0, 0, List.of(), 0, List.of(), obsoleteFiles, false);
+  }
+}
--- a/src/test/java/rosecleat/cli/StateCommandsTest.java
+++ b/src/test/java/rosecleat/cli/StateCommandsTest.java
@@ -17,10 +17,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.facts.Fact;
 import rosecleat.facts.FactKind;
-import rosecleat.state.FactOwner;
+import rosecleat.state.FactStateFactory;
 import rosecleat.state.StateFiles;
-import rosecleat.store.Folder;
-import rosecleat.store.Store;
+import rosecleat.store.FileSystemDirectory;
+import rosecleat.store.OpenResult;
+import rosecleat.store.RecordStore;
 
 /** state show, verify and compact: what they print and how they end. */
 class StateCommandsTest {
@@ -99,13 +100,16 @@
     assertTrue(json().path("after").asLong() < json().path("before").asLong(), out.toString());
     assertEquals(0, run("state", "show", "--json", folder.toString()));
     assertEquals(20_019, json().path("facts").get(0).path("value").asDouble());
-    Store.Opening open =
-        Store.open(
-            Folder.of(folder), new FactOwner(), new Store.Limits(1 << 20, 8, 1 << 20), l -> {});
-    try (Store store = assertInstanceOf(Store.Opened.class, open).store()) {
+    OpenResult open =
+        RecordStore.open(
+            FileSystemDirectory.openExisting(folder),
+            new FactStateFactory(),
+            new RecordStore.Limits(1 << 20, 8, 1 << 20),
+            l -> {});
+    try (RecordStore store = assertInstanceOf(OpenResult.Opened.class, open).store()) {
       assertEquals(2, run("state", "compact", folder.toString()));
       assertTrue(err.toString().contains("a running node writes"), err.toString());
-      assertEquals(0, store.figures().failures());
+      assertEquals(0, store.metrics().failures());
     }
   }
 
--- a/src/test/java/rosecleat/measure/StoreSpeed.java
+++ b/src/test/java/rosecleat/measure/StoreSpeed.java
@@ -26,14 +26,16 @@
 import rosecleat.policy.ClassAndTenantNames;
 import rosecleat.policy.PolicyEngine;
 import rosecleat.policy.PolicyEvent;
-import rosecleat.state.Memory;
-import rosecleat.state.Opener;
-import rosecleat.store.Entry;
-import rosecleat.store.Fold;
-import rosecleat.store.Folder;
-import rosecleat.store.Owner;
-import rosecleat.store.Recovered;
-import rosecleat.store.Store;
+import rosecleat.state.StateStore;
+import rosecleat.state.StateStoreOpener;
+import rosecleat.store.AppendResult;
+import rosecleat.store.FileSystemDirectory;
+import rosecleat.store.OpenResult;
+import rosecleat.store.RecordStore;
+import rosecleat.store.RecoveryReport;
+import rosecleat.store.StateMachine;
+import rosecleat.store.StateMachineFactory;
+import rosecleat.store.StoredRecord;
 
 /**
  * The store against a plain write and sync for each record, on the same folder in one run: appends
@@ -43,29 +45,30 @@
 public final class StoreSpeed {
   private static final int BYTES = 200;
   private static final long RUN_NS = 3_000_000_000L;
-  private static final Store.Limits LIMITS = new Store.Limits(1L << 30, 65_536, 64 << 20);
+  private static final RecordStore.Limits LIMITS =
+      new RecordStore.Limits(1L << 30, 65_536, 64 << 20);
 
   /** Counts what it is given, keeps all. */
-  private static final class Counting implements Owner, Fold {
-    private long entries;
+  private static final class Counting implements StateMachineFactory, StateMachine {
+    private long records;
 
     @Override
-    public int reads(int type) {
+    public int maxVersion(int type) {
       return 1;
     }
 
     @Override
-    public Fold fold() {
+    public StateMachine newStateMachine() {
       return new Counting();
     }
 
     @Override
-    public void add(Entry entry) {
-      entries++;
+    public void apply(StoredRecord record) {
+      records++;
     }
 
     @Override
-    public void forEach(Consumer<Entry> taker) {
+    public void writeSnapshot(Consumer<StoredRecord> output) {
       return; // a compaction leaves nothing
     }
   }
@@ -125,7 +128,7 @@
 
   private static void store(Path folder, int inFlight, double base, boolean told) throws Exception {
     wipe(folder);
-    Store store = open(folder).store();
+    RecordStore store = open(folder).store();
     Semaphore places = new Semaphore(inFlight);
     Histogram latency = new Histogram(60_000_000_000L, 3);
     Histogram held = new Histogram(60_000_000_000L, 3);
@@ -135,21 +138,21 @@
     while (System.nanoTime() - begin < RUN_NS) {
       places.acquire();
       long from = System.nanoTime();
-      Store.Taken taken =
+      AppendResult taken =
           store.append(
-              List.of(new Entry(1, 1, payload)),
-              fault -> {
+              List.of(new StoredRecord(1, 1, payload)),
+              failure -> {
                 latency.recordValue((System.nanoTime() - from) / 1000);
-                count[0] += fault == null ? 1 : 0;
+                count[0] += failure.isEmpty() ? 1 : 0;
                 places.release();
               });
       held.recordValue(System.nanoTime() - from);
-      if (taken != Store.Taken.QUEUED) {
+      if (taken != AppendResult.QUEUED) {
         throw new IOException("not taken: " + taken);
       }
     }
     places.acquire(inFlight);
-    Store.Figures figures = store.figures();
+    RecordStore.Metrics figures = store.metrics();
     store.close();
     if (told) {
       double perS = count[0] * 1e9 / RUN_NS;
@@ -198,14 +201,14 @@
     SettingsDigests terms =
         new SettingsDigests("n1", "s", Map.of("balance-check", "c"), digests, Map.of());
     Log log = new Log(System.err);
-    Opener opener = new Opener(folder, 64 << 20, log);
+    StateStoreOpener opener = new StateStoreOpener(folder, 64 << 20, log);
     Counters counters = new Counters();
     ConcurrentLinkedQueue<Runnable> loop = new ConcurrentLinkedQueue<>();
-    Memory memory =
-        new Memory(
-            new Memory.Settings(1, 600_000_000),
+    StateStore memory =
+        new StateStore(
+            new StateStore.Settings(1, 600_000_000),
             opener,
-            new Memory.Node(
+            new StateStore.Host(
                 () -> terms,
                 () -> new ClassAndTenantNames(config.settings().classNames(), names),
                 decisions,
@@ -223,7 +226,7 @@
         continue;
       }
       long from = System.nanoTime();
-      memory.look(now[0]);
+      memory.saveIfDue(now[0]);
       for (Runnable task = loop.poll(); task != null; task = loop.poll()) {
         task.run();
       }
@@ -243,10 +246,11 @@
         counters.get("state.saves"));
   }
 
-  private static Store.Opened open(Path folder) throws IOException {
-    Store.Opening opening =
-        Store.open(Folder.made(folder), new Counting(), LIMITS, System.err::println);
-    if (opening instanceof Store.Opened opened) {
+  private static OpenResult.Opened open(Path folder) throws IOException {
+    OpenResult opening =
+        RecordStore.open(
+            FileSystemDirectory.openOrCreate(folder), new Counting(), LIMITS, System.err::println);
+    if (opening instanceof OpenResult.Opened opened) {
       return opened;
     }
     throw new IOException(opening.toString());
@@ -254,23 +258,25 @@
 
   private static void recover(Path folder) throws Exception {
     wipe(folder);
-    Store store = open(folder).store();
+    RecordStore store = open(folder).store();
     byte[] payload = new byte[1_000];
     for (int i = 0; i < 100_000; i++) {
-      while (store.append(List.of(new Entry(1, 1, payload)), fault -> {}) != Store.Taken.QUEUED) {
+      while (store.append(List.of(new StoredRecord(1, 1, payload)), failure -> {})
+          != AppendResult.QUEUED) {
         Thread.sleep(1);
       }
     }
     store.close(60_000);
     for (int i = 0; i < 3; i++) {
       long from = System.nanoTime();
-      Recovered found = Store.look(Folder.of(folder), new Counting());
+      RecoveryReport found =
+          RecordStore.inspect(FileSystemDirectory.openExisting(folder), new Counting());
       System.out.printf(
           Locale.ROOT,
           "%nrecovery %d of %d MB, %d records: %.0f ms%n",
           i + 1,
           found.bytes() >> 20,
-          found.entries(),
+          found.records(),
           (System.nanoTime() - from) / 1e6);
     }
     wipe(folder);
--- a/src/test/java/rosecleat/state/EarlierVersionStateTest.java
+++ b/src/test/java/rosecleat/state/EarlierVersionStateTest.java
@@ -11,15 +11,16 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.facts.Fact;
 import rosecleat.facts.FactKind;
-import rosecleat.store.Folder;
-import rosecleat.store.Recovered;
-import rosecleat.store.Store;
+import rosecleat.store.FileSystemDirectory;
+import rosecleat.store.RecordStore;
+import rosecleat.store.RecoveryReport;
 
 /**
  * Folders that the program of commit a6781e5 wrote (see the README beside them): this program reads
@@ -146,19 +147,18 @@
     return copy;
   }
 
-  private static Recovered read(Path folder) throws IOException {
-    return Store.look(Folder.of(folder), new FactOwner());
+  private static RecoveryReport read(Path folder) throws IOException {
+    return RecordStore.inspect(FileSystemDirectory.openExisting(folder), new FactStateFactory());
   }
 
   private static void assertHolds(List<Fact> expected, Path folder) throws IOException {
-    Recovered found = read(folder);
-    assertEquals(null, found.refusal());
-    assertEquals(List.of(), found.findings());
-    assertFalse(found.fresh());
-    FactOwner.Facts facts = (FactOwner.Facts) found.fold();
-    assertEquals(0, facts.unread());
-    assertEquals(
-        expected.stream().map(fact -> new FactOwner.Kept(NODE, fact)).toList(), facts.all());
+    RecoveryReport found = read(folder);
+    assertEquals(Optional.empty(), found.unsupportedFormat());
+    assertEquals(List.of(), found.issues());
+    assertFalse(found.isNewStore());
+    FactState facts = (FactState) found.state();
+    assertEquals(0, facts.unreadable());
+    assertEquals(expected.stream().map(fact -> new NodeFact(NODE, fact)).toList(), facts.facts());
   }
 
   private static void assertSameFiles(String expectedName, Path folder) throws IOException {
@@ -189,7 +189,8 @@
     assertHolds(facts, folder);
     StateFiles.learnt(folder, NODE, APPENDED);
     assertHolds(with(facts, APPENDED), folder);
-    Store.compact(Folder.of(folder), new FactOwner(), MAX_BYTES);
+    RecordStore.compact(
+        FileSystemDirectory.openExisting(folder), new FactStateFactory(), MAX_BYTES);
     assertHolds(with(facts, APPENDED), folder);
   }
 
@@ -215,19 +216,19 @@
     Path log = folder.resolve("log-1");
     byte[] bytes = Files.readAllBytes(log);
     Files.write(log, Arrays.copyOf(bytes, bytes.length - 1));
-    Recovered found = read(folder);
-    assertFalse(found.damaged());
-    assertEquals(1, found.findings().size());
-    assertEquals(4, found.entries(), "five are whole where nothing is torn");
+    RecoveryReport found = read(folder);
+    assertFalse(found.hasCorruption());
+    assertEquals(1, found.issues().size());
+    assertEquals(4, found.records(), "five are whole where nothing is torn");
     StateFiles.learnt(folder, NODE, APPENDED);
-    FactOwner.Facts facts = (FactOwner.Facts) read(folder).fold();
-    assertEquals(APPENDED, facts.all().get(facts.all().size() - 1).fact());
+    FactState facts = (FactState) read(folder).state();
+    assertEquals(APPENDED, facts.facts().get(facts.facts().size() - 1).fact());
   }
 
   @Test
   void aCompactionWritesTheSameBytes() throws IOException {
     Path folder = copy("killed");
-    Store.compact(Folder.of(folder), new FactOwner(), 1L << 40);
+    RecordStore.compact(FileSystemDirectory.openExisting(folder), new FactStateFactory(), 1L << 40);
     assertSameFiles("killed-then-compacted", folder);
   }
 
--- /dev/null
+++ b/src/test/java/rosecleat/state/FactStateTest.java
@@ -0,0 +1,124 @@
+package rosecleat.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.protobuf.CodedOutputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import rosecleat.facts.Fact;
+import rosecleat.facts.FactAggregator;
+import rosecleat.facts.FactKind;
+import rosecleat.facts.SettingsDigests;
+import rosecleat.store.FileSystemDirectory;
+import rosecleat.store.RecordStore;
+import rosecleat.store.StoredRecord;
+
+/** Facts on disk: two versions, unknown kinds, and how many are retained. */
+class FactStateTest {
+  private static final long NOW_MS = 1_800_000_000_000L;
+
+  @TempDir Path folder;
+
+  /**
+   * Version 1 as its program wrote it, field by field: node, and facts of kind, subject, value,
+   * weight, milliseconds.
+   */
+  private static StoredRecord versionOneRecord(
+      String node, String kind, String subject, double value, double weight, long atMs)
+      throws IOException {
+    ByteArrayOutputStream fact = new ByteArrayOutputStream();
+    CodedOutputStream to = CodedOutputStream.newInstance(fact);
+    to.writeString(1, kind);
+    to.writeString(2, subject);
+    to.writeDouble(3, value);
+    to.writeDouble(4, weight);
+    to.writeFixed64(5, atMs);
+    to.flush();
+    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    to = CodedOutputStream.newInstance(all);
+    to.writeString(1, node);
+    to.writeByteArray(2, fact.toByteArray());
+    to.flush();
+    return new StoredRecord(1, 1, all.toByteArray());
+  }
+
+  private FactState read() throws IOException {
+    return (FactState)
+        RecordStore.inspect(FileSystemDirectory.openExisting(folder), new FactStateFactory())
+            .state();
+  }
+
+  @Test
+  void aFolderOfVersionOneIsReadAndRewrittenAsVersionTwo() throws IOException {
+    StateFiles.write(
+        folder,
+        List.of(
+            versionOneRecord("n1", "run-time", "read", 20_000, 8, NOW_MS - 600_000),
+            versionOneRecord("n1", "phase-of-the-moon", "", 3, 8, NOW_MS)));
+    FactState facts = read();
+    assertEquals(1, facts.unreadable(), "a kind that is not known");
+    assertEquals(
+        List.of(
+            new NodeFact(
+                "n1",
+                new Fact(FactKind.RUN_TIME, "read", 20_000, 8, NOW_MS * 1000 - 600_000_000, ""))),
+        facts.facts());
+    FactAggregator aggregator =
+        new FactAggregator(
+            new SettingsDigests("n1", "s", Map.of("read", "r1"), Map.of(), Map.of()), 600e6);
+    aggregator.add("n1", List.of(facts.facts().get(0).fact()), NOW_MS * 1000);
+    assertEquals(
+        2,
+        aggregator.factsAt(NOW_MS * 1000).get(0).weight(),
+        1e-9,
+        "half for its age, half for terms not known");
+
+    RecordStore.compact(
+        FileSystemDirectory.openExisting(folder),
+        new FactStateFactory(),
+        1 << 20); // from here on it is of the new version
+    FactState after = read();
+    assertEquals(facts.facts(), after.facts());
+    assertEquals(0, after.unreadable());
+  }
+
+  @Test
+  void aTimeTooLargeForMicrosecondsStaysInTheFuture() throws IOException {
+    StateFiles.write(
+        folder,
+        List.of(versionOneRecord("n1", "run-time", "read", 20_000, 8, Long.MAX_VALUE / 10)));
+    assertEquals(Long.MAX_VALUE, read().facts().get(0).fact().learnedAtUs());
+  }
+
+  @Test
+  void theLastFactOfEachKeyIsRetainedAndTheirNumberIsBounded() {
+    FactState state = new FactState();
+    List<Fact> some = new ArrayList<>();
+    for (int i = 0; i < FactState.MAX_FACTS + 1_000; i++) {
+      some.add(new Fact(FactKind.TENANT_PART, "team " + i, 0.1, 1, i, ""));
+    }
+    state.apply(FactCodec.encode("n1", some));
+    state.apply(
+        FactCodec.encode(
+            "n1", List.of(new Fact(FactKind.TENANT_PART, "team 20000", 0.2, 1, 9, ""))));
+    state.apply(
+        new StoredRecord(1, 2, new byte[] {(byte) 0xff, 1, 2})); // whole on disk, and yet no facts
+    assertEquals(FactState.MAX_FACTS, state.facts().size());
+    assertEquals(0.2, state.facts().get(FactState.MAX_FACTS - 1).fact().value());
+    assertEquals(1, state.unreadable());
+    FactState copy = new FactState();
+    state.writeSnapshot(
+        record -> {
+          assertTrue(record.payload().length < 1 << 20);
+          copy.apply(record);
+        });
+    assertEquals(FactState.MAX_FACTS, copy.facts().size());
+  }
+}
--- a/src/test/java/rosecleat/state/StateFiles.java
+++ b/src/test/java/rosecleat/state/StateFiles.java
@@ -5,29 +5,32 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 import rosecleat.facts.Fact;
-import rosecleat.store.Entry;
-import rosecleat.store.Folder;
-import rosecleat.store.Store;
+import rosecleat.store.FileSystemDirectory;
+import rosecleat.store.OpenResult;
+import rosecleat.store.RecordStore;
+import rosecleat.store.StoredRecord;
 
 /** Folders of facts made by hand. */
 public final class StateFiles {
-  private static final Store.Limits LIMITS = new Store.Limits(4 << 20, 64, 1 << 20);
+  private static final RecordStore.Limits LIMITS = new RecordStore.Limits(4 << 20, 64, 1 << 20);
 
   private StateFiles() {}
 
   /** Writes entries into a folder. */
-  static void write(Path folder, List<Entry> entries) throws IOException {
-    Store.Opening opening = Store.open(Folder.made(folder), new FactOwner(), LIMITS, line -> {});
-    if (!(opening instanceof Store.Opened opened)) {
+  static void write(Path folder, List<StoredRecord> entries) throws IOException {
+    OpenResult opening =
+        RecordStore.open(
+            FileSystemDirectory.openOrCreate(folder), new FactStateFactory(), LIMITS, line -> {});
+    if (!(opening instanceof OpenResult.Opened opened)) {
       throw new IOException(opening.toString());
     }
-    opened.store().append(entries, fault -> {});
+    opened.store().append(entries, failure -> {});
     opened.store().close();
   }
 
   /** Adds a fact of a node to a folder. */
   public static void learnt(Path folder, String node, Fact fact) throws IOException {
-    write(folder, List.of(FactCodec.entry(node, List.of(fact))));
+    write(folder, List.of(FactCodec.encode(node, List.of(fact))));
   }
 
   /**
@@ -36,17 +39,20 @@
    */
   public static void rewritten(Path from, Path to, long nowUs, UnaryOperator<Fact> change)
       throws IOException {
-    FactOwner.Facts facts = (FactOwner.Facts) Store.look(Folder.of(from), new FactOwner()).fold();
+    FactState facts =
+        (FactState)
+            RecordStore.inspect(FileSystemDirectory.openExisting(from), new FactStateFactory())
+                .state();
     write(
         to,
-        facts.all().stream()
+        facts.facts().stream()
             .map(
-                kept -> {
-                  Fact f = kept.fact();
+                nodeFact -> {
+                  Fact f = nodeFact.fact();
                   Fact fresh =
                       new Fact(
                           f.kind(), f.subject(), f.value(), f.weight(), nowUs, f.settingsDigest());
-                  return FactCodec.entry(kept.node(), List.of(change.apply(fresh)));
+                  return FactCodec.encode(nodeFact.node(), List.of(change.apply(fresh)));
                 })
             .toList());
   }
--- a/src/test/java/rosecleat/store/FaultyDisk.java
+++ b/src/test/java/rosecleat/store/FaultyDirectory.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
@@ -17,7 +18,7 @@
  * A disk in memory that fails on a seed. What was not synced may be lost at a crash: of names any
  * part, of bytes any blocks, and the block that was being written is torn.
  */
-final class FaultyDisk implements Disk {
+final class FaultyDirectory implements Directory {
   static final long PLENTY = 1L << 60;
   private static final int BLOCK = 64;
 
@@ -52,7 +53,7 @@
 
   long crashAt = Long.MAX_VALUE;
 
-  FaultyDisk(long seed) {
+  FaultyDirectory(long seed) {
     random = new Random(seed);
   }
 
@@ -115,8 +116,8 @@
   }
 
   /** A copy as it stands, with nothing left to lose. */
-  FaultyDisk copy() {
-    FaultyDisk copy = new FaultyDisk(0);
+  FaultyDirectory copy() {
+    FaultyDirectory copy = new FaultyDirectory(0);
     names.forEach((name, node) -> copy.put(name, node.bytes.clone()));
     return copy;
   }
@@ -128,17 +129,17 @@
   }
 
   @Override
-  public Set<String> names() {
+  public Set<String> list() {
     return new TreeSet<>(names.keySet());
   }
 
   @Override
-  public In open(String name) throws IOException {
+  public Input openInput(String name) throws IOException {
     Node node = names.get(name);
     if (node == null) {
       throw new FileNotFoundException(name);
     }
-    return new In() {
+    return new Input() {
       @Override
       public long size() {
         return node.bytes.length;
@@ -163,13 +164,13 @@
   }
 
   @Override
-  public Out create(String name) throws IOException {
+  public Output createOutput(String name) throws IOException {
     int of = era;
     change(of);
     Node node = new Node();
     names.put(name, node);
     changes.add(map -> map.put(name, node));
-    return new Out() {
+    return new Output() {
       @Override
       public void write(ByteBuffer from) throws IOException {
         int count = (int) Math.min(from.remaining(), room);
@@ -224,14 +225,14 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
+  public void sync() throws IOException {
     change(era);
     lasting = new TreeMap<>(names);
     changes.clear();
   }
 
   @Override
-  public AutoCloseable lock(String name) {
-    return locks.add(name) ? () -> locks.remove(name) : null;
+  public Optional<AutoCloseable> tryLock(String name) {
+    return locks.add(name) ? Optional.of(() -> locks.remove(name)) : Optional.empty();
   }
 }
--- /dev/null
+++ b/src/test/java/rosecleat/store/RecordStoreModelTest.java
@@ -0,0 +1,136 @@
+package rosecleat.store;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Size;
+
+/**
+ * The store against a model: a list of batches, those acknowledged and those in doubt. Random
+ * writes, compactions, starts, crashes, full disks and errors; after each crash what counts holds
+ * all that was acknowledged, in order.
+ */
+class RecordStoreModelTest {
+  private static final long MAX_BYTES = 1 << 20;
+  private final TextLines factory = new TextLines();
+
+  @Property(tries = 400, seed = "20261201", shrinking = net.jqwik.api.ShrinkingMode.BOUNDED)
+  void acknowledgedRecordsSurviveEveryFault(
+      @ForAll long seed, @ForAll @Size(min = 5, max = 80) List<@IntRange(max = 99) Integer> steps)
+      throws IOException {
+    Run run = new Run(seed);
+    for (int step : steps) {
+      run.take(step);
+    }
+    run.restart();
+  }
+
+  /** A store under faults, beside the model of what it must hold. */
+  private final class Run {
+    private final FaultyDirectory disk;
+    private final Random random;
+    private final TextLines.Lines acknowledged = new TextLines.Lines();
+
+    /** Failed batches: after a crash one of them may count, completely or its first part. */
+    private final List<List<String>> doubtful = new ArrayList<>();
+
+    private StorageEngine engine;
+    private int nextLine;
+
+    Run(long seed) throws IOException {
+      disk = new FaultyDirectory(seed);
+      disk.shortReads = 0.2;
+      random = new Random(seed);
+      engine = new StorageEngine(disk, factory, MAX_BYTES, Recovery.run(disk, factory));
+    }
+
+    void take(int step) throws IOException {
+      try {
+        if (step < 55) {
+          write();
+        } else if (step < 70) {
+          compact();
+        } else if (step < 78) {
+          disk.failing = disk.failing > 0 ? 0 : 0.3;
+        } else if (step < 86) {
+          disk.room = limited() ? FaultyDirectory.PLENTY : random.nextInt(2_000);
+        } else if (step < 92) {
+          disk.crashAt = disk.calls + random.nextInt(12);
+        } else {
+          if (step < 96) {
+            engine.close();
+          }
+          restart();
+        }
+      } catch (FaultyDirectory.PowerLoss e) {
+        restart();
+      } catch (IOException e) {
+        assertTrue(disk.failing > 0 || limited(), "failed on a good disk: " + e);
+      }
+    }
+
+    private void write() throws IOException {
+      List<String> batch = new ArrayList<>();
+      for (int i = random.nextInt(3); i >= 0; i--) {
+        batch.add(
+            random.nextInt(8) == 0
+                ? "=" + random.nextInt(6)
+                : "line " + nextLine++ + "x".repeat(random.nextInt(200)));
+      }
+      doubtful.add(batch);
+      engine.write(batch.stream().map(TextLines::record).toList());
+      doubtful.clear();
+      batch.forEach(acknowledged::add);
+    }
+
+    private void compact() throws IOException {
+      Compaction compaction = engine.prepareCompaction();
+      try {
+        compaction.run();
+      } catch (IOException e) {
+        engine.abandon(compaction);
+        throw e;
+      }
+      engine.install(compaction);
+    }
+
+    private boolean limited() {
+      return disk.room < FaultyDirectory.PLENTY / 2;
+    }
+
+    void restart() throws IOException {
+      disk.restart();
+      disk.failing = 0;
+      disk.room = FaultyDirectory.PLENTY;
+      RecoveryReport found = Recovery.run(disk, factory);
+      assertFalse(found.hasCorruption(), "a crash looks like damage: " + found.issues());
+      List<String> lines = List.copyOf(TextLines.of(found));
+      List<List<String>> allowed = allowedStates();
+      assertTrue(allowed.contains(lines), () -> lines + " is none of " + allowed);
+      doubtful.clear();
+      acknowledged.lines.clear();
+      acknowledged.lines.addAll(lines);
+      engine = new StorageEngine(disk, factory, MAX_BYTES, found);
+    }
+
+    private List<List<String>> allowedStates() {
+      List<List<String>> allowed = new ArrayList<>(List.of(acknowledged.lines));
+      for (List<String> batch : doubtful) {
+        TextLines.Lines applied = new TextLines.Lines();
+        applied.lines.addAll(acknowledged.lines);
+        for (String line : batch) {
+          applied.add(line);
+          allowed.add(List.copyOf(applied.lines));
+        }
+      }
+      return allowed;
+    }
+  }
+}
--- a/src/test/java/rosecleat/store/RecoveryTest.java
+++ b/src/test/java/rosecleat/store/RecoveryTest.java
@@ -11,28 +11,29 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What a start makes of files that are cut, flipped, missing, old or new. */
+/** What recovery makes of files that are cut, corrupt, missing, old or of a newer format. */
 class RecoveryTest {
-  private static final long MOST = 1 << 20;
-  private final Texts owner = new Texts();
+  private static final long MAX_BYTES = 1 << 20;
+  private final TextLines factory = new TextLines();
 
-  private Engine engine(FaultyDisk disk) throws IOException {
-    return new Engine(disk, owner, MOST, Recovery.read(disk, owner));
+  private StorageEngine engine(FaultyDirectory disk) throws IOException {
+    return new StorageEngine(disk, factory, MAX_BYTES, Recovery.run(disk, factory));
   }
 
   /** Ten batches, a compaction after the fifth; the log that is open has the last four. */
-  private FaultyDisk sample() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1);
-    try (Engine engine = engine(disk)) {
+  private FaultyDirectory sample() throws IOException {
+    FaultyDirectory disk = new FaultyDirectory(1);
+    try (StorageEngine engine = engine(disk)) {
       for (int i = 0; i < 10; i++) {
-        engine.write(List.of(Texts.entry("line " + i)));
+        engine.write(List.of(TextLines.record("line " + i)));
         if (i == 2 || i == 5) {
-          Engine.Compaction c = engine.compaction();
-          c.run();
-          engine.finish(c);
+          Compaction compaction = engine.prepareCompaction();
+          compaction.run();
+          engine.install(compaction);
         }
       }
     }
@@ -43,36 +44,36 @@
     return IntStream.range(0, count).mapToObj(i -> "line " + i).toList();
   }
 
-  private static String only(FaultyDisk disk, String kind) {
-    return disk.names().stream().filter(n -> n.startsWith(kind)).reduce((a, b) -> b).orElseThrow();
+  private static String only(FaultyDirectory disk, String kind) {
+    return disk.list().stream().filter(n -> n.startsWith(kind)).reduce((a, b) -> b).orElseThrow();
   }
 
   /**
    * What counts is whole batches from the start, and a start for writing then agrees and can go on.
    */
-  private List<String> survives(FaultyDisk disk, String what) throws IOException {
-    Recovered found = Recovery.read(disk, owner);
-    assertEquals(null, found.refusal(), what);
-    List<String> got = List.copyOf(Texts.of(found));
+  private List<String> survives(FaultyDirectory disk, String what) throws IOException {
+    RecoveryReport found = Recovery.run(disk, factory);
+    assertEquals(Optional.empty(), found.unsupportedFormat(), what);
+    List<String> got = List.copyOf(TextLines.of(found));
     assertEquals(lines(got.size()), got, what);
-    try (Engine engine = new Engine(disk, owner, MOST, found)) {
-      engine.write(List.of(Texts.entry("more")));
+    try (StorageEngine engine = new StorageEngine(disk, factory, MAX_BYTES, found)) {
+      engine.write(List.of(TextLines.record("more")));
     }
     List<String> expected = new ArrayList<>(got);
     expected.add("more");
-    Recovered again = Recovery.read(disk, owner);
-    assertEquals(expected, Texts.of(again), what);
-    assertFalse(again.damaged(), what + ": " + again.findings());
+    RecoveryReport again = Recovery.run(disk, factory);
+    assertEquals(expected, TextLines.of(again), what);
+    assertFalse(again.hasCorruption(), what + ": " + again.issues());
     return got;
   }
 
   @Test
-  void aFileCutAtAnyLengthIsNeverHalfUsed() throws IOException {
-    FaultyDisk whole = sample();
-    assertEquals(lines(10), Texts.of(Recovery.read(whole, owner)));
-    for (String name : whole.names()) {
+  void aFileCutAtAnyLengthYieldsWholeBatchesOnly() throws IOException {
+    FaultyDirectory whole = sample();
+    assertEquals(lines(10), TextLines.of(Recovery.run(whole, factory)));
+    for (String name : whole.list()) {
       for (int length = 0; length < whole.bytes(name).length; length++) {
-        FaultyDisk cut = whole.copy();
+        FaultyDirectory cut = whole.copy();
         cut.put(name, Arrays.copyOf(whole.bytes(name), length));
         List<String> got = survives(cut, name + " cut to " + length);
         if (name.startsWith("log-")) { // what stood before the cut is kept
@@ -83,22 +84,22 @@
   }
 
   @Test
-  void anyFlippedBitIsFound() throws IOException {
-    FaultyDisk whole = sample();
+  void everyFlippedBitIsDetected() throws IOException {
+    FaultyDirectory whole = sample();
     int found = 0;
     int bits = 0;
-    for (String name : whole.names()) {
-      if (name.equals(Names.snapshot(1))) {
+    for (String name : whole.list()) {
+      if (name.equals(FileNames.snapshot(1))) {
         continue; // the older one is not read while the newer is whole
       }
       for (int bit = 0; bit < 8 * whole.bytes(name).length; bit++) {
-        FaultyDisk flipped = whole.copy();
+        FaultyDirectory flipped = whole.copy();
         flipped.bytes(name)[bit / 8] ^= (byte) (1 << bit % 8);
-        Recovered got = Recovery.read(flipped, owner);
+        RecoveryReport got = Recovery.run(flipped, factory);
         assertTrue(
-            got.refusal() != null || !got.findings().isEmpty(),
+            got.unsupportedFormat().isPresent() || !got.issues().isEmpty(),
             name + " bit " + bit + " was not seen");
-        found += got.damaged() ? 1 : 0;
+        found += got.hasCorruption() ? 1 : 0;
         bits++;
         survives(flipped, name + " bit " + bit);
       }
@@ -112,82 +113,83 @@
   }
 
   @Test
-  void damageIsToldFromAnUnfinishedWrite() throws IOException {
-    FaultyDisk disk = sample();
+  void corruptionIsDistinguishedFromATornWrite() throws IOException {
+    FaultyDirectory disk = sample();
     String log = only(disk, "log-");
     byte[] bytes = disk.bytes(log);
-    bytes[Format.HEADER + 20] ^= 1; // the first entry; later ones vouch for it
-    Recovered found = Recovery.read(disk, owner);
-    assertTrue(found.damaged());
-    assertEquals(lines(6), Texts.of(found), "the snapshot alone");
-    assertEquals(Format.HEADER, found.findings().get(0).at());
+    bytes[FileHeader.BYTES + 20] ^= 1; // the first entry; later ones prove that it was durable
+    RecoveryReport found = Recovery.run(disk, factory);
+    assertTrue(found.hasCorruption());
+    assertEquals(lines(6), TextLines.of(found), "the snapshot alone");
+    assertEquals(FileHeader.BYTES, found.issues().get(0).offset());
     survives(disk, "damage");
-    assertNotNull(only(disk, "damaged-1-log-"), "it is kept for people");
+    assertNotNull(only(disk, "damaged-1-log-"), "it is quarantined");
   }
 
   @Test
-  void aBadSnapshotFallsBackToTheOneBefore() throws IOException {
-    FaultyDisk disk = sample();
-    String snapshot = Names.snapshot(Names.snapshots(disk.names()).get(1));
-    disk.bytes(snapshot)[Format.HEADER + 3] ^= 4;
-    assertEquals(lines(3), Texts.of(Recovery.read(disk, owner)));
+  void aCorruptSnapshotFallsBackToTheOlderOne() throws IOException {
+    FaultyDirectory disk = sample();
+    String snapshot = FileNames.snapshot(FileNames.snapshotNumbers(disk.list()).get(1));
+    disk.bytes(snapshot)[FileHeader.BYTES + 3] ^= 4;
+    assertEquals(lines(3), TextLines.of(Recovery.run(disk, factory)));
     survives(disk, "older snapshot");
   }
 
   @Test
-  void filesOfANewerProgramAreLeftAlone() throws IOException {
+  void filesOfANewerFormatAreNotChanged() throws IOException {
     for (String kind : List.of("MANIFEST", "snapshot-", "log-")) {
-      FaultyDisk disk = sample();
+      FaultyDirectory disk = sample();
       String name = only(disk, kind);
       byte[] bytes = disk.bytes(name);
-      Format.Header old = Format.header(ByteBuffer.wrap(bytes));
-      new Format.Header(old.kind(), 2, old.number(), old.before(), old.beforeBytes())
-          .bytes()
-          .get(bytes, 0, Format.HEADER);
-      refused(disk, name);
+      FileHeader old = FileHeader.decode(ByteBuffer.wrap(bytes)).orElseThrow();
+      new FileHeader(old.fileType(), 2, old.number(), old.previousNumber(), old.previousBytes())
+          .encode()
+          .get(bytes, 0, FileHeader.BYTES);
+      assertIncompatible(disk, name);
     }
-    FaultyDisk disk = sample();
-    owner.newest = 2;
-    try (Engine engine = engine(disk)) {
-      engine.write(List.of(new Entry(Texts.TYPE, 2, new byte[] {1})));
+    FaultyDirectory disk = sample();
+    factory.supportedVersion = 2;
+    try (StorageEngine engine = engine(disk)) {
+      engine.write(List.of(new StoredRecord(TextLines.TYPE, 2, new byte[] {1})));
     }
-    owner.newest = 1;
-    refused(disk, "an entry");
+    factory.supportedVersion = 1;
+    assertIncompatible(disk, "an entry");
   }
 
-  private void refused(FaultyDisk disk, String what) throws IOException {
+  private void assertIncompatible(FaultyDirectory disk, String what) throws IOException {
     Map<String, byte[]> before = disk.copy().all();
-    Store.Opening opening = Store.open(disk, owner, new Store.Limits(MOST, 10, 1000), line -> {});
-    assertTrue(opening instanceof Store.Refused, what + ": " + opening);
-    assertEquals(before.keySet(), disk.names());
+    OpenResult opening =
+        RecordStore.open(disk, factory, new RecordStore.Limits(MAX_BYTES, 10, 1000), line -> {});
+    assertTrue(opening instanceof OpenResult.Incompatible, what + ": " + opening);
+    assertEquals(before.keySet(), disk.list());
     before.forEach(
         (name, bytes) ->
             assertTrue(Arrays.equals(bytes, disk.bytes(name)), what + " changed " + name));
   }
 
   @Test
-  void powerMayGoAtAnyCall() throws IOException {
+  void noAcknowledgedRecordIsLostWhenPowerFailsAtAnyCall() throws IOException {
     for (int at = 0; at < 90; at++) {
       for (int seed = 0; seed < 8; seed++) {
-        FaultyDisk disk = new FaultyDisk(100L * at + seed);
+        FaultyDirectory disk = new FaultyDirectory(100L * at + seed);
         disk.crashAt = at;
         int acknowledged = 0;
-        try (Engine engine = engine(disk)) {
+        try (StorageEngine engine = engine(disk)) {
           for (int i = 0; i < 10; i++) {
-            engine.write(List.of(Texts.entry("line " + i)));
+            engine.write(List.of(TextLines.record("line " + i)));
             acknowledged = i + 1;
             if (i == 2 || i == 5) {
-              Engine.Compaction c = engine.compaction();
-              c.run();
-              engine.finish(c);
+              Compaction compaction = engine.prepareCompaction();
+              compaction.run();
+              engine.install(compaction);
             }
           }
-        } catch (FaultyDisk.PowerLoss e) {
+        } catch (FaultyDirectory.PowerLoss e) {
           assertTrue(at < 90);
         }
         disk.restart();
-        Recovered found = Recovery.read(disk, owner);
-        assertFalse(found.damaged(), "call " + at + " seed " + seed + ": " + found.findings());
+        RecoveryReport found = Recovery.run(disk, factory);
+        assertFalse(found.hasCorruption(), "call " + at + " seed " + seed + ": " + found.issues());
         assertTrue(
             survives(disk, "call " + at + " seed " + seed).size() >= acknowledged,
             "lost what was acknowledged");
