--- a/src/main/java/rosecleat/config/NodeConfigValidator.java
+++ b/src/main/java/rosecleat/config/NodeConfigValidator.java
@@ -67,7 +67,9 @@
       throw ConfigException.invalid("parties", "is no list");
     }
     requireDistinctNames(tenants, "parties");
-    tenants.forEach(tenant -> requireNumbers(tenant, "parties.", "quota-per-s"));
+    for (JsonNode tenant : tenants) {
+      requireNumbers(tenant, "parties.", "quota-per-s");
+    }
   }
 
   private static void validateExtra(JsonNode extra, int classCount) {
@@ -87,10 +89,14 @@
         extra, "extra.", "cold", "deep-checks", "passes-deadline", "readiness", "tells-gone");
     JsonNode classCalls = extra.path("class-calls");
     requireOneForEachClass(classCalls, "extra.class-calls", classCount);
-    classCalls.forEach(each -> requireElementType(each.isBoolean(), "extra.class-calls"));
+    for (JsonNode element : classCalls) {
+      requireElementType(element.isBoolean(), "extra.class-calls");
+    }
     JsonNode worthWithout = extra.path("worth-without");
     requireOneForEachClass(worthWithout, "extra.worth-without", classCount);
-    worthWithout.forEach(each -> requireElementType(each.isNumber(), "extra.worth-without"));
+    for (JsonNode element : worthWithout) {
+      requireElementType(element.isNumber(), "extra.worth-without");
+    }
   }
 
   private static void validateRules(JsonNode rules) {
--- a/src/main/java/rosecleat/config/SettingsReader.java
+++ b/src/main/java/rosecleat/config/SettingsReader.java
@@ -156,13 +156,17 @@
 
   private static List<String> texts(JsonNode list) {
     List<String> texts = new ArrayList<>();
-    list.forEach(element -> texts.add(element.asText()));
+    for (JsonNode element : list) {
+      texts.add(element.asText());
+    }
     return List.copyOf(texts);
   }
 
   private static List<String> names(JsonNode list) {
     List<String> names = new ArrayList<>();
-    list.forEach(element -> names.add(element.path("name").asText()));
+    for (JsonNode element : list) {
+      names.add(element.path("name").asText());
+    }
     return List.copyOf(names);
   }
 
