--- a/src/main/java/rosecleat/front/uwsgi/AskOnce.java
+++ b/src/main/java/rosecleat/front/uwsgi/AskOnce.java
@@ -4,63 +4,84 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
- * One uwsgi request as a web server sends it; prints the status and the body: {@code AskOnce
- * HOST:PORT METHOD PATH TEAM [BODY [KEY]]}. What {@code make ask} runs. Exit code 0 for an answer
- * of 2xx, 1 for another, 2 for none.
+ * A command-line client, which {@code make ask} runs: sends one uwsgi request as a web server would
+ * and prints the status and the body of the response.
+ *
+ * <p>Arguments: {@code HOST:PORT METHOD PATH TEAM [BODY [KEY]]}. The exit code is 0 for a status of
+ * 2xx, 1 for another status, and 2 where no response came.
  */
 public final class AskOnce {
-  private static final int PATIENCE_MS = 15_000;
+  private static final int TIMEOUT_MS = 15_000;
+  private static final int EXIT_SUCCESS = 0;
+  private static final int EXIT_OTHER_STATUS = 1;
+  private static final int EXIT_NO_RESPONSE = 2;
+  private static final int MIN_ARGUMENTS = 4;
+  private static final int MAX_ARGUMENTS = 6;
+  private static final String HEAD_END = "\r\n\r\n";
 
   private AskOnce() {}
 
-  /** Sends it. */
-  public static void main(String[] args) {
-    if (args.length < 4 || args.length > 6 || !args[0].matches(".+:[0-9]{1,5}")) {
+  /** Runs the command and exits the process. */
+  public static void main(String[] arguments) {
+    if (arguments.length < MIN_ARGUMENTS
+        || arguments.length > MAX_ARGUMENTS
+        || !arguments[0].matches(".+:[0-9]{1,5}")) {
       System.err.println("ask: HOST:PORT METHOD PATH TEAM [BODY [KEY]]");
-      System.exit(2);
+      System.exit(EXIT_NO_RESPONSE);
     }
+    try {
+      System.exit(print(exchange(address(arguments[0]), encode(arguments))));
+    } catch (IOException e) {
+      System.err.println("ask: no answer from " + arguments[0] + ": " + e.getMessage());
+      System.exit(EXIT_NO_RESPONSE);
+    }
+  }
+
+  private static InetSocketAddress address(String text) {
+    int colon = text.lastIndexOf(':');
+    return new InetSocketAddress(
+        text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+  }
+
+  private static ByteBuffer encode(String[] arguments) {
+    byte[] body = (arguments.length > 4 ? arguments[4] : "").getBytes(StandardCharsets.UTF_8);
     Map<String, String> vars = new LinkedHashMap<>();
-    vars.put("REQUEST_METHOD", args[1]);
-    vars.put("REQUEST_URI", args[2]);
-    vars.put("HTTP_X_TEAM", args[3]);
-    byte[] body = (args.length > 4 ? args[4] : "").getBytes(StandardCharsets.UTF_8);
+    vars.put("REQUEST_METHOD", arguments[1]);
+    vars.put("REQUEST_URI", arguments[2]);
+    vars.put("HTTP_X_TEAM", arguments[3]);
     vars.put("CONTENT_LENGTH", Integer.toString(body.length));
-    if (args.length > 5) {
-      vars.put("HTTP_IDEMPOTENCY_KEY", args[5]);
+    if (arguments.length > 5) {
+      vars.put("HTTP_IDEMPOTENCY_KEY", arguments[5]);
     }
-    int colon = args[0].lastIndexOf(':');
+    return new UwsgiPacket(UwsgiPacket.MODIFIER_REQUEST, 0, vars, body).encode().orElseThrow();
+  }
+
+  private static String exchange(InetSocketAddress address, ByteBuffer packet) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(
-          new InetSocketAddress(
-              args[0].substring(0, colon), Integer.parseInt(args[0].substring(colon + 1))),
-          PATIENCE_MS);
-      socket.setSoTimeout(PATIENCE_MS);
-      socket
-          .getOutputStream()
-          .write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars, body).encode().array());
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
-      socket.getInputStream().transferTo(all);
-      System.exit(print(all.toString(StandardCharsets.UTF_8)));
-    } catch (IOException e) {
-      System.err.println("ask: no answer from " + args[0] + ": " + e.getMessage());
-      System.exit(2);
+      socket.connect(address, TIMEOUT_MS);
+      socket.setSoTimeout(TIMEOUT_MS);
+      socket.getOutputStream().write(packet.array());
+      ByteArrayOutputStream response = new ByteArrayOutputStream();
+      socket.getInputStream().transferTo(response);
+      return response.toString(StandardCharsets.UTF_8);
     }
   }
 
-  private static int print(String reply) {
-    int end = reply.indexOf("\r\n\r\n");
-    String[] start = reply.split("[ \r]", 3);
-    if (end < 0 || start.length < 3 || !start[1].matches("[1-5][0-9][0-9]")) {
+  private static int print(String response) {
+    int headEnd = response.indexOf(HEAD_END);
+    String[] statusLine = response.split("[ \r]", 3);
+    if (headEnd < 0 || statusLine.length < 3 || !statusLine[1].matches("[1-5][0-9][0-9]")) {
       System.err.println("ask: what came is no answer");
-      return 2;
+      return EXIT_NO_RESPONSE;
     }
-    System.out.println(start[1]);
-    System.out.println(reply.substring(end + 4));
-    return start[1].startsWith("2") ? 0 : 1;
+    System.out.println(statusLine[1]);
+    System.out.println(response.substring(headEnd + HEAD_END.length()));
+    return statusLine[1].startsWith("2") ? EXIT_SUCCESS : EXIT_OTHER_STATUS;
   }
 }
--- a/src/main/java/rosecleat/front/uwsgi/HttpReply.java
+++ b/src/main/java/rosecleat/front/uwsgi/ReasonPhrases.java
@@ -1,12 +1,13 @@
 package rosecleat.front.uwsgi;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** An answer as the HTTP response that uwsgi servers send back. */
-record HttpReply(int status, Map<String, String> headers, byte[] body) {
-  private static final Map<Integer, String> REASONS =
+/** The reason phrases of HTTP status codes (RFC 9110). */
+final class ReasonPhrases {
+  /** Stands for the phrase of a status that has none here. */
+  private static final String UNKNOWN = "Status";
+
+  private static final Map<Integer, String> PHRASES =
       Map.ofEntries(
           Map.entry(200, "OK"),
           Map.entry(201, "Created"),
@@ -38,31 +39,10 @@
           Map.entry(503, "Service Unavailable"),
           Map.entry(504, "Gateway Timeout"));
 
-  /** The phrase that goes with a status. */
-  static String reason(int status) {
-    return REASONS.getOrDefault(status, "Status");
-  }
-
-  /** A short answer in words. */
-  static HttpReply words(int status, Map<String, String> headers, String text) {
-    return new HttpReply(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
-  }
+  private ReasonPhrases() {}
 
-  ByteBuffer head(String contentType) {
-    StringBuilder head =
-        new StringBuilder("HTTP/1.1 ")
-            .append(status)
-            .append(' ')
-            .append(reason(status))
-            .append("\r\nConnection: close\r\n");
-    if (status != 204) { // which has no body, and says nothing of one
-      head.append("Content-Type: ")
-          .append(contentType)
-          .append("\r\nContent-Length: ")
-          .append(body.length)
-          .append("\r\n");
-    }
-    headers.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
-    return ByteBuffer.wrap(head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
+  /** Returns the phrase of a status. */
+  static String of(int status) {
+    return PHRASES.getOrDefault(status, UNKNOWN);
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/front/uwsgi/RequestTranslator.java
@@ -0,0 +1,201 @@
+package rosecleat.front.uwsgi;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import java.util.regex.Pattern;
+import rosecleat.config.Backend;
+import rosecleat.config.BrokerConfig;
+import rosecleat.config.ServiceOperation;
+import rosecleat.config.UwsgiVariables;
+import rosecleat.core.Request;
+import rosecleat.core.Responder;
+import rosecleat.core.Runner;
+
+/**
+ * Translates uwsgi requests into the core's requests, by the contracts and budgets in force. For
+ * the event loop.
+ */
+final class RequestTranslator {
+  /** Caller ids of teams start here, above those of the platform's load balancers. */
+  private static final int FIRST_CALLER_ID = 1_000_000;
+
+  private static final Pattern TIMEOUT_MS = Pattern.compile("([1-9][0-9]{0,8})?");
+  private static final Pattern IDEMPOTENCY_KEY = Pattern.compile("[0-9A-Za-z_-]{1,64}");
+  private static final long US_PER_MS = 1_000;
+
+  private final Runner runtime;
+  private final Runner backends;
+  private final SampleRunner samples;
+  private final SplittableRandom random;
+  private final RuntimePayload payloads = new RuntimePayload();
+  private final Map<String, Integer> callerIds = new HashMap<>();
+  private BrokerConfig config;
+  private OperationRouter router;
+
+  /**
+   * Creates a translator.
+   *
+   * @param runtime executes the requests of operations without a backend
+   * @param backends executes those of operations with a service behind them
+   * @param samples executes those of operations that respond with an example
+   * @param seed the seed of the request ids
+   */
+  RequestTranslator(
+      BrokerConfig config, Runner runtime, Runner backends, SampleRunner samples, long seed) {
+    this.runtime = runtime;
+    this.backends = backends;
+    this.samples = samples;
+    random = new SplittableRandom(seed);
+    reconfigure(config);
+  }
+
+  /** Translates the requests from now on by another configuration. */
+  void reconfigure(BrokerConfig newConfig) {
+    config = newConfig;
+    router = new OperationRouter(newConfig.operations());
+    samples.reconfigure(newConfig.operations());
+  }
+
+  /**
+   * Translates a request.
+   *
+   * @param nowUs when it arrived, in Unix microseconds
+   * @param responder receives the response to it
+   */
+  TranslationResult translate(UwsgiPacket packet, long nowUs, Responder responder) {
+    RequestTarget target = RequestTarget.of(packet);
+    if (!target.isComplete()) {
+      return new TranslationResult.Invalid(RequestError.Kind.MISSING_METHOD_OR_PATH);
+    }
+    RouteResult route = router.find(target.method(), target.path());
+    if (route instanceof RouteResult.Matched match) {
+      return translate(packet, target, match, nowUs, responder);
+    }
+    if (route instanceof RouteResult.MethodNotAllowed otherMethods) {
+      String allowedMethods = otherMethods.allowedMethods();
+      return target.method().equals("OPTIONS")
+          ? new TranslationResult.MethodQuery(allowedMethods)
+          : new TranslationResult.Invalid(RequestError.Kind.METHOD_NOT_ALLOWED, allowedMethods);
+    }
+    return new TranslationResult.Invalid(RequestError.Kind.UNKNOWN_OPERATION);
+  }
+
+  private TranslationResult translate(
+      UwsgiPacket packet,
+      RequestTarget target,
+      RouteResult.Matched match,
+      long nowUs,
+      Responder responder) {
+    ServiceOperation operation = match.operation();
+    Optional<TranslationResult.Invalid> invalid = checkVars(packet, operation);
+    if (invalid.isPresent()) {
+      return invalid.get();
+    }
+    byte[] body = packet.body();
+    if (operation.backend() == null) {
+      Optional<byte[]> payload = payloads.create(body, match.parameters(), target.query());
+      if (payload.isEmpty()) {
+        return new TranslationResult.Invalid(RequestError.Kind.MALFORMED_QUERY);
+      }
+      body = payload.get();
+      if (body.length > RuntimePayload.MAX_BYTES) {
+        return new TranslationResult.Invalid(RequestError.Kind.BODY_TOO_LONG);
+      }
+    }
+    Request request = request(packet, operation, body, nowUs, responder);
+    return new TranslationResult.Translated(request, operation);
+  }
+
+  /** Checks the vars that the broker itself reads, in the order in which errors are reported. */
+  private Optional<TranslationResult.Invalid> checkVars(
+      UwsgiPacket packet, ServiceOperation operation) {
+    UwsgiVariables names = config.variables();
+    if (!operation.tenantIndexByTeam().containsKey(packet.var(names.team()))) {
+      return invalid(RequestError.Kind.UNKNOWN_TEAM, "");
+    }
+    if (!TIMEOUT_MS.matcher(packet.var(names.deadlineMs())).matches()) {
+      return invalid(RequestError.Kind.MALFORMED_TIMEOUT, names.deadlineMs());
+    }
+    if (operation.idempotent()
+        && !IDEMPOTENCY_KEY.matcher(packet.var(names.idempotencyKey())).matches()) {
+      return invalid(RequestError.Kind.MALFORMED_IDEMPOTENCY_KEY, names.idempotencyKey());
+    }
+    return Optional.empty();
+  }
+
+  private static Optional<TranslationResult.Invalid> invalid(
+      RequestError.Kind kind, String subject) {
+    return Optional.of(new TranslationResult.Invalid(kind, subject));
+  }
+
+  private Request request(
+      UwsgiPacket packet,
+      ServiceOperation operation,
+      byte[] body,
+      long nowUs,
+      Responder responder) {
+    UwsgiVariables names = config.variables();
+    String team = packet.var(names.team());
+    return new Request(
+        nextId(),
+        nowUs,
+        timeoutUs(packet, operation),
+        operation.classIndex(),
+        operation.className(),
+        operation.tenantIndexByTeam().get(team),
+        callerId(team),
+        packet.var(names.retry()).equals("1"),
+        operation.memoryKb(),
+        operation.rank(),
+        operation.idempotent() ? packet.var(names.idempotencyKey()) : null,
+        0,
+        body,
+        operation.backend() == null ? Map.of() : attributes(packet, operation, nowUs),
+        runner(operation),
+        responder);
+  }
+
+  /** Returns the timeout that the client asks for, but not more than the operation's. */
+  private long timeoutUs(UwsgiPacket packet, ServiceOperation operation) {
+    String timeoutMs = packet.var(config.variables().deadlineMs());
+    return timeoutMs.isEmpty()
+        ? operation.deadlineUs()
+        : Math.min(operation.deadlineUs(), US_PER_MS * Long.parseLong(timeoutMs));
+  }
+
+  private Runner runner(ServiceOperation operation) {
+    if (operation.backend() == null) {
+      return runtime;
+    }
+    return operation.backend() instanceof Backend.Sample ? samples : backends;
+  }
+
+  /** Returns the vars that are passed on to the service, with the attributes for its runner. */
+  private static Map<String, String> attributes(
+      UwsgiPacket packet, ServiceOperation operation, long nowUs) {
+    Map<String, String> attributes = new HashMap<>(packet.vars());
+    attributes.remove("CONTENT_LENGTH"); // the runner sends its own
+    attributes.put("REQUEST_METHOD", operation.method()); // a HEAD request executes the GET
+    attributes.put(RunAttributes.OPERATION, operation.id());
+    if (operation.backend() instanceof Backend.Uwsgi uwsgi) {
+      attributes.put(
+          RunAttributes.BACKEND_ADDRESS,
+          uwsgi.address().getHostString() + ":" + uwsgi.address().getPort());
+    } else if (operation.backend() instanceof Backend.Fleet fleet) {
+      attributes.put(RunAttributes.SERVICE, fleet.service());
+      attributes.put(
+          RunAttributes.KEY_EXPIRES_AT, Long.toString(nowUs + operation.idempotencyWindowUs()));
+    }
+    return attributes;
+  }
+
+  private long callerId(String team) {
+    return FIRST_CALLER_ID + callerIds.computeIfAbsent(team, absent -> callerIds.size());
+  }
+
+  private String nextId() {
+    return String.format("%016x", random.nextLong());
+  }
+}
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -13,54 +13,44 @@
 import rosecleat.net.EventLoop;
 
 /**
- * Answers with the description's example after a while, so that a broker can be tried without any
- * service.
+ * A runner that responds with the example of an operation's description after a delay, so that a
+ * broker can be tried without any service. For the event loop.
  */
 public final class SampleRunner implements Runner {
+  private static final int OK = 200;
+
   private final EventLoop loop;
   private final Core core;
   private final Map<String, Future<?>> runs = new HashMap<>();
-  private Map<String, Backend.Sample> samples = Map.of();
+  private Map<String, Backend.Sample> samplesByOperation = Map.of();
 
-  /** A runner that has no examples yet. */
+  /** Creates a runner that has no examples yet. */
   public SampleRunner(EventLoop loop, Core core) {
     this.loop = loop;
     this.core = core;
   }
 
-  /** The examples in force. */
-  void use(List<ServiceOperation> operations) {
-    Map<String, Backend.Sample> fresh = new HashMap<>();
+  /** Replaces the examples by those of a list of operations. */
+  void reconfigure(List<ServiceOperation> operations) {
+    Map<String, Backend.Sample> samples = new HashMap<>();
     for (ServiceOperation operation : operations) {
       if (operation.backend() instanceof Backend.Sample sample) {
-        fresh.put(operation.id(), sample);
+        samples.put(operation.id(), sample);
       }
     }
-    samples = Map.copyOf(fresh);
+    samplesByOperation = Map.copyOf(samples);
   }
 
   @Override
-  public void start(Request request, long dueUs) {
-    Backend.Sample sample = samples.get(request.attributes().get(UwsgiRunner.OPERATION));
-    if (sample == null) { // its operation is no sample any more
+  public void start(Request request, long deadlineUs) {
+    String operation = request.attributes().get(RunAttributes.OPERATION);
+    Backend.Sample sample = samplesByOperation.get(operation);
+    if (sample == null) { // the operation lost its example since the request arrived
       loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, null, 0));
       return;
     }
-    byte[] reply =
-        new ServiceReply(
-                200,
-                List.of(new ServiceReply.Header("Content-Type", sample.contentType())),
-                sample.body())
-            .result();
-    runs.put(
-        request.id(),
-        loop.schedule(
-            sample.durationUs(),
-            () -> {
-              runs.remove(request.id());
-              core.counters().add("sample.runs");
-              core.runEnded(request.id(), RunResult.OK, reply, sample.durationUs());
-            }));
+    Future<?> run = loop.schedule(sample.durationUs(), () -> complete(request.id(), sample));
+    runs.put(request.id(), run);
   }
 
   @Override
@@ -72,9 +62,22 @@
     }
   }
 
+  /** Does nothing: these runs make no calls. */
   @Override
   public void completeCall(String id, byte[] reply) {}
 
+  /** Does nothing: these runs make no calls. */
   @Override
-  public void skipCall(String id, long notice) {}
+  public void skipCall(String id, long callNumber) {}
+
+  private void complete(String id, Backend.Sample sample) {
+    runs.remove(id);
+    core.counters().add("sample.runs");
+    ServiceResponse response =
+        new ServiceResponse(
+            OK,
+            List.of(new ServiceResponse.Header("Content-Type", sample.contentType())),
+            sample.body());
+    core.runEnded(id, RunResult.OK, ServiceResponseCodec.encode(response), sample.durationUs());
+  }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiConnection.java
@@ -0,0 +1,248 @@
+package rosecleat.front.uwsgi;
+
+import java.nio.ByteBuffer;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.Future;
+import rosecleat.config.Backend;
+import rosecleat.config.ServiceOperation;
+import rosecleat.config.UwsgiLimits;
+import rosecleat.core.Counters;
+import rosecleat.core.Failure;
+import rosecleat.core.Progress;
+import rosecleat.core.RequestHandle;
+import rosecleat.core.Response;
+import rosecleat.net.Connection;
+import rosecleat.net.ConnectionHandler;
+import rosecleat.net.ConnectionUsage;
+
+/**
+ * The protocol on one client's connection: reads the one request, submits it to the core and writes
+ * the response. Timeouts bound the reading, then the writing. For the event loop.
+ */
+final class UwsgiConnection implements ConnectionHandler {
+  private static final String PLAIN_TEXT = "text/plain; charset=utf-8";
+  private static final int OK = 200;
+  private static final int NO_CONTENT = 204;
+  private static final byte[] EMPTY_BODY = new byte[0];
+
+  /** A rejection that comes so shortly before the deadline was made for lack of time. */
+  private static final long NEAR_DEADLINE_US = 50_000;
+
+  private final UwsgiFrontend frontend;
+  private final Connection connection;
+  private final Counters counters;
+  private final UwsgiRequestParser parser;
+  private final long acceptedAtUs;
+
+  /** Bounds the reading of the request until it is complete, then the writing of the response. */
+  private Future<?> timeout;
+
+  /** The request in flight; null before it is submitted and after its response. */
+  private RequestHandle request;
+
+  private ServiceOperation operation;
+  private long deadlineUs;
+  private boolean requestComplete;
+  private boolean responded;
+  private boolean omitBody;
+
+  /** What the response's body holds of the frontend's budget. */
+  private int reservedBytes;
+
+  UwsgiConnection(UwsgiFrontend frontend, Connection connection) {
+    this.frontend = frontend;
+    this.connection = connection;
+    counters = frontend.core().counters();
+    UwsgiLimits limits = frontend.limits();
+    parser = new UwsgiRequestParser(limits.packetBytes(), limits.bodyBytes());
+    acceptedAtUs = frontend.clock().getAsLong();
+  }
+
+  /** Starts to read. */
+  void start() {
+    timeout = frontend.loop().schedule(frontend.limits().requestTimeoutUs(), this::readTimedOut);
+    connection.start(this);
+  }
+
+  /** Closes once the request is answered. */
+  void closeGracefully() {
+    connection.closeGracefully();
+  }
+
+  /** Closes if nothing has been received since the connection was accepted before a time. */
+  void closeIfSilentSince(long acceptedBeforeUs) {
+    if (!parser.hasInput() && acceptedAtUs <= acceptedBeforeUs) {
+      connection.closeGracefully();
+    }
+  }
+
+  private void readTimedOut() {
+    if (!requestComplete) {
+      counters.add("uwsgi.slow");
+      connection.closeGracefully();
+    }
+  }
+
+  /** Ignores whatever follows the first request. */
+  @Override
+  public void received(ByteBuffer bytes) {
+    if (requestComplete || !parser.feed(bytes)) {
+      return;
+    }
+    requestComplete = true;
+    timeout.cancel(false);
+    Optional<RequestError> error = parser.error();
+    if (error.isPresent()) {
+      respond(error.get().response(), PLAIN_TEXT);
+      return;
+    }
+    UwsgiPacket packet = parser.packet();
+    if (packet.modifier1() == UwsgiPacket.MODIFIER_PING) {
+      respondToPing();
+    } else {
+      handle(packet);
+    }
+  }
+
+  private void respondToPing() {
+    responded = true;
+    connection.write(UwsgiPacket.pong());
+    connection.closeGracefully();
+  }
+
+  private void handle(UwsgiPacket packet) {
+    counters.add("uwsgi.requests");
+    omitBody = packet.var("REQUEST_METHOD").equals("HEAD");
+    TranslationResult result =
+        frontend
+            .translator()
+            .translate(packet, frontend.clock().getAsLong(), this::requestCompleted);
+    if (result instanceof TranslationResult.Translated translated) {
+      submit(translated);
+    } else if (result instanceof TranslationResult.MethodQuery query) {
+      Map<String, String> allow = Map.of("Allow", query.allowedMethods());
+      respond(new HttpResponse(NO_CONTENT, allow, EMPTY_BODY), PLAIN_TEXT);
+    } else if (result instanceof TranslationResult.Invalid invalid) {
+      respond(invalid.error().response(), PLAIN_TEXT);
+    }
+  }
+
+  private void submit(TranslationResult.Translated translated) {
+    operation = translated.operation();
+    deadlineUs = translated.request().arrivedAtUs() + translated.request().timeoutUs();
+    RequestHandle submitted = frontend.core().submit(translated.request());
+    if (!responded) { // the core may respond before it returns
+      request = submitted;
+    }
+  }
+
+  /** Nothing is lost only while nothing has been received. */
+  @Override
+  public ConnectionUsage usage() {
+    return parser.hasInput() || requestComplete ? ConnectionUsage.BUSY : ConnectionUsage.UNUSED;
+  }
+
+  @Override
+  public boolean hasPendingResponses() {
+    return requestComplete && !responded;
+  }
+
+  @Override
+  public void closed(Failure failure, boolean endOfStream) {
+    timeout.cancel(false);
+    frontend.responseBudget().release(reservedBytes);
+    frontend.connectionClosed(this, connection);
+    if (failure.progress() != Progress.SENT) { // part of the response was never sent
+      counters.add("uwsgi.cut");
+    }
+    if (request != null) {
+      request.cancel();
+    }
+  }
+
+  private void requestCompleted(Response response) {
+    responded = true;
+    request = null;
+    if (response instanceof Response.Completed completed) {
+      respondWithResult(completed.result());
+    } else if (response instanceof Response.Rejected rejected) {
+      respond(rejection(rejected), PLAIN_TEXT);
+    } else if (response instanceof Response.Failed failed) {
+      respond(failure(failed), PLAIN_TEXT);
+    }
+  }
+
+  private HttpResponse rejection(Response.Rejected rejected) {
+    return frontend.clock().getAsLong() >= deadlineUs - NEAR_DEADLINE_US
+        ? FailureResponses.notStartedInTime()
+        : FailureResponses.rejected(rejected);
+  }
+
+  private HttpResponse failure(Response.Failed failed) {
+    if (failed.failure().progress().neverRan()
+        && operation.backend() instanceof Backend.Fleet fleet
+        && frontend.instances().hasNoAvailableInstance(fleet.service())) {
+      return FailureResponses.noInstance(fleet.service());
+    }
+    return FailureResponses.failed(failed);
+  }
+
+  /** A result is a service's response, or a body alone from the machine's runtime. */
+  private void respondWithResult(byte[] result) {
+    Optional<ServiceResponse> serviceResponse =
+        operation.backend() == null ? Optional.empty() : ServiceResponseCodec.decode(result);
+    byte[] body = serviceResponse.map(ServiceResponse::body).orElse(result);
+    if (!reserve(body.length)) {
+      counters.add("uwsgi.noroom");
+      frontend
+          .log()
+          .warn(
+              "no room for a reply of "
+                  + body.length
+                  + " bytes, "
+                  + frontend.responseBudget().reservedBytes()
+                  + " wait");
+      respond(FailureResponses.noCapacity(), PLAIN_TEXT);
+      return;
+    }
+    String contentType = operation.contentType();
+    if (serviceResponse.isPresent()) {
+      ServiceResponse response = serviceResponse.get();
+      write(response.status(), response.encodeHead(contentType), body);
+    } else {
+      respond(new HttpResponse(OK, Map.of(), body), contentType);
+    }
+  }
+
+  /** Reserves memory for a body; false where it is too long or the budget exhausted. */
+  private boolean reserve(int bytes) {
+    UwsgiLimits limits = frontend.limits();
+    if (bytes > limits.responseBytes()
+        || !frontend.responseBudget().tryReserve(bytes, limits.bufferedResponseBytes())) {
+      return false;
+    }
+    reservedBytes = bytes;
+    return true;
+  }
+
+  private void respond(HttpResponse response, String contentType) {
+    write(response.status(), response.encodeHead(contentType), response.body());
+  }
+
+  private void write(int status, ByteBuffer head, byte[] body) {
+    responded = true;
+    counters.add("uwsgi.status." + status);
+    if (connection.write(head) && body.length > 0 && !omitBody) {
+      connection.write(ByteBuffer.wrap(body));
+    }
+    connection.closeGracefully();
+    timeout.cancel(false);
+    timeout =
+        frontend
+            .loop()
+            .schedule(
+                frontend.limits().responseTimeoutUs(),
+                () -> connection.abort("the reply was not taken in time"));
+  }
+}
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -1,54 +1,52 @@
 package rosecleat.front.uwsgi;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
-import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.Future;
 import java.util.function.LongSupplier;
-import rosecleat.config.Backend;
 import rosecleat.config.BrokerConfig;
-import rosecleat.config.ServiceOperation;
 import rosecleat.config.UwsgiLimits;
 import rosecleat.core.Core;
-import rosecleat.core.Counters;
-import rosecleat.core.Failure;
-import rosecleat.core.Progress;
-import rosecleat.core.RequestHandle;
-import rosecleat.core.Response;
 import rosecleat.core.Runner;
 import rosecleat.log.Log;
 import rosecleat.net.Connection;
-import rosecleat.net.ConnectionHandler;
 import rosecleat.net.ConnectionLimits;
-import rosecleat.net.ConnectionUsage;
 import rosecleat.net.EventLoop;
 import rosecleat.net.Listener;
 
-/** The second front: uwsgi callers, one request a connection, answered as HTTP. */
+/**
+ * The frontend for uwsgi clients: one request a connection, with an HTTP response. Everything runs
+ * on the event loop.
+ */
 public final class UwsgiFrontend {
-  private static final String PLAIN = "text/plain; charset=utf-8";
+  private static final int READ_BUFFER_BYTES = 8 << 10;
+  private static final int PAUSE_READING_ABOVE_BYTES = 64 << 10;
 
-  /** An answer that comes so shortly before it is due was given up on for lack of time (us). */
-  private static final long NEARLY_DUE_US = 50_000;
-
-  private static final int HEAD_ROOM = 20 << 10;
+  /** What a connection's write queue holds beside a body: the head of the response. */
+  private static final int MAX_HEAD_BYTES = 20 << 10;
 
   private final EventLoop loop;
-  private BrokerConfig config;
   private final Core core;
-  private final Counters counters;
   private final LongSupplier clock;
   private final Log log;
-  private final Requests requests;
+  private final RequestTranslator translator;
   private final InstanceBalancer instances;
+  private final ResponseBudget responseBudget = new ResponseBudget();
+  private final Set<UwsgiConnection> connections = new LinkedHashSet<>();
+  private BrokerConfig config;
   private Listener listener;
-  private final Set<Caller> callers = new LinkedHashSet<>();
-  private long replying;
 
-  /** A front that {@link #listen} opens; requests run on the runtime or on uwsgi backends. */
+  /**
+   * Creates a frontend that does not listen yet.
+   *
+   * @param config the address, the limits and the operations
+   * @param runtime executes requests of operations without a backend
+   * @param backends executes requests of operations with a service behind them
+   * @param instances the instances of services without a fixed address
+   * @param clock the Unix time in microseconds
+   * @param seed the seed of the request ids
+   */
   public UwsgiFrontend(
       EventLoop loop,
       BrokerConfig config,
@@ -59,272 +57,146 @@
       LongSupplier clock,
       Log log,
       long seed) {
-    this.instances = instances;
     this.loop = loop;
     this.config = config;
     this.core = core;
+    this.instances = instances;
     this.clock = clock;
     this.log = log;
-    counters = core.counters();
-    requests = new Requests(config, runtime, backends, new SampleRunner(loop, core), seed);
+    SampleRunner samples = new SampleRunner(loop, core);
+    translator = new RequestTranslator(config, runtime, backends, samples, seed);
   }
 
-  /** Listens where the broker's file says, beside any other process of this node that does. */
+  /**
+   * Starts to listen, unless it already does. Other processes of the node may listen at the same
+   * address.
+   *
+   * @throws IOException where the address cannot be bound
+   */
   public void listen() throws IOException {
     if (listener != null) {
-      return; // it stands, and the other front could not listen
+      return;
     }
     UwsgiLimits limits = config.limits();
+    ConnectionLimits connectionLimits =
+        new ConnectionLimits(
+            READ_BUFFER_BYTES,
+            PAUSE_READING_ABOVE_BYTES,
+            limits.responseBytes() + MAX_HEAD_BYTES,
+            limits.stallTimeoutUs());
     listener =
         new Listener(
             loop,
             config.listenAddress(),
             config.maxConnections(),
-            new ConnectionLimits(
-                8 << 10, 64 << 10, limits.responseBytes() + HEAD_ROOM, limits.stallTimeoutUs()),
-            this::adopt,
+            connectionLimits,
+            this::accept,
             true);
   }
 
-  /** Accepts what waits, and then nothing more; true when none can come any more. */
-  public boolean closeListenerWhenEmpty() {
-    return listener == null || listener.closeWhenBacklogEmpty();
-  }
-
-  /** Requests read from now on go by these contracts and budgets; where it listens stays. */
-  public void reconfigure(BrokerConfig fresh) {
-    config = fresh;
-    requests.use(fresh);
+  /**
+   * Serves the requests that arrive from now on by another configuration. The address and the
+   * limits of connections that are open stay.
+   */
+  public void reconfigure(BrokerConfig newConfig) {
+    config = newConfig;
+    translator.reconfigure(newConfig);
   }
 
-  /** The port it listens on. */
+  /** Returns the port it listens on. */
   public int port() {
     return listener.port();
   }
 
-  /** Connections that are open. */
+  /** Returns the number of open connections. */
   public int openConnections() {
-    return callers.size();
+    return connections.size();
   }
 
-  /** Bytes of replies that callers have not taken yet. */
+  /** Returns the bytes of response bodies that clients have not read yet. */
   public long bufferedBytes() {
-    return replying;
+    return responseBudget.reservedBytes();
   }
 
   /**
-   * Accepts what waits and then nothing more, once no connection has come for so long; true when
-   * none can come.
+   * Stops listening once no connection has come for a while and none waits to be accepted.
+   *
+   * @param quietUs how long no connection must have come, in microseconds
+   * @return whether it no longer listens
    */
   public boolean closeListenerWhenQuiet(long quietUs) {
     return listener == null || listener.closeAfterQuietPeriod(quietUs);
   }
 
-  /** Closes the connections on which nothing of a request has come for so long. */
-  public void closeSilentConnections(long quietUs) {
-    long now = clock.getAsLong();
-    for (Caller caller : new ArrayList<>(callers)) {
-      if (!caller.parser.begun() && now - caller.acceptedUs >= quietUs) {
-        caller.connection.closeGracefully();
-      }
-    }
-  }
-
-  /** Ends every connection in order, as soon as nothing is owed on it. */
-  public void closeConnections() {
-    callers.forEach(caller -> caller.connection.closeGracefully());
-  }
-
-  private void adopt(Connection connection) {
-    counters.add("uwsgi.connections");
-    Caller caller = new Caller(connection);
-    callers.add(caller);
-    caller.patience = loop.schedule(config.limits().requestTimeoutUs(), caller::slow);
-    connection.start(caller);
+  /**
+   * Stops listening as soon as no connection waits to be accepted.
+   *
+   * @return whether it no longer listens
+   */
+  public boolean closeListenerWhenEmpty() {
+    return listener == null || listener.closeWhenBacklogEmpty();
   }
 
   /**
-   * One caller with its one request. Its patience ends what takes too long: the request, then the
-   * reply.
+   * Closes the connections on which nothing has been received.
+   *
+   * @param silentUs how long such a connection must have been open, in microseconds
    */
-  private final class Caller implements ConnectionHandler {
-    private final Connection connection;
-    private final UwsgiParser parser =
-        new UwsgiParser(config.limits().packetBytes(), config.limits().bodyBytes());
-    private final long acceptedUs = clock.getAsLong();
-    private Future<?> patience;
-    private RequestHandle handle;
-    private ServiceOperation operation;
-    private long dueUs;
-    private boolean taken;
-    private boolean answered;
-    private boolean headOnly;
-    private int booked;
-
-    Caller(Connection connection) {
-      this.connection = connection;
-    }
-
-    /** Guards against callers that never finish their request. */
-    private void slow() {
-      if (!taken) {
-        counters.add("uwsgi.slow");
-        connection.closeGracefully();
-      }
+  public void closeSilentConnections(long silentUs) {
+    long acceptedBeforeUs = clock.getAsLong() - silentUs;
+    for (UwsgiConnection connection : new ArrayList<>(connections)) {
+      connection.closeIfSilentSince(acceptedBeforeUs);
     }
+  }
 
-    @Override
-    public void received(ByteBuffer bytes) {
-      if (taken || !parser.take(bytes)) {
-        return; // what comes behind a request is no part of it
-      }
-      taken = true;
-      patience.cancel(false);
-      if (parser.status() != 0) {
-        reply(HttpReply.words(parser.status(), Map.of(), parser.why()), PLAIN);
-        return;
-      }
-      UwsgiPacket packet = parser.packet();
-      if (packet.modifier1() == UwsgiPacket.PING) {
-        answered = true;
-        connection.write(ByteBuffer.wrap(new byte[] {UwsgiPacket.PING, 0, 0, 1}));
-        connection.closeGracefully();
-        return;
-      }
-      request(packet);
-    }
+  /** Closes every connection once its request is answered. */
+  public void closeConnections() {
+    connections.forEach(UwsgiConnection::closeGracefully);
+  }
 
-    private void request(UwsgiPacket packet) {
-      counters.add("uwsgi.requests");
-      headOnly = packet.var("REQUEST_METHOD").equals("HEAD");
-      Requests.Outcome read = requests.read(packet, clock.getAsLong(), this::answer);
-      if (read.wrong() != null) {
-        reply(read.wrong(), PLAIN);
-        return;
-      }
-      operation = read.operation();
-      dueUs = read.request().arrivedAtUs() + read.request().timeoutUs();
-      RequestHandle submitted = core.submit(read.request());
-      if (!answered) {
-        handle = submitted;
-      }
-    }
+  private void accept(Connection connection) {
+    core.counters().add("uwsgi.connections");
+    UwsgiConnection accepted = new UwsgiConnection(this, connection);
+    connections.add(accepted);
+    accepted.start();
+  }
 
-    @Override
-    public ConnectionUsage usage() {
-      return parser.begun() || taken ? ConnectionUsage.BUSY : ConnectionUsage.UNUSED;
-    }
+  /** Forgets a connection that has ended. */
+  void connectionClosed(UwsgiConnection closed, Connection connection) {
+    connections.remove(closed);
+    listener.connectionClosed(connection);
+  }
 
-    @Override
-    public boolean hasPendingResponses() {
-      return taken && !answered;
-    }
+  EventLoop loop() {
+    return loop;
+  }
 
-    @Override
-    public void closed(Failure failure, boolean endOfStream) {
-      callers.remove(this);
-      patience.cancel(false);
-      replying -= booked;
-      listener.connectionClosed(connection);
-      if (failure.progress() != Progress.SENT) {
-        counters.add("uwsgi.cut"); // with part of its reply still here
-      }
-      if (handle != null) {
-        handle.cancel(); // the caller closed before its answer
-      }
-    }
+  Core core() {
+    return core;
+  }
 
-    private void answer(Response answer) {
-      answered = true;
-      handle = null;
-      if (answer instanceof Response.Completed completed) {
-        serve(completed.result());
-      } else if (answer instanceof Response.Rejected rejected) {
-        if (clock.getAsLong() >= dueUs - NEARLY_DUE_US) {
-          reply(HttpReply.words(504, progress(Progress.NOT_SENT), "not begun in time"), PLAIN);
-          return;
-        }
-        long seconds = Math.max(1, (rejected.retryAfterUs() + 999_999) / 1_000_000);
-        reply(
-            HttpReply.words(
-                503,
-                Map.of(
-                    "Retry-After", Long.toString(seconds), "X-Progress", word(Progress.NOT_SENT)),
-                "turned away"),
-            PLAIN);
-      } else if (answer instanceof Response.Failed failed) {
-        if (failed.failure().progress().neverRan()
-            && operation.backend() instanceof Backend.Fleet fleet
-            && instances.hasNoAvailableInstance(
-                fleet.service())) { // not a broken backend: there is none
-          reply(
-              HttpReply.words(
-                  503,
-                  Map.of("Retry-After", "1", "X-Progress", word(Progress.NOT_SENT)),
-                  "no instance of " + fleet.service() + " takes requests"),
-              PLAIN);
-          return;
-        }
-        int status =
-            switch (failed.cause()) {
-              case CALLER -> 400;
-              case TIME -> 504;
-              case BACKEND -> 502;
-            };
-        reply(
-            HttpReply.words(
-                status, progress(failed.failure().progress()), failed.failure().message()),
-            PLAIN);
-      }
-    }
+  LongSupplier clock() {
+    return clock;
+  }
 
-    /** Guards the memory that all callers' replies take together. */
-    private void serve(byte[] result) {
-      ServiceReply own = operation.backend() == null ? null : ServiceReply.read(result);
-      byte[] body =
-          own == null
-              ? result
-              : own.body(); // the runtime's, or of a program that kept bodies alone
-      if (body.length > config.limits().responseBytes()
-          || replying + body.length > config.limits().bufferedResponseBytes()) {
-        counters.add("uwsgi.noroom");
-        log.warn("no room for a reply of " + body.length + " bytes, " + replying + " wait");
-        reply(HttpReply.words(502, progress(Progress.RAN), "no room for the reply"), PLAIN);
-        return;
-      }
-      booked = body.length;
-      replying += booked;
-      if (own == null) {
-        reply(new HttpReply(200, Map.of(), body), operation.contentType());
-      } else {
-        write(own.status(), own.head(operation.contentType()), body);
-      }
-    }
+  Log log() {
+    return log;
+  }
 
-    private void reply(HttpReply reply, String contentType) {
-      write(reply.status(), reply.head(contentType), reply.body());
-    }
+  /** Returns the limits in force, which a reload replaces. */
+  UwsgiLimits limits() {
+    return config.limits();
+  }
 
-    private void write(int status, ByteBuffer head, byte[] body) {
-      answered = true;
-      counters.add("uwsgi.status." + status);
-      if (connection.write(head) && body.length > 0 && !headOnly) {
-        connection.write(ByteBuffer.wrap(body));
-      }
-      connection.closeGracefully();
-      patience.cancel(false);
-      patience =
-          loop.schedule(
-              config.limits().responseTimeoutUs(),
-              () -> connection.abort("the reply was not taken in time"));
-    }
+  RequestTranslator translator() {
+    return translator;
+  }
 
-    private static Map<String, String> progress(Progress progress) {
-      return Map.of("X-Progress", word(progress));
-    }
+  InstanceBalancer instances() {
+    return instances;
+  }
 
-    private static String word(Progress progress) {
-      return progress.neverRan() ? "never-ran" : progress == Progress.RAN ? "ran" : "may-have-run";
-    }
+  ResponseBudget responseBudget() {
+    return responseBudget;
   }
 }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiPacket.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiPacket.java
@@ -4,46 +4,62 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import java.util.Optional;
 
-/** One uwsgi request: the modifiers of its header, its vars and its body. */
+/**
+ * One uwsgi request.
+ *
+ * @param modifier1 the kind of the packet
+ * @param modifier2 a detail of its kind
+ * @param vars the CGI variables by name
+ * @param body the body, which follows the packet proper
+ */
 record UwsgiPacket(int modifier1, int modifier2, Map<String, String> vars, byte[] body) {
   /** The modifier of a request with vars, as web servers send it. */
-  static final int REQUEST = 0;
+  static final int MODIFIER_REQUEST = 0;
 
-  /** The modifier of a ping, answered by the same with modifier2 set to 1. */
-  static final int PING = 100;
+  /** The modifier of a ping; the response is the same packet with modifier2 set to 1. */
+  static final int MODIFIER_PING = 100;
 
-  static final int HEADER = 4;
-  private static final int LONGEST = 0xffff;
+  static final int HEADER_BYTES = 4;
 
+  /** The largest length that its two bytes can hold, of a string or of all vars. */
+  private static final int MAX_LENGTH = 0xffff;
+
+  /** Returns the response to a ping. */
+  static ByteBuffer pong() {
+    return ByteBuffer.wrap(new byte[] {MODIFIER_PING, 0, 0, 1});
+  }
+
+  /** Returns a var; empty where it is absent. */
   String var(String name) {
     return vars.getOrDefault(name, "");
   }
 
-  /** The packet as bytes, or null where the vars are too long for its header. */
-  ByteBuffer encode() {
+  /** Encodes the packet; empty where the vars are too long for its header. */
+  Optional<ByteBuffer> encode() {
     ByteArrayOutputStream block = new ByteArrayOutputStream();
     for (Map.Entry<String, String> var : vars.entrySet()) {
-      if (!put(block, var.getKey()) || !put(block, var.getValue())) {
-        return null;
+      if (!append(block, var.getKey()) || !append(block, var.getValue())) {
+        return Optional.empty();
       }
     }
-    if (block.size() > LONGEST) {
-      return null;
+    if (block.size() > MAX_LENGTH) {
+      return Optional.empty();
     }
-    ByteBuffer out = ByteBuffer.allocate(HEADER + block.size() + body.length);
-    out.put((byte) modifier1)
-        .put((byte) block.size())
-        .put((byte) (block.size() >> 8))
-        .put((byte) modifier2);
-    return out.put(block.toByteArray()).put(body).flip();
+    ByteBuffer encoded = ByteBuffer.allocate(HEADER_BYTES + block.size() + body.length);
+    encoded.put((byte) modifier1);
+    encoded.put((byte) block.size()).put((byte) (block.size() >> 8));
+    encoded.put((byte) modifier2);
+    return Optional.of(encoded.put(block.toByteArray()).put(body).flip());
   }
 
-  private static boolean put(ByteArrayOutputStream block, String text) {
+  /** Appends a string with its length; false where it is too long. */
+  private static boolean append(ByteArrayOutputStream block, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     block.write(bytes.length);
     block.write(bytes.length >> 8);
     block.writeBytes(bytes);
-    return bytes.length <= LONGEST;
+    return bytes.length <= MAX_LENGTH;
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRequestParser.java
@@ -0,0 +1,163 @@
+package rosecleat.front.uwsgi;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+
+/** An incremental parser of one uwsgi request: its header, its vars, and a body of known length. */
+final class UwsgiRequestParser {
+  private enum State {
+    HEADER,
+    VARS,
+    BODY,
+    COMPLETE,
+    FAILED
+  }
+
+  /** Bytes of the length before each string. */
+  private static final int LENGTH_BYTES = 2;
+
+  private final int maxVarsBytes;
+  private final int maxBodyBytes;
+  private State state = State.HEADER;
+
+  /** The part of the request that is being read; its length is known. */
+  private ByteBuffer part = ByteBuffer.allocate(UwsgiPacket.HEADER_BYTES);
+
+  private int modifier1;
+  private int modifier2;
+  private Map<String, String> vars = Map.of();
+  private byte[] body = new byte[0];
+  private RequestError error;
+
+  /** Creates a parser that accepts vars and bodies up to these lengths. */
+  UwsgiRequestParser(int maxVarsBytes, int maxBodyBytes) {
+    this.maxVarsBytes = maxVarsBytes;
+    this.maxBodyBytes = maxBodyBytes;
+  }
+
+  /**
+   * Consumes input up to the end of the request.
+   *
+   * @return whether the request is complete, or known to be invalid
+   */
+  boolean feed(ByteBuffer input) {
+    while (state != State.COMPLETE && state != State.FAILED) {
+      while (part.hasRemaining() && input.hasRemaining()) {
+        part.put(input.get());
+      }
+      if (part.hasRemaining()) {
+        return false;
+      }
+      part.flip();
+      parsePart();
+    }
+    return true;
+  }
+
+  /** Whether any byte of the request has been received. */
+  boolean hasInput() {
+    return state != State.HEADER || part.position() > 0;
+  }
+
+  /** Returns why the request is invalid; empty while it is not. */
+  Optional<RequestError> error() {
+    return Optional.ofNullable(error);
+  }
+
+  /** Returns the request, once it is complete. */
+  UwsgiPacket packet() {
+    return new UwsgiPacket(modifier1, modifier2, vars, body);
+  }
+
+  private void parsePart() {
+    switch (state) {
+      case HEADER -> parseHeader();
+      case VARS -> parseVars();
+      case BODY -> {
+        body = part.array();
+        state = State.COMPLETE;
+      }
+      default -> throw new AssertionError(state);
+    }
+  }
+
+  private void parseHeader() {
+    modifier1 = part.get() & 0xff;
+    int length = readLength();
+    modifier2 = part.get() & 0xff;
+    if (modifier1 == UwsgiPacket.MODIFIER_PING) {
+      state = State.COMPLETE;
+    } else if (modifier1 != UwsgiPacket.MODIFIER_REQUEST) {
+      fail(new RequestError(RequestError.Kind.UNSUPPORTED_MODIFIER, Integer.toString(modifier1)));
+    } else if (length > maxVarsBytes) {
+      fail(new RequestError(RequestError.Kind.VARS_TOO_LONG));
+    } else {
+      expect(State.VARS, length);
+    }
+  }
+
+  private void parseVars() {
+    Map<String, String> parsed = new HashMap<>();
+    while (part.hasRemaining()) {
+      Optional<String> name = readString();
+      Optional<String> value = name.isPresent() ? readString() : Optional.empty();
+      if (value.isEmpty() || name.get().isEmpty()) {
+        fail(new RequestError(RequestError.Kind.MALFORMED_VARS));
+        return;
+      }
+      String earlier = parsed.put(name.get(), value.get());
+      if (earlier != null && !earlier.equals(value.get())) {
+        fail(new RequestError(RequestError.Kind.CONFLICTING_VARS));
+        return;
+      }
+    }
+    vars = parsed;
+    parseContentLength(parsed.getOrDefault("CONTENT_LENGTH", ""));
+  }
+
+  private void parseContentLength(String length) {
+    if (length.isEmpty()) {
+      state = State.COMPLETE;
+    } else if (!length.matches("[0-9]{1,18}")) {
+      fail(new RequestError(RequestError.Kind.MALFORMED_CONTENT_LENGTH));
+    } else if (Long.parseLong(length) > maxBodyBytes) {
+      fail(new RequestError(RequestError.Kind.BODY_TOO_LONG));
+    } else {
+      expect(State.BODY, Integer.parseInt(length));
+    }
+  }
+
+  /** Reads a string with its length; empty where it runs past the vars. */
+  private Optional<String> readString() {
+    if (part.remaining() < LENGTH_BYTES) {
+      return Optional.empty();
+    }
+    int length = readLength();
+    if (length > part.remaining()) {
+      return Optional.empty();
+    }
+    byte[] bytes = new byte[length];
+    part.get(bytes);
+    return Optional.of(new String(bytes, StandardCharsets.UTF_8));
+  }
+
+  /** Reads a length, which is little-endian. */
+  private int readLength() {
+    int low = part.get() & 0xff;
+    int high = part.get() & 0xff;
+    return low | high << 8;
+  }
+
+  private void expect(State next, int length) {
+    part = ByteBuffer.allocate(length);
+    state = next;
+  }
+
+  private void fail(RequestError found) {
+    error = found;
+    state = State.FAILED;
+  }
+}
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -5,7 +5,6 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.function.LongSupplier;
 import rosecleat.core.Core;
@@ -21,139 +20,163 @@
 import rosecleat.net.EventLoop;
 
 /**
- * The uwsgi client: runs requests on uwsgi backends, a connection each. How a run ended is what is
- * proven.
+ * A runner that executes requests on uwsgi services, each on a connection of its own. It reports no
+ * more of a run than is proven: a connection that breaks after the request was sent leaves the
+ * outcome unknown. For the event loop.
  */
 public final class UwsgiRunner implements Runner {
-  /**
-   * The attributes that name a request's backend, or the service whose instances run it; and its
-   * operation.
-   */
-  static final String BACKEND = "rosecleat.backend";
-
-  static final String SERVICE = "rosecleat.service";
-  static final String OPERATION = "rosecleat.operation";
+  private static final long CONNECT_TIMEOUT_US = 1_000_000;
+  private static final long WRITE_STALL_TIMEOUT_US = 5_000_000;
+  private static final int READ_BUFFER_BYTES = 8 << 10;
+  private static final int PAUSE_READING_ABOVE_BYTES = 64 << 10;
 
-  /** The end of its key's window. */
-  static final String UNTIL = "rosecleat.until";
+  /** What a connection's write queue holds beside a body; the vars are 64 KiB at most. */
+  private static final int MAX_HEAD_BYTES = 128 << 10;
 
-  private static final Set<String> OURS = Set.of(BACKEND, SERVICE, OPERATION, UNTIL);
-  private static final long DIAL_US = 1_000_000;
+  /** A run is abandoned this long after its deadline. */
+  private static final long OVERDUE_TIMEOUT_US = 1_000_000;
 
-  /** What a connection's queue holds beside a body: a packet's vars are 64 KiB at the most. */
-  private static final int HEAD_ROOM = 128 << 10;
-
-  /** A run is given up so long after its answer was due (us). */
-  private static final long LATE_US = 1_000_000;
+  private static final long US_PER_MS = 1_000;
 
   private final EventLoop loop;
   private final Core core;
   private final LongSupplier clock;
   private final Counters counters;
-  private final int replyBytes;
+  private final int maxResponseBytes;
   private final InstanceBalancer instances;
   private final Map<String, Run> runs = new HashMap<>();
 
   /**
-   * A client whose backends' replies may be so long; the backends of some services are {@code
-   * instances}.
+   * Creates a runner.
+   *
+   * @param clock the Unix time in microseconds
+   * @param maxResponseBytes the longest body that a service may respond with
+   * @param instances the instances of services without a fixed address
    */
   public UwsgiRunner(
-      EventLoop loop, Core core, LongSupplier clock, int replyBytes, InstanceBalancer instances) {
-    this.instances = instances;
+      EventLoop loop,
+      Core core,
+      LongSupplier clock,
+      int maxResponseBytes,
+      InstanceBalancer instances) {
     this.loop = loop;
     this.core = core;
     this.clock = clock;
-    this.replyBytes = replyBytes;
+    this.maxResponseBytes = maxResponseBytes;
+    this.instances = instances;
     counters = core.counters();
   }
 
   @Override
-  public void start(Request request, long dueUs) {
+  public void start(Request request, long deadlineUs) {
     Run run = new Run(request);
     runs.put(request.id(), run);
-    run.timer = loop.schedule(dueUs + LATE_US - run.startedUs, run::late);
-    ConnectionLimits limits =
-        new ConnectionLimits(8 << 10, 64 << 10, HEAD_ROOM + request.body().length, 5_000_000);
-    InetSocketAddress at = run.place();
-    if (at == null) { // told like any other end, not inside the order
-      loop.execute(() -> run.end(RunResult.UNREACHABLE, null));
-      return;
-    }
-    Connection.connect(loop, at, DIAL_US, limits, run);
+    run.start(deadlineUs);
   }
 
   @Override
   public void cancel(String id) {
     Run run = runs.get(id);
     if (run != null) {
-      loop.execute(
-          () ->
-              run.end(RunResult.CANCELLED, null)); // told like any other end, not inside the order
+      run.endLater(RunResult.CANCELLED);
     }
   }
 
+  /** Does nothing: these runs make no calls. */
   @Override
   public void completeCall(String id, byte[] reply) {}
 
+  /** Does nothing: these runs make no calls. */
   @Override
-  public void skipCall(String id, long notice) {}
+  public void skipCall(String id, long callNumber) {}
 
   /** One run on one connection. */
   private final class Run implements ConnectHandler, ConnectionHandler {
+    /** Stands for the length of the response where no complete one came. */
+    private static final int NO_RESPONSE = -1;
+
     private final Request request;
-    private final long startedUs = clock.getAsLong();
-    private final HttpParser parser = new HttpParser(replyBytes);
-    private Connection connection;
-    private Future<?> timer;
-    private boolean over;
+    private final long startedAtUs = clock.getAsLong();
+    private final HttpResponseParser parser = new HttpResponseParser(maxResponseBytes);
     private Optional<InstanceBalancer.Lease> lease = Optional.empty();
-    private int received = -1;
+    private Connection connection;
+    private Future<?> overdueTimeout;
+    private int responseBytes = NO_RESPONSE;
+    private boolean ended;
 
     Run(Request request) {
       this.request = request;
     }
 
+    void start(long deadlineUs) {
+      long delayUs = deadlineUs + OVERDUE_TIMEOUT_US - startedAtUs;
+      overdueTimeout = loop.schedule(delayUs, this::abandonOverdue);
+      Optional<InetSocketAddress> address = chooseAddress();
+      if (address.isEmpty()) {
+        endLater(RunResult.UNREACHABLE);
+        return;
+      }
+      ConnectionLimits limits =
+          new ConnectionLimits(
+              READ_BUFFER_BYTES,
+              PAUSE_READING_ABOVE_BYTES,
+              MAX_HEAD_BYTES + request.body().length,
+              WRITE_STALL_TIMEOUT_US);
+      Connection.connect(loop, address.get(), CONNECT_TIMEOUT_US, limits, this);
+    }
+
     /**
-     * Where it runs, chosen now: since it arrived instances may have come and gone. Null for
-     * nowhere.
+     * Ends the run on a later turn of the loop, since the core must not be called back while it
+     * starts or cancels a run.
      */
-    private InetSocketAddress place() {
-      Map<String, String> known = request.attributes();
-      String service = known.get(SERVICE);
+    void endLater(RunResult result) {
+      loop.execute(() -> endWithoutResult(result));
+    }
+
+    /** Chooses where to run; empty where no instance of the service has a slot. */
+    private Optional<InetSocketAddress> chooseAddress() {
+      String service = request.attributes().get(RunAttributes.SERVICE);
       if (service != null) {
-        lease =
-            instances.lease(
-                new InstanceBalancer.LeaseRequest(
-                    service,
-                    known.get(OPERATION),
-                    request.idempotencyKey(),
-                    request.idempotencyKey() == null ? 0 : Long.parseLong(known.get(UNTIL)),
-                    request.body().length),
-                startedUs);
-        return lease.map(InstanceBalancer.Lease::address).orElse(null);
+        lease = instances.lease(leaseRequest(service), startedAtUs);
+        return lease.map(InstanceBalancer.Lease::address);
       }
-      String backend = known.get(BACKEND);
-      int colon = backend.lastIndexOf(':');
-      return new InetSocketAddress(
-          backend.substring(0, colon), Integer.parseInt(backend.substring(colon + 1)));
+      String address = request.attributes().get(RunAttributes.BACKEND_ADDRESS);
+      int colon = address.lastIndexOf(':');
+      return Optional.of(
+          new InetSocketAddress(
+              address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
+    }
+
+    private InstanceBalancer.LeaseRequest leaseRequest(String service) {
+      Map<String, String> attributes = request.attributes();
+      long keyExpiresAtUs =
+          request.idempotencyKey() == null
+              ? 0
+              : Long.parseLong(attributes.get(RunAttributes.KEY_EXPIRES_AT));
+      return new InstanceBalancer.LeaseRequest(
+          service,
+          attributes.get(RunAttributes.OPERATION),
+          request.idempotencyKey(),
+          keyExpiresAtUs,
+          request.body().length);
     }
 
     @Override
-    public void connected(Connection fresh) {
-      if (over) {
-        fresh.abort("stopped before it was sent");
+    public void connected(Connection established) {
+      if (ended) {
+        established.abort("stopped before it was sent");
         return;
       }
-      connection = fresh;
-      ByteBuffer packet = new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars(), request.body()).encode();
-      if (packet == null) {
-        end(RunResult.UNREACHABLE, null);
+      connection = established;
+      Optional<ByteBuffer> packet =
+          new UwsgiPacket(UwsgiPacket.MODIFIER_REQUEST, 0, vars(), request.body()).encode();
+      if (packet.isEmpty()) {
+        endWithoutResult(RunResult.UNREACHABLE);
         return;
       }
-      fresh.start(this);
-      if (!fresh.write(packet)) { // not a byte of it was sent
-        end(RunResult.UNREACHABLE, null);
+      established.start(this);
+      if (!established.write(packet.get())) { // not a byte of it was sent
+        endWithoutResult(RunResult.UNREACHABLE);
         return;
       }
       counters.add("backend.sent");
@@ -161,71 +184,69 @@
 
     private Map<String, String> vars() {
       Map<String, String> vars = new HashMap<>(request.attributes());
-      vars.keySet().removeAll(OURS);
+      vars.keySet().removeAll(RunAttributes.NAMES);
       vars.put("CONTENT_LENGTH", Integer.toString(request.body().length));
       vars.put("HTTP_X_REQUEST_ID", request.id());
-      vars.put(
-          "HTTP_X_DEADLINE_MS",
-          Long.toString(
-              Math.max(
-                  1, (request.arrivedAtUs() + request.timeoutUs() - clock.getAsLong()) / 1000)));
+      long remainingUs = request.arrivedAtUs() + request.timeoutUs() - clock.getAsLong();
+      vars.put("HTTP_X_DEADLINE_MS", Long.toString(Math.max(1, remainingUs / US_PER_MS)));
       return vars;
     }
 
-    /** Nothing was reached, so nothing ran. */
+    /** The connection could not be established, so nothing ran. */
     @Override
     public void failed(Failure failure) {
-      end(RunResult.UNREACHABLE, null);
+      endWithoutResult(RunResult.UNREACHABLE);
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      if (!parser.take(bytes)) {
-        end(RunResult.FAILED, null);
-      } else if (parser.whole(false)) {
-        finished();
+      if (!parser.feed(bytes)) {
+        endWithoutResult(RunResult.FAILED);
+      } else if (parser.isComplete(false)) {
+        complete();
       }
     }
 
-    /** A connection that breaks after the request was sent proves nothing of the run. */
+    /** A connection that breaks after the request was sent proves nothing about the run. */
     @Override
     public void closed(Failure failure, boolean endOfStream) {
-      if (endOfStream && parser.whole(true)) {
-        finished();
+      if (endOfStream && parser.isComplete(true)) {
+        complete();
       } else {
-        end(RunResult.INTERRUPTED, null);
+        endWithoutResult(RunResult.INTERRUPTED);
       }
     }
 
-    /**
-     * Whatever a service answers whole is its answer, also that something is not there or went
-     * wrong.
-     */
-    private void finished() {
-      ServiceReply reply = parser.reply();
-      counters.add("backend.status." + reply.status() / 100 + "xx");
-      received = reply.body().length;
-      end(RunResult.OK, reply.result());
+    /** Any complete response is a result, also one with an error status. */
+    private void complete() {
+      ServiceResponse response = parser.response();
+      counters.add("backend.status." + response.status() / 100 + "xx");
+      responseBytes = response.body().length;
+      end(RunResult.OK, ServiceResponseCodec.encode(response));
+    }
+
+    private void abandonOverdue() {
+      endWithoutResult(connection == null ? RunResult.UNREACHABLE : RunResult.INTERRUPTED);
     }
 
-    private void late() {
-      end(connection == null ? RunResult.UNREACHABLE : RunResult.INTERRUPTED, null);
+    private void endWithoutResult(RunResult result) {
+      end(result, null);
     }
 
-    private void end(RunResult how, byte[] result) {
-      if (over) {
+    private void end(RunResult result, byte[] resultBody) {
+      if (ended) {
         return;
       }
-      over = true;
-      timer.cancel(false);
+      ended = true;
+      overdueTimeout.cancel(false);
       runs.remove(request.id());
       if (connection != null) {
         connection.abort("its run is over");
       }
-      counters.add("backend." + how.counterSuffix());
-      long tookUs = clock.getAsLong() - startedUs;
-      lease.ifPresent(held -> held.release(how, tookUs, received));
-      core.runEnded(request.id(), how, result, tookUs);
+      counters.add("backend." + result.counterSuffix());
+      long durationUs = clock.getAsLong() - startedAtUs;
+      lease.ifPresent(held -> held.release(result, durationUs, responseBytes));
+      core.runEnded(request.id(), result, resultBody, durationUs);
     }
   }
 }
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -71,7 +71,7 @@
                     null,
                     0,
                     new byte[2 << 20],
-                    Map.of(UwsgiRunner.BACKEND, "127.0.0.1:" + backend.port()),
+                    Map.of(RunAttributes.BACKEND_ADDRESS, "127.0.0.1:" + backend.port()),
                     runner,
                     answer -> {}),
                 now + 5_000_000);
