--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -21,164 +21,179 @@
 import rosecleat.policy.TenantQuota;
 
 /**
- * The files of a node as its parts see them: each class and tenant by the number that it keeps over
- * reloads.
+ * The configuration in force with an index for each class and tenant, which both keep over reloads
+ * for as long as a request uses them. For the event loop.
  */
 final class IndexedSettings {
   /**
-   * Results of keyed requests kept for their repeats, all together (bytes): a part of the heap, in
-   * which all else must fit.
+   * Results kept for retries of idempotent requests, all together (bytes): a part of the heap, in
+   * which everything else must fit.
    */
   private static final long RESULT_BYTES = Math.min(8 << 20, Runtime.getRuntime().maxMemory() / 5);
 
-  /** A class under its name; {@code own} where balancers may name it, else a contract made it. */
-  private record Term(String name, boolean own, PriorityClass grade) {}
+  /**
+   * A class in force.
+   *
+   * @param name the class's name in the configuration
+   * @param own whether the node's configuration names it, so that balancers may use it; otherwise a
+   *     contract of the broker's file added it
+   * @param settings the class's settings
+   */
+  private record IndexedClass(String name, boolean own, PriorityClass settings) {
+    /**
+     * The key of the class's index and of its stored estimates. Two contracts of one class with
+     * other settings differ in it. Stored state holds this text, so its form must not change.
+     */
+    String key() {
+      return own
+          ? name
+          : "a contract's Term[name=" + name + ", own=false, grade=" + settings.digestText() + "]";
+    }
+  }
 
-  private final NameIndex<Term> classes = new NameIndex<>();
+  private final NameIndex<IndexedClass> classes = new NameIndex<>();
   private final NameIndex<TenantQuota> tenants = new NameIndex<>();
-  private ProcessConfig setup;
+  private ProcessConfig config;
   private NamedSettings start;
   private List<String> classKeys;
-  private int places;
+  private int instanceCapacity;
 
-  /** Takes files for the first time. */
-  IndexedSettings(ProcessConfig setup) {
-    take(setup, number -> false, number -> false);
+  /** Indexes the configuration of a starting process. */
+  IndexedSettings(ProcessConfig config) {
+    update(config, index -> false, index -> false);
   }
 
   /**
-   * Takes files that have changed; returns the numbers that stand for other classes than before.
+   * Puts a changed configuration in force.
+   *
+   * @param classInUse whether a request uses the class of an index, which then keeps it
+   * @param tenantInUse the same for tenants
+   * @return the indices that stand for other classes than before
    */
-  List<Integer> take(ProcessConfig fresh, IntPredicate usesClass, IntPredicate usesTenant) {
-    setup = fresh;
+  List<Integer> update(ProcessConfig fresh, IntPredicate classInUse, IntPredicate tenantInUse) {
+    config = fresh;
     start = fresh.broker() == null ? fresh.node().settings() : fresh.broker().settings();
-    int own =
-        fresh
-            .node()
-            .settings()
-            .classNames()
-            .size(); // contracts add theirs behind; balancers can't name those
-    List<Term> terms = new ArrayList<>();
+    int ownClasses =
+        fresh.node().settings().classNames().size(); // those of contracts come after them
+    List<IndexedClass> indexed = new ArrayList<>();
     classKeys = new ArrayList<>();
     for (int i = 0; i < start.classNames().size(); i++) {
-      Term term = new Term(start.classNames().get(i), i < own, start.policy().classes().get(i));
-      terms.add(term);
-      classKeys.add(i < own ? term.name : "a contract's " + term);
+      IndexedClass each =
+          new IndexedClass(
+              start.classNames().get(i), i < ownClasses, start.policy().classes().get(i));
+      indexed.add(each);
+      classKeys.add(each.key());
     }
-    tenants.take(start.tenantNames(), start.policy().tenants(), usesTenant);
-    return classes.take(classKeys, terms, usesClass);
+    tenants.take(start.tenantNames(), start.policy().tenants(), tenantInUse);
+    return classes.take(classKeys, indexed, classInUse);
   }
 
-  /** The settings for the module; a tenant that is dropped has no share any more. */
-  PolicySettings settings() {
-    List<TenantQuota> shares = new ArrayList<>();
+  /** Sets how many requests all instances together work on at once. */
+  void setInstanceCapacity(int capacity) {
+    instanceCapacity = capacity;
+  }
+
+  /** Returns the policy's settings; a tenant that was removed has no quota any more. */
+  PolicySettings policySettings() {
+    List<TenantQuota> quotas = new ArrayList<>();
     List<String> names = tenants.names();
-    for (int n = 0; n < names.size(); n++) {
-      shares.add(names.get(n) == null ? new TenantQuota(0) : tenants.terms().get(n));
+    for (int i = 0; i < names.size(); i++) {
+      quotas.add(names.get(i) == null ? new TenantQuota(0) : tenants.terms().get(i));
     }
-    return inRoom()
+    return settingsWithCapacity()
         .withClassesAndTenants(
-            classes.terms().stream().map(Term::grade).toList(), List.copyOf(shares));
+            classes.terms().stream().map(IndexedClass::settings).toList(), List.copyOf(quotas));
   }
 
-  /** The instances in force work on so many requests at once. */
-  void places(int now) {
-    places = now;
-  }
-
-  /**
-   * The settings with the room that there is: where all work is done elsewhere, its limit begins at
-   * the places there.
-   */
-  private PolicySettings inRoom() {
-    OptionalInt localCapacity =
-        setup.broker() == null ? OptionalInt.empty() : setup.broker().localCapacity();
-    return localCapacity.isEmpty()
+  /** Where instances elsewhere do all work, the limit on running requests starts at their sum. */
+  private PolicySettings settingsWithCapacity() {
+    OptionalInt ownCapacity =
+        config.broker() == null ? OptionalInt.empty() : config.broker().localCapacity();
+    return ownCapacity.isEmpty()
         ? start.policy()
-        : start.policy().withCores(Math.max(1, localCapacity.getAsInt() + places));
+        : start.policy().withCores(Math.max(1, ownCapacity.getAsInt() + instanceCapacity));
   }
 
-  /** The names of the gauges, in the order they come. */
+  /** Returns the names of the runtime's gauges, in the order in which it sends them. */
   List<String> gauges() {
     return start.gaugeNames();
   }
 
-  /** What the core works under. */
-  CoreSettings rules() {
-    PolicySettings s = inRoom();
+  /** Returns the core's settings. */
+  CoreSettings coreSettings() {
+    PolicySettings settings = settingsWithCapacity();
     return new CoreSettings(
-        s.cores(),
-        classes.terms().stream().map(IndexedSettings::klass).toList(),
+        settings.cores(),
+        classes.terms().stream().map(IndexedSettings::requestClass).toList(),
         tenants.names(),
-        s.slackUs(),
-        s.graceUs(),
-        s.maxIdleUs(),
+        settings.slackUs(),
+        settings.graceUs(),
+        settings.maxIdleUs(),
         RESULT_BYTES);
   }
 
-  private static RequestClass klass(Term term) {
+  private static RequestClass requestClass(IndexedClass indexed) {
+    PriorityClass settings = indexed.settings;
     return new RequestClass(
-        term.name,
-        term.grade.idempotency() == Idempotency.KEYED,
-        term.grade.callsDownstream(),
-        term.grade.retryWindowUs(),
-        term.grade.deadlineUs());
+        indexed.name,
+        settings.idempotency() == Idempotency.KEYED,
+        settings.callsDownstream(),
+        settings.retryWindowUs(),
+        settings.deadlineUs());
   }
 
-  /** The names that balancers' requests may use. */
-  RequestCatalog names(Runner runner) {
+  /** Returns the classes and tenants that balancers' requests may name. */
+  RequestCatalog requestCatalog(Runner runner) {
     List<RequestClass> named = new ArrayList<>();
-    List<String> current = classes.names();
-    for (int n = 0; n < current.size(); n++) {
-      Term term = classes.terms().get(n);
-      named.add(current.get(n) != null && term.own ? klass(term) : null);
+    List<String> keys = classes.names();
+    for (int i = 0; i < keys.size(); i++) {
+      IndexedClass indexed = classes.terms().get(i);
+      named.add(keys.get(i) != null && indexed.own ? requestClass(indexed) : null);
     }
     return new RequestCatalog(Collections.unmodifiableList(named), tenants.names(), runner);
   }
 
-  /**
-   * The names that what was learnt goes by; two contracts of one class with other terms differ in
-   * them.
-   */
-  ClassAndTenantNames learntNames() {
+  /** Returns the names by which estimates are stored, by index. */
+  ClassAndTenantNames storedNames() {
     return new ClassAndTenantNames(classes.names(), tenants.names());
   }
 
-  /** The node's name. */
-  String node() {
-    return setup.node().name();
+  /** Returns the node's name. */
+  String nodeName() {
+    return config.node().name();
   }
 
-  /** The figures of each class in force, by the name that what was learnt of it goes by. */
-  Map<String, PriorityClass> figures() {
-    Map<String, PriorityClass> figures = new HashMap<>();
-    for (int n = 0; n < classes.names().size(); n++) {
-      if (classes.names().get(n) != null) {
-        figures.put(classes.names().get(n), classes.terms().get(n).grade);
+  /** Returns the settings of each class in force, by the name under which estimates are stored. */
+  Map<String, PriorityClass> classSettings() {
+    Map<String, PriorityClass> settings = new HashMap<>();
+    for (int i = 0; i < classes.names().size(); i++) {
+      if (classes.names().get(i) != null) {
+        settings.put(classes.names().get(i), classes.terms().get(i).settings);
       }
     }
-    return figures;
+    return settings;
   }
 
-  /** The figures of each tenant in force, by name. */
+  /** Returns the quota of each tenant in force, by name. */
   Map<String, TenantQuota> quotas() {
     Map<String, TenantQuota> quotas = new HashMap<>();
-    for (int n = 0; n < tenants.names().size(); n++) {
-      if (tenants.names().get(n) != null) {
-        quotas.put(tenants.names().get(n), tenants.terms().get(n));
+    for (int i = 0; i < tenants.names().size(); i++) {
+      if (tenants.names().get(i) != null) {
+        quotas.put(tenants.names().get(i), tenants.terms().get(i));
       }
     }
     return quotas;
   }
 
-  /** The second front's contracts and budgets; null where there is none. */
+  /** Returns the broker's configuration by indices; null where there is none. */
   BrokerConfig broker() {
-    return setup.broker() == null
-        ? null
-        : setup
-            .broker()
-            .withIndexes(
-                classKeys.stream().map(classes::of).toList(),
-                start.tenantNames().stream().map(tenants::of).toList());
+    if (config.broker() == null) {
+      return null;
+    }
+    return config
+        .broker()
+        .withIndexes(
+            classKeys.stream().map(classes::of).toList(),
+            start.tenantNames().stream().map(tenants::of).toList());
   }
 }
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -74,18 +74,18 @@
   private long lives(NodeConfig config) {
     long endNs = System.nanoTime() + LONGEST_NS;
     Counters counters = new Counters();
-    IndexedSettings numbering = new IndexedSettings(new ProcessConfig(config, null));
+    IndexedSettings settings = new IndexedSettings(new ProcessConfig(config, null));
     try (Log quiet = Log.silent()) { // a starting node makes no thread that it can do without
       core =
           new Core(
-              numbering.rules(),
-              new PolicyEngine(numbering.settings(), numbering.gauges(), config.seed()),
+              settings.coreSettings(),
+              new PolicyEngine(settings.policySettings(), settings.gauges(), config.seed()),
               ledger,
               () -> nowUs,
               counters,
               quiet);
       core.start(runner, false, 0);
-      RespWarmup front = new RespWarmup(numbering.names(runner));
+      RespWarmup front = new RespWarmup(settings.requestCatalog(runner));
       for (int n = 1; n <= REQUESTS && System.nanoTime() < endNs; n++) {
         front.submitRequest(core, n, nowUs);
         nowUs += STEP_US;
--- a/src/main/java/rosecleat/node/LimitShares.java
+++ b/src/main/java/rosecleat/node/LimitShares.java
@@ -11,18 +11,18 @@
 /** This process's part of the node's limits, which its module works under. For the loop. */
 final class LimitShares {
   private final TakeoverCoordinator handover;
-  private final IndexedSettings numbering;
+  private final IndexedSettings settings;
   private final PolicyEngine decisions;
   private final LongSupplier clock;
   private ResourceAmounts grant = ResourceAmounts.NONE;
 
   LimitShares(
       TakeoverCoordinator handover,
-      IndexedSettings numbering,
+      IndexedSettings settings,
       PolicyEngine decisions,
       LongSupplier clock) {
     this.handover = handover;
-    this.numbering = numbering;
+    this.settings = settings;
     this.decisions = decisions;
     this.clock = clock;
   }
@@ -49,7 +49,7 @@
   }
 
   private void find(boolean leaving) {
-    PolicySettings s = numbering.settings();
+    PolicySettings s = settings.policySettings();
     LimitUsage taken = decisions.usage(clock.getAsLong());
     grant =
         handover.grant(
@@ -61,12 +61,12 @@
   }
 
   private void tell(List<Integer> renamed) {
-    decisions.reconfigure(clock.getAsLong(), limits(), numbering.gauges(), renamed);
+    decisions.reconfigure(clock.getAsLong(), limits(), settings.gauges(), renamed);
   }
 
   /** The settings in force, with this process's part of the limits. */
   PolicySettings limits() {
-    PolicySettings s = numbering.settings();
+    PolicySettings s = settings.policySettings();
     return s.withLimits(grant.memoryKb(), Math.max(1, grant.running() / s.cores()), grant.calls());
   }
 }
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -52,7 +52,7 @@
   private final EventLoop loop;
   private final LongSupplier clock = new MonotonicClock();
   private final Counters counters;
-  private final IndexedSettings numbering;
+  private final IndexedSettings settings;
   private final PolicyEngine decisions;
   private final Core core;
   private final Runner runner;
@@ -64,7 +64,7 @@
   private final Frontends fronts;
   private final TakeoverCoordinator handover;
   private final LimitShares shares;
-  private final StatePersistence learning;
+  private final EstimatePersistence learning;
   private final FleetIntegration sharing;
   private boolean listening;
   private boolean shared;
@@ -75,12 +75,20 @@
 
   /** A node on a loop of its own; {@code broker} is null where there is no second front. */
   Node(NodeConfig config, BrokerConfig broker, Log log) throws IOException {
-    this(config, broker, new EventLoop(log), null, new Counters(), null, null, log);
+    this(
+        config,
+        broker,
+        new EventLoop(log),
+        null,
+        new Counters(),
+        new NoEstimatePersistence(),
+        null,
+        log);
   }
 
   /**
    * A node on a loop that something else may use too; {@code others} is null where it is its only
-   * process, and {@code learning} where it keeps nothing, {@code sharing} where it shares nothing.
+   * process, and {@code sharing} where it shares nothing.
    */
   Node(
       NodeConfig config,
@@ -88,7 +96,7 @@
       EventLoop loop,
       TakeoverCoordinator others,
       Counters counters,
-      StatePersistence learning,
+      EstimatePersistence learning,
       FleetIntegration sharing,
       Log log)
       throws IOException {
@@ -101,14 +109,14 @@
     try {
       handover =
           others == null ? TakeoverCoordinator.join(Optional.empty(), counters, log) : others;
-      numbering = new IndexedSettings(new ProcessConfig(config, broker));
+      settings = new IndexedSettings(new ProcessConfig(config, broker));
       index = new IndexClient(loop, config.indexAddress(), clock, counters, log);
-      decisions = new PolicyEngine(numbering.settings(), numbering.gauges(), config.seed());
-      core = new Core(numbering.rules(), decisions, index, handover.claims(), clock, counters, log);
-      shares = new LimitShares(handover, numbering, decisions, clock);
-      if (learning != null) {
-        learning.serve(numbering, decisions, loop, clock, counters);
-      }
+      decisions = new PolicyEngine(settings.policySettings(), settings.gauges(), config.seed());
+      core =
+          new Core(
+              settings.coreSettings(), decisions, index, handover.claims(), clock, counters, log);
+      shares = new LimitShares(handover, settings, decisions, clock);
+      learning.attach(settings, decisions, loop, clock, counters);
       index.setCore(core);
       runtime =
           config.runtimeAddress() == null
@@ -118,12 +126,12 @@
       roster = new RegistryClient(loop, config.registryAddress(), config.name(), counters, log);
       resp =
           new RespFrontend(
-              loop, config.listenAddress(), 1, core, numbering.names(runner), clock, log);
+              loop, config.listenAddress(), 1, core, settings.requestCatalog(runner), clock, log);
       uwsgi =
           broker == null
               ? null
               : UwsgiFrontFactory.of(
-                  loop, numbering.broker(), core, runner, sharing, clock, log, ~config.seed());
+                  loop, settings.broker(), core, runner, sharing, clock, log, ~config.seed());
       fronts = new Frontends(resp, uwsgi);
       if (sharing != null) {
         loop.execute(() -> sharing.pools().tell(this::room));
@@ -221,12 +229,10 @@
             sharing.depart();
           }
           counters.add(handsOver ? "leaves.handover" : "leaves.drain");
-          if (learning != null && handsOver) {
-            learning
-                .memory()
-                .saveAndRelease(clock.getAsLong()); // the newer process takes the folder over
-          } else if (learning != null) {
-            learning.memory().save(clock.getAsLong());
+          if (handsOver) {
+            learning.saveAndRelease(clock.getAsLong()); // the newer process takes the folder over
+          } else {
+            learning.save(clock.getAsLong());
           }
           long endUs = toldUs + leftUs;
           if (handsOver) {
@@ -263,18 +269,16 @@
                   + fresh.indexAddress()
                   + ", roster "
                   + fresh.registryAddress());
-          List<Integer> renamed = numbering.take(setup, core::classInUse, core::tenantInUse);
+          List<Integer> renamed = settings.update(setup, core::classInUse, core::tenantInUse);
           shares.retune(renamed, leaving != null);
-          core.reconfigure(numbering.rules());
+          core.reconfigure(settings.coreSettings());
           handover.setClaimRetentionUs(core.maxTimeoutUs());
           makeRoom();
-          resp.reconfigure(numbering.names(runner));
+          resp.reconfigure(settings.requestCatalog(runner));
           if (uwsgi != null) {
-            uwsgi.reconfigure(numbering.broker());
-          }
-          if (learning != null) {
-            learning.use(setup.broker().state());
+            uwsgi.reconfigure(settings.broker());
           }
+          learning.reconfigure(setup.broker());
           if (sharing != null) {
             sharing.use(setup.broker().routes());
           }
@@ -323,9 +327,7 @@
     }
     if (leaving != null && leaving.over()) {
       shares.look(true); // what it took counts on for those that stay
-      if (learning != null) {
-        learning.memory().saveAndRelease(now);
-      }
+      learning.saveAndRelease(now);
       log.info(counters.toString());
       leaving = null; // said once; the process ends now
       whenLeft.run();
@@ -349,15 +351,13 @@
       makeRoom();
     }
     shares.look(leaving != null);
-    if (learning != null) {
-      learning.memory().saveIfDue(now);
-    }
+    learning.poll(now);
   }
 
   /** What the module has learnt; for any thread. */
   CompletableFuture<List<Estimate>> lessons() {
     CompletableFuture<List<Estimate>> answer = new CompletableFuture<>();
-    loop.execute(() -> answer.complete(decisions.estimates(numbering.learntNames())));
+    loop.execute(() -> answer.complete(decisions.estimates(settings.storedNames())));
     return answer;
   }
 
@@ -366,16 +366,16 @@
     if (sharing != null) {
       sharing.leave(mostMs);
     }
-    if (learning != null && !learning.memory().close(mostMs)) {
+    if (!learning.close(mostMs)) {
       log.warn("what was learnt last could not be written down in time");
     }
   }
 
   /** The instances have changed: the module hears how many requests they work on at once. */
   private void room() {
-    numbering.places(sharing.pools().places());
+    settings.setInstanceCapacity(sharing.pools().places());
     shares.retune(List.of(), leaving != null);
-    core.reconfigure(numbering.rules());
+    core.reconfigure(settings.coreSettings());
   }
 
   /**
@@ -389,10 +389,10 @@
   private void makeRoom() {
     int others =
         (config.adminAddress() == null ? 0 : AdminServer.MAX_DESCRIPTORS)
-            + (uwsgi == null ? 0 : 2 * numbering.broker().maxConnections());
+            + (uwsgi == null ? 0 : 2 * settings.broker().maxConnections());
     DescriptorBudget places =
         DescriptorBudget.of(
-            config.maxSockets(), others, numbering.settings().concurrentCalls(), shared);
+            config.maxSockets(), others, settings.policySettings().concurrentCalls(), shared);
     index.setMaxConnections(places.index());
     resp.setMaxConnections(places.balancers());
   }
@@ -416,9 +416,7 @@
   /** Ends the node at once. */
   @Override
   public void close() {
-    if (learning != null) {
-      learning.memory().close(SETTLE_MS);
-    }
+    learning.close(SETTLE_MS);
     if (sharing != null) {
       sharing.close();
     }
--- a/src/main/java/rosecleat/node/NodeProcess.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -81,7 +81,8 @@
       new AdminServer(loop, config.adminAddress(), operators, counters, log);
       log.info("operators are heard at " + config.adminAddress());
     }
-    StatePersistence learning = StatePersistence.of(setup.broker(), log); // read during the warm-up
+    EstimatePersistence learning =
+        EstimatePersistence.of(setup.broker(), log); // read during the warm-up
     if (config.runtimeAddress() != null) {
       JitWarmup.play(config);
     }
--- /dev/null
+++ b/src/main/java/rosecleat/node/StateDigests.java
@@ -0,0 +1,71 @@
+package rosecleat.node;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.Map;
+import rosecleat.facts.Fact;
+import rosecleat.facts.FactKind;
+import rosecleat.facts.SettingsDigests;
+import rosecleat.policy.PolicySettings;
+import rosecleat.policy.PriorityClass;
+
+/**
+ * Digests of the settings on which estimates depend. They are stored beside the estimates: another
+ * digest drops an estimate at the next start, so the texts that go into them must not change.
+ */
+final class StateDigests {
+  /**
+   * A call that took more than this part of the shortest latency objective would prevent all calls,
+   * so no stored estimate may be larger.
+   */
+  private static final double MAX_CALL_PART_OF_OBJECTIVE = 0.25;
+
+  private static final int DIGEST_BYTES = 8;
+
+  private StateDigests() {}
+
+  /** Returns the digests and the largest possible estimates under the settings in force. */
+  static SettingsDigests of(IndexedSettings settings) {
+    Map<String, String> classes = new HashMap<>();
+    Map<String, String> tenants = new HashMap<>();
+    Map<Fact.Key, Double> maxValues = new HashMap<>();
+    double maxCallUs = Double.MAX_VALUE;
+    for (Map.Entry<String, PriorityClass> entry : settings.classSettings().entrySet()) {
+      PriorityClass each = entry.getValue();
+      double objectiveUs = each.latencyObjectiveUs();
+      classes.put(entry.getKey(), digest(each.digestText()));
+      maxValues.put(new Fact.Key(FactKind.RUN_TIME, entry.getKey()), objectiveUs);
+      if (each.callsDownstream()) {
+        maxCallUs = Math.min(maxCallUs, MAX_CALL_PART_OF_OBJECTIVE * objectiveUs);
+      }
+    }
+    settings.quotas().forEach((name, quota) -> tenants.put(name, digest(quota.digestText())));
+    maxValues.put(new Fact.Key(FactKind.CALL_TIME, ""), maxCallUs);
+    return new SettingsDigests(
+        settings.nodeName(), serverDigest(settings.policySettings()), classes, tenants, maxValues);
+  }
+
+  private static String serverDigest(PolicySettings settings) {
+    return digest(
+        settings.cores()
+            + " "
+            + settings.overloadMultiple()
+            + " "
+            + settings.concurrentCalls()
+            + " "
+            + settings.callWindowUs());
+  }
+
+  private static String digest(String text) {
+    try {
+      byte[] hash =
+          MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+      return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e); // each Java platform has it
+    }
+  }
+}
--- a/src/main/java/rosecleat/node/StatePersistence.java
+++ b/src/main/java/rosecleat/node/StatePersistence.java
@@ -1,129 +1,86 @@
 package rosecleat.node;
 
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
-import java.util.HashMap;
-import java.util.HexFormat;
-import java.util.Map;
 import java.util.function.LongSupplier;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.StateConfig;
 import rosecleat.core.Counters;
-import rosecleat.facts.Fact;
-import rosecleat.facts.FactKind;
 import rosecleat.facts.SettingsDigests;
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 import rosecleat.policy.PolicyEngine;
-import rosecleat.policy.PolicySettings;
-import rosecleat.policy.PriorityClass;
 import rosecleat.state.StateStore;
 import rosecleat.state.StateStoreOpener;
 
 /**
- * What a node learnt, as it is kept between its processes: puts the node's settings in the terms of
- * {@link StateStore}. Loaded only where the broker's file has a section {@code state}.
+ * Connects a node to its folder of state. Loaded only where the broker's file has a section {@code
+ * state}, so that other nodes start without the classes of the store.
  */
-final class StatePersistence {
-  /**
-   * A call that takes more of the shortest wanted time than this would keep all calls from being
-   * made.
-   */
-  private static final double CALL_PART = 0.25;
-
-  private final StateConfig state;
+final class StatePersistence implements EstimatePersistence {
+  private final StateConfig initial;
   private final StateStoreOpener opener;
   private final Log log;
-  private IndexedSettings numbering;
-  private StateStore memory;
-  private SettingsDigests terms; // of the settings in force, worked out once
+  private IndexedSettings settings;
+  private StateStore store;
+  private SettingsDigests digests; // null until they are needed under the settings in force
 
-  /** Begins to open the folder; the node may stand later. */
-  StatePersistence(StateConfig state, Log log) {
-    this.state = state;
+  /** Starts to open the folder in the background; the node may be built later. */
+  StatePersistence(StateConfig initial, Log log) {
+    this.initial = initial;
     this.log = log;
-    opener = new StateStoreOpener(state.folder(), state.maxBytes(), log);
-  }
-
-  /** Where a broker keeps what it learnt; null where it keeps nothing. */
-  static StatePersistence of(BrokerConfig broker, Log log) {
-    return broker == null || broker.state() == null
-        ? null
-        : new StatePersistence(broker.state(), log);
+    opener = new StateStoreOpener(initial.folder(), initial.maxBytes(), log);
   }
 
-  /** The node stands: its module is given what was found, and what it learns is kept. */
-  void serve(
-      IndexedSettings of,
-      PolicyEngine decisions,
+  @Override
+  public void attach(
+      IndexedSettings inForce,
+      PolicyEngine policy,
       EventLoop loop,
       LongSupplier clock,
       Counters counters) {
-    numbering = of;
-    memory =
+    settings = inForce;
+    store =
         new StateStore(
-            settings(state),
+            memorySettings(initial),
             opener,
-            new StateStore.Host(
-                this::terms, numbering::learntNames, decisions, clock, loop::execute),
+            new StateStore.Host(this::digests, settings::storedNames, policy, clock, loop::execute),
             counters,
             log);
   }
 
-  private static StateStore.Settings settings(StateConfig s) {
-    return new StateStore.Settings(s.saveIntervalUs(), s.halfLifeUs());
+  private static StateStore.Settings memorySettings(StateConfig state) {
+    return new StateStore.Settings(state.saveIntervalUs(), state.halfLifeUs());
+  }
+
+  private SettingsDigests digests() {
+    if (digests == null) {
+      digests = StateDigests.of(settings);
+    }
+    return digests;
   }
 
-  StateStore memory() {
-    return memory;
+  @Override
+  public void reconfigure(BrokerConfig broker) {
+    digests = null;
+    store.apply(memorySettings(broker.state()));
   }
 
-  /** Other settings, of the same folder; its size is taken at the next start. */
-  void use(StateConfig fresh) {
-    terms = null;
-    memory.apply(settings(fresh));
+  @Override
+  public void poll(long nowUs) {
+    store.saveIfDue(nowUs);
   }
 
-  /** The settings in force, as far as what was learnt depends on them. */
-  private SettingsDigests terms() {
-    terms = terms == null ? reckoned() : terms;
-    return terms;
+  @Override
+  public void save(long nowUs) {
+    store.save(nowUs);
   }
 
-  private SettingsDigests reckoned() {
-    PolicySettings s = numbering.settings();
-    Map<String, String> classes = new HashMap<>();
-    Map<String, String> tenants = new HashMap<>();
-    Map<Fact.Key, Double> ceilings = new HashMap<>();
-    double callUs = Double.MAX_VALUE;
-    for (Map.Entry<String, PriorityClass> each : numbering.figures().entrySet()) {
-      PriorityClass k = each.getValue();
-      classes.put(each.getKey(), digest(k.digestText()));
-      ceilings.put(new Fact.Key(FactKind.RUN_TIME, each.getKey()), (double) k.latencyObjectiveUs());
-      callUs = k.callsDownstream() ? Math.min(callUs, CALL_PART * k.latencyObjectiveUs()) : callUs;
-    }
-    numbering.quotas().forEach((name, tenant) -> tenants.put(name, digest(tenant.digestText())));
-    ceilings.put(new Fact.Key(FactKind.CALL_TIME, ""), callUs);
-    String server =
-        digest(
-            s.cores()
-                + " "
-                + s.overloadMultiple()
-                + " "
-                + s.concurrentCalls()
-                + " "
-                + s.callWindowUs());
-    return new SettingsDigests(numbering.node(), server, classes, tenants, ceilings);
+  @Override
+  public void saveAndRelease(long nowUs) {
+    store.saveAndRelease(nowUs);
   }
 
-  private static String digest(String figures) {
-    try {
-      byte[] sum =
-          MessageDigest.getInstance("SHA-256").digest(figures.getBytes(StandardCharsets.UTF_8));
-      return HexFormat.of().formatHex(sum, 0, 8);
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // each Java platform has it
-    }
+  @Override
+  public boolean close(long maxMs) {
+    return store.close(maxMs);
   }
 }
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -524,7 +524,7 @@
             new EventLoop(log),
             handover,
             counters,
-            null,
+            new NoEstimatePersistence(),
             null,
             log);
     node.start();
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -80,7 +80,7 @@
             new EventLoop(log),
             TakeoverCoordinator.join(Optional.ofNullable(shared), counters, log),
             counters,
-            StatePersistence.of(broker, log),
+            EstimatePersistence.of(broker, log),
             null,
             log);
     fresh.start();
@@ -243,7 +243,7 @@
             new EventLoop(log),
             TakeoverCoordinator.join(Optional.empty(), counters, log),
             counters,
-            StatePersistence.of(broker, log),
+            EstimatePersistence.of(broker, log),
             null,
             log);
     node.start();
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -58,7 +58,7 @@
             new EventLoop(log),
             TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log),
             counters,
-            null,
+            new NoEstimatePersistence(),
             null,
             log);
     node.start();
