--- /dev/null
+++ b/src/main/java/rosecleat/fleet/transport/CounterBuffer.java
@@ -0,0 +1,28 @@
+package rosecleat.fleet.transport;
+
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.BiConsumer;
+
+/** Collects increments of counters, so that they are reported a few times a second only. */
+final class CounterBuffer {
+  private final Map<String, Long> increments = new TreeMap<>();
+
+  void increment(TransportCounter counter) {
+    add(counter, 1);
+  }
+
+  void add(TransportCounter counter, long increment) {
+    add(counter.counterName(), increment);
+  }
+
+  void add(String counterName, long increment) {
+    increments.merge(counterName, increment, Long::sum);
+  }
+
+  /** Reports and forgets all increments. */
+  void flush(BiConsumer<String, Long> report) {
+    increments.forEach(report);
+    increments.clear();
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/transport/DatagramTransport.java
@@ -0,0 +1,84 @@
+package rosecleat.fleet.transport;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.PortUnreachableException;
+import java.nio.ByteBuffer;
+import java.util.function.Consumer;
+import rosecleat.fleet.Endpoint;
+
+/** Sends datagrams under a rate limit, and receives them. */
+final class DatagramTransport {
+  /** Datagrams that are handled before other sockets and timers get their turn. */
+  private static final int MAX_RECEIVED_AT_ONCE = 512;
+
+  /** The limit on what is sent, however much there is to tell; also the largest burst. */
+  private static final long MAX_BYTES_PER_SECOND = 8 << 20;
+
+  private static final long US_PER_SECOND = 1_000_000;
+
+  private final FleetSockets sockets;
+  private final MonotonicClock clock;
+  private final CounterBuffer counters;
+  private final ByteBuffer buffer;
+  private long sendBudgetBytes = MAX_BYTES_PER_SECOND;
+  private long budgetUpdatedUs;
+
+  /** A transport that receives into a buffer, which others may use between two calls. */
+  DatagramTransport(
+      FleetSockets sockets, MonotonicClock clock, CounterBuffer counters, ByteBuffer buffer) {
+    this.sockets = sockets;
+    this.clock = clock;
+    this.counters = counters;
+    this.buffer = buffer;
+  }
+
+  /** Sends a datagram; it is dropped, and counted, where the limit or the socket does not allow. */
+  void send(Endpoint destination, byte[] payload) {
+    refillBudget();
+    if (sendBudgetBytes < payload.length) {
+      counters.increment(TransportCounter.DATAGRAMS_RATE_LIMITED);
+      return;
+    }
+    sendBudgetBytes -= payload.length;
+    try {
+      InetSocketAddress address =
+          new InetSocketAddress(InetAddress.getByName(destination.host()), destination.port());
+      if (sockets.datagrams().send(ByteBuffer.wrap(payload), address) == 0) {
+        counters.increment(TransportCounter.DATAGRAMS_BUFFER_FULL);
+      } else {
+        counters.increment(TransportCounter.DATAGRAMS_SENT);
+        counters.add(TransportCounter.DATAGRAM_BYTES, payload.length);
+      }
+    } catch (IOException | RuntimeException e) {
+      counters.increment(TransportCounter.DATAGRAMS_FAILED);
+    }
+  }
+
+  private void refillBudget() {
+    long nowUs = clock.nowUs();
+    long refill = (nowUs - budgetUpdatedUs) * MAX_BYTES_PER_SECOND / US_PER_SECOND;
+    sendBudgetBytes = Math.min(MAX_BYTES_PER_SECOND, sendBudgetBytes + refill);
+    budgetUpdatedUs = nowUs;
+  }
+
+  /** Passes on what has come, up to a bound. */
+  void receive(Consumer<byte[]> handler) throws IOException {
+    for (int received = 0; received < MAX_RECEIVED_AT_ONCE; received++) {
+      buffer.clear();
+      try {
+        if (sockets.datagrams().receive(buffer) == null) {
+          return;
+        }
+      } catch (PortUnreachableException e) {
+        continue; // of a datagram that was sent: its probe will time out
+      }
+      buffer.flip();
+      byte[] payload = new byte[buffer.remaining()];
+      buffer.get(payload);
+      counters.increment(TransportCounter.DATAGRAMS_RECEIVED);
+      handler.accept(payload);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/fleet/transport/ExchangeConnection.java
@@ -0,0 +1,77 @@
+package rosecleat.fleet.transport;
+
+import java.nio.channels.SocketChannel;
+import java.util.Optional;
+import rosecleat.fleet.ExchangeSession;
+
+/** A connection with the exchange on it. */
+final class ExchangeConnection {
+  /** An exchange ends after so long without a byte, and after so long in all (us). */
+  private static final long STALL_TIMEOUT_US = 3_000_000;
+
+  private static final long MAX_DURATION_US = 60_000_000;
+
+  private final SocketChannel channel;
+  private final FrameChannel frames;
+  private final boolean outbound;
+  private final int openedKind;
+  private final long deadlineUs;
+  private ExchangeSession session;
+  private long lastProgressUs;
+
+  private ExchangeConnection(
+      SocketChannel channel, boolean outbound, int openedKind, ExchangeSession session, long now) {
+    this.channel = channel;
+    this.outbound = outbound;
+    this.openedKind = openedKind;
+    this.session = session;
+    frames = new FrameChannel(channel);
+    lastProgressUs = now;
+    deadlineUs = now + MAX_DURATION_US;
+  }
+
+  /** A connection that this process opens for an exchange of a kind. */
+  static ExchangeConnection outbound(
+      SocketChannel channel, int kind, ExchangeSession session, long nowUs) {
+    return new ExchangeConnection(channel, true, kind, session, nowUs);
+  }
+
+  /** A connection that was accepted; its first frame tells the kind of exchange. */
+  static ExchangeConnection inbound(SocketChannel channel, long nowUs) {
+    return new ExchangeConnection(channel, false, 0, null, nowUs);
+  }
+
+  SocketChannel channel() {
+    return channel;
+  }
+
+  FrameChannel frames() {
+    return frames;
+  }
+
+  boolean isOutbound() {
+    return outbound;
+  }
+
+  /** The kind of exchange that frames to the other side carry. */
+  int kind() {
+    return outbound ? openedKind : frames.kind();
+  }
+
+  /** The exchange, empty until the first frame of an inbound connection has come. */
+  Optional<ExchangeSession> session() {
+    return Optional.ofNullable(session);
+  }
+
+  void setSession(ExchangeSession session) {
+    this.session = session;
+  }
+
+  void progressed(long nowUs) {
+    lastProgressUs = nowUs;
+  }
+
+  boolean isStalled(long nowUs) {
+    return nowUs - lastProgressUs > STALL_TIMEOUT_US || nowUs > deadlineUs;
+  }
+}
--- a/src/main/java/rosecleat/fleet/transport/FrameChannel.java
+++ b/src/main/java/rosecleat/fleet/transport/FrameChannel.java
@@ -4,102 +4,116 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 import java.util.Arrays;
+import java.util.Optional;
 
 /**
- * FrameChannel on one connection: a byte that says what the exchange is about, four of length, the
- * bytes. What is declared long takes memory only as it comes.
+ * Frames on one connection: one byte for the kind of exchange, four bytes of length, the content. A
+ * frame takes memory only as its bytes come, whatever length it declares.
  */
 final class FrameChannel {
   /** The longest frame (bytes). */
-  static final int LONGEST = 64 << 20;
+  static final int MAX_FRAME_BYTES = 64 << 20;
 
-  private static final int FIRST = 4 << 10;
-  private static final int HEAD = 5;
+  private static final int INITIAL_BUFFER_BYTES = 4 << 10;
+  private static final int HEADER_BYTES = 5;
+  private static final int NO_FRAME = -1;
 
   private final SocketChannel channel;
-  private final ByteBuffer head = ByteBuffer.allocate(HEAD);
-  private byte[] body = new byte[0];
-  private int filled;
-  private int length = -1;
+  private final ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
+  private byte[] content = new byte[0];
+  private int contentBytes;
+  private int frameBytes = NO_FRAME;
   private int kind;
-  private ByteBuffer out;
+  private ByteBuffer output;
 
   FrameChannel(SocketChannel channel) {
     this.channel = channel;
   }
 
-  /** What the frame that came last is about. */
+  /** The kind of exchange that the latest frame belongs to. */
   int kind() {
     return kind;
   }
 
-  /** Whether nothing of a further frame has come, and nothing waits to be written. */
-  boolean between() {
-    return length < 0 && head.position() == 0 && out == null;
+  /** Whether no frame is received or written in part. */
+  boolean isIdle() {
+    return frameBytes == NO_FRAME && header.position() == 0 && output == null;
   }
 
   /**
-   * Reads on; a whole frame, or null where more must come. Throws where the connection ended or
-   * lies.
+   * Reads what has come; returns a complete frame, or empty where more must come.
+   *
+   * @throws IOException where the connection ended, or a length is out of bounds
    */
-  byte[] read(ByteBuffer scratch) throws IOException {
-    while (true) {
-      if (length < 0) {
-        if (channel.read(head) < 0) {
-          throw new IOException("ended");
-        }
-        if (head.hasRemaining()) {
-          return null;
-        }
-        head.flip();
-        kind = head.get();
-        length = head.getInt();
-        head.clear();
-        if (length < 0 || length > LONGEST) {
-          throw new IOException("a frame of " + length + " bytes");
-        }
-        body = new byte[Math.min(length, FIRST)];
-        filled = 0;
-      }
-      if (filled == length) {
-        byte[] whole = body;
-        body = new byte[0];
-        length = -1;
-        return whole;
-      }
-      scratch.clear().limit(Math.min(scratch.capacity(), length - filled));
+  Optional<byte[]> read(ByteBuffer scratch) throws IOException {
+    if (frameBytes == NO_FRAME && !readHeader()) {
+      return Optional.empty();
+    }
+    while (contentBytes < frameBytes) {
+      scratch.clear().limit(Math.min(scratch.capacity(), frameBytes - contentBytes));
       int count = channel.read(scratch);
       if (count < 0) {
         throw new IOException("ended in a frame");
       }
       if (count == 0) {
-        return null;
+        return Optional.empty();
       }
-      if (filled + count > body.length) {
-        body = Arrays.copyOf(body, Math.min(length, Math.max(filled + count, 2 * body.length)));
-      }
-      scratch.flip().get(body, filled, count);
-      filled += count;
+      append(scratch.flip(), count);
+    }
+    byte[] frame = content;
+    content = new byte[0];
+    frameBytes = NO_FRAME;
+    return Optional.of(frame);
+  }
+
+  /** Reads on in the header; true once it is complete. */
+  private boolean readHeader() throws IOException {
+    if (channel.read(header) < 0) {
+      throw new IOException("ended");
+    }
+    if (header.hasRemaining()) {
+      return false;
+    }
+    header.flip();
+    kind = header.get();
+    int length = header.getInt();
+    header.clear();
+    if (length < 0 || length > MAX_FRAME_BYTES) {
+      throw new IOException("a frame of " + length + " bytes");
+    }
+    frameBytes = length;
+    content = new byte[Math.min(length, INITIAL_BUFFER_BYTES)];
+    contentBytes = 0;
+    return true;
+  }
+
+  private void append(ByteBuffer bytes, int count) {
+    int needed = contentBytes + count;
+    if (needed > content.length) {
+      content = Arrays.copyOf(content, Math.min(frameBytes, Math.max(needed, 2 * content.length)));
     }
+    bytes.get(content, contentBytes, count);
+    contentBytes = needed;
   }
 
-  void send(int about, byte[] frame) {
-    out =
-        ByteBuffer.allocate(HEAD + frame.length)
-            .put((byte) about)
+  /** Sets the frame that {@link #write} is to write. */
+  void send(int frameKind, byte[] frame) {
+    output =
+        ByteBuffer.allocate(HEADER_BYTES + frame.length)
+            .put((byte) frameKind)
             .putInt(frame.length)
             .put(frame)
             .flip();
   }
 
-  /** Writes on; true once nothing waits. */
+  /** Writes as much as the socket takes; true once all is written. */
   boolean write() throws IOException {
-    if (out != null) {
-      channel.write(out);
-      if (!out.hasRemaining()) {
-        out = null;
+    if (output != null) {
+      channel.write(output);
+      if (!output.hasRemaining()) {
+        output = null;
       }
     }
-    return out == null;
+    return output == null;
   }
 }
