--- /dev/null
+++ b/src/main/java/rosecleat/simulator/EventDecoder.java
@@ -0,0 +1,139 @@
+package rosecleat.simulator;
+
+import java.util.List;
+import rosecleat.policy.Outcome;
+import rosecleat.policy.PolicyEvents;
+import rosecleat.policy.PolicyRequest;
+import rosecleat.policy.ServerGauges;
+
+/** Decodes event records and hands them to a policy. Offsets count from the start of a record. */
+final class EventDecoder {
+  /** A server starts. */
+  static final int ENLIST = 1000;
+
+  /** A server is stopped. */
+  static final int STOP = 1080;
+
+  private static final int ACCEPT = 1010;
+  private static final int SETTLED = 1020;
+  private static final int WANTS_CALL = 1030;
+  private static final int DOWNSTREAM = 1040;
+  private static final int TERMINATE_SOON = 1050;
+  private static final int EXPIRED = 1060;
+  private static final int TIMEOUT_FIRED = 1070;
+
+  private static final int CODE = 0;
+  private static final int SERVER = 2;
+
+  /** The request, the timer's tag, the seed or the time left: what follows the server. */
+  private static final int FIRST_FIELD = 4;
+
+  private static final int SETTINGS = 12;
+  private static final int OUTCOME = 12;
+  private static final int TOOK = 13;
+  private static final int GAUGES = 12;
+
+  private static final int CLASS = 12;
+  private static final int TENANT = 14;
+  private static final int READ_KEY = 18;
+  private static final int TIMEOUT = 26;
+  private static final int RUN_TIME_HINT = 30;
+  private static final int QUEUED_KB = 34;
+  private static final int RANK = 38;
+  private static final int FLAGS = 42;
+  private static final int CALLER = 44;
+  private static final int AGE = 48;
+  private static final int ORIGINAL = 52;
+
+  private static final int HINT_FLAG = 1;
+  private static final int RETRY_FLAG = 2;
+  private static final int WRITE_FLAG = 4;
+
+  private final BatchFrame batch;
+  private final ServerGauges gauges = new ServerGauges();
+
+  EventDecoder(BatchFrame batch) {
+    this.batch = batch;
+  }
+
+  int code(int record) {
+    return batch.unsigned16(record + CODE);
+  }
+
+  int server(int record) {
+    return batch.unsigned16(record + SERVER);
+  }
+
+  /** The seed of a server that starts. */
+  long seed(int record) {
+    return batch.int64(record + FIRST_FIELD);
+  }
+
+  /** The settings of a server that starts, as text. */
+  String settings(int record) {
+    return batch.text(record + SETTINGS);
+  }
+
+  /** Hands an event to a policy; events that this adapter does not know are ignored. */
+  void dispatch(int record, PolicyEvents policy, List<String> gaugeNames) {
+    long now = batch.clockUs();
+    long id = batch.int64(record + FIRST_FIELD);
+    switch (code(record)) {
+      case ACCEPT -> policy.arrived(now, request(record));
+      case SETTLED -> policy.ended(now, id, outcome(record), batch.unsigned32(record + TOOK));
+      case WANTS_CALL -> policy.callNeeded(now, id);
+      case DOWNSTREAM ->
+          policy.callEnded(now, id, outcome(record), batch.unsigned32(record + TOOK));
+      case TERMINATE_SOON -> policy.draining(now, batch.unsigned32(record + FIRST_FIELD));
+      case EXPIRED -> policy.cancelled(now, id);
+      case TIMEOUT_FIRED -> {
+        readGauges(record + GAUGES, gaugeNames);
+        policy.timerFired(now, id, gauges);
+      }
+      default -> {} // an event that this adapter does not know
+    }
+  }
+
+  private PolicyRequest request(int record) {
+    int flags = batch.unsigned16(record + FLAGS);
+    boolean hasHint = (flags & HINT_FLAG) != 0;
+    return new PolicyRequest(
+        batch.int64(record + FIRST_FIELD),
+        batch.unsigned16(record + CLASS),
+        batch.int32(record + TENANT),
+        batch.int64(record + READ_KEY),
+        batch.unsigned32(record + TIMEOUT),
+        hasHint ? batch.unsigned32(record + RUN_TIME_HINT) : 0,
+        batch.float32(record + QUEUED_KB),
+        batch.float32(record + RANK),
+        (flags & RETRY_FLAG) != 0,
+        (flags & WRITE_FLAG) != 0,
+        batch.unsigned32(record + CALLER),
+        batch.unsigned32(record + AGE),
+        batch.int64(record + ORIGINAL));
+  }
+
+  private void readGauges(int at, List<String> names) {
+    gauges.clear();
+    int count = Math.min(batch.unsigned8(at), names.size());
+    if (!batch.has(at, 1 + Float.BYTES * count)) {
+      throw new WireException("gauges run past the frame");
+    }
+    for (int i = 0; i < count; i++) {
+      gauges.set(names.get(i), batch.float32(at + 1 + Float.BYTES * i));
+    }
+  }
+
+  private Outcome outcome(int record) {
+    return switch (batch.unsigned8(record + OUTCOME)) {
+      case 0 -> Outcome.OK;
+      case 249 -> Outcome.NOT_STARTED;
+      case 250 -> Outcome.CANCELLED;
+      case 251 -> Outcome.RESET;
+      case 252 -> Outcome.UNREACHABLE;
+      case 253 -> Outcome.TIMEOUT;
+      case 254 -> Outcome.REJECTED;
+      default -> Outcome.FAILED;
+    };
+  }
+}
--- a/src/main/java/rosecleat/simulator/Main.java
+++ b/src/main/java/rosecleat/simulator/Main.java
@@ -7,7 +7,7 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 
-/** The command line: {@code benchlink} speaks the bench's wire on standard input and output. */
+/** The command line: {@code benchlink} speaks the simulator's wire on standard input and output. */
 public final class Main {
   private Main() {}
 
@@ -30,7 +30,7 @@
       return 2;
     }
     try {
-      new Link(in, out).serve();
+      new SimulatorAdapter(in, out).serve();
       return 0;
     } catch (WireException e) {
       System.err.println("rosecleat: " + e.getMessage());
--- a/src/test/java/rosecleat/simulator/LinkTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -29,7 +29,7 @@
 import rosecleat.policy.ServerGauges;
 
 /** The wire both ways, settings, and bad input. */
-class LinkTest {
+class SimulatorAdapterTest {
   private static final String SETTINGS =
       """
       {"unheard-of": [1, {"a": 2}], "servers": 3, "worth-by": "work", "over-share-worth": 0.25,
@@ -50,13 +50,13 @@
       """;
 
   /** Events as calls in text; each arrival is answered with the given actions. */
-  private static final class Recorder implements Link.Maker {
+  private static final class Recorder implements SimulatorAdapter.PolicyFactory {
     final List<String> calls = new ArrayList<>();
     PolicySettings settings;
     java.util.function.Consumer<PolicyActions> onArrival = a -> {};
 
     @Override
-    public PolicyEvents make(PolicySettings s, long seed, PolicyActions actions) {
+    public PolicyEvents create(PolicySettings s, long seed, PolicyActions actions) {
       settings = s;
       calls.add("make " + seed);
       return (PolicyEvents)
@@ -135,7 +135,7 @@
 
   private static byte[] serve(Recorder recorder, byte[] input) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Link(new ByteArrayInputStream(input), out, recorder).serve();
+    new SimulatorAdapter(new ByteArrayInputStream(input), out, recorder).serve();
     return out.toByteArray();
   }
 
@@ -240,7 +240,7 @@
     assertEquals(0, s.concurrentCalls());
     assertEquals(0, s.classes().get(2).weightWithoutCall());
     assertFalse(s.classes().get(0).callsDownstream());
-    new Link(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream())
+    new SimulatorAdapter(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream())
         .serve(); // the module takes them
   }
 
