--- /dev/null
+++ b/src/test/java/rosecleat/cli/CommandRun.java
@@ -0,0 +1,34 @@
+package rosecleat.cli;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+
+/** One command line, run in the process of the test, and all that it printed. */
+public record CommandRun(int exitCode, String output, String error) {
+
+  /** Runs the command line without any environment variable. */
+  public static CommandRun of(String... arguments) {
+    return with(Map.of(), arguments);
+  }
+
+  /** Runs the command line with these environment variables. */
+  public static CommandRun with(Map<String, String> environment, String... arguments) {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    ByteArrayOutputStream error = new ByteArrayOutputStream();
+    PrintStream standardError = System.err;
+    System.setErr(new PrintStream(error, true, StandardCharsets.UTF_8));
+    try {
+      int exitCode =
+          Main.run(arguments, environment, new ByteArrayInputStream(new byte[0]), output);
+      return new CommandRun(
+          exitCode,
+          output.toString(StandardCharsets.UTF_8),
+          error.toString(StandardCharsets.UTF_8));
+    } finally {
+      System.setErr(standardError);
+    }
+  }
+}
--- a/src/test/java/rosecleat/cli/MainTest.java
+++ b/src/test/java/rosecleat/cli/MainTest.java
@@ -3,85 +3,96 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: what can't be used ends with one plain line and exit code 2. */
+/** The command line: what cannot be used ends with one plain line and exit code 2. */
 class MainTest {
   private static final String EXAMPLE = "deploy/example.json";
-  private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream err = new ByteArrayOutputStream();
+  private static final Map<String, String> EXAMPLE_ENVIRONMENT = Map.of("PROXY_CONFIG", EXAMPLE);
 
-  private int run(Map<String, String> env, String... args) {
-    PrintStream before = System.err;
-    System.setErr(new PrintStream(err, true));
-    try {
-      return Main.run(args, env, new ByteArrayInputStream(new byte[0]), out);
-    } finally {
-      System.setErr(before);
-    }
+  @TempDir Path folder;
+  private int files;
+
+  private static void assertRejected(Map<String, String> environment, String... arguments) {
+    CommandRun run = CommandRun.with(environment, arguments);
+    assertEquals(2, run.exitCode(), run.error());
+    assertTrue(
+        run.error().startsWith("rosecleat: ") && run.error().strip().lines().count() == 1,
+        run.error());
+  }
+
+  private String write(String text) throws IOException {
+    return Files.writeString(folder.resolve("file" + ++files), text).toString();
   }
 
-  private void refused(Map<String, String> env, String... args) {
-    err.reset();
-    assertEquals(2, run(env, args));
-    String line = err.toString();
-    assertTrue(line.startsWith("rosecleat: ") && line.strip().lines().count() == 1, line);
+  @Test
+  void unusableCommandLinesEndWithOneErrorLine() {
+    assertRejected(Map.of());
+    assertRejected(Map.of(), "dance");
+    assertRejected(Map.of(), "serve", "--no-such");
+    assertRejected(Map.of(), "serve");
+    assertRejected(Map.of("PROXY_CONFIG", "/no/such/file"), "serve");
   }
 
   @Test
-  void wrongWordsAndFilesEndWithOneLine(@TempDir Path folder) throws IOException {
-    refused(Map.of());
-    refused(Map.of(), "dance");
-    refused(Map.of(), "serve", "--no-such");
-    refused(Map.of(), "serve");
-    refused(Map.of("PROXY_CONFIG", "/no/such/file"), "serve");
+  void unusableNodeFilesEndWithOneErrorLine() throws IOException {
     String good = Files.readString(Path.of(EXAMPLE));
-    int round = 0;
-    for (String bad :
-        new String[] {
-          "",
-          "[]",
-          "{",
-          good.replace("127.0.0.1:7001", "here"),
-          good.replace("\"seed\": \"1f\"", "\"seed\": \"zz\""),
-          good.replace("\"stop_ms\": 4000", "\"stop_ms\": 0"),
-          good.replace("\"runtime\"", "\"ruin\""),
-          good.replace("\"grades\"", "\"grapes\""),
-          good.replace("\"token\"", "\"tokens\"")
-        }) {
-      Path file = Files.writeString(folder.resolve("bad" + ++round), bad);
-      refused(Map.of("PROXY_CONFIG", file.toString()), "check");
+    List<String> unusable =
+        List.of(
+            "",
+            "[]",
+            "{",
+            good.replace("127.0.0.1:7001", "here"),
+            good.replace("\"seed\": \"1f\"", "\"seed\": \"zz\""),
+            good.replace("\"stop_ms\": 4000", "\"stop_ms\": 0"),
+            good.replace("\"runtime\"", "\"ruin\""),
+            good.replace("\"grades\"", "\"grapes\""),
+            good.replace("\"token\"", "\"tokens\""));
+    for (String text : unusable) {
+      assertRejected(Map.of("PROXY_CONFIG", write(text)), "check");
     }
-    for (String bad :
-        new String[] {
-          "",
-          "uwsgi: {}",
-          "uwsgi: {listen: '127.0.0.1:0'}",
-          "uwsgi: {listen: '127.0.0.1:0'}\ndescriptions: [{openapi: none.yaml}]",
-          "uwsgi: {listen: '127.0.0.1:0'}\nservices: {a: {contract: {x: {class: y}}}}"
-        }) {
-      Path file = Files.writeString(folder.resolve("broker" + ++round), bad);
-      refused(Map.of("PROXY_CONFIG", EXAMPLE), "check", "--broker", file.toString());
+  }
+
+  @Test
+  void unusableBrokerFilesEndWithOneErrorLine() throws IOException {
+    List<String> unusable =
+        List.of(
+            "",
+            "uwsgi: {}",
+            "uwsgi: {listen: '127.0.0.1:0'}",
+            "uwsgi: {listen: '127.0.0.1:0'}\ndescriptions: [{openapi: none.yaml}]",
+            "uwsgi: {listen: '127.0.0.1:0'}\nservices: {a: {contract: {x: {class: y}}}}");
+    for (String text : unusable) {
+      assertRejected(EXAMPLE_ENVIRONMENT, "check", "--broker", write(text));
     }
   }
 
   @Test
-  void theFilesUnderDeployCanBeUsed() {
+  void deployedFilesCanBeUsed() {
+    CommandRun check =
+        CommandRun.with(EXAMPLE_ENVIRONMENT, "check", "--broker", "deploy/broker.yaml");
     assertEquals(
-        0,
-        run(Map.of("PROXY_CONFIG", EXAMPLE), "check", "--broker", "deploy/broker.yaml"),
-        err.toString());
-    assertTrue(out.toString().contains("its 4 contracts"), out.toString());
-    assertEquals(0, run(Map.of(), "version"));
-    assertEquals(0, run(Map.of(), "help"));
-    assertEquals("", err.toString());
+        new CommandRun(
+            0,
+            "the configuration of example can be used, and so can its 4 contracts"
+                + System.lineSeparator(),
+            ""),
+        check);
+  }
+
+  @Test
+  void informationCommandsSucceed() {
+    for (String command : List.of("version", "help", "schema")) {
+      CommandRun run = CommandRun.of(command);
+      assertEquals(0, run.exitCode());
+      assertEquals("", run.error());
+      assertTrue(!run.output().isBlank(), command);
+    }
   }
 }
--- a/src/test/java/rosecleat/cli/RunScriptTest.java
+++ b/src/test/java/rosecleat/cli/RunScriptTest.java
@@ -50,7 +50,7 @@
 
   @ParameterizedTest
   @CsvSource({"192, 40", "96, 16", "64, 12", "1, 12", "4096, 40"})
-  void startsOneProcessWithNoForkAndAHeapOfItsLimit(int memory, int heap) throws Exception {
+  void runExecsOneProcessWithAHeapOfItsMemoryLimit(int memory, int heap) throws Exception {
     List<String> lines =
         run(
             "{\"name\":\"n\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void readsAConfigurationLaidOutInLinesAndOneWithoutTheLimit() throws Exception {
+  void memoryLimitIsFoundInAnyLayoutAndHasADefault() throws Exception {
     assertTrue(run("{\n  \"limits\": {\n    \"memory_mb\" : 96\n  }\n}\n").contains("-Xmx16m"));
     assertTrue(run("{}").contains("-Xmx40m"));
   }
--- a/src/test/java/rosecleat/cli/StateCommandsTest.java
+++ b/src/test/java/rosecleat/cli/state/StateCommandsTest.java
@@ -1,4 +1,4 @@
-package rosecleat.cli;
+package rosecleat.cli.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -6,15 +6,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Map;
+import java.util.Arrays;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import rosecleat.cli.CommandRun;
 import rosecleat.facts.Fact;
 import rosecleat.facts.FactKind;
 import rosecleat.state.FactStateFactory;
@@ -25,11 +24,9 @@
 
 /** state show, verify and compact: what they print and how they end. */
 class StateCommandsTest {
-  private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-
   @TempDir Path temp;
   private Path folder;
+  private CommandRun last;
 
   @BeforeEach
   void fill() throws IOException {
@@ -41,20 +38,13 @@
     }
   }
 
-  private int run(String... args) {
-    out.reset();
-    err.reset();
-    PrintStream before = System.err;
-    System.setErr(new PrintStream(err, true));
-    try {
-      return Main.run(args, Map.of(), null, out);
-    } finally {
-      System.setErr(before);
-    }
+  private int run(String... arguments) {
+    last = CommandRun.of(arguments);
+    return last.exitCode();
   }
 
   private JsonNode json() throws IOException {
-    return new ObjectMapper().readTree(out.toString());
+    return new ObjectMapper().readTree(last.output());
   }
 
   private void damage() throws IOException {
@@ -65,11 +55,10 @@
   }
 
   @Test
-  void showListsWhatCounts() throws IOException {
+  void showListsTheFactsWithValueAndAge() throws IOException {
     assertEquals(0, run("state", "show", folder.toString()));
     assertTrue(
-        out.toString().contains("run-time") && out.toString().contains("2.002e+04"),
-        out.toString());
+        last.output().contains("run-time") && last.output().contains("2.002e+04"), last.output());
     assertEquals(0, run("state", "show", "--json", folder.toString()));
     JsonNode fact = json().path("facts").get(0);
     assertEquals(20_019, fact.path("value").asDouble());
@@ -77,27 +66,27 @@
   }
 
   @Test
-  void verifyTellsWhatIsDamagedAndWhere() throws IOException {
+  void verifyReportsConditionAndPlaceOfDamage() throws IOException {
     assertEquals(0, run("state", "verify", folder.toString()));
-    assertTrue(out.toString().contains("is whole"), out.toString());
+    assertTrue(last.output().contains("is whole"), last.output());
     damage();
     assertEquals(3, run("state", "verify", folder.toString()));
-    assertTrue(out.toString().contains("damage: log-1 at byte 40"), out.toString());
+    assertTrue(last.output().contains("damage: log-1 at byte 40"), last.output());
     assertEquals(3, run("state", "verify", "--json", folder.toString()));
     assertEquals("damaged", json().path("state").asText());
     assertEquals(2, run("state", "verify", temp.resolve("none").toString()));
-    assertTrue(err.toString().contains("there is no folder"), err.toString());
+    assertTrue(last.error().contains("there is no folder"), last.error());
     assertEquals(2, run("state", "show", "--json", temp.resolve("none").toString()));
     assertTrue(json().path("error").asText().contains("there is no folder"));
     Files.createDirectory(temp.resolve("bare"));
     assertEquals(0, run("state", "verify", temp.resolve("bare").toString()));
-    assertTrue(out.toString().contains("is empty"), out.toString());
+    assertTrue(last.output().contains("is empty"), last.output());
   }
 
   @Test
-  void compactKeepsWhatCountsInLessAndMendsWhatCanBe() throws IOException {
+  void compactShrinksTheFolderAndKeepsItsFactsUnlessANodeWrites() throws IOException {
     assertEquals(0, run("state", "compact", "--json", folder.toString()));
-    assertTrue(json().path("after").asLong() < json().path("before").asLong(), out.toString());
+    assertTrue(json().path("after").asLong() < json().path("before").asLong(), last.output());
     assertEquals(0, run("state", "show", "--json", folder.toString()));
     assertEquals(20_019, json().path("facts").get(0).path("value").asDouble());
     OpenResult open =
@@ -105,33 +94,33 @@
             FileSystemDirectory.openExisting(folder),
             new FactStateFactory(),
             new RecordStore.Limits(1 << 20, 8, 1 << 20),
-            l -> {});
+            line -> {});
     try (RecordStore store = assertInstanceOf(OpenResult.Opened.class, open).store()) {
       assertEquals(2, run("state", "compact", folder.toString()));
-      assertTrue(err.toString().contains("a running node writes"), err.toString());
+      assertTrue(last.error().contains("a running node writes"), last.error());
       assertEquals(0, store.metrics().failures());
     }
   }
 
   @Test
-  void compactOfADamagedFolderSaysSo() throws IOException {
+  void compactOfADamagedFolderSetsDamagedFilesAside() throws IOException {
     damage();
     assertEquals(3, run("state", "compact", folder.toString()));
-    assertTrue(out.toString().contains("set aside"), out.toString());
+    assertTrue(last.output().contains("set aside"), last.output());
     assertEquals(0, run("state", "verify", folder.toString()));
     String[] aside = folder.toFile().list((in, name) -> name.startsWith("damaged-"));
     assertEquals(4, aside.length, "no more are kept");
     assertTrue(
-        java.util.Arrays.stream(aside).anyMatch(name -> name.endsWith("-log-1")),
+        Arrays.stream(aside).anyMatch(name -> name.endsWith("-log-1")),
         "the one with the damage is");
   }
 
   @Test
-  void helpHasExamplesAndWrongWordsEndWithTwo() {
+  void helpHasExamplesAndUnusableCommandLinesEndWithExitCode2() {
     assertEquals(0, run("state"));
-    assertTrue(out.toString().contains("Examples:"));
+    assertTrue(last.output().contains("Examples:"));
     assertEquals(0, run("state", "show", "--help"));
-    assertTrue(out.toString().contains("Examples:"));
+    assertTrue(last.output().contains("Examples:"));
     assertEquals(2, run("state", "show"));
     assertEquals(2, run("state", "shwo", "x"));
   }
--- a/src/test/java/rosecleat/log/LogTest.java
+++ b/src/test/java/rosecleat/log/LogTest.java
@@ -11,9 +11,10 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
+/** The log: bounded, never blocking, one line an event. */
 class LogTest {
   @Test
-  void aStuckStreamCostsLinesNotTime() throws Exception {
+  void stuckStreamDropsLinesAndBlocksNoCaller() throws Exception {
     CountDownLatch stuck = new CountDownLatch(1);
     OutputStream stream =
         new OutputStream() {
@@ -37,7 +38,7 @@
 
   /** Guards the start of a node: its warm-up logs to nowhere, and makes no thread for that. */
   @Test
-  void aSilentLogHasNoThread() {
+  void silentLogStartsNoThread() {
     List<Thread> before = threads();
     try (Log silent = Log.silent()) {
       silent.info("unheard");
@@ -55,7 +56,7 @@
   }
 
   @Test
-  void callersCannotForgeLines() {
+  void lineBreaksInTextAreReplaced() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Log log = new Log(new PrintStream(out, true));
     log.warn("a\nb");
