--- a/src/main/java/rosecleat/runtime/RuntimeMessageWarmup.java
+++ b/src/main/java/rosecleat/runtime/RuntimeMessageWarmup.java
@@ -3,33 +3,54 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
+import java.util.Optional;
 import rosecleat.net.LineBuffer;
 
-/** Reads made-up notices as a link does, in memory. */
+/**
+ * Warms up the code that reads messages: encodes made-up messages and reads them back in memory as
+ * a connection does, so that a starting node's first real messages meet compiled code.
+ */
 public final class RuntimeMessageWarmup {
-  private final LineBuffer lines = new LineBuffer(1 << 16);
-  private long number;
+  private static final int MAX_LINE_BYTES = 1 << 16;
+
+  private final LineBuffer lines = new LineBuffer(MAX_LINE_BYTES);
+  private long sequence;
 
   /**
-   * What a notice of this type with these bytes brings once it was written and read; null where it
-   * can't be read.
+   * Writes a message of the given type and payload and reads it back.
+   *
+   * @return the payload; null where the message can't be read
    */
-  public byte[] roundTrip(String type, String job, byte[] data) {
+  public byte[] roundTrip(String type, String runId, byte[] payload) {
+    sequence++;
+    lines.append(ByteBuffer.wrap(encode(type, runId, payload)));
+    Optional<RuntimeMessage> message = RuntimeMessage.parse(lines.readLine());
+    if (message.isEmpty() || message.get().sequence() != sequence) {
+      return null;
+    }
+    String encoded = encodedPayload(message.get().body());
+    return encoded == null ? null : Base64.getDecoder().decode(encoded);
+  }
+
+  private static String encodedPayload(RuntimeMessage.Body body) {
+    if (body instanceof RuntimeMessage.RunEnded end) {
+      return end.tookUs() == 0 ? null : end.encodedResult();
+    }
+    return body instanceof RuntimeMessage.CallRequested call ? call.encodedBody() : null;
+  }
+
+  private byte[] encode(String type, String runId, byte[] payload) {
     String line =
         "{\"type\":\""
             + type
             + "\",\"n\":"
-            + ++number
+            + sequence
             + ",\"job\":\""
-            + job
+            + runId
             + "\",\"state\":\"ok\",\"took\":20.5,"
             + "\"data\":\""
-            + Base64.getEncoder().encodeToString(data)
+            + Base64.getEncoder().encodeToString(payload)
             + "\"}\n";
-    lines.append(ByteBuffer.wrap(line.getBytes(StandardCharsets.ISO_8859_1)));
-    Message message = Message.parse(lines.readLine());
-    return message == null || message.number("n", 0) != number || message.micros("took") == 0
-        ? null
-        : Base64.getDecoder().decode(message.text("data"));
+    return line.getBytes(StandardCharsets.ISO_8859_1);
   }
 }
--- a/src/main/java/rosecleat/runtime/UnavailableRunner.java
+++ b/src/main/java/rosecleat/runtime/UnavailableRunner.java
@@ -6,19 +6,22 @@
 import rosecleat.core.Runner;
 import rosecleat.net.EventLoop;
 
-/** Stands where a node has no runtime, only backends: nothing is reached, so nothing runs. */
+/**
+ * The runner of a node that has no runtime, only backends: every run ends as unreachable, so
+ * nothing executes.
+ */
 public final class UnavailableRunner implements Runner {
   private final EventLoop loop;
   private final Core core;
 
-  /** A runner for a core that has none. */
+  /** Creates the runner of a core; ends are reported on the loop. */
   public UnavailableRunner(EventLoop loop, Core core) {
     this.loop = loop;
     this.core = core;
   }
 
   @Override
-  public void start(Request request, long dueUs) {
+  public void start(Request request, long deadlineUs) {
     loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, null, 0));
   }
 
@@ -29,5 +32,5 @@
   public void completeCall(String id, byte[] reply) {}
 
   @Override
-  public void skipCall(String id, long notice) {}
+  public void skipCall(String id, long callNumber) {}
 }
