--- a/src/main/java/rosecleat/pool/InstancePool.java
+++ b/src/main/java/rosecleat/pool/InstancePool.java
@@ -7,146 +7,181 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The instances of one service, and what is out at each. Power of two choices (Mitzenmacher 2001)
- * over outstanding work by weight: the process's own zone first, others once its choice has as much
- * out as it has places. For one thread.
+ * The instances of one service, and the work outstanding at each. Balances by the power of two
+ * choices (Mitzenmacher 2001) over outstanding work by weight: this process's own zone first, other
+ * zones once the choice has as many requests outstanding as its capacity. For one thread.
  */
 public final class InstancePool {
-  /** Places of an instance that does not say how many it has. */
-  public static final int PLACES = 4;
-
-  /** An instance; what is out at it stays with it while the table changes round it. */
+  /** The capacity of an instance that does not declare one (requests at once). */
+  public static final int DEFAULT_CAPACITY = 4;
+
+  /**
+   * An instance as the routes list it.
+   *
+   * @param weight its share of the work relative to the other instances, above 0
+   * @param capacity how many requests it works on at once; 0 where that is not declared
+   * @param acceptsRequests whether it takes new requests
+   */
+  public record InstanceSpec(
+      String name,
+      String host,
+      int port,
+      String zone,
+      double weight,
+      int capacity,
+      boolean acceptsRequests) {}
+
+  /** An instance of the pool; its outstanding work stays with it while the routes change. */
   public static final class PooledInstance {
     private final String name;
     private final String host;
     private final int port;
-    private String zone;
     private double weight;
-    private int places;
-    private boolean takes;
-    private int out;
-    private double workUs;
-
-    private PooledInstance(String name, String host, int port) {
-      this.name = name;
-      this.host = host;
-      this.port = port;
+    private int capacity;
+    private int outstanding;
+    private double outstandingWorkUs;
+
+    private PooledInstance(InstanceSpec spec) {
+      name = spec.name;
+      host = spec.host;
+      port = spec.port;
     }
 
+    /** The name, unique in its service. */
     public String name() {
       return name;
     }
 
+    /** The literal host of its address. */
     public String host() {
       return host;
     }
 
+    /** The port of its address. */
     public int port() {
       return port;
     }
 
-    /** Requests that are out at it. */
-    public int out() {
-      return out;
+    /** The number of requests outstanding at it. */
+    public int outstanding() {
+      return outstanding;
     }
 
-    private double load(double more) {
-      return (workUs + more) / weight;
+    private boolean hasAddressOf(InstanceSpec spec) {
+      return port == spec.port && host.equals(spec.host);
     }
-  }
 
-  /** How an instance is to stand from now on. */
-  public record InstanceSpec(
-      String name, String host, int port, String zone, double weight, int places, boolean takes) {}
+    private boolean isFull() {
+      return outstanding >= capacity;
+    }
+
+    /** Its load by weight, were so much work added. */
+    private double loadWith(double workUs) {
+      return (outstandingWorkUs + workUs) / weight;
+    }
+  }
 
   private final String zone;
   private final RandomGenerator random;
-  private Map<String, PooledInstance> known = new HashMap<>();
-  private List<PooledInstance> near = List.of();
-  private List<PooledInstance> far = List.of();
+  private Map<String, PooledInstance> byName = new HashMap<>();
+  private List<PooledInstance> local = List.of();
+  private List<PooledInstance> remote = List.of();
 
-  /** A pool that is empty; {@code zone} is this process's own. */
+  /** An empty pool; {@code zone} is this process's own. */
   public InstancePool(String zone, RandomGenerator random) {
     this.zone = zone;
     this.random = random;
   }
 
-  /** The instances from now on. One that keeps its name and address keeps what is out at it. */
-  public void update(List<InstanceSpec> listed) {
-    Map<String, PooledInstance> fresh = new HashMap<>();
-    List<PooledInstance> here = new ArrayList<>();
+  /**
+   * Replaces the instances. One that keeps its name and address keeps its outstanding work; one
+   * that accepts no requests is kept, so that it may accept some again.
+   */
+  public void update(List<InstanceSpec> specs) {
+    Map<String, PooledInstance> updated = new HashMap<>();
+    List<PooledInstance> inZone = new ArrayList<>();
     List<PooledInstance> elsewhere = new ArrayList<>();
-    for (InstanceSpec each : listed) {
-      PooledInstance place = known.get(each.name);
-      if (place == null || place.port != each.port || !place.host.equals(each.host)) {
-        place = new PooledInstance(each.name, each.host, each.port);
+    for (InstanceSpec spec : specs) {
+      PooledInstance instance = byName.get(spec.name);
+      if (instance == null || !instance.hasAddressOf(spec)) {
+        instance = new PooledInstance(spec);
       }
-      place.zone = each.zone;
-      place.weight = each.weight;
-      place.places = each.places > 0 ? each.places : PLACES;
-      place.takes = each.takes;
-      fresh.put(each.name, place);
-      if (each.takes) {
-        (each.zone.equals(zone) ? here : elsewhere).add(place);
+      instance.weight = spec.weight;
+      instance.capacity = spec.capacity > 0 ? spec.capacity : DEFAULT_CAPACITY;
+      updated.put(spec.name, instance);
+      if (spec.acceptsRequests) {
+        (spec.zone.equals(zone) ? inZone : elsewhere).add(instance);
       }
     }
-    known = fresh;
-    near = List.copyOf(here);
-    far = List.copyOf(elsewhere);
+    byName = updated;
+    local = List.copyOf(inZone);
+    remote = List.copyOf(elsewhere);
   }
 
-  /** Whether none takes anything. */
+  /** Whether no instance accepts requests. */
   public boolean isEmpty() {
-    return near.isEmpty() && far.isEmpty();
+    return local.isEmpty() && remote.isEmpty();
   }
 
-  /** Requests that those that take any work on at once, all together. */
+  /** The sum of the capacities of all instances that accept requests. */
   public int capacity() {
+    return capacityOf(local) + capacityOf(remote);
+  }
+
+  private static int capacityOf(List<PooledInstance> instances) {
     int sum = 0;
-    for (PooledInstance place : near) {
-      sum += place.places;
-    }
-    for (PooledInstance place : far) {
-      sum += place.places;
+    for (PooledInstance instance : instances) {
+      sum += instance.capacity;
     }
     return sum;
   }
 
-  /** Chooses an instance for so much work and books it there; null where none takes anything. */
+  /**
+   * Chooses an instance for a request of so much work and books that there, until {@link #release};
+   * null where none accepts requests.
+   */
   public PooledInstance acquire(double workUs) {
-    PooledInstance chosen = better(near, workUs);
-    if (chosen == null || chosen.out >= chosen.places) {
-      PooledInstance other = better(far, workUs);
-      chosen =
-          chosen == null
-                  || other != null
-                      && other.out < other.places
-                      && other.load(workUs) < chosen.load(workUs)
-              ? other
-              : chosen;
-    }
+    PooledInstance chosen = choose(workUs);
     if (chosen != null) {
-      chosen.out++;
-      chosen.workUs += workUs;
+      chosen.outstanding++;
+      chosen.outstandingWorkUs += workUs;
     }
     return chosen;
   }
 
-  /** What was booked is done. */
-  public void release(PooledInstance place, double workUs) {
-    place.out--;
-    place.workUs =
-        place.out == 0 ? 0 : Math.max(0, place.workUs - workUs); // rounding must not grow
+  private PooledInstance choose(double workUs) {
+    PooledInstance inZone = lighterOfTwo(local, workUs);
+    if (inZone != null && !inZone.isFull()) {
+      return inZone;
+    }
+    PooledInstance elsewhere = lighterOfTwo(remote, workUs);
+    if (inZone == null) {
+      return elsewhere;
+    }
+    boolean elsewhereIsBetter =
+        elsewhere != null
+            && !elsewhere.isFull()
+            && elsewhere.loadWith(workUs) < inZone.loadWith(workUs);
+    return elsewhereIsBetter ? elsewhere : inZone;
+  }
+
+  /** Ends a request and takes its work off the instance. */
+  public void release(PooledInstance instance, double workUs) {
+    instance.outstanding--;
+    // an idle instance has no work, so that rounding errors do not add up
+    instance.outstandingWorkUs =
+        instance.outstanding == 0 ? 0 : Math.max(0, instance.outstandingWorkUs - workUs);
   }
 
-  private PooledInstance better(List<PooledInstance> of, double workUs) {
-    if (of.size() < 2) {
-      return of.isEmpty() ? null : of.get(0);
+  /** Of two instances at random the one with less load; null where there are none. */
+  private PooledInstance lighterOfTwo(List<PooledInstance> instances, double workUs) {
+    if (instances.size() < 2) {
+      return instances.isEmpty() ? null : instances.get(0);
     }
-    int first = random.nextInt(of.size());
-    int second = random.nextInt(of.size() - 1);
-    PooledInstance a = of.get(first);
-    PooledInstance b = of.get(second < first ? second : second + 1);
-    return a.load(workUs) <= b.load(workUs) ? a : b;
+    int first = random.nextInt(instances.size());
+    int second = random.nextInt(instances.size() - 1);
+    PooledInstance one = instances.get(first);
+    PooledInstance other = instances.get(second < first ? second : second + 1);
+    return one.loadWith(workUs) <= other.loadWith(workUs) ? one : other;
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/routes/RouteCodec.java
@@ -0,0 +1,115 @@
+package rosecleat.routes;
+
+import com.google.protobuf.InvalidProtocolBufferException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import rosecleat.fleet.Checksum;
+import rosecleat.routes.wire.Routes;
+import rosecleat.routes.wire.Stamped;
+
+/** Entries as messages and back. Decoding is empty where a field is out of its bounds. */
+final class RouteCodec {
+  private static final int MAX_TEXT_LENGTH = 64;
+  private static final int MAX_PORT = 0xffff;
+  private static final double MAX_WEIGHT = 1e6;
+
+  /** The greatest Lamport time, far from overflow. */
+  private static final long MAX_TIME = 1L << 56;
+
+  private static final Instance.State[] STATES = Instance.State.values();
+
+  private RouteCodec() {}
+
+  /** A frame as it came, its checksum verified. */
+  static Optional<Routes> decodeFrame(byte[] bytes, String cluster) {
+    byte[] message = Checksum.verify(bytes, cluster);
+    try {
+      return message == null ? Optional.empty() : Optional.of(Routes.parseFrom(message));
+    } catch (InvalidProtocolBufferException e) {
+      return Optional.empty();
+    }
+  }
+
+  static byte[] encodeFrame(Routes.Builder frame, String cluster) {
+    return Checksum.attach(frame.build().toByteArray(), cluster);
+  }
+
+  static Stamped encode(RouteEntry entry) {
+    Stamped.Builder message =
+        Stamped.newBuilder()
+            .setService(entry.key().service())
+            .setName(entry.key().name())
+            .setTime(entry.time())
+            .setAuthor(entry.author());
+    if (entry.isTombstone()) {
+      return message.setRemoved(true).build();
+    }
+    Instance instance = entry.instance();
+    return message
+        .setHost(instance.host())
+        .setPort(instance.port())
+        .setZone(instance.zone())
+        .setWeight(instance.weight())
+        .setState(instance.state().ordinal())
+        .setPlaces(instance.capacity())
+        .build();
+  }
+
+  static Optional<RouteEntry> decode(Stamped message) {
+    if (!isName(message.getService())
+        || !isName(message.getName())
+        || message.getTime() <= 0
+        || message.getTime() > MAX_TIME
+        || !isText(message.getAuthor())
+        || !message.getRemoved() && !hasValidInstance(message)) {
+      return Optional.empty();
+    }
+    RouteEntry.Key key = new RouteEntry.Key(message.getService(), message.getName());
+    Instance instance = message.getRemoved() ? null : decodeInstance(message);
+    return Optional.of(new RouteEntry(key, instance, message.getTime(), message.getAuthor()));
+  }
+
+  /** All entries; empty where one of them is invalid, as the others can't be trusted then. */
+  static Optional<List<RouteEntry>> decodeAll(List<Stamped> messages) {
+    List<RouteEntry> entries = new ArrayList<>();
+    for (Stamped message : messages) {
+      Optional<RouteEntry> entry = decode(message);
+      if (entry.isEmpty()) {
+        return Optional.empty();
+      }
+      entries.add(entry.get());
+    }
+    return Optional.of(entries);
+  }
+
+  private static boolean isText(String text) {
+    return text.length() <= MAX_TEXT_LENGTH;
+  }
+
+  private static boolean isName(String text) {
+    return !text.isEmpty() && isText(text);
+  }
+
+  private static boolean hasValidInstance(Stamped message) {
+    return message.getPort() > 0
+        && message.getPort() <= MAX_PORT
+        && isText(message.getHost())
+        && message.getWeight() > 0
+        && message.getWeight() <= MAX_WEIGHT
+        && message.getState() >= 0
+        && message.getState() < STATES.length
+        && message.getPlaces() >= 0
+        && isText(message.getZone());
+  }
+
+  private static Instance decodeInstance(Stamped message) {
+    return new Instance(
+        message.getHost(),
+        message.getPort(),
+        message.getZone(),
+        message.getWeight(),
+        STATES[message.getState()],
+        message.getPlaces());
+  }
+}
--- a/src/main/java/rosecleat/routes/RouteStore.java
+++ b/src/main/java/rosecleat/routes/RouteStore.java
@@ -5,38 +5,39 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * What a process holds of routes, as its fleet writes them: each entry with its time and author,
- * removed ones with them, so that a removal does not come back. For one thread.
+ * This process's replica of the fleet's routes: each entry with its time and author, and tombstones
+ * of removed ones, so that a removal is not undone by a late copy. For one thread.
  */
 public final class RouteStore {
-  /** Entries at the most, and removed ones kept. */
-  static final int MOST = 200_000;
+  /** The most entries, and the most tombstones among them. */
+  static final int MAX_ENTRIES = 200_000;
 
-  static final int MOST_REMOVED = 20_000;
+  static final int MAX_TOMBSTONES = 20_000;
 
-  /** States kept so that a follower may be told only what has changed since. */
-  static final int HISTORY = 256;
+  /** Earlier states kept, so that a peer that has one of them is sent the changes since alone. */
+  static final int MAX_HISTORY = 256;
 
   private RouteTrie trie = RouteTrie.EMPTY;
-  private final Map<Long, RouteTrie> history = new HashMap<>();
-  private final ArrayDeque<Long> order = new ArrayDeque<>();
-  private final ArrayDeque<RouteEntry.Key> removed = new ArrayDeque<>();
-  private long time;
+  private final Map<Long, RouteTrie> historyByDigest = new HashMap<>();
+  private final ArrayDeque<Long> historyOrder = new ArrayDeque<>();
+  private final ArrayDeque<RouteEntry.Key> tombstones = new ArrayDeque<>();
+  private long lamportTime;
   private long generation;
 
-  /** An empty one. */
+  /** An empty store. */
   public RouteStore() {
-    history.put(trie.digest(), trie);
+    historyByDigest.put(trie.digest(), trie);
   }
 
-  /** What is in force. */
+  /** The table of the instances that are not removed. */
   public RouteTable table() {
     return new RouteTable(trie);
   }
 
-  /** The digest of all that is held, times and authors with it. */
+  /** The digest of all entries with their times and authors; equal where replicas are equal. */
   public long stateDigest() {
     return trie.digest();
   }
@@ -46,82 +47,91 @@
     return generation;
   }
 
-  /** Takes entries, whole: those that hold against what is here. True where anything changed. */
+  /** Merges entries, all at once; true where anything changed. */
   public boolean merge(List<RouteEntry> entries) {
-    RouteTrie fresh = trie;
+    RouteTrie merged = trie;
     for (RouteEntry entry : entries) {
-      time = Math.max(time, entry.time());
-      RouteEntry mine = fresh.get(entry.key());
-      if (entry.beats(mine) && (mine != null || fresh.size() < MOST)) {
-        fresh = fresh.with(entry);
-        if (entry.instance() == null) {
-          removed.add(entry.key());
+      lamportTime = Math.max(lamportTime, entry.time());
+      RouteEntry current = merged.get(entry.key());
+      if (entry.supersedes(current) && (current != null || merged.size() < MAX_ENTRIES)) {
+        merged = merged.with(entry);
+        if (entry.isTombstone()) {
+          tombstones.add(entry.key());
         }
       }
     }
-    while (removed.size() > MOST_REMOVED) {
-      RouteEntry.Key oldest = removed.poll();
-      RouteEntry there = fresh.get(oldest);
-      if (there != null && there.instance() == null) {
-        fresh = fresh.without(oldest);
+    return replace(withoutExcessTombstones(merged));
+  }
+
+  private RouteTrie withoutExcessTombstones(RouteTrie merged) {
+    RouteTrie pruned = merged;
+    while (tombstones.size() > MAX_TOMBSTONES) {
+      RouteEntry.Key oldest = tombstones.poll();
+      RouteEntry current = pruned.get(oldest);
+      if (current != null && current.isTombstone()) {
+        pruned = pruned.without(oldest);
       }
     }
-    return take(fresh);
+    return pruned;
   }
 
-  private boolean take(RouteTrie fresh) {
-    if (fresh.digest() == trie.digest()) {
+  private boolean replace(RouteTrie next) {
+    if (next.digest() == trie.digest()) {
       return false;
     }
-    generation += fresh.content() == trie.content() ? 0 : 1;
-    trie = fresh;
-    if (history.put(trie.digest(), trie) == null) {
-      order.add(trie.digest());
-      if (order.size() > HISTORY) {
-        history.remove(order.poll());
+    if (next.contentDigest() != trie.contentDigest()) {
+      generation++;
+    }
+    trie = next;
+    if (historyByDigest.put(trie.digest(), trie) == null) {
+      historyOrder.add(trie.digest());
+      if (historyOrder.size() > MAX_HISTORY) {
+        historyByDigest.remove(historyOrder.poll());
       }
     }
     return true;
   }
 
   /**
-   * What an author writes: all of its file, all at once. Entries that say what is in force already
-   * are left alone, whoever wrote them; those of its own that the file lacks are removed.
+   * Publishes all instances of an author's file at once. Entries that say what is in force already
+   * stay as they are, whoever wrote them; the author's entries that the file lacks are removed.
    */
   public boolean publish(String author, Map<RouteEntry.Key, Instance> file) {
-    List<RouteEntry> news = new ArrayList<>();
-    long next = time + 1;
+    List<RouteEntry> updates = new ArrayList<>();
+    long time = lamportTime + 1;
     file.forEach(
         (key, instance) -> {
-          RouteEntry mine = trie.get(key);
-          if (mine == null || !instance.equals(mine.instance())) {
-            news.add(new RouteEntry(key, instance, next, author));
+          RouteEntry current = trie.get(key);
+          if (current == null || !instance.equals(current.instance())) {
+            updates.add(new RouteEntry(key, instance, time, author));
           }
         });
-    trie.each(
-        e -> {
-          if (e.author().equals(author) && e.instance() != null && !file.containsKey(e.key())) {
-            news.add(new RouteEntry(e.key(), null, next, author));
+    trie.forEach(
+        entry -> {
+          if (entry.author().equals(author)
+              && !entry.isTombstone()
+              && !file.containsKey(entry.key())) {
+            updates.add(new RouteEntry(entry.key(), null, time, author));
           }
         });
-    return merge(news);
+    return merge(updates);
   }
 
-  /** All that changed since a state that is remembered; null where it is not. */
-  List<RouteEntry> since(long digest) {
-    RouteTrie before = history.get(digest);
+  /** All entries that changed since an earlier state; empty where that state is not known. */
+  Optional<List<RouteEntry>> changesSince(long digest) {
+    RouteTrie before = historyByDigest.get(digest);
     if (before == null) {
-      return null;
+      return Optional.empty();
     }
-    List<RouteEntry> changed = new ArrayList<>();
+    List<RouteEntry> changes = new ArrayList<>();
     before.compare(
         trie,
-        (old, now) -> {
-          if (now != null) {
-            changed.add(now);
+        (former, current) -> {
+          if (current != null) {
+            changes.add(current);
           }
         });
-    return changed;
+    return Optional.of(changes);
   }
 
   RouteTrie trie() {
--- a/src/main/java/rosecleat/routes/RouteTable.java
+++ b/src/main/java/rosecleat/routes/RouteTable.java
@@ -3,14 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.TreeMap;
 
 /**
- * The instances of all services at a moment. Known by what it holds: equal content has an equal
- * digest everywhere.
+ * The instances of all services at a moment; immutable, for any thread. It is identified by its
+ * content: equal content has an equal digest everywhere.
  */
 public final class RouteTable {
-  /** No service has any. */
+  /** The table without instances. */
   public static final RouteTable EMPTY = new RouteTable(RouteTrie.EMPTY);
 
   private final RouteTrie trie;
@@ -19,52 +20,57 @@
     this.trie = trie;
   }
 
-  /** The digest of what it holds. */
+  /** The digest of the content. */
   public long digest() {
-    return trie.content();
+    return trie.contentDigest();
   }
 
-  /** By service, each with its instances by name. */
+  /** The instances by service and name, both in order. */
   public Map<String, Map<String, Instance>> services() {
     Map<String, Map<String, Instance>> services = new TreeMap<>();
-    trie.each(
-        e -> {
-          if (e.instance() != null) {
+    trie.forEach(
+        entry -> {
+          if (!entry.isTombstone()) {
             services
-                .computeIfAbsent(e.key().service(), s -> new TreeMap<>())
-                .put(e.key().name(), e.instance());
+                .computeIfAbsent(entry.key().service(), service -> new TreeMap<>())
+                .put(entry.key().name(), entry.instance());
           }
         });
     return services;
   }
 
-  /** One step from a table to another: an instance put, changed or (null) removed. */
+  /**
+   * A change of one instance between two tables.
+   *
+   * @param before null where it is added
+   * @param after null where it is removed
+   */
   public record RouteChange(RouteEntry.Key key, Instance before, Instance after) {
     RouteChange inverse() {
       return new RouteChange(key, after, before);
     }
   }
 
-  /**
-   * The fewest steps to another table: what is new first, then what changes, and last what goes.
-   */
-  public List<RouteChange> diff(RouteTable to) {
-    List<RouteChange> put = new ArrayList<>();
-    List<RouteChange> changed = new ArrayList<>();
+  /** The fewest changes to another table: additions, then modifications, then removals. */
+  public List<RouteChange> diff(RouteTable other) {
+    List<RouteChange> added = new ArrayList<>();
+    List<RouteChange> modified = new ArrayList<>();
     List<RouteChange> removed = new ArrayList<>();
     trie.compare(
-        to.trie,
+        other.trie,
         (mine, theirs) -> {
           Instance before = mine == null ? null : mine.instance();
           Instance after = theirs == null ? null : theirs.instance();
-          if (before == null ? after == null : before.equals(after)) {
+          if (Objects.equals(before, after)) {
             return; // written again with the same content
           }
-          (before == null ? put : after == null ? removed : changed)
-              .add(new RouteChange((mine == null ? theirs : mine).key(), before, after));
+          RouteEntry.Key key = (mine == null ? theirs : mine).key();
+          List<RouteChange> kind = before == null ? added : after == null ? removed : modified;
+          kind.add(new RouteChange(key, before, after));
         });
-    put.addAll(changed);
-    put.addAll(removed);
-    return put;
+    List<RouteChange> all = new ArrayList<>(added);
+    all.addAll(modified);
+    all.addAll(removed);
+    return all;
   }
 }
--- a/src/main/java/rosecleat/routes/RouteTrie.java
+++ b/src/main/java/rosecleat/routes/RouteTrie.java
@@ -1,229 +1,288 @@
 package rosecleat.routes;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
 /**
- * A persistent map of entries by the hash of their key, 16 ways a level. Each part knows the digest
- * of all below it: what two tries share is skipped in no time, so that a comparison costs as much
- * as they differ. Digests are sums of mixed entries, so they do not depend on the shape.
+ * A persistent hash trie of entries by the hash of their key, 16 children a node. Each node knows
+ * the digest of all entries below it: what two tries share is skipped, so that a comparison costs
+ * as much as they differ. Digests are sums over the entries, so they do not depend on the shape.
+ *
+ * <p>A node is empty, a leaf with the entries of one hash, or a branch with children.
  */
 final class RouteTrie {
   static final RouteTrie EMPTY = new RouteTrie(null, null, 0, 0, 0);
-  private static final int WAYS = 16;
 
-  private final RouteTrie[] parts;
-  private final List<RouteEntry> leaf;
+  /** The parts that {@link #partDigests} tells apart: the nodes two levels below the root. */
+  static final int PARTS = 256;
+
+  private static final int BITS_PER_LEVEL = 4;
+  private static final int CHILDREN = 1 << BITS_PER_LEVEL;
+  private static final int CHILD_MASK = CHILDREN - 1;
+
+  /** The shift of the hash at the root: its first bits choose the child. */
+  private static final int ROOT_SHIFT = Long.SIZE - BITS_PER_LEVEL;
+
+  private final RouteTrie[] children;
+  private final List<RouteEntry> entries;
   private final long digest;
-  private final long content;
+  private final long contentDigest;
   private final int size;
 
-  private RouteTrie(RouteTrie[] parts, List<RouteEntry> leaf, long digest, long content, int size) {
-    this.parts = parts;
-    this.leaf = leaf;
+  private RouteTrie(
+      RouteTrie[] children, List<RouteEntry> entries, long digest, long contentDigest, int size) {
+    this.children = children;
+    this.entries = entries;
     this.digest = digest;
-    this.content = content;
+    this.contentDigest = contentDigest;
     this.size = size;
   }
 
-  /** Of all entries with their times and authors. */
+  private static RouteTrie leaf(List<RouteEntry> entries) {
+    long digest = 0;
+    long contentDigest = 0;
+    for (RouteEntry entry : entries) {
+      digest += entry.digest();
+      contentDigest += entry.contentDigest();
+    }
+    return new RouteTrie(null, entries, digest, contentDigest, entries.size());
+  }
+
+  private static RouteTrie branch(RouteTrie[] children) {
+    long digest = 0;
+    long contentDigest = 0;
+    int size = 0;
+    for (RouteTrie child : children) {
+      if (child != null) {
+        digest += child.digest;
+        contentDigest += child.contentDigest;
+        size += child.size;
+      }
+    }
+    return new RouteTrie(children, null, digest, contentDigest, size);
+  }
+
+  private boolean isLeaf() {
+    return entries != null;
+  }
+
+  private boolean isEmpty() {
+    return entries == null && children == null;
+  }
+
+  private static int childIndex(long hash, int shift) {
+    return (int) (hash >>> shift) & CHILD_MASK;
+  }
+
+  /** The digest of all entries with their times and authors. */
   long digest() {
     return digest;
   }
 
-  /** Of what they say alone: equal where tables are, whoever made them. */
-  long content() {
-    return content;
+  /** The digest of the instances alone: equal where tables are, whoever wrote them. */
+  long contentDigest() {
+    return contentDigest;
   }
 
   int size() {
     return size;
   }
 
+  /** The entry of a key; null where there is none. */
   RouteEntry get(RouteEntry.Key key) {
-    RouteTrie at = this;
+    RouteTrie node = this;
     long hash = key.hash();
-    for (int shift = 60; at != null; shift -= 4) {
-      if (at.leaf != null) {
-        return at.leaf.stream().filter(e -> e.key().equals(key)).findFirst().orElse(null);
+    for (int shift = ROOT_SHIFT; node != null; shift -= BITS_PER_LEVEL) {
+      if (node.isLeaf()) {
+        return node.entryOf(key);
       }
-      at = at.parts == null ? null : at.parts[(int) (hash >>> shift) & 15];
+      node = node.isEmpty() ? null : node.children[childIndex(hash, shift)];
     }
     return null;
   }
 
+  private RouteEntry entryOf(RouteEntry.Key key) {
+    return entries.stream().filter(entry -> entry.key().equals(key)).findFirst().orElse(null);
+  }
+
+  /** This trie with an entry, in place of the one with its key. */
   RouteTrie with(RouteEntry entry) {
-    return with(entry, entry.key().hash(), 60);
+    return with(entry, entry.key().hash(), ROOT_SHIFT);
   }
 
   private RouteTrie with(RouteEntry entry, long hash, int shift) {
-    if (parts == null && leaf == null) {
+    if (isEmpty()) {
       return leaf(List.of(entry));
     }
-    if (leaf != null) {
-      long there = leaf.get(0).key().hash();
-      if (there == hash) { // the same key, or one of the same hash
-        List<RouteEntry> all = new ArrayList<>(leaf);
-        all.removeIf(e -> e.key().equals(entry.key()));
-        all.add(entry);
-        all.sort((a, b) -> a.key().compareTo(b.key()));
-        return leaf(List.copyOf(all));
+    if (isLeaf()) {
+      long leafHash = entries.get(0).key().hash();
+      if (leafHash == hash) {
+        return leafWith(entry);
       }
-      RouteTrie[] fresh = new RouteTrie[WAYS];
-      fresh[(int) (there >>> shift) & 15] = this;
-      return node(fresh).with(entry, hash, shift);
+      RouteTrie[] split = new RouteTrie[CHILDREN];
+      split[childIndex(leafHash, shift)] = this;
+      return branch(split).with(entry, hash, shift);
     }
-    RouteTrie[] fresh = parts.clone();
-    int way = (int) (hash >>> shift) & 15;
-    fresh[way] = (fresh[way] == null ? EMPTY : fresh[way]).with(entry, hash, shift - 4);
-    return node(fresh);
+    RouteTrie[] changed = children.clone();
+    int index = childIndex(hash, shift);
+    RouteTrie child = changed[index] == null ? EMPTY : changed[index];
+    changed[index] = child.with(entry, hash, shift - BITS_PER_LEVEL);
+    return branch(changed);
+  }
+
+  /** This leaf with an entry of the same key, or of another key with the same hash. */
+  private RouteTrie leafWith(RouteEntry entry) {
+    List<RouteEntry> changed = new ArrayList<>(entries);
+    changed.removeIf(each -> each.key().equals(entry.key()));
+    changed.add(entry);
+    changed.sort(Comparator.comparing(RouteEntry::key));
+    return leaf(List.copyOf(changed));
   }
 
-  /** Without an entry, as if it had never been there. */
+  /** This trie without the entry of a key, in the shape as if it had never been there. */
   RouteTrie without(RouteEntry.Key key) {
-    return without(key, key.hash(), 60);
+    return without(key, key.hash(), ROOT_SHIFT);
   }
 
   private RouteTrie without(RouteEntry.Key key, long hash, int shift) {
-    if (leaf != null) {
-      List<RouteEntry> rest = leaf.stream().filter(e -> !e.key().equals(key)).toList();
-      return rest.isEmpty() ? EMPTY : rest.size() == leaf.size() ? this : leaf(rest);
+    if (isLeaf()) {
+      return leafWithout(key);
     }
-    int way = (int) (hash >>> shift) & 15;
-    if (parts == null || parts[way] == null) {
+    int index = childIndex(hash, shift);
+    if (isEmpty() || children[index] == null) {
       return this;
     }
-    RouteTrie[] fresh = parts.clone();
-    fresh[way] = parts[way].without(key, hash, shift - 4);
-    fresh[way] = fresh[way] == EMPTY ? null : fresh[way];
-    RouteTrie only = null;
-    int count = 0;
-    for (RouteTrie part : fresh) {
-      if (part != null) {
-        only = part;
-        count++;
-      }
-    }
-    return count == 0 ? EMPTY : count == 1 && only.leaf != null ? only : node(fresh);
+    RouteTrie[] changed = children.clone();
+    RouteTrie child = children[index].without(key, hash, shift - BITS_PER_LEVEL);
+    changed[index] = child == EMPTY ? null : child;
+    return collapse(changed);
   }
 
-  private static RouteTrie leaf(List<RouteEntry> entries) {
-    long digest = 0;
-    long content = 0;
-    for (RouteEntry entry : entries) {
-      digest += entry.digest();
-      content += entry.contentDigest();
+  private RouteTrie leafWithout(RouteEntry.Key key) {
+    List<RouteEntry> rest = entries.stream().filter(entry -> !entry.key().equals(key)).toList();
+    if (rest.isEmpty()) {
+      return EMPTY;
     }
-    return new RouteTrie(null, entries, digest, content, entries.size());
+    return rest.size() == entries.size() ? this : leaf(rest);
   }
 
-  private static RouteTrie node(RouteTrie[] parts) {
-    long digest = 0;
-    long content = 0;
-    int size = 0;
-    for (RouteTrie part : parts) {
-      if (part != null) {
-        digest += part.digest;
-        content += part.content;
-        size += part.size;
+  /** A branch, or its only leaf, or nothing. */
+  private static RouteTrie collapse(RouteTrie[] children) {
+    RouteTrie only = null;
+    int count = 0;
+    for (RouteTrie child : children) {
+      if (child != null) {
+        only = child;
+        count++;
       }
     }
-    return new RouteTrie(parts, null, digest, content, size);
+    if (count == 0) {
+      return EMPTY;
+    }
+    return count == 1 && only.isLeaf() ? only : branch(children);
   }
 
-  void each(Consumer<RouteEntry> what) {
-    if (leaf != null) {
-      leaf.forEach(what);
-    } else if (parts != null) {
-      for (RouteTrie part : parts) {
-        if (part != null) {
-          part.each(what);
+  void forEach(Consumer<RouteEntry> action) {
+    if (isLeaf()) {
+      entries.forEach(action);
+    } else if (!isEmpty()) {
+      for (RouteTrie child : children) {
+        if (child != null) {
+          child.forEach(action);
         }
       }
     }
   }
 
   /**
-   * Tells each key whose entry differs, with the entry there and the one in another trie; null
+   * Reports each key whose entry differs, with the entry here and the one in another trie; null
    * where there is none.
    */
-  void compare(RouteTrie other, BiConsumer<RouteEntry, RouteEntry> told) {
-    compare(this, other, 60, told);
+  void compare(RouteTrie other, BiConsumer<RouteEntry, RouteEntry> report) {
+    compare(this, other, ROOT_SHIFT, report);
   }
 
   private static void compare(
-      RouteTrie a, RouteTrie b, int shift, BiConsumer<RouteEntry, RouteEntry> told) {
-    if (a == b || a != null && b != null && a.digest == b.digest && a.size == b.size) {
+      RouteTrie one, RouteTrie other, int shift, BiConsumer<RouteEntry, RouteEntry> report) {
+    if (one == other || one != null && other != null && one.hasSameEntries(other)) {
       return;
     }
-    if (a == null || a.size == 0 || b == null || b.size == 0) {
-      if (a != null) {
-        a.each(e -> told.accept(e, null));
+    if (one == null || one.size == 0 || other == null || other.size == 0) {
+      if (one != null) {
+        one.forEach(entry -> report.accept(entry, null));
       }
-      if (b != null) {
-        b.each(e -> told.accept(null, e));
+      if (other != null) {
+        other.forEach(entry -> report.accept(null, entry));
       }
-      return;
-    }
-    if (a.leaf != null && b.leaf != null) {
-      for (RouteEntry mine : a.leaf) {
-        RouteEntry theirs =
-            b.leaf.stream().filter(e -> e.key().equals(mine.key())).findFirst().orElse(null);
-        if (!mine.equals(theirs)) {
-          told.accept(mine, theirs);
-        }
+    } else if (one.isLeaf() && other.isLeaf()) {
+      compareLeaves(one, other, report);
+    } else {
+      for (int index = 0; index < CHILDREN; index++) {
+        compare(one.child(index, shift), other.child(index, shift), shift - BITS_PER_LEVEL, report);
       }
-      for (RouteEntry theirs : b.leaf) {
-        if (a.leaf.stream().noneMatch(e -> e.key().equals(theirs.key()))) {
-          told.accept(null, theirs);
-        }
+    }
+  }
+
+  private boolean hasSameEntries(RouteTrie other) {
+    return digest == other.digest && size == other.size;
+  }
+
+  private static void compareLeaves(
+      RouteTrie one, RouteTrie other, BiConsumer<RouteEntry, RouteEntry> report) {
+    for (RouteEntry entry : one.entries) {
+      RouteEntry counterpart = other.entryOf(entry.key());
+      if (!entry.equals(counterpart)) {
+        report.accept(entry, counterpart);
       }
-      return;
     }
-    for (int way = 0; way < WAYS; way++) {
-      compare(a.way(way, shift), b.way(way, shift), shift - 4, told);
+    for (RouteEntry entry : other.entries) {
+      if (one.entryOf(entry.key()) == null) {
+        report.accept(null, entry);
+      }
     }
   }
 
-  private RouteTrie way(int way, int shift) {
-    if (leaf != null) {
-      return ((int) (leaf.get(0).key().hash() >>> shift) & 15) == way ? this : null;
+  /** A child of a branch; a leaf counts as the child that it would be in. */
+  private RouteTrie child(int index, int shift) {
+    if (isLeaf()) {
+      return childIndex(entries.get(0).key().hash(), shift) == index ? this : null;
     }
-    return parts[way];
+    return children[index];
   }
 
-  /** The digests of the 256 parts two levels down. */
-  long[] digests() {
-    long[] digests = new long[WAYS * WAYS];
-    each256((at, part) -> digests[at] = part.digest);
+  /** The digests of all parts. */
+  long[] partDigests() {
+    long[] digests = new long[PARTS];
+    forEachPart((index, part) -> digests[index] = part.digest);
     return digests;
   }
 
-  /** All entries of one of the 256 parts. */
-  List<RouteEntry> part(int which) {
+  /** All entries of one part. */
+  List<RouteEntry> entriesOfPart(int wanted) {
     List<RouteEntry> found = new ArrayList<>();
-    each256(
-        (at, part) -> {
-          if (at == which) {
-            part.each(found::add);
+    forEachPart(
+        (index, part) -> {
+          if (index == wanted) {
+            part.forEach(found::add);
           }
         });
     return found;
   }
 
-  private interface Part {
-    void take(int at, RouteTrie part);
+  private interface PartVisitor {
+    void visit(int index, RouteTrie part);
   }
 
-  private void each256(Part what) {
-    for (int first = 0; first < WAYS && size > 0; first++) {
-      RouteTrie upper = way(first, 60);
-      for (int second = 0; second < WAYS && upper != null; second++) {
-        RouteTrie lower = upper.way(second, 56);
+  private void forEachPart(PartVisitor visitor) {
+    for (int first = 0; first < CHILDREN && size > 0; first++) {
+      RouteTrie upper = child(first, ROOT_SHIFT);
+      for (int second = 0; second < CHILDREN && upper != null; second++) {
+        RouteTrie lower = upper.child(second, ROOT_SHIFT - BITS_PER_LEVEL);
         if (lower != null) {
-          what.take(WAYS * first + second, lower);
+          visitor.visit(CHILDREN * first + second, lower);
         }
       }
     }
--- a/src/test/java/rosecleat/pool/InstancePoolTest.java
+++ b/src/test/java/rosecleat/pool/InstancePoolTest.java
@@ -60,7 +60,7 @@
     pool.update(List.of(listed("a", "here", 1, false), listed("b", "here", 1, true)));
     assertEquals("b", pool.acquire(1).name());
     pool.release(first, 5);
-    assertEquals(0, first.out());
+    assertEquals(0, first.outstanding());
     pool.update(List.of(listed("a", "here", 1, true)));
     assertEquals(first, pool.acquire(1)); // the same place, with what is out at it
     pool.update(List.of());
