--- a/src/test/java/rosecleat/cli/state/StateCommandsTest.java
+++ b/src/test/java/rosecleat/cli/state/StateCommandsTest.java
@@ -33,7 +33,7 @@
     folder = temp.resolve("kept");
     long now = System.currentTimeMillis() * 1000;
     for (int i = 0; i < 20; i++) {
-      StateFiles.learnt(
+      StateFiles.append(
           folder, "n1", new Fact(FactKind.RUN_TIME, "read", 20_000 + i, 8, now - 60_000_000, "t"));
     }
   }
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -111,7 +111,7 @@
         wipe(state);
         if (way.getValue() != null) {
           Files.createDirectories(state);
-          StateFiles.rewritten(learnt, state, now(), way.getValue());
+          StateFiles.rewrite(learnt, state, now(), way.getValue());
         }
         Outcome outcome = play(state, WATCH_MS, REST_MS, 100 + seed);
         outcomes.computeIfAbsent(way.getKey(), w -> new ArrayList<>()).add(outcome);
--- a/src/test/java/rosecleat/state/EarlierVersionStateTest.java
+++ b/src/test/java/rosecleat/state/EarlierVersionStateTest.java
@@ -187,7 +187,7 @@
   private void readsThenWritesOn(String name, List<Fact> facts) throws IOException {
     Path folder = copy(name);
     assertHolds(facts, folder);
-    StateFiles.learnt(folder, NODE, APPENDED);
+    StateFiles.append(folder, NODE, APPENDED);
     assertHolds(with(facts, APPENDED), folder);
     RecordStore.compact(
         FileSystemDirectory.openExisting(folder), new FactStateFactory(), MAX_BYTES);
@@ -220,7 +220,7 @@
     assertFalse(found.hasCorruption());
     assertEquals(1, found.issues().size());
     assertEquals(4, found.records(), "five are whole where nothing is torn");
-    StateFiles.learnt(folder, NODE, APPENDED);
+    StateFiles.append(folder, NODE, APPENDED);
     FactState facts = (FactState) read(folder).state();
     assertEquals(APPENDED, facts.facts().get(facts.facts().size() - 1).fact());
   }
@@ -235,7 +235,7 @@
   @Test
   void anAppendAndACloseWriteTheSameBytes() throws IOException {
     Path folder = copy("killed");
-    StateFiles.learnt(folder, NODE, APPENDED);
+    StateFiles.append(folder, NODE, APPENDED);
     assertSameFiles("killed-then-appended", folder);
   }
 }
--- a/src/test/java/rosecleat/state/StateFiles.java
+++ b/src/test/java/rosecleat/state/StateFiles.java
@@ -10,48 +10,53 @@
 import rosecleat.store.RecordStore;
 import rosecleat.store.StoredRecord;
 
-/** Folders of facts made by hand. */
+/** Writes folders of facts for tests. */
 public final class StateFiles {
   private static final RecordStore.Limits LIMITS = new RecordStore.Limits(4 << 20, 64, 1 << 20);
 
   private StateFiles() {}
 
-  /** Writes entries into a folder. */
-  static void write(Path folder, List<StoredRecord> entries) throws IOException {
-    OpenResult opening =
+  /** Appends records to a folder. */
+  static void write(Path folder, List<StoredRecord> records) throws IOException {
+    OpenResult result =
         RecordStore.open(
             FileSystemDirectory.openOrCreate(folder), new FactStateFactory(), LIMITS, line -> {});
-    if (!(opening instanceof OpenResult.Opened opened)) {
-      throw new IOException(opening.toString());
+    if (!(result instanceof OpenResult.Opened opened)) {
+      throw new IOException(result.toString());
     }
-    opened.store().append(entries, failure -> {});
+    opened.store().append(records, failure -> {});
     opened.store().close();
   }
 
   /** Adds a fact of a node to a folder. */
-  public static void learnt(Path folder, String node, Fact fact) throws IOException {
+  public static void append(Path folder, String node, Fact fact) throws IOException {
     write(folder, List.of(FactCodec.encode(node, List.of(fact))));
   }
 
   /**
-   * Writes the facts of one folder into another as if they were learnt just now, each changed in
+   * Writes the facts of one folder into another as if they were learned just now, each changed in
    * some way.
    */
-  public static void rewritten(Path from, Path to, long nowUs, UnaryOperator<Fact> change)
+  public static void rewrite(Path from, Path to, long nowUs, UnaryOperator<Fact> change)
       throws IOException {
-    FactState facts =
+    FactState state =
         (FactState)
             RecordStore.inspect(FileSystemDirectory.openExisting(from), new FactStateFactory())
                 .state();
     write(
         to,
-        facts.facts().stream()
+        state.facts().stream()
             .map(
                 nodeFact -> {
-                  Fact f = nodeFact.fact();
+                  Fact fact = nodeFact.fact();
                   Fact fresh =
                       new Fact(
-                          f.kind(), f.subject(), f.value(), f.weight(), nowUs, f.settingsDigest());
+                          fact.kind(),
+                          fact.subject(),
+                          fact.value(),
+                          fact.weight(),
+                          nowUs,
+                          fact.settingsDigest());
                   return FactCodec.encode(nodeFact.node(), List.of(change.apply(fresh)));
                 })
             .toList());
--- a/src/test/java/rosecleat/store/FaultyDirectory.java
+++ b/src/test/java/rosecleat/store/FaultyDirectory.java
@@ -15,43 +15,43 @@
 import java.util.TreeSet;
 
 /**
- * A disk in memory that fails on a seed. What was not synced may be lost at a crash: of names any
- * part, of bytes any blocks, and the block that was being written is torn.
+ * A directory in memory whose faults are drawn from a seed. What was not synced may be lost at a
+ * crash: any of the changed names, and any blocks of the written bytes; the last block may be torn.
  */
 final class FaultyDirectory implements Directory {
-  static final long PLENTY = 1L << 60;
-  private static final int BLOCK = 64;
+  static final long UNLIMITED = 1L << 60;
+  private static final int BLOCK_BYTES = 64;
 
-  private static final class Node {
+  private static final class FileContent {
     byte[] bytes = new byte[0];
-    byte[] lasting = new byte[0];
+    byte[] durable = new byte[0];
   }
 
-  /** What becomes of names when the folder is synced, in order. */
-  private interface Change {
-    void make(Map<String, Node> names);
+  /** A change of names that is not durable yet. */
+  private interface NameChange {
+    void apply(Map<String, FileContent> names);
   }
 
   private final Random random;
-  private Map<String, Node> names = new TreeMap<>();
-  private Map<String, Node> lasting = new TreeMap<>();
-  private final List<Change> changes = new ArrayList<>();
+  private Map<String, FileContent> names = new TreeMap<>();
+  private Map<String, FileContent> durableNames = new TreeMap<>();
+  private final List<NameChange> unsyncedChanges = new ArrayList<>();
   private final Set<String> locks = new TreeSet<>();
-  private int era;
+  private int generation;
 
   /** Bytes that may still be written before the disk is full. */
-  long room = PLENTY;
+  long freeBytes = UNLIMITED;
 
-  /** The chance that a call that changes something fails. */
-  double failing;
+  /** Probability that a call that changes something fails. */
+  double failureRate;
 
-  /** The chance that a read is short. */
-  double shortReads;
+  /** Probability that a read is short. */
+  double shortReadRate;
 
-  /** Calls that change something, so far; at {@link #crashAt} the power goes. */
-  long calls;
+  /** Number of calls that changed something; the power fails at {@link #powerLossAt}. */
+  long changes;
 
-  long crashAt = Long.MAX_VALUE;
+  long powerLossAt = Long.MAX_VALUE;
 
   FaultyDirectory(long seed) {
     random = new Random(seed);
@@ -62,42 +62,44 @@
     private static final long serialVersionUID = 1;
   }
 
-  private void change(int of) throws IOException {
-    if (of != era || calls++ >= crashAt) {
+  private void beforeChange(int callerGeneration) throws IOException {
+    if (callerGeneration != generation || changes++ >= powerLossAt) {
       throw new PowerLoss();
     }
-    if (failing > 0 && random.nextDouble() < failing) {
+    if (failureRate > 0 && random.nextDouble() < failureRate) {
       throw new IOException("EIO");
     }
   }
 
-  /** Loses what was not synced, and is there again. */
+  /** Loses what was not synced, and restores the power. */
   void restart() {
-    era++;
-    crashAt = Long.MAX_VALUE;
+    generation++;
+    powerLossAt = Long.MAX_VALUE;
     locks.clear();
-    Map<String, Node> after = new TreeMap<>(lasting);
-    for (Change change : changes) {
+    Map<String, FileContent> after = new TreeMap<>(durableNames);
+    for (NameChange change : unsyncedChanges) {
       if (random.nextBoolean()) {
-        change.make(after);
+        change.apply(after);
       }
     }
-    changes.clear();
-    for (Node node : after.values()) {
-      node.bytes = torn(node);
-      node.lasting = node.bytes;
+    unsyncedChanges.clear();
+    for (FileContent file : after.values()) {
+      file.bytes = torn(file);
+      file.durable = file.bytes;
     }
     names = after;
-    lasting = new TreeMap<>(after);
+    durableNames = new TreeMap<>(after);
   }
 
-  private byte[] torn(Node node) {
-    int kept = node.lasting.length;
-    int more = Math.max(0, node.bytes.length - kept);
-    byte[] bytes = Arrays.copyOf(node.bytes, kept + (more == 0 ? 0 : random.nextInt(more + 1)));
-    for (int at = kept; at < bytes.length; at += BLOCK) {
+  private byte[] torn(FileContent file) {
+    int durableLength = file.durable.length;
+    int unsynced = Math.max(0, file.bytes.length - durableLength);
+    byte[] bytes =
+        Arrays.copyOf(
+            file.bytes, durableLength + (unsynced == 0 ? 0 : random.nextInt(unsynced + 1)));
+    for (int at = durableLength; at < bytes.length; at += BLOCK_BYTES) {
       if (random.nextInt(4) == 0) {
-        Arrays.fill(bytes, at, Math.min(bytes.length, at + BLOCK), (byte) 0);
+        Arrays.fill(bytes, at, Math.min(bytes.length, at + BLOCK_BYTES), (byte) 0);
       }
     }
     return bytes;
@@ -109,22 +111,22 @@
   }
 
   void put(String name, byte[] bytes) {
-    Node node = new Node();
-    node.bytes = node.lasting = bytes;
-    names.put(name, node);
-    lasting.put(name, node);
+    FileContent file = new FileContent();
+    file.bytes = file.durable = bytes;
+    names.put(name, file);
+    durableNames.put(name, file);
   }
 
   /** A copy as it stands, with nothing left to lose. */
   FaultyDirectory copy() {
     FaultyDirectory copy = new FaultyDirectory(0);
-    names.forEach((name, node) -> copy.put(name, node.bytes.clone()));
+    names.forEach((name, file) -> copy.put(name, file.bytes.clone()));
     return copy;
   }
 
   Map<String, byte[]> all() {
     Map<String, byte[]> all = new HashMap<>();
-    names.forEach((name, node) -> all.put(name, node.bytes));
+    names.forEach((name, file) -> all.put(name, file.bytes));
     return all;
   }
 
@@ -135,26 +137,26 @@
 
   @Override
   public Input openInput(String name) throws IOException {
-    Node node = names.get(name);
-    if (node == null) {
+    FileContent file = names.get(name);
+    if (file == null) {
       throw new FileNotFoundException(name);
     }
     return new Input() {
       @Override
       public long size() {
-        return node.bytes.length;
+        return file.bytes.length;
       }
 
       @Override
       public int read(long at, ByteBuffer into) {
-        if (at >= node.bytes.length) {
+        if (at >= file.bytes.length) {
           return -1;
         }
-        int count = (int) Math.min(into.remaining(), node.bytes.length - at);
-        if (shortReads > 0 && random.nextDouble() < shortReads) {
+        int count = (int) Math.min(into.remaining(), file.bytes.length - at);
+        if (shortReadRate > 0 && random.nextDouble() < shortReadRate) {
           count = 1 + random.nextInt(count);
         }
-        into.put(node.bytes, (int) at, count);
+        into.put(file.bytes, (int) at, count);
         return count;
       }
 
@@ -165,23 +167,23 @@
 
   @Override
   public Output createOutput(String name) throws IOException {
-    int of = era;
-    change(of);
-    Node node = new Node();
-    names.put(name, node);
-    changes.add(map -> map.put(name, node));
+    int openedIn = generation;
+    beforeChange(openedIn);
+    FileContent file = new FileContent();
+    names.put(name, file);
+    unsyncedChanges.add(map -> map.put(name, file));
     return new Output() {
       @Override
       public void write(ByteBuffer from) throws IOException {
-        int count = (int) Math.min(from.remaining(), room);
+        int count = (int) Math.min(from.remaining(), freeBytes);
         byte[] more = new byte[count];
         from.get(more);
-        int half = node.bytes.length;
-        byte[] grown = Arrays.copyOf(node.bytes, half + count);
-        System.arraycopy(more, 0, grown, half, count);
-        node.bytes = grown;
-        room -= count;
-        change(of);
+        int oldLength = file.bytes.length;
+        byte[] grown = Arrays.copyOf(file.bytes, oldLength + count);
+        System.arraycopy(more, 0, grown, oldLength, count);
+        file.bytes = grown;
+        freeBytes -= count;
+        beforeChange(openedIn);
         if (from.hasRemaining()) {
           throw new IOException("ENOSPC");
         }
@@ -189,8 +191,8 @@
 
       @Override
       public void sync() throws IOException {
-        change(of);
-        node.lasting = node.bytes;
+        beforeChange(openedIn);
+        file.durable = file.bytes;
       }
 
       @Override
@@ -200,35 +202,35 @@
 
   @Override
   public void rename(String from, String to) throws IOException {
-    change(era);
-    Node node = names.remove(from);
-    if (node == null) {
+    beforeChange(generation);
+    FileContent file = names.remove(from);
+    if (file == null) {
       throw new FileNotFoundException(from);
     }
-    names.put(to, node);
-    changes.add(
+    names.put(to, file);
+    unsyncedChanges.add(
         map -> {
-          if (map.remove(from, node)) {
-            map.put(to, node);
+          if (map.remove(from, file)) {
+            map.put(to, file);
           }
         });
   }
 
   @Override
   public void delete(String name) throws IOException {
-    change(era);
-    Node node = names.remove(name);
-    if (node != null) {
-      room += node.bytes.length;
-      changes.add(map -> map.remove(name, node));
+    beforeChange(generation);
+    FileContent file = names.remove(name);
+    if (file != null) {
+      freeBytes += file.bytes.length;
+      unsyncedChanges.add(map -> map.remove(name, file));
     }
   }
 
   @Override
   public void sync() throws IOException {
-    change(era);
-    lasting = new TreeMap<>(names);
-    changes.clear();
+    beforeChange(generation);
+    durableNames = new TreeMap<>(names);
+    unsyncedChanges.clear();
   }
 
   @Override
--- a/src/test/java/rosecleat/store/RecordStoreModelTest.java
+++ b/src/test/java/rosecleat/store/RecordStoreModelTest.java
@@ -46,7 +46,7 @@
 
     Run(long seed) throws IOException {
       disk = new FaultyDirectory(seed);
-      disk.shortReads = 0.2;
+      disk.shortReadRate = 0.2;
       random = new Random(seed);
       engine = new StorageEngine(disk, factory, MAX_BYTES, Recovery.run(disk, factory));
     }
@@ -58,11 +58,11 @@
         } else if (step < 70) {
           compact();
         } else if (step < 78) {
-          disk.failing = disk.failing > 0 ? 0 : 0.3;
+          disk.failureRate = disk.failureRate > 0 ? 0 : 0.3;
         } else if (step < 86) {
-          disk.room = limited() ? FaultyDirectory.PLENTY : random.nextInt(2_000);
+          disk.freeBytes = limited() ? FaultyDirectory.UNLIMITED : random.nextInt(2_000);
         } else if (step < 92) {
-          disk.crashAt = disk.calls + random.nextInt(12);
+          disk.powerLossAt = disk.changes + random.nextInt(12);
         } else {
           if (step < 96) {
             engine.close();
@@ -72,7 +72,7 @@
       } catch (FaultyDirectory.PowerLoss e) {
         restart();
       } catch (IOException e) {
-        assertTrue(disk.failing > 0 || limited(), "failed on a good disk: " + e);
+        assertTrue(disk.failureRate > 0 || limited(), "failed on a good disk: " + e);
       }
     }
 
@@ -102,13 +102,13 @@
     }
 
     private boolean limited() {
-      return disk.room < FaultyDirectory.PLENTY / 2;
+      return disk.freeBytes < FaultyDirectory.UNLIMITED / 2;
     }
 
     void restart() throws IOException {
       disk.restart();
-      disk.failing = 0;
-      disk.room = FaultyDirectory.PLENTY;
+      disk.failureRate = 0;
+      disk.freeBytes = FaultyDirectory.UNLIMITED;
       RecoveryReport found = Recovery.run(disk, factory);
       assertFalse(found.hasCorruption(), "a crash looks like damage: " + found.issues());
       List<String> lines = List.copyOf(TextLines.of(found));
--- a/src/test/java/rosecleat/store/RecordStoreTest.java
+++ b/src/test/java/rosecleat/store/RecordStoreTest.java
@@ -114,9 +114,9 @@
     FaultyDirectory disk = new FaultyDirectory(1);
     try (RecordStore store = open(disk)) {
       assertEquals(Optional.empty(), append(store, "kept"));
-      disk.room = 10;
+      disk.freeBytes = 10;
       assertTrue(append(store, "lost").orElseThrow().contains("ENOSPC"));
-      disk.room = FaultyDirectory.PLENTY;
+      disk.freeBytes = FaultyDirectory.UNLIMITED;
       Optional<String> fault = append(store, "again");
       while (fault.isPresent()) { // it is tried again after a pause
         Thread.sleep(10);
@@ -172,10 +172,10 @@
     Path file = Files.createFile(folder.resolve("file"));
     assertTrue(assertFails(file).contains("file"));
     FaultyDirectory broken = new FaultyDirectory(1);
-    broken.failing = 1;
+    broken.failureRate = 1;
     assertInstanceOf(
         OpenResult.Failed.class, RecordStore.open(broken, factory, LIMITS, events::add));
-    broken.failing = 0;
+    broken.failureRate = 0;
     open(broken).close(); // the lock was given back
   }
 
--- a/src/test/java/rosecleat/store/RecoveryTest.java
+++ b/src/test/java/rosecleat/store/RecoveryTest.java
@@ -172,7 +172,7 @@
     for (int at = 0; at < 90; at++) {
       for (int seed = 0; seed < 8; seed++) {
         FaultyDirectory disk = new FaultyDirectory(100L * at + seed);
-        disk.crashAt = at;
+        disk.powerLossAt = at;
         int acknowledged = 0;
         try (StorageEngine engine = engine(disk)) {
           for (int i = 0; i < 10; i++) {
