--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -1,137 +1,148 @@
 package rosecleat.core;
 
-import java.util.function.Consumer;
+import java.util.Optional;
 import java.util.function.LongSupplier;
 import rosecleat.log.Log;
-import rosecleat.policy.CallOutcome;
-import rosecleat.policy.PolicyCommand;
 import rosecleat.policy.PolicyEngine;
 import rosecleat.policy.PolicyEvent;
 
 /**
- * The life of every request, whatever wire it came by: it is held, run, called for and answered as
- * the module decides, and answered once. Knows no wire. For one thread.
+ * Coordinates all requests of a process, whatever protocol they came by: reports what happens to
+ * the policy, which decides, and has its commands executed. Each request gets exactly one response.
+ * For one thread; nothing here blocks.
  */
 public final class Core {
+  /** The longest time between two ticks (us). */
   private static final long TICK_US = 20_000;
-  private static final long EXPIRE_US = 1_000_000;
-  private static final double RECKON_US = 500_000;
 
-  private volatile CoreSettings rules;
-  private final PolicyEngine decisions;
-  private final DownstreamClient ledger;
+  /** How often expired idempotency keys and lost runs are looked for (us). */
+  private static final long EXPIRE_EVERY_US = 1_000_000;
+
+  private static final RequestHandle NOTHING_TO_CANCEL = () -> {};
+
+  private volatile CoreSettings settings;
+  private final PolicyEngine policy;
   private final LongSupplier clock;
   private final Counters counters;
   private final Log log;
-  private final Work work;
-  private Runner gauged;
-  private long lastSeq;
-  private long nextExpiry;
-  private long graceEndUs = Long.MAX_VALUE;
-  private boolean draining;
-  private boolean obeying;
-  private boolean good = true;
-  private boolean aside;
-  private double credit = Double.NaN;
-  private long idleUs;
-  private double busy;
-  private long reckonedUs;
-
-  /** A core that holds nothing yet, in the only process of its node. */
+  private final InFlightRequests requests = new InFlightRequests();
+  private final GracefulShutdown shutdown = new GracefulShutdown();
+  private final LoadEstimator loadEstimator = new LoadEstimator();
+  private final RequestCloser closer;
+  private final IdempotentAttempts attempts;
+  private final DownstreamCalls calls;
+  private final Runs runs;
+  private final PolicyDriver policyDriver;
+  private Optional<Runner> gaugeSource = Optional.empty();
+  private boolean drainedByOperator;
+  private long lastSequence;
+  private long nextExpiryUs;
+
+  /** A core without requests, in the only process of its node. */
   public Core(
-      CoreSettings rules,
-      PolicyEngine decisions,
-      DownstreamClient ledger,
+      CoreSettings settings,
+      PolicyEngine policy,
+      DownstreamClient downstream,
       LongSupplier clock,
       Counters counters,
       Log log) {
-    this(rules, decisions, ledger, IdempotencyClaims.SINGLE_PROCESS, clock, counters, log);
+    this(settings, policy, downstream, IdempotencyClaims.SINGLE_PROCESS, clock, counters, log);
   }
 
-  /** A core that holds nothing yet, beside other processes of its node. */
+  /**
+   * A core without requests, beside other processes of its node.
+   *
+   * @param settings the settings until {@link #reconfigure}
+   * @param policy decides on requests; started by {@link #start}
+   * @param downstream makes the calls of runs
+   * @param claims the idempotency keys as the processes of this node share them
+   * @param clock the time in Unix microseconds; never goes back
+   * @param counters the counts that operators see
+   * @param log the log of this process
+   */
   public Core(
-      CoreSettings rules,
-      PolicyEngine decisions,
-      DownstreamClient ledger,
+      CoreSettings settings,
+      PolicyEngine policy,
+      DownstreamClient downstream,
       IdempotencyClaims claims,
       LongSupplier clock,
       Counters counters,
       Log log) {
-    this.rules = rules;
-    this.decisions = decisions;
-    this.ledger = ledger;
+    this.settings = settings;
+    this.policy = policy;
     this.clock = clock;
     this.counters = counters;
     this.log = log;
-    idleUs = rules.idleTimeoutUs();
-    work = new Work(rules, ledger, claims, clock, counters, log, this::report);
+    closer = new RequestCloser(requests, counters, this::report);
+    attempts = new IdempotentAttempts(settings, claims, closer, clock, counters);
+    calls = new DownstreamCalls(downstream, clock, counters, this::report);
+    runs = new Runs(requests, closer, attempts, calls, clock, counters, log);
+    policyDriver =
+        new PolicyDriver(settings, policy, requests, runs, calls, attempts, shutdown, clock, log);
   }
 
-  // ---- what fronts and the program ask
+  private void report(PolicyEvent event) {
+    policyDriver.report(event);
+  }
 
-  /** Whether the cores are up. */
+  /** Whether the core has started and accepts requests. */
   public boolean ready() {
-    return decisions.started();
+    return policy.started();
   }
 
-  /** What health checks are told: bad where the module or an operator says so. */
+  /** Whether health checks should succeed; the policy or an operator may say that they fail. */
   public boolean healthy() {
-    return good && !aside;
-  }
-
-  /**
-   * Operators send clients away, or take them again. Only health checks follow it: whatever still
-   * comes is run and answered as ever.
-   */
-  public void setDrainedByOperator(boolean away) {
-    if (away != aside) {
-      aside = away;
-      counters.add(away ? "operators.drains" : "operators.activations");
-      log.info(
-          away
-              ? "an operator sends clients away: health checks are answered as bad"
-              : "an operator takes clients again: health checks are answered as good");
-    }
+    return policyDriver.healthy() && !drainedByOperator;
   }
 
-  /** The value that goes with answers; not a number while there is none. */
+  /** The load advice that goes with responses; not a number while there is none. */
   public double loadAdvice() {
-    return credit;
+    return policyDriver.loadAdvice();
   }
 
-  /** How long connections may stay unused. */
+  /** How long connections may stay unused, in microseconds. */
   public long idleTimeoutUs() {
-    return idleUs;
+    return policyDriver.idleTimeoutUs();
   }
 
-  /** The longest time that the rules give a request (us). */
+  /** The longest timeout of any class, in microseconds. */
   public long maxTimeoutUs() {
-    return rules.maxTimeoutUs();
+    return settings.maxTimeoutUs();
   }
 
-  /** Requests whose answer is owed, and runs that go on. */
+  /** How many requests are in flight: their response is awaited, or their run has not ended. */
   public int inFlight() {
-    return work.size();
+    return requests.size();
   }
 
-  /** Requests whose answer is owed. */
+  /** How many requests' response is awaited. */
   public long awaitingResponse() {
-    return work.all().stream().filter(InFlightRequest::owed).count();
+    return requests.count(InFlightRequest::awaitingResponse);
   }
 
-  /** Whether the notice to leave has come. */
+  /** Whether the node has begun to shut down. */
   public boolean draining() {
-    return draining;
+    return shutdown.begun();
   }
 
-  /** Whether the time within which arrivals may still be run is over. */
+  /** Whether the time is over within which requests that arrive during a shutdown still run. */
   public boolean gracePeriodOver() {
-    return clock.getAsLong() > graceEndUs;
+    return shutdown.gracePeriodOverAt(clock.getAsLong());
   }
 
-  /** Whether each run of a class stands still at a call before it ends. */
-  public boolean callsDownstream(int klass) {
-    return rules.classes().get(klass).callsDownstream();
+  /** Whether each run of a class pauses for a downstream call before it ends. */
+  public boolean callsDownstream(int classIndex) {
+    return settings.classes().get(classIndex).callsDownstream();
+  }
+
+  /** Whether a request in flight has this position of a class. */
+  public boolean classInUse(int classIndex) {
+    return requests.any(request -> request.request().classIndex() == classIndex);
+  }
+
+  /** Whether a request in flight has this position of a tenant. */
+  public boolean tenantInUse(int tenantIndex) {
+    return requests.any(request -> request.request().tenantIndex() == tenantIndex);
   }
 
   /** The counts of this core. */
@@ -139,297 +150,244 @@
     return counters;
   }
 
-  /** Whether a request in hand goes by a number of a class. */
-  public boolean classInUse(int klass) {
-    return work.all().stream().anyMatch(life -> life.request.classIndex() == klass);
+  /**
+   * An operator drains this node, or takes it back into service. Only health checks follow:
+   * requests that still arrive are served as ever.
+   */
+  public void setDrainedByOperator(boolean drained) {
+    if (drained == drainedByOperator) {
+      return;
+    }
+    drainedByOperator = drained;
+    counters.add(drained ? "operators.drains" : "operators.activations");
+    log.info(
+        drained
+            ? "an operator sends clients away: health checks are answered as bad"
+            : "an operator takes clients again: health checks are answered as good");
   }
 
-  /** Whether a request in hand goes by a number of a tenant. */
-  public boolean tenantInUse(int tenant) {
-    return work.all().stream().anyMatch(life -> life.request.tenantIndex() == tenant);
+  /** Applies other settings from now on. Requests in flight keep the class they came with. */
+  public void reconfigure(CoreSettings updated) {
+    settings = updated;
+    attempts.reconfigure(updated);
+    policyDriver.reconfigure(updated);
   }
 
-  // ---- what happens
+  /**
+   * Starts the core where no runner has gauges: the load is estimated.
+   *
+   * @param cold whether the runners have just started and are slow at first
+   * @param startedAgoUs how long ago the runners came up, in microseconds
+   */
+  public void start(boolean cold, long startedAgoUs) {
+    gaugeSource = Optional.empty();
+    startPolicy(cold, startedAgoUs);
+  }
 
-  /** Other rules from now on. What is in hand keeps the class it came with. */
-  public void reconfigure(CoreSettings fresh) {
-    rules = fresh;
-    work.use(fresh);
+  /** Starts the core; {@code gauges} is asked for gauges at each tick. May be repeated. */
+  public void start(Runner gauges, boolean cold, long startedAgoUs) {
+    gaugeSource = Optional.of(gauges);
+    startPolicy(cold, startedAgoUs);
   }
 
-  /**
-   * The cores are up, since some time; {@code runner} is the one to ask for gauges, null for none.
-   */
-  public void start(Runner runner, boolean cold, long tookUs) {
-    gauged = runner;
-    if (!decisions.started()
-        && !draining) { // told to leave before the cores were up, it takes up nothing
-      decisions.start(clock.getAsLong() - Math.max(0, tookUs), cold);
-      obey();
+  private void startPolicy(boolean cold, long startedAgoUs) {
+    if (policy.started() || shutdown.begun()) { // notified before it started, it accepts nothing
+      return;
     }
+    policy.start(clock.getAsLong() - Math.max(0, startedAgoUs), cold);
+    policyDriver.executeCommands();
   }
 
-  /** Takes in a request; its answer comes by its front. Returns the handle to withdraw it with. */
-  public RequestHandle submit(Request request) {
+  /**
+   * Submits a request. Its response comes through its responder, perhaps before this returns.
+   *
+   * @return the handle to cancel the request with
+   */
+  public RequestHandle submit(Request submitted) {
     counters.add("requests");
     long now = clock.getAsLong();
-    RequestClass klass = rules.classes().get(request.classIndex());
-    long waitUs = request.timeoutUs() > 0 ? request.timeoutUs() : klass.timeoutUs();
-    InFlightRequest life =
-        new InFlightRequest(
-            ++lastSeq, request, klass, tenant(request), request.arrivedAtUs() + waitUs);
-    if (!decisions.started()) {
-      work.answer(life, new Response.Rejected(0, false));
-      return () -> {};
+    InFlightRequest request = accepted(submitted);
+    if (!policy.started()) {
+      closer.respond(request, Response.rejected());
+      return NOTHING_TO_CANCEL;
     }
-    FailureReason wrong = work.take(life);
-    if (wrong != null) {
-      work.answer(life, Work.failed(Progress.NOT_SENT, wrong, FailureCause.CALLER));
-      return () -> {};
+    Optional<FailureReason> conflict = conflict(request);
+    if (conflict.isPresent()) {
+      closer.respond(
+          request, Response.failed(Progress.NOT_SENT, conflict.get(), FailureCause.CALLER));
+      return NOTHING_TO_CANCEL;
     }
-    long leftUs = Math.max(1, life.dueUs - now);
-    report(
-        new PolicyEvent.Arrived(
-            life.seq,
-            request.classIndex(),
-            request.tenantIndex(),
-            request.readKey(),
-            leftUs,
-            request.memoryKb(),
-            request.rank(),
-            request.retry(),
-            klass.idempotent(),
-            request.callerId(),
-            Math.max(0, now - request.arrivedAtUs()),
-            work.original(life)));
-    return () -> gone(life);
-  }
-
-  private String tenant(Request request) {
-    return request.tenantIndex() < rules.tenants().size()
-        ? rules.tenants().get(request.tenantIndex())
+    requests.add(request);
+    report(arrival(request, now));
+    return () -> cancel(request);
+  }
+
+  private InFlightRequest accepted(Request request) {
+    RequestClass requestClass = settings.classes().get(request.classIndex());
+    long timeoutUs = request.timeoutUs() > 0 ? request.timeoutUs() : requestClass.timeoutUs();
+    return new InFlightRequest(
+        ++lastSequence,
+        request,
+        requestClass,
+        tenantName(request),
+        request.arrivedAtUs() + timeoutUs);
+  }
+
+  private String tenantName(Request request) {
+    return request.tenantIndex() < settings.tenants().size()
+        ? settings.tenants().get(request.tenantIndex())
         : "";
   }
 
-  private void gone(InFlightRequest life) {
-    if (!life.owed()) {
+  private Optional<FailureReason> conflict(InFlightRequest request) {
+    if (requests.contains(request.id())) {
+      return Optional.of(FailureReason.DUPLICATE_REQUEST_ID);
+    }
+    return attempts.conflicts(request)
+        ? Optional.of(FailureReason.IDEMPOTENCY_KEY_CONFLICT)
+        : Optional.empty();
+  }
+
+  private PolicyEvent arrival(InFlightRequest arrived, long nowUs) {
+    Request request = arrived.request();
+    return new PolicyEvent.Arrived(
+        arrived.sequence(),
+        request.classIndex(),
+        request.tenantIndex(),
+        request.readKey(),
+        Math.max(1, arrived.deadlineUs() - nowUs),
+        request.memoryKb(),
+        request.rank(),
+        request.retry(),
+        arrived.idempotent(),
+        request.callerId(),
+        Math.max(0, nowUs - request.arrivedAtUs()),
+        attempts.originalSequence(arrived));
+  }
+
+  private void cancel(InFlightRequest request) {
+    if (!request.awaitingResponse()) {
       return;
     }
     counters.add("gone");
-    life.gone();
-    if (life.atCall()) {
-      work.release(life);
+    request.callerGone();
+    if (request.pausedForCall()) {
+      runs.abandonCall(request);
     }
-    boolean waited = life.state == RequestState.HELD || life.state == RequestState.ATTACHED;
-    report(new PolicyEvent.Cancelled(life.seq));
-    if (waited) {
-      work.over(life);
+    boolean hasNoRun = request.is(RequestState.QUEUED) || request.is(RequestState.AWAITING_RESULT);
+    report(new PolicyEvent.Cancelled(request.sequence()));
+    if (hasNoRun) {
+      closer.close(request);
     }
   }
 
-  /** A run has ended. */
-  public void runEnded(String id, RunResult end, byte[] result, long tookUs) {
-    InFlightRequest life = work.of(id);
-    if (life == null || !life.ran || life.state == RequestState.HELD) {
-      return;
-    }
-    counters.add("runs." + end.counterSuffix());
-    if (life.state == RequestState.CALLING) {
-      ledger.cancel(id);
-    }
-    switch (end) {
-      case OK -> work.done(life, result, tookUs);
-      case FAILED -> work.broken(life, Progress.RAN, FailureReason.RUN_FAILED, tookUs);
-      case INTERRUPTED ->
-          work.broken(life, Progress.MAY_HAVE_RUN, FailureReason.RUN_INTERRUPTED, tookUs);
-      case UNREACHABLE -> work.unreached(life, tookUs);
-      case CANCELLED -> work.halted(life, tookUs);
-      case NOT_STARTED -> work.moot(life, tookUs);
-    }
+  /** A run has ended without a result; ignored if the core knows of no such run. */
+  public void runEnded(String id, RunResult result, long durationUs) {
+    runEnded(id, result, null, durationUs);
   }
 
-  /** A run stands still until its call is made or left out. */
-  public void callRequested(String id, long notice, byte[] body) {
-    InFlightRequest life = work.of(id);
-    if (life == null || life.state != RequestState.RUNNING) {
-      return;
-    }
-    counters.add("wants");
-    life.state = RequestState.AT_CALL;
-    life.notice = notice;
-    life.callBody = body;
-    report(new PolicyEvent.NeedsCall(life.seq));
+  /**
+   * A run has ended; ignored if the core knows of no such run.
+   *
+   * @param id the request's id
+   * @param result how the run ended
+   * @param output the result for the caller; used with {@link RunResult#OK} only
+   * @param durationUs how long the run took, in microseconds
+   */
+  public void runEnded(String id, RunResult result, byte[] output, long durationUs) {
+    requests.find(id).ifPresent(request -> runs.ended(request, result, output, durationUs));
   }
 
-  /** A call below has ended; the reply comes with {@link CallResult#OK} only. */
-  public void callEnded(String id, CallResult end, byte[] reply) {
-    InFlightRequest life = work.of(id);
-    if (life == null || life.state != RequestState.CALLING) {
-      return;
-    }
-    counters.add("calls." + end.counterSuffix());
-    long took = clock.getAsLong() - life.calledUs;
-    if (end == CallResult.OK) {
-      life.state = RequestState.RUNNING;
-      life.request.runner().completeCall(id, reply);
-    } else {
-      life.state = RequestState.AT_CALL;
-    }
-    report(new PolicyEvent.Called(life.seq, outcome(end), took));
+  /**
+   * A run is paused until its downstream call is made or skipped.
+   *
+   * @param id the request's id
+   * @param callNumber the runner's number of the call, for {@link Runner#skipCall}
+   * @param body the body of the call
+   */
+  public void callRequested(String id, long callNumber, byte[] body) {
+    requests.find(id).ifPresent(request -> calls.requested(request, callNumber, body));
+  }
+
+  /** A downstream call has ended without a reply. */
+  public void callEnded(String id, CallResult result) {
+    callEnded(id, result, null);
   }
 
-  private static CallOutcome outcome(CallResult end) {
-    return switch (end) {
-      case OK -> CallOutcome.OK;
-      case REJECTED -> CallOutcome.REJECTED;
-      case FAILED -> CallOutcome.FAILED;
-      case TIMED_OUT -> CallOutcome.TIMEOUT;
-      case UNREACHABLE -> CallOutcome.UNREACHABLE;
-      case INTERRUPTED -> CallOutcome.RESET;
-    };
+  /** A downstream call has ended; its reply is used with {@link CallResult#OK} only. */
+  public void callEnded(String id, CallResult result, byte[] reply) {
+    requests.find(id).ifPresent(request -> calls.ended(request, result, reply));
   }
 
-  /** The gauges have come. */
+  /** The gauges that were requested from the runner have been received. */
   public void gaugesReceived(double[] values) {
-    if (decisions.started()) {
+    if (policy.started()) {
       report(new PolicyEvent.GaugesRead(values));
     }
   }
 
-  /** A runner did not carry out an order for a request: its run can't be relied on. */
-  public void commandRejected(String id, boolean start) {
-    InFlightRequest life = work.of(id);
+  /** A runner has rejected the start of a run, which therefore never executed. */
+  public void startRejected(String id) {
     counters.add("nacks");
-    if (life == null || !life.ran || life.state == RequestState.HELD) {
-      return;
-    }
-    if (start) {
-      runEnded(id, RunResult.UNREACHABLE, null, 0);
-    } else if (life.state == RequestState.RUNNING) {
-      work.stop(life); // it waits for what will not come
-    }
+    runEnded(id, RunResult.UNREACHABLE, 0);
+  }
+
+  /** A runner has rejected what a paused run waits for: the run can't go on and is cancelled. */
+  public void resumeRejected(String id) {
+    counters.add("nacks");
+    requests.find(id).filter(request -> request.is(RequestState.RUNNING)).ifPresent(runs::cancel);
   }
 
   /**
-   * The notice to leave, which came at a time by the Unix clock, if it is heard only now; {@code
-   * leftUs} are left.
+   * Begins a graceful shutdown.
+   *
+   * @param notifiedUs when the notice came, in Unix microseconds, if it is handled only now
+   * @param remainingUs how long until the process is stopped, in microseconds
    */
-  public void drain(long toldUs, long leftUs) {
-    if (draining) {
+  public void drain(long notifiedUs, long remainingUs) {
+    if (shutdown.begun()) {
       return;
     }
-    draining = true;
-    good = false;
-    graceEndUs = toldUs + rules.gracePeriodUs();
-    if (decisions.started()) {
-      report(new PolicyEvent.Draining(leftUs));
+    shutdown.begin(notifiedUs, settings.gracePeriodUs());
+    policyDriver.setUnhealthy();
+    if (policy.started()) {
+      report(new PolicyEvent.Draining(remainingUs));
     }
   }
 
-  /** Answers whatever is still owed: the last thing before the end. */
-  public void respondToAll(FailureReason why) {
-    for (InFlightRequest life : work.all()) {
-      work.answer(
-          life,
-          life.ran
-              ? Work.failed(life.progress(), why, FailureCause.TIME)
-              : new Response.Rejected(0, false));
+  /** Responds to all requests whose response is awaited: the last step of a shutdown. */
+  public void respondToAll(FailureReason reason) {
+    for (InFlightRequest request : requests.snapshot()) {
+      closer.respond(
+          request,
+          request.mayHaveRun()
+              ? Response.failed(request.progress(), reason, FailureCause.TIME)
+              : Response.rejected());
     }
   }
 
-  /** Runs what is due by the clock; returns when to call again. */
+  /**
+   * Does what is due by the clock. Returns when to call again at the latest, in Unix microseconds.
+   */
   public long tick() {
     long now = clock.getAsLong();
-    if (!decisions.started()) {
+    if (!policy.started()) {
       return now + TICK_US;
     }
-    if (now >= nextExpiry) {
-      work.expire();
-      nextExpiry = now + EXPIRE_US;
-    }
-    work.lookElsewhere();
-    long next = decisions.tick(now);
-    obey();
-    if (gauged != null) {
-      gauged.requestGauges();
-    } else {
-      reckon(now);
+    if (now >= nextExpiryUs) {
+      attempts.expire(now);
+      runs.expireLost(now);
+      nextExpiryUs = now + EXPIRE_EVERY_US;
     }
-    return Math.min(next, now + TICK_US);
+    attempts.pollPeerRuns();
+    long nextUs = policy.tick(now);
+    policyDriver.executeCommands();
+    gaugeSource.ifPresentOrElse(Runner::requestGauges, () -> estimateLoad(now));
+    return Math.min(nextUs, now + TICK_US);
   }
 
-  /**
-   * Stands in for gauges where no runtime has any: all runs are elsewhere, each taken for one busy
-   * core.
-   */
-  private void reckon(long now) {
-    long running = work.running();
-    double part = Math.min(1, (now - reckonedUs) / RECKON_US);
-    busy += part * (Math.min(1, (double) running / rules.cores()) - busy);
-    reckonedUs = now;
-    report(new PolicyEvent.LoadMeasured(busy, running));
-  }
-
-  // ---- orders
-
-  private void report(PolicyEvent report) {
-    decisions.handle(clock.getAsLong(), report);
-    obey();
-  }
-
-  /**
-   * Carries out orders until there are none; those that come of it are carried out in their turn.
-   */
-  private void obey() {
-    if (obeying) {
-      return;
-    }
-    obeying = true;
-    try {
-      for (PolicyCommand order = decisions.nextCommand();
-          order != null;
-          order = decisions.nextCommand()) {
-        obey(order);
-      }
-    } finally {
-      obeying = false;
-    }
-  }
-
-  private void obey(PolicyCommand order) {
-    if (order instanceof PolicyCommand.Run o) {
-      with(o.id(), life -> work.run(life, life.request.arrivedAtUs() > graceEndUs));
-    } else if (order instanceof PolicyCommand.Reject o) {
-      with(o.id(), life -> work.refuse(life, o.retryAfterUs(), o.noRetry()));
-    } else if (order instanceof PolicyCommand.Fail o) {
-      with(o.id(), work::fail);
-    } else if (order instanceof PolicyCommand.Cancel o) {
-      with(o.id(), work::stop);
-    } else if (order instanceof PolicyCommand.Call o) {
-      with(o.id(), life -> work.call(life, o.untilUs()));
-    } else if (order instanceof PolicyCommand.SkipCall o) {
-      with(o.id(), work::skip);
-    } else if (order instanceof PolicyCommand.RememberKey o) {
-      with(o.id(), life -> work.keep(life, o.forUs()));
-    } else if (order instanceof PolicyCommand.ForgetKey o) {
-      with(o.id(), work::forget);
-    } else if (order instanceof PolicyCommand.ReplayResult o) {
-      with(o.id(), work::reuse);
-    } else if (order instanceof PolicyCommand.SetHealth o) {
-      good = o.healthy();
-    } else if (order instanceof PolicyCommand.SetLoadAdvice o) {
-      credit = o.value();
-    } else if (order instanceof PolicyCommand.SetIdleTimeout o) {
-      idleUs = o.timeoutUs() > 0 ? o.timeoutUs() : rules.idleTimeoutUs();
-    } else if (order instanceof PolicyCommand.LogLine o) {
-      log.info(o.line());
-    }
-  }
-
-  private void with(long seq, Consumer<InFlightRequest> what) {
-    InFlightRequest life = work.of(seq);
-    if (life != null) { // an order that comes too late is no harm
-      what.accept(life);
-    }
+  private void estimateLoad(long nowUs) {
+    long running = requests.count(request -> request.is(RequestState.RUNNING));
+    report(loadEstimator.update(nowUs, running, settings.cores()));
   }
 }
--- a/src/main/java/rosecleat/core/IdempotencyTable.java
+++ b/src/main/java/rosecleat/core/IdempotencyTable.java
@@ -3,145 +3,58 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * What is known of keyed requests: which try ran, what came of it, and which tries wait for that.
- * Results are kept byte for byte, within a bound; where one had to go, later repeats fail rather
- * than run again.
+ * The idempotency keys in force. Results are cached byte for byte, within a bound; where one was
+ * evicted, later attempts fail rather than run again. For the core's thread.
  */
 final class IdempotencyTable {
-  /**
-   * What {@link #original} says of a key that another process runs: the number of no request here.
-   */
-  private static final long ELSEWHERE = Long.MAX_VALUE;
-
-  /** One request with all its tries. Without an owner it runs in another process. */
-  static final class Entry {
-    private final Key key;
-    private final byte[] digest;
-    private InFlightRequest owner;
-    private long untilUs;
-    private boolean ran;
-    private boolean ended;
-    private byte[] result;
-    private List<InFlightRequest> waiting = new ArrayList<>();
-
-    private Entry(Key key, byte[] digest) {
-      this.key = key;
-      this.digest = digest;
-    }
+  private final long maxResultBytes;
+  private final Map<IdempotencyKey, IdempotencyEntry> entries = new HashMap<>();
 
-    /** The result, or null while there is none or where there will be none. */
-    byte[] result() {
-      return result;
-    }
+  /** Entries with a result, oldest first. */
+  private final ArrayDeque<IdempotencyEntry> results = new ArrayDeque<>();
 
-    /** The key by its text, as other processes know it. */
-    String name() {
-      return key.name();
-    }
-
-    /** Whether anybody waits for its result. */
-    boolean awaited() {
-      return !waiting.isEmpty();
-    }
-
-    /** Whether the run has ended. */
-    boolean ended() {
-      return ended;
-    }
-  }
-
-  /** By names, which outlast the numbers of classes and tenants. */
-  private record Key(String kind, String tenant, String once) {
-    String name() {
-      return kind + '\0' + tenant + '\0' + once;
-    }
-  }
-
-  private long lateUs;
-  private final long resultBytes;
-  private final Map<Key, Entry> entries = new HashMap<>();
-  private final ArrayDeque<Entry> results = new ArrayDeque<>();
-  private long held;
-
-  /** A table that keeps so many bytes of results. */
-  IdempotencyTable(long resultBytes) {
-    this.resultBytes = resultBytes;
-  }
-
-  /** Lapsed entries are kept so much longer, for tries that are read late. */
-  void keepLate(long us) {
-    lateUs = us;
-  }
-
-  private static Key key(InFlightRequest life) {
-    return new Key(life.request.className(), life.tenant, life.request.idempotencyKey());
-  }
-
-  /** The entry that was in force when the request came to the machine, or null. */
-  Entry find(InFlightRequest life) {
-    Entry entry = entries.get(key(life));
-    return entry == null || life.request.arrivedAtUs() > entry.untilUs ? null : entry;
-  }
-
-  /** The number of the kept try that this one repeats, 0 for new work. */
-  long original(InFlightRequest life) {
-    Entry entry = find(life);
-    if (entry == null) {
-      return 0;
-    }
-    return entry.owner == null
-        ? ELSEWHERE
-        : entry.ran || entry.owner.state == RequestState.HELD ? entry.owner.seq : 0;
-  }
+  private long resultBytes;
+  private long retentionUs;
 
-  /** The key of a request, as other processes know it. */
-  static String name(InFlightRequest life) {
-    return key(life).name();
+  /** A table that caches so many bytes of results. */
+  IdempotencyTable(long maxResultBytes) {
+    this.maxResultBytes = maxResultBytes;
   }
 
-  /** Another process runs the request: its tries here wait for that. */
-  Entry elsewhere(InFlightRequest life, IdempotencyClaims.OwnedByPeer claim) {
-    Entry entry = new Entry(key(life), claim.digest());
-    entry.ran = true;
-    entry.untilUs = claim.untilUs();
-    Entry before = entries.put(entry.key, entry);
-    if (before != null) {
-      entry.waiting.addAll(before.waiting);
-      drop(before);
-    }
-    return entry;
+  /** Retains expired entries so much longer, for attempts that are read long after they arrived. */
+  void retainExpired(long durationUs) {
+    retentionUs = durationUs;
   }
 
-  /** The keys that other processes run and of which nothing more is known. */
-  List<Entry> elsewhere() {
-    return entries.values().stream().filter(entry -> entry.owner == null && !entry.ended).toList();
+  /** The entry that was in force when the request arrived at this machine. */
+  Optional<IdempotencyEntry> find(InFlightRequest request) {
+    return Optional.ofNullable(entries.get(IdempotencyKey.of(request)))
+        .filter(entry -> entry.inForceAt(request.request().arrivedAtUs()));
   }
 
-  /** The run of another process has ended. Returns those that waited for it. */
-  List<InFlightRequest> endedElsewhere(Entry entry, byte[] result, boolean neverRan) {
-    if (neverRan) {
-      entries.remove(entry.key);
-    }
-    return ended(entry, result);
+  /** The policy's number of the attempt that this one repeats; 0 for a new request. */
+  long originalSequence(InFlightRequest request) {
+    return find(request).map(IdempotencyEntry::originalSequence).orElse(0L);
   }
 
-  /** Whether a known request with this key carries another body: not a repeat but a mistake. */
-  boolean differs(InFlightRequest life) {
-    Entry entry = find(life);
-    return entry != null && !Arrays.equals(entry.digest, digest(life.request.body()));
+  /** Whether an earlier attempt with the same key carried a different body. */
+  boolean conflicts(InFlightRequest request) {
+    return find(request)
+        .filter(entry -> !Arrays.equals(entry.bodyDigest, digest(request.request().body())))
+        .isPresent();
   }
 
   /**
-   * Guards results against another body that is made to look the same: whoever sends it must not be
-   * served them.
+   * The digest of a body. Cryptographic, so that a body that is crafted to look like another one is
+   * not served its result.
    */
   static byte[] digest(byte[] body) {
     try {
@@ -151,96 +64,113 @@
     }
   }
 
-  /** Enters a try, or renews its entry; a try whose request ran stays in its place. */
-  void keep(InFlightRequest life, long untilUs) {
-    Key key = key(life);
-    Entry entry = entries.get(key);
-    if (entry == null || life.request.arrivedAtUs() > entry.untilUs) {
-      drop(entry);
-      entry = new Entry(key, digest(life.request.body()));
+  /** Enters an attempt, or extends its entry; an attempt that was started stays the owner. */
+  void remember(InFlightRequest request, long untilUs) {
+    IdempotencyKey key = IdempotencyKey.of(request);
+    IdempotencyEntry entry = entries.get(key);
+    if (entry == null || !entry.inForceAt(request.request().arrivedAtUs())) {
+      if (entry != null) {
+        evictResult(entry);
+      }
+      entry = new IdempotencyEntry(key, digest(request.request().body()), untilUs);
       entries.put(key, entry);
     }
-    if (!entry.ran) {
-      entry.owner = life;
-    }
-    entry.untilUs = Math.max(entry.untilUs, untilUs);
+    entry.offer(request);
+    entry.extend(untilUs);
   }
 
-  /** A try is about to run: its entry stays in force until {@code untilUs} at least. */
-  void running(InFlightRequest life, long untilUs) {
-    keep(life, untilUs);
-    entries.get(key(life)).ran = true;
+  /** An attempt is about to run: its key stays in force until a time at least. */
+  void startRun(InFlightRequest request, long untilUs) {
+    remember(request, untilUs);
+    entries.get(IdempotencyKey.of(request)).startRun();
   }
 
-  /** Takes out the entry of a try that never ran. */
-  void forget(InFlightRequest life) {
-    Entry entry = entries.get(key(life));
-    if (entry != null && entry.owner == life && !entry.ran) {
+  /** Removes the entry of an attempt that was not started. */
+  void forget(InFlightRequest request) {
+    IdempotencyEntry entry = entries.get(IdempotencyKey.of(request));
+    if (entry != null && entry.ownedBy(request) && !entry.runStarted()) {
       entries.remove(entry.key);
     }
   }
 
-  /**
-   * The run of a try is over, with its result or without (null). Returns those that waited for it.
-   */
-  List<InFlightRequest> ended(InFlightRequest life, byte[] result) {
-    Entry entry = entries.get(key(life));
-    return entry == null || entry.owner != life ? List.of() : ended(entry, result);
-  }
-
-  private List<InFlightRequest> ended(Entry entry, byte[] result) {
-    entry.ended = true;
-    if (result != null) {
-      entry.result = result;
-      results.add(entry);
-      held += result.length;
-      while (held > resultBytes) {
-        release(results.remove());
-      }
+  /** A peer process runs the request: attempts here wait for its result. */
+  IdempotencyEntry rememberPeerRun(InFlightRequest request, IdempotencyClaims.OwnedByPeer claim) {
+    IdempotencyEntry entry = IdempotencyEntry.ofPeer(IdempotencyKey.of(request), claim);
+    IdempotencyEntry replaced = entries.put(entry.key, entry);
+    if (replaced != null) {
+      entry.awaitWith(replaced);
+      evictResult(replaced);
     }
-    List<InFlightRequest> waited = entry.waiting;
-    entry.waiting = new ArrayList<>();
-    return waited;
+    return entry;
   }
 
-  /**
-   * The run of a try is proven never to have begun: forgets it, and returns those that waited for
-   * it.
-   */
-  List<InFlightRequest> neverRan(InFlightRequest life) {
-    Entry entry = entries.get(key(life));
-    if (entry == null || entry.owner != life) {
-      return List.of();
-    }
+  /** The keys that peer processes run and whose end is not known here. */
+  List<IdempotencyEntry> pendingPeerRuns() {
+    return entries.values().stream()
+        .filter(entry -> entry.runsOnPeerProcess() && !entry.runEnded())
+        .toList();
+  }
+
+  /** The run of a peer process never executed. Returns the attempts that waited for it. */
+  List<InFlightRequest> removePeerRun(IdempotencyEntry entry) {
     entries.remove(entry.key);
-    return entry.waiting;
+    return endRun(entry, Optional.empty());
+  }
+
+  /** The run of an attempt has ended. Returns the attempts that waited for it. */
+  List<InFlightRequest> endRun(InFlightRequest request, Optional<byte[]> result) {
+    return ownEntry(request).map(entry -> endRun(entry, result)).orElse(List.of());
+  }
+
+  /** The run of an entry has ended. Returns the attempts that waited for it. */
+  List<InFlightRequest> endRun(IdempotencyEntry entry, Optional<byte[]> result) {
+    entry.endRun(result);
+    if (result.isPresent()) {
+      cacheResult(entry);
+    }
+    return entry.takeWaiting();
+  }
+
+  /** The run of an attempt never executed. Returns the attempts that waited for it. */
+  List<InFlightRequest> removeRun(InFlightRequest request) {
+    Optional<IdempotencyEntry> own = ownEntry(request);
+    own.ifPresent(entry -> entries.remove(entry.key));
+    return own.map(IdempotencyEntry::takeWaiting).orElse(List.of());
   }
 
-  /** Lets a repeat wait for the end of the run. */
-  void wait(Entry entry, InFlightRequest life) {
-    entry.waiting.add(life);
+  private Optional<IdempotencyEntry> ownEntry(InFlightRequest request) {
+    return Optional.ofNullable(entries.get(IdempotencyKey.of(request)))
+        .filter(entry -> entry.ownedBy(request));
   }
 
-  /** Drops what no try can ask for any more. */
+  /** Removes the entries that no attempt can need any longer. */
   void expire(long nowUs) {
-    Iterator<Entry> all = entries.values().iterator();
-    while (all.hasNext()) {
-      Entry entry = all.next();
-      if (nowUs > entry.untilUs + lateUs && entry.waiting.isEmpty()) {
-        all.remove();
-        drop(entry);
+    Iterator<IdempotencyEntry> each = entries.values().iterator();
+    while (each.hasNext()) {
+      IdempotencyEntry entry = each.next();
+      if (nowUs > entry.expiresUs() + retentionUs && !entry.awaited()) {
+        each.remove();
+        evictResult(entry);
       }
     }
   }
 
-  private void drop(Entry entry) {
-    if (entry != null && results.remove(entry)) {
+  private void cacheResult(IdempotencyEntry entry) {
+    results.add(entry);
+    resultBytes += entry.resultBytes();
+    while (resultBytes > maxResultBytes) {
+      release(results.remove());
+    }
+  }
+
+  private void evictResult(IdempotencyEntry entry) {
+    if (results.remove(entry)) {
       release(entry);
     }
   }
 
-  private void release(Entry entry) {
-    held -= entry.result == null ? 0 : entry.result.length;
-    entry.result = null;
+  private void release(IdempotencyEntry entry) {
+    resultBytes -= entry.resultBytes();
+    entry.dropResult();
   }
 }
--- a/src/main/java/rosecleat/core/RequestState.java
+++ b/src/main/java/rosecleat/core/RequestState.java
@@ -1,17 +1,54 @@
 package rosecleat.core;
 
-/** Where a request stands. */
+import java.util.EnumSet;
+import java.util.Set;
+
+/**
+ * The states of a request in flight. Each transition is made by one method of {@link
+ * InFlightRequest}; any state may become {@link #CLOSED}.
+ *
+ * <pre>
+ * from             to               method           when
+ * ---------------  ---------------  ---------------  ---------------------------------------------
+ * QUEUED           RUNNING          startRun         the policy starts the run
+ * QUEUED           AWAITING_RESULT  awaitResult      the result of an earlier attempt will be reused
+ * RUNNING          CALL_REQUESTED   requestCall      the run pauses for its downstream call
+ * CALL_REQUESTED   CALLING          startCall        the policy makes the call
+ * CALL_REQUESTED   RUNNING          resumeRun        the call is skipped, or the run is abandoned
+ * CALLING          RUNNING          resumeRun        the call has a reply, or the run is abandoned
+ * CALLING          CALL_REQUESTED   callFailed       the policy decides whether to call again
+ * RUNNING,         QUEUED           requeue          the run was cancelled while its response was
+ * CALL_REQUESTED,                                    still awaited
+ * CALLING
+ * any              CLOSED           close            nothing of the request is left here
+ * </pre>
+ */
 enum RequestState {
-  /** Read and waiting. */
-  HELD,
-  /** Waiting for the result of another try. */
-  ATTACHED,
+  /** Accepted, and not running. */
+  QUEUED,
+  /** Waiting for the result of an earlier attempt with the same idempotency key. */
+  AWAITING_RESULT,
   /** Handed to its runner. */
   RUNNING,
-  /** Its run stands still at a call. */
-  AT_CALL,
-  /** The call is out. */
+  /** The run is paused until its downstream call is made or skipped. */
+  CALL_REQUESTED,
+  /** The run is paused and its downstream call is in progress. */
   CALLING,
-  /** Nothing of it is left here. */
-  OVER
+  /** Nothing of the request is left here. */
+  CLOSED;
+
+  /** Whether the table of transitions has one from this state to another. */
+  boolean canBecome(RequestState next) {
+    return next == CLOSED || successors().contains(next);
+  }
+
+  private Set<RequestState> successors() {
+    return switch (this) {
+      case QUEUED -> EnumSet.of(RUNNING, AWAITING_RESULT);
+      case RUNNING -> EnumSet.of(CALL_REQUESTED, QUEUED);
+      case CALL_REQUESTED -> EnumSet.of(CALLING, RUNNING, QUEUED);
+      case CALLING -> EnumSet.of(CALL_REQUESTED, RUNNING, QUEUED);
+      case AWAITING_RESULT, CLOSED -> EnumSet.noneOf(RequestState.class);
+    };
+  }
 }
--- a/src/main/java/rosecleat/core/Response.java
+++ b/src/main/java/rosecleat/core/Response.java
@@ -12,6 +12,16 @@
         new Failure(Progress.NOT_SENT, FailureReason.INVALID_REQUEST, detail), FailureCause.CALLER);
   }
 
+  /** The response to a request that failed. */
+  static Response failed(Progress progress, FailureReason reason, FailureCause cause) {
+    return new Failed(new Failure(progress, reason), cause);
+  }
+
+  /** A rejection that does not advise the caller when to retry. */
+  static Response rejected() {
+    return new Rejected(0, false);
+  }
+
   /** The result of the request's run, or of an earlier attempt with the same idempotency key. */
   record Completed(byte[] result) implements Response {}
 
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -46,7 +46,7 @@
     String operation = request.attributes().get(RunAttributes.OPERATION);
     Backend.Sample sample = samplesByOperation.get(operation);
     if (sample == null) { // the operation lost its example since the request arrived
-      loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, null, 0));
+      loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, 0));
       return;
     }
     Future<?> run = loop.schedule(sample.durationUs(), () -> complete(request.id(), sample));
@@ -58,7 +58,7 @@
     Future<?> run = runs.remove(id);
     if (run != null) {
       run.cancel(false);
-      loop.execute(() -> core.runEnded(id, RunResult.CANCELLED, null, 0));
+      loop.execute(() -> core.runEnded(id, RunResult.CANCELLED, 0));
     }
   }
 
--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -153,7 +153,7 @@
       boolean sent = call.line != null;
       counters.add(sent ? "index.late" : "index.unsent");
       drop(call);
-      core.callEnded(call.id, sent ? CallResult.TIMED_OUT : CallResult.UNREACHABLE, null);
+      core.callEnded(call.id, sent ? CallResult.TIMED_OUT : CallResult.UNREACHABLE);
     }
   }
 
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -155,7 +155,7 @@
     loop.execute(
         () -> {
           if (runtime == null) {
-            core.start(null, false, 0);
+            core.start(false, 0);
           } else {
             runtime.connect();
           }
--- a/src/main/java/rosecleat/runtime/RuntimeClient.java
+++ b/src/main/java/rosecleat/runtime/RuntimeClient.java
@@ -183,7 +183,7 @@
         request.idempotencyKey() == null || core.callsDownstream(request.classIndex());
     if (!send(request.id(), RuntimeCommandEncoder.start(request), repeatable)) {
       loop.execute( // reported like any other end, not inside this call
-          () -> core.runEnded(request.id(), RunResult.UNREACHABLE, null, 0));
+          () -> core.runEnded(request.id(), RunResult.UNREACHABLE, 0));
     }
   }
 
@@ -328,7 +328,7 @@
     if (body.isPresent()) {
       core.callRequested(message.runId(), message.sequence(), body.get());
     } else {
-      core.commandRejected(message.runId(), false); // the run waits for a call that can't be made
+      core.resumeRejected(message.runId()); // the run waits for a call that can't be made
     }
   }
 
@@ -357,7 +357,7 @@
       } else {
         counters.add("runtime.unproven");
         // ended now: nothing more will prove whether it runs
-        core.runEnded(runId, RunResult.INTERRUPTED, null, 0);
+        core.runEnded(runId, RunResult.INTERRUPTED, 0);
       }
     }
   }
@@ -369,8 +369,8 @@
     }
     commands.acknowledge(runId);
     switch (command) {
-      case "start" -> core.commandRejected(runId, true);
-      case "give", "omit" -> core.commandRejected(runId, false);
+      case "start" -> core.startRejected(runId);
+      case "give", "omit" -> core.resumeRejected(runId);
       default -> {
         // the cancellation of a run that has ended
       }
--- a/src/main/java/rosecleat/runtime/UnavailableRunner.java
+++ b/src/main/java/rosecleat/runtime/UnavailableRunner.java
@@ -22,7 +22,7 @@
 
   @Override
   public void start(Request request, long deadlineUs) {
-    loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, null, 0));
+    loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, 0));
   }
 
   @Override
--- a/src/test/java/rosecleat/core/CoreTest.java
+++ b/src/test/java/rosecleat/core/CoreTest.java
@@ -97,7 +97,7 @@
 
   private void start(long resultBytes) {
     core = fresh(resultBytes);
-    core.start(null, false, 0);
+    core.start(false, 0);
   }
 
   private Core fresh(long resultBytes) {
@@ -316,7 +316,7 @@
     assertTrue(core.healthy());
     core.drain(now, 3_000_000);
     assertTrue(!core.healthy());
-    core.start(null, false, 0);
+    core.start(false, 0);
     assertTrue(!core.healthy());
     assertInstanceOf(Response.Rejected.class, send(0, null, "x").only());
     assertEquals(0, starts());
--- a/src/test/java/rosecleat/front/resp/FrontendHarness.java
+++ b/src/test/java/rosecleat/front/resp/FrontendHarness.java
@@ -79,7 +79,7 @@
   }
 
   void startCore() {
-    runOnLoop(() -> core.start(null, false, 0));
+    runOnLoop(() -> core.start(false, 0));
   }
 
   void closeIdleConnections(boolean draining) {
