--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -6,6 +6,7 @@
 import java.util.Iterator;
 import java.util.Map;
 import java.util.Objects;
+import java.util.Optional;
 import java.util.function.LongSupplier;
 import rosecleat.core.CallResult;
 import rosecleat.core.Core;
@@ -19,43 +20,47 @@
 import rosecleat.net.EventLoop;
 
 /**
- * Calls to the shared index over a small pool of connections, one call on each at a time. Each
- * outcome is what is proven: a call that was not sent never ran, one whose reply was spoilt or cut
- * off may have.
+ * Calls the shared index over a small pool of connections, one call on each at a time. Each result
+ * states what is proven: a call that was not sent never ran, one whose reply was malformed or cut
+ * off may have. For the loop alone.
  */
-public final class IndexClient implements DownstreamClient, Line.Keeper {
-  private static final long DIAL_US = 1_000_000;
+public final class IndexClient implements DownstreamClient, IndexConnection.Listener {
+  private static final long CONNECT_TIMEOUT_US = 1_000_000;
 
-  /** So much after its time a call that got no reply is given up here (us). */
-  private static final long LATE_US = 30_000;
+  /** How long after its deadline a call without a reply is given up here (us). */
+  private static final long DEADLINE_MARGIN_US = 30_000;
 
   /**
-   * The index closes what is idle, at times early, or forgets it and resets it at the next call.
-   * From outside that reset is no other than one in place of a reply, so connections are not used
-   * again after so short a time (us).
+   * Connections that were idle for longer are not used again (us). The index closes idle
+   * connections, at times early, or forgets them and resets them at the next call; and that reset
+   * can't be told from one that takes the place of a reply.
    */
-  private static final long STALE_US = 250_000;
+  private static final long MAX_IDLE_US = 250_000;
 
-  /** Connections at the most until {@link #setMaxConnections} says otherwise. */
-  private static final int LINES = 32;
+  /** The most connections until {@link #setMaxConnections} says otherwise. */
+  private static final int DEFAULT_MAX_CONNECTIONS = 32;
 
   private final EventLoop loop;
   private final LongSupplier clock;
   private final Log log;
   private final Counters counters;
-  private final Map<String, Call> calls = new HashMap<>();
-  private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+  private final Map<String, PendingCall> calls = new HashMap<>();
 
-  /** Connections with no call, the last used first. */
-  private final ArrayDeque<Line> idle = new ArrayDeque<>();
+  /** Calls that were not sent, the oldest first. */
+  private final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
 
+  /** Connections without a call, the last used first. */
+  private final ArrayDeque<IndexConnection> idle = new ArrayDeque<>();
+
+  /** Null where there is no index. */
   private InetSocketAddress address;
+
   private Core core;
-  private int most = LINES;
-  private int lines;
-  private int dialling;
+  private int maxConnections = DEFAULT_MAX_CONNECTIONS;
+  private int openConnections;
+  private int connecting;
 
-  /** A client of the index at an address; null where there is none. */
+  /** Creates a client of the index at an address; null where there is none. */
   public IndexClient(
       EventLoop loop, InetSocketAddress address, LongSupplier clock, Counters counters, Log log) {
     this.loop = loop;
@@ -65,209 +70,224 @@
     this.log = log;
   }
 
-  /** Names who is told the outcomes. */
-  public void setCore(Core to) {
-    core = to;
+  /** Sets the core to which results are reported; to be called before the first call. */
+  public void setCore(Core newCore) {
+    core = newCore;
   }
 
-  /** The index is elsewhere from now on; calls that are out end where they were made. */
-  public void setAddress(InetSocketAddress to) {
-    if (!Objects.equals(to, address)) {
-      address = to;
-      while (!idle.isEmpty()) {
-        retire(idle.remove());
-      }
+  /** Changes the index's address, null for none; calls that were sent end where they are. */
+  public void setAddress(InetSocketAddress newAddress) {
+    if (Objects.equals(newAddress, address)) {
+      return;
+    }
+    address = newAddress;
+    while (!idle.isEmpty()) {
+      discard(idle.remove());
     }
   }
 
   /**
-   * So many connections may be open from now on; further calls wait for one. Those over it go as
-   * their calls end.
+   * Sets the most connections; further calls wait for one. Those beyond a lower maximum are closed
+   * as their calls end.
    */
-  public void setMaxConnections(int fresh) {
-    most = fresh;
-    dial();
+  public void setMaxConnections(int newMaximum) {
+    maxConnections = newMaximum;
+    openForWaitingCalls();
   }
 
   @Override
   public void call(String id, long untilUs, byte[] body) {
-    Call call = new Call(id, untilUs, body);
+    PendingCall call = new PendingCall(id, untilUs, body);
     calls.put(id, call);
     if (address == null) {
-      loop.execute(() -> over(call, CallResult.UNREACHABLE, null));
+      loop.execute(() -> complete(call, CallResult.UNREACHABLE));
       return;
     }
-    call.timer = loop.schedule(untilUs + LATE_US - clock.getAsLong(), () -> late(call));
-    Line line = unused(id);
-    if (line != null) {
-      send(line, call);
+    long timeoutUs = untilUs + DEADLINE_MARGIN_US - clock.getAsLong();
+    call.setTimeout(loop.schedule(timeoutUs, () -> timeOut(call)));
+    Optional<IndexConnection> connection = takeIdle(id);
+    if (connection.isPresent()) {
+      send(connection.get(), call);
     } else {
       waiting.add(call);
-      dial();
+      openForWaitingCalls();
     }
   }
 
   /**
-   * The connection used last, of those that are fresh and have not carried this request; null for
-   * none.
+   * Takes the connection used last, of those that were not idle for too long and have not carried
+   * this request; empty for none.
    */
-  private Line unused(String id) {
-    long oldest = clock.getAsLong() - STALE_US;
-    while (!idle.isEmpty() && idle.getLast().idleSinceUs() < oldest) {
-      retire(idle.removeLast());
+  private Optional<IndexConnection> takeIdle(String id) {
+    long oldestUs = clock.getAsLong() - MAX_IDLE_US;
+    while (!idle.isEmpty() && idle.getLast().idleSinceUs() < oldestUs) {
+      discard(idle.removeLast());
     }
-    for (Iterator<Line> each = idle.iterator(); each.hasNext(); ) {
-      Line line = each.next();
-      if (!line.carried(id) && !line.over()) {
+    for (Iterator<IndexConnection> each = idle.iterator(); each.hasNext(); ) {
+      IndexConnection connection = each.next();
+      if (!connection.carried(id) && !connection.exhausted()) {
         each.remove();
-        return line;
+        return Optional.of(connection);
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  /**
-   * Guards the proof that a call never ran: one that its connection did not take waits for another.
-   */
-  private void send(Line line, Call call) {
-    if (line.send(call, clock.getAsLong())) {
-      call.line = line;
+  /** Sends a call; one that its connection did not take never ran, and waits for another. */
+  private void send(IndexConnection connection, PendingCall call) {
+    if (connection.send(call, clock.getAsLong())) {
+      call.sentOn(connection);
       counters.add("index.calls");
     } else {
       counters.add("index.unsendable");
       waiting.addFirst(call);
-      dial();
+      openForWaitingCalls();
     }
   }
 
   @Override
   public void cancel(String id) {
-    Call call = calls.remove(id);
+    PendingCall call = calls.remove(id);
     if (call != null) {
-      drop(call);
+      abandon(call);
     }
   }
 
-  private void late(Call call) {
-    if (calls.remove(call.id, call)) {
-      boolean sent = call.line != null;
-      counters.add(sent ? "index.late" : "index.unsent");
-      drop(call);
-      core.callEnded(call.id, sent ? CallResult.TIMED_OUT : CallResult.UNREACHABLE);
+  private void timeOut(PendingCall call) {
+    if (!calls.remove(call.id(), call)) {
+      return;
     }
+    boolean sent = call.sent();
+    counters.add(sent ? "index.late" : "index.unsent");
+    abandon(call);
+    core.callEnded(call.id(), sent ? CallResult.TIMED_OUT : CallResult.UNREACHABLE);
   }
 
   /**
-   * Tells the index that nobody waits any more. The connection goes too: its reply may never come,
-   * or come late.
+   * Cancels a call at the index. Its connection goes too: the reply may never come, or come late.
    */
-  private void drop(Call call) {
-    stopTimer(call);
+  private void abandon(PendingCall call) {
+    call.cancelTimeout();
     waiting.remove(call);
-    if (call.line != null) {
+    if (call.sent()) {
       counters.add("index.stops");
-      retire(call.line);
+      discard(call.connection());
     }
   }
 
-  private void retire(Line line) {
-    lines--;
-    line.cancel();
-    dial();
+  private void discard(IndexConnection connection) {
+    openConnections--;
+    connection.cancel();
+    openForWaitingCalls();
   }
 
-  private static void stopTimer(Call call) {
-    if (call.timer != null) {
-      call.timer.cancel(false);
+  private void complete(PendingCall call, CallResult result) {
+    if (remove(call)) {
+      core.callEnded(call.id(), result);
     }
   }
 
-  private void over(Call call, CallResult end, byte[] reply) {
-    if (calls.remove(call.id, call)) {
-      stopTimer(call);
-      waiting.remove(call);
-      core.callEnded(call.id, end, reply);
+  /** Removes a call that gets its result; false where it has had one or was cancelled. */
+  private boolean remove(PendingCall call) {
+    if (!calls.remove(call.id(), call)) {
+      return false;
     }
+    call.cancelTimeout();
+    waiting.remove(call);
+    return true;
   }
 
-  // ---- connections
+  /** Opens connections for the calls that wait, up to the maximum. */
+  private void openForWaitingCalls() {
+    while (address != null
+        && connecting < waiting.size()
+        && openConnections + connecting < maxConnections) {
+      connecting++;
+      open(address);
+    }
+  }
 
-  /** Opens connections for the calls that wait, as far as there may be more. */
-  private void dial() {
-    while (address != null && dialling < waiting.size() && lines + dialling < most) {
-      dialling++;
-      InetSocketAddress to = address;
-      Connection.connect(
-          loop,
-          to,
-          DIAL_US,
-          ConnectionLimits.SMALL,
-          new ConnectHandler() {
-            @Override
-            public void connected(Connection fresh) {
-              dialling--;
-              counters.add("index.connections");
-              lines++;
-              Line line = new Line(fresh, to, IndexClient.this);
-              fresh.start(line);
-              free(line);
-            }
+  private void open(InetSocketAddress target) {
+    Connection.connect(
+        loop,
+        target,
+        CONNECT_TIMEOUT_US,
+        ConnectionLimits.SMALL,
+        new ConnectHandler() {
+          @Override
+          public void connected(Connection established) {
+            connecting--;
+            use(established, target);
+          }
 
-            @Override
-            public void failed(Failure failure) {
-              dialling--;
-              unreached(to, failure);
-            }
-          });
-    }
+          @Override
+          public void failed(Failure failure) {
+            connecting--;
+            connectFailed(target, failure);
+          }
+        });
+  }
+
+  private void use(Connection established, InetSocketAddress target) {
+    counters.add("index.connections");
+    openConnections++;
+    IndexConnection connection = new IndexConnection(established, target, this);
+    established.start(connection);
+    sendNextOrIdle(connection);
   }
 
   /**
-   * A refused connection proves that the call it was opened for never ran; where the index has
-   * moved, it is opened there.
+   * Ends the oldest waiting call: a failed connect proves that it never ran. Where the address has
+   * changed meanwhile, the call is tried there.
    */
-  private void unreached(InetSocketAddress to, Failure failure) {
-    if (to.equals(address) && !waiting.isEmpty()) {
+  private void connectFailed(InetSocketAddress target, Failure failure) {
+    if (target.equals(address) && !waiting.isEmpty()) {
       log.warn("the index is not reached: " + failure.message());
-      over(waiting.peek(), CallResult.UNREACHABLE, null);
+      complete(waiting.peek(), CallResult.UNREACHABLE);
     }
-    dial();
+    openForWaitingCalls();
   }
 
-  /** A connection can take a call: the one that has waited longest, if it may. */
-  private void free(Line line) {
-    if (line.over() || !line.to().equals(address) || lines > most) {
-      retire(line);
+  /** Gives a free connection the oldest waiting call that it may carry. */
+  private void sendNextOrIdle(IndexConnection connection) {
+    if (connection.exhausted()
+        || !connection.address().equals(address)
+        || openConnections > maxConnections) {
+      discard(connection);
       return;
     }
-    for (Iterator<Call> each = waiting.iterator(); each.hasNext(); ) {
-      Call call = each.next();
-      if (!line.carried(call.id)) {
+    for (Iterator<PendingCall> each = waiting.iterator(); each.hasNext(); ) {
+      PendingCall call = each.next();
+      if (!connection.carried(call.id())) {
         each.remove();
-        send(line, call);
+        send(connection, call);
         return;
       }
     }
-    line.idle(clock.getAsLong());
-    idle.addFirst(line);
+    connection.setIdleSince(clock.getAsLong());
+    idle.addFirst(connection);
   }
 
   @Override
-  public void replied(Line line, Call call, CallResult end, byte[] body) {
+  public void replied(
+      IndexConnection connection, PendingCall call, CallResult result, byte[] body) {
     counters.add("index.replies");
-    free(line);
-    over(call, end, body);
+    sendNextOrIdle(connection);
+    if (remove(call)) {
+      core.callEnded(call.id(), result, body);
+    }
   }
 
   @Override
-  public void lost(Line line, Call call, CallResult end, String why) {
-    lines--;
-    idle.remove(line);
-    if (call != null) {
+  public void lost(
+      IndexConnection connection, Optional<PendingCall> call, CallResult result, String reason) {
+    openConnections--;
+    idle.remove(connection);
+    if (call.isPresent()) {
       counters.add("index.lost");
-      log.warn("a call got no reply: " + why);
-      over(call, end, null);
+      log.warn("a call got no reply: " + reason);
+      complete(call.get(), result);
     }
-    dial();
+    openForWaitingCalls();
   }
 }
--- a/src/main/java/rosecleat/index/IndexConnection.java
+++ b/src/main/java/rosecleat/index/IndexConnection.java
@@ -4,6 +4,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
+import java.util.Optional;
 import java.util.Set;
 import rosecleat.core.CallResult;
 import rosecleat.core.Failure;
@@ -11,121 +12,139 @@
 import rosecleat.net.ConnectionHandler;
 
 /**
- * One connection to the index, with one call on it at a time: what spoils it costs no other call.
+ * One connection to the index, with one call on it at a time: what goes wrong on it affects no
+ * other call. For the loop alone.
  */
-final class Line implements ConnectionHandler {
-  /** What becomes of a line; told on the loop. */
-  interface Keeper {
-    /** The call ended with its reply. The line can take another one, unless it is {@link #over}. */
-    void replied(Line line, Call call, CallResult end, byte[] body);
+final class IndexConnection implements ConnectionHandler {
+  /** Receives what becomes of a connection, on the loop. */
+  interface Listener {
+    /**
+     * The call ended with its reply. The connection can carry another one, unless it is {@link
+     * #exhausted}.
+     */
+    void replied(IndexConnection connection, PendingCall call, CallResult result, byte[] body);
 
     /**
-     * The line is of no more use; its call, null where it had none, came to no reply that can be
-     * read.
+     * The connection has ended without a readable reply to its call.
+     *
+     * @param call the call it carried; empty for none
      */
-    void lost(Line line, Call call, CallResult end, String why);
+    void lost(
+        IndexConnection connection, Optional<PendingCall> call, CallResult result, String reason);
   }
 
-  /** Calls after which a line is given up: so many ids are remembered. */
-  private static final int MOST_CALLS = 200;
+  /** Bounds the ids that are remembered. */
+  private static final int MAX_CALLS = 200;
 
-  /** Replies to others in front of the one that is waited for; more than that is noise. */
-  private static final int MOST_STRANGE = 8;
+  /** The most replies with other ids before the one that is awaited. */
+  private static final int MAX_UNEXPECTED_REPLIES = 8;
 
   private final Connection connection;
-  private final InetSocketAddress to;
-  private final Keeper keeper;
-  private final Replies replies = new Replies();
-  private final Set<String> carried = new HashSet<>();
-  private Call call;
+  private final InetSocketAddress address;
+  private final Listener listener;
+  private final ReplyParser replies = new ReplyParser();
+  private final Set<String> carriedIds = new HashSet<>();
+
+  /** The call whose reply is awaited; null for none. */
+  private PendingCall call;
+
   private long idleSinceUs;
-  private int strange;
-  private boolean over;
+  private int unexpectedReplies;
+  private boolean ended;
 
-  Line(Connection connection, InetSocketAddress to, Keeper keeper) {
+  IndexConnection(Connection connection, InetSocketAddress address, Listener listener) {
     this.connection = connection;
-    this.to = to;
-    this.keeper = keeper;
+    this.address = address;
+    this.listener = listener;
   }
 
-  /** Where it leads. */
-  InetSocketAddress to() {
-    return to;
+  /** Returns the address to which it is connected. */
+  InetSocketAddress address() {
+    return address;
   }
 
   /**
-   * Whether it can take no further call; also where its connection has ended and that is still to
-   * be told.
+   * Returns whether it can carry no further call; also where it has ended and the listener has not
+   * been notified yet.
    */
-  boolean over() {
-    return over || connection.isClosed() || carried.size() >= MOST_CALLS;
+  boolean exhausted() {
+    return ended || connection.isClosed() || carriedIds.size() >= MAX_CALLS;
   }
 
   /**
-   * Whether a call of this request was made here before. Guards against its late or second reply
-   * being taken for the reply to another call of the same request.
+   * Returns whether it carried a call of this request before: a late or second reply to that one
+   * could be taken for the reply to another call of the same request.
    */
   boolean carried(String id) {
-    return carried.contains(id);
+    return carriedIds.contains(id);
   }
 
-  /** When it became idle. */
   long idleSinceUs() {
     return idleSinceUs;
   }
 
-  void idle(long nowUs) {
+  void setIdleSince(long nowUs) {
     idleSinceUs = nowUs;
   }
 
-  /** Sends a call; false where the connection has ended and not a byte of it was sent. */
-  boolean send(Call next, long nowUs) {
-    long leftMs = Math.max(1, (next.untilUs - nowUs) / 1000);
-    byte[] head = bytes("GET " + next.id + " " + leftMs + " " + next.body.length + "\r\n");
-    if (!connection.write(
-        ByteBuffer.allocate(head.length + next.body.length + 2)
-            .put(head)
-            .put(next.body)
-            .put((byte) '\r')
-            .put((byte) '\n')
-            .flip())) {
+  /** Sends a call; false, with no byte sent, where the connection has ended. */
+  boolean send(PendingCall next, long nowUs) {
+    if (!connection.write(encode(next, nowUs))) {
       return false;
     }
     call = next;
-    strange = 0;
-    carried.add(next.id);
+    unexpectedReplies = 0;
+    carriedIds.add(next.id());
     return true;
   }
 
-  /** Gives up its call, and the line with it: a reply that crosses finds nobody. */
+  private static ByteBuffer encode(PendingCall call, long nowUs) {
+    long leftMs = Math.max(1, (call.untilUs() - nowUs) / 1000);
+    byte[] body = call.body();
+    byte[] head = ascii("GET " + call.id() + " " + leftMs + " " + body.length + "\r\n");
+    return ByteBuffer.allocate(head.length + body.length + 2)
+        .put(head)
+        .put(body)
+        .put((byte) '\r')
+        .put((byte) '\n')
+        .flip();
+  }
+
+  /** Cancels its call and closes it; a reply that is in flight is dropped. */
   void cancel() {
-    over = true;
+    ended = true;
     if (call == null) {
-      connection.abort(
-          "unused"); // nothing is under way that a slow close would save, and descriptors are few
+      connection.abort("unused"); // nothing is in flight, and descriptors are few
       return;
     }
-    connection.write(ByteBuffer.wrap(bytes("STOP " + call.id + "\r\n")));
+    connection.write(ByteBuffer.wrap(ascii("STOP " + call.id() + "\r\n")));
     call = null;
     connection.closeGracefully();
   }
 
   @Override
   public void received(ByteBuffer bytes) {
-    replies.take(bytes);
-    for (Replies.Reply reply = replies.next(); reply != null && !over; reply = replies.next()) {
-      if (call != null && reply.id().equals(call.id)) {
-        Call done = call;
-        call = null;
-        keeper.replied(this, done, reply.end(), reply.body());
-      } else if (++strange > MOST_STRANGE) {
-        end(CallResult.FAILED, "the index sent too much that nobody asked for");
-      }
+    replies.append(bytes);
+    Optional<ReplyParser.Reply> reply = replies.next();
+    while (reply.isPresent() && !ended) {
+      handleReply(reply.get());
+      reply = replies.next();
+    }
+    if (replies.malformed()) {
+      end(CallResult.FAILED, "the index sent what is no reply"); // the call ran, its reply is lost
+    }
+  }
+
+  private void handleReply(ReplyParser.Reply reply) {
+    if (call != null && reply.id().equals(call.id())) {
+      PendingCall completed = call;
+      call = null;
+      listener.replied(this, completed, reply.result(), reply.body());
+      return;
     }
-    if (replies.spoilt()) {
-      end(
-          CallResult.FAILED,
-          "the index sent what is no reply"); // the call has run, but what came of it is lost
+    unexpectedReplies++;
+    if (unexpectedReplies > MAX_UNEXPECTED_REPLIES) {
+      end(CallResult.FAILED, "the index sent too much that nobody asked for");
     }
   }
 
@@ -134,18 +153,18 @@
     end(CallResult.INTERRUPTED, failure.message());
   }
 
-  private void end(CallResult end, String why) {
-    if (over) {
+  private void end(CallResult result, String reason) {
+    if (ended) {
       return;
     }
-    over = true;
-    Call lost = call;
+    ended = true;
+    Optional<PendingCall> lost = Optional.ofNullable(call);
     call = null;
-    connection.abort(why);
-    keeper.lost(this, lost, end, why);
+    connection.abort(reason);
+    listener.lost(this, lost, result, reason);
   }
 
-  private static byte[] bytes(String text) {
+  private static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 }
--- a/src/main/java/rosecleat/index/ReplyParser.java
+++ b/src/main/java/rosecleat/index/ReplyParser.java
@@ -2,87 +2,105 @@
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
+import java.util.Optional;
 import rosecleat.core.CallResult;
 import rosecleat.net.LineBuffer;
 import rosecleat.net.TextSyntax;
 
 /**
- * The replies of one connection, cut out of its bytes. Strict: a reply that is not exactly as the
- * protocol has it spoils the stream, as nothing behind it can be relied on.
+ * Parses the replies of one connection. Strict: a reply that is not exactly as the protocol has it
+ * makes the stream malformed, as nothing behind it can be relied on. For the loop alone.
  */
-final class Replies {
-  /** One whole reply; the body comes with {@link CallResult#OK} only. */
-  record Reply(String id, CallResult end, byte[] body) {}
+final class ReplyParser {
+  /** One complete reply; the body is null but for {@link CallResult#OK}. */
+  record Reply(String id, CallResult result, byte[] body) {}
 
-  /** A body that no honest index sends: results have 4 KiB at the most. */
-  static final int LONGEST_BODY = 64 << 10;
+  /** The longest body that is accepted; results have 4 KiB at the most. */
+  static final int MAX_BODY_BYTES = 64 << 10;
 
-  private static final int LONGEST_LINE = 64;
+  private static final int MAX_LINE_BYTES = 64;
+  private static final int ID_DIGITS = 16;
+  private static final int MAX_LENGTH_DIGITS = 6;
 
-  private final LineBuffer bytes = new LineBuffer(LONGEST_BODY + 2 + LONGEST_LINE);
+  /** CR LF behind a body. */
+  private static final int BODY_END_BYTES = 2;
+
+  private final LineBuffer buffer =
+      new LineBuffer(MAX_BODY_BYTES + BODY_END_BYTES + MAX_LINE_BYTES);
+
+  /** The id of the reply whose body is read. */
   private String id;
-  private int length = -1;
-  private boolean spoilt;
 
-  /** Takes all that has come. */
-  void take(ByteBuffer more) {
-    spoilt |= !bytes.append(more);
+  /** The length of the body that is read; -1 between replies. */
+  private int bodyLength = -1;
+
+  private boolean malformed;
+
+  /** Appends received bytes. */
+  void append(ByteBuffer bytes) {
+    malformed |= !buffer.append(bytes);
   }
 
-  /** Whether what came is no reply; nothing more is read then. */
-  boolean spoilt() {
-    return spoilt;
+  /** Returns whether the bytes are no reply; nothing more is parsed then. */
+  boolean malformed() {
+    return malformed;
   }
 
-  /** The next whole reply, null where there is none or the stream is spoilt. */
-  Reply next() {
-    if (spoilt) {
-      return null;
+  /** Returns the next complete reply; empty where there is none or the stream is malformed. */
+  Optional<Reply> next() {
+    if (malformed) {
+      return Optional.empty();
     }
-    if (length < 0) {
-      String line = bytes.readLine();
-      if (line == null || line.length() > LONGEST_LINE) {
-        spoilt = line != null || bytes.size() > LONGEST_LINE;
-        return null;
+    if (bodyLength < 0) {
+      String line = buffer.readLine();
+      if (line == null || line.length() > MAX_LINE_BYTES) {
+        malformed = line != null || buffer.size() > MAX_LINE_BYTES;
+        return Optional.empty();
       }
-      Reply reply = head(line.split(" ", -1));
-      if (reply != null || spoilt) {
+      Optional<Reply> reply = parseHead(line.split(" ", -1));
+      if (reply.isPresent() || malformed) {
         return reply;
       }
     }
-    byte[] body = bytes.readBlock(length + 2);
-    if (body == null) {
-      return null;
-    }
-    spoilt = body[length] != '\r' || body[length + 1] != '\n';
-    Reply reply = spoilt ? null : new Reply(id, CallResult.OK, Arrays.copyOf(body, length));
-    length = -1;
-    return reply;
+    return readBody();
   }
 
   /**
-   * Reads the first line: a reply without a body, or null with the length of the body noted or the
-   * stream spoilt.
+   * Parses the first line of a reply. Returns a reply without a body; otherwise empty, with the
+   * length of the body noted or the stream malformed.
    */
-  private Reply head(String[] words) {
+  private Optional<Reply> parseHead(String[] words) {
     id = words[0];
-    boolean hit = words.length == 3 && words[1].equals("HIT");
-    CallResult end =
-        words.length != 2
-            ? null
-            : switch (words[1]) {
-              case "SHED" -> CallResult.REJECTED;
-              case "NOBODY" -> CallResult.UNREACHABLE;
-              case "BROKEN" -> CallResult.FAILED;
-              case "SLOW" -> CallResult.TIMED_OUT;
-              default -> null;
-            };
-    if (hit) {
-      length = (int) TextSyntax.parseNumber(words[2], 6);
+    boolean validId = TextSyntax.isLowerHex(id, ID_DIGITS, ID_DIGITS);
+    if (words.length == 3 && words[1].equals("HIT")) {
+      bodyLength = (int) TextSyntax.parseNumber(words[2], MAX_LENGTH_DIGITS);
+      malformed = !validId || bodyLength < 0 || bodyLength > MAX_BODY_BYTES;
+      return Optional.empty();
+    }
+    Optional<CallResult> result =
+        words.length == 2 ? resultWithoutBody(words[1]) : Optional.empty();
+    malformed = !validId || result.isEmpty();
+    return malformed ? Optional.empty() : Optional.of(new Reply(id, result.get(), null));
+  }
+
+  private static Optional<CallResult> resultWithoutBody(String word) {
+    return switch (word) {
+      case "SHED" -> Optional.of(CallResult.REJECTED);
+      case "NOBODY" -> Optional.of(CallResult.UNREACHABLE);
+      case "BROKEN" -> Optional.of(CallResult.FAILED);
+      case "SLOW" -> Optional.of(CallResult.TIMED_OUT);
+      default -> Optional.empty();
+    };
+  }
+
+  private Optional<Reply> readBody() {
+    byte[] block = buffer.readBlock(bodyLength + BODY_END_BYTES);
+    if (block == null) {
+      return Optional.empty();
     }
-    spoilt =
-        !TextSyntax.isLowerHex(id, 16, 16)
-            || (hit ? length < 0 || length > LONGEST_BODY : end == null);
-    return spoilt || hit ? null : new Reply(id, end, null);
+    malformed = block[bodyLength] != '\r' || block[bodyLength + 1] != '\n';
+    byte[] body = Arrays.copyOf(block, bodyLength);
+    bodyLength = -1;
+    return malformed ? Optional.empty() : Optional.of(new Reply(id, CallResult.OK, body));
   }
 }
