--- a/src/main/java/rosecleat/cli/CheckCommand.java
+++ b/src/main/java/rosecleat/cli/CheckCommand.java
@@ -12,10 +12,10 @@
 
   @Override
   public int run(Invocation invocation) throws IOException {
-    ProcessConfig setup = options.readSetup(invocation.environment());
-    String verdict = "the configuration of " + setup.node().name() + " can be used";
-    if (setup.broker() != null) {
-      verdict += ", and so can its " + setup.broker().operations().size() + " contracts";
+    ProcessConfig config = options.readConfig(invocation.environment());
+    String verdict = "the configuration of " + config.node().name() + " can be used";
+    if (config.broker().isPresent()) {
+      verdict += ", and so can its " + config.broker().get().operations().size() + " contracts";
     }
     invocation.print(verdict);
     return SUCCESS;
--- a/src/main/java/rosecleat/cli/Command.java
+++ b/src/main/java/rosecleat/cli/Command.java
@@ -16,8 +16,8 @@
   /**
    * Executes the command.
    *
-   * @return the exit code of the process, or {@link rosecleat.node.NodeProcess#GOES_ON} where the
-   *     process keeps running
+   * @return the exit code of the process, or {@link rosecleat.node.NodeProcess#KEEPS_RUNNING} where
+   *     the process keeps running
    * @throws IOException where input or output fails; its message becomes the error line
    * @throws rosecleat.config.ConfigException where a configuration cannot be used
    */
--- a/src/main/java/rosecleat/cli/Main.java
+++ b/src/main/java/rosecleat/cli/Main.java
@@ -29,7 +29,7 @@
     InputStream input = new FileInputStream(FileDescriptor.in);
     OutputStream output = new FileOutputStream(FileDescriptor.out);
     int exitCode = run(args, System.getenv(), input, output);
-    if (exitCode != NodeProcess.GOES_ON) {
+    if (exitCode != NodeProcess.KEEPS_RUNNING) {
       System.exit(exitCode);
     }
   }
@@ -37,7 +37,7 @@
   /**
    * Runs a command with this environment and these streams; errors go to {@link System#err}.
    *
-   * @return the exit code, or {@link NodeProcess#GOES_ON} where the process keeps running
+   * @return the exit code, or {@link NodeProcess#KEEPS_RUNNING} where the process keeps running
    */
   public static int run(
       String[] args, Map<String, String> environment, InputStream input, OutputStream output) {
--- a/src/main/java/rosecleat/cli/NodeOptions.java
+++ b/src/main/java/rosecleat/cli/NodeOptions.java
@@ -3,6 +3,7 @@
 import com.beust.jcommander.Parameter;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.BrokerConfigReader;
 import rosecleat.config.ConfigException;
@@ -31,7 +32,7 @@
    *
    * @throws ConfigException where a file is missing or cannot be used
    */
-  ProcessConfig readSetup(Map<String, String> environment) {
+  ProcessConfig readConfig(Map<String, String> environment) {
     NodeConfig node = readNodeConfig(environment);
     return new ProcessConfig(node, readBrokerConfig(node));
   }
@@ -44,15 +45,15 @@
         : NodeConfigReader.fromEnvironment(environment);
   }
 
-  /** The configuration of the uwsgi front; null where the node has none. */
-  private BrokerConfig readBrokerConfig(NodeConfig node) {
+  /** The configuration of the uwsgi front; empty where the node has none. */
+  private Optional<BrokerConfig> readBrokerConfig(NodeConfig node) {
     if (brokerFile != null) {
-      return BrokerConfigReader.read(Path.of(brokerFile), node.settings());
+      return Optional.of(BrokerConfigReader.read(Path.of(brokerFile), node.settings()));
     }
     if (node.runtimeAddress() == null) {
       throw ConfigException.invalid(
           "the configuration", "names no runtime, and there is no broker's file");
     }
-    return null;
+    return Optional.empty();
   }
 }
--- a/src/main/java/rosecleat/cli/ServeCommand.java
+++ b/src/main/java/rosecleat/cli/ServeCommand.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import rosecleat.node.NodeProcess;
 
 /** {@code serve}: starts a node, which keeps running after the command returns. */
@@ -20,15 +21,15 @@
   public int run(Invocation invocation) throws IOException {
     Map<String, String> environment = invocation.environment();
     return NodeProcess.start(
-        options.readSetup(environment),
-        () -> options.readSetup(environment),
+        options.readConfig(environment),
+        () -> options.readConfig(environment),
         sharedFolder(environment),
         options.countersEverySeconds());
   }
 
-  /** The folder that all processes of a node share; null where none is named. */
-  private static Path sharedFolder(Map<String, String> environment) {
+  /** The folder that all processes of a node share; empty where none is named. */
+  private static Optional<Path> sharedFolder(Map<String, String> environment) {
     String folder = environment.get(SHARED_FOLDER_VARIABLE);
-    return folder == null || folder.isBlank() ? null : Path.of(folder);
+    return folder == null || folder.isBlank() ? Optional.empty() : Optional.of(Path.of(folder));
   }
 }
--- a/src/main/java/rosecleat/node/ConfigReloader.java
+++ b/src/main/java/rosecleat/node/ConfigReloader.java
@@ -1,23 +1,24 @@
 package rosecleat.node;
 
 import java.lang.reflect.Proxy;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import rosecleat.config.ConfigException;
 import rosecleat.log.Log;
 
 /**
- * SIGHUP: the configuration is read anew and checked whole, and takes effect or changes nothing.
- * Without a handler the virtual machine ends on this signal.
+ * Reads the configuration again on SIGHUP. It is checked as a whole, and then takes effect or
+ * changes nothing. Without a handler the virtual machine would end on this signal.
  */
 final class ConfigReloader {
   private final Supplier<ProcessConfig> reader;
   private final Log log;
   private ProcessConfig inForce;
-  private Consumer<ProcessConfig> taker;
-  private boolean early;
+  private Optional<Consumer<ProcessConfig>> listener = Optional.empty();
+  private boolean signalledEarly;
 
-  /** Reloads by a reader that throws {@link ConfigException} for a file that can't be used. */
+  /** Reloads by a reader that throws {@link ConfigException} for files that cannot be used. */
   ConfigReloader(ProcessConfig inForce, Supplier<ProcessConfig> reader, Log log) {
     this.inForce = inForce;
     this.reader = reader;
@@ -25,30 +26,28 @@
   }
 
   /**
-   * Takes the signal from now on; one that comes before {@link #tell} is made up for there. The one
-   * way to a handler for signals is a class of the module jdk.unsupported; it is called by its name
-   * because the compiler warns of every plain use, and here warnings are errors.
+   * Handles the signal from now on; one that arrives before {@link #setListener} is made up for
+   * there. Only a class of the module jdk.unsupported can handle signals. It is called by its name,
+   * since the compiler warns of every plain use, and warnings are errors here.
    */
   void install() {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object taking =
+      Object reloading =
           Proxy.newProxyInstance(
               handler.getClassLoader(),
               new Class<?>[] {handler},
               (self, method, args) -> {
-                reload(); // its only method is handle(Signal); nobody compares or prints a handler
+                reload(); // the only method is handle(Signal); nobody compares or prints a handler
                 return null;
               });
-      Object before =
+      Object previous =
           signal
               .getMethod("handle", signal, handler)
-              .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), taking);
-      if (before
-          == handler
-              .getField("SIG_IGN")
-              .get(null)) { // the virtual machine leaves it so: nohup's children never hear it
+              .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), reloading);
+      // a signal that is ignored from the start, as under nohup, stays ignored
+      if (previous == handler.getField("SIG_IGN").get(null)) {
         log.warn(
             "SIGHUP is ignored, as whoever started this process left it: it can't be told to"
                 + " reload");
@@ -58,32 +57,32 @@
     }
   }
 
-  /** Names who is told of a new configuration. */
-  synchronized void tell(Consumer<ProcessConfig> to) {
-    taker = to;
-    if (early) {
+  /** Sets who takes a changed configuration. */
+  synchronized void setListener(Consumer<ProcessConfig> consumer) {
+    listener = Optional.of(consumer);
+    if (signalledEarly) {
       reload();
     }
   }
 
   /**
-   * Reads the file again, on the signal's own thread and one signal after the other, so that the
-   * last file read is the one in force. A file that can't be used changes nothing.
+   * Reads the files again. This runs on the thread of the signal, one signal after the other, so
+   * that the files read last are in force.
    */
   synchronized void reload() {
-    if (taker == null) {
-      early = true;
+    if (listener.isEmpty()) {
+      signalledEarly = true;
       return;
     }
     ProcessConfig fresh;
     try {
       fresh = reader.get();
-      fresh.checkAfter(inForce);
+      fresh.requireAdoptableAfter(inForce);
     } catch (ConfigException e) {
       log.warn("told to reload, but the old configuration stays: " + e.getMessage());
       return;
     }
     inForce = fresh;
-    taker.accept(fresh);
+    listener.get().accept(fresh);
   }
 }
--- a/src/main/java/rosecleat/node/EstimatePersistence.java
+++ b/src/main/java/rosecleat/node/EstimatePersistence.java
@@ -1,5 +1,6 @@
 package rosecleat.node;
 
+import java.util.Optional;
 import java.util.function.LongSupplier;
 import rosecleat.config.BrokerConfig;
 import rosecleat.core.Counters;
@@ -10,10 +11,10 @@
 /** Keeps what the policy has learned from one process of a node to the next. For the event loop. */
 interface EstimatePersistence {
   /** Starts to open the folder that a broker's file names, where it names one. */
-  static EstimatePersistence of(BrokerConfig broker, Log log) {
-    return broker == null || broker.state() == null
+  static EstimatePersistence of(Optional<BrokerConfig> broker, Log log) {
+    return broker.isEmpty() || broker.get().state() == null
         ? new NoEstimatePersistence()
-        : new StatePersistence(broker.state(), log);
+        : new StatePersistence(broker.get().state(), log);
   }
 
   /** Hands stored estimates to a policy once they are read, and stores what it learns. */
--- a/src/main/java/rosecleat/node/Frontends.java
+++ b/src/main/java/rosecleat/node/Frontends.java
@@ -1,52 +1,73 @@
 package rosecleat.node;
 
 import java.io.IOException;
+import java.util.Optional;
 import rosecleat.front.resp.RespFrontend;
 import rosecleat.front.uwsgi.UwsgiFrontend;
 
-/** Both fronts of a node as one; {@code uwsgi} is null where there is no second one. */
-record Frontends(RespFrontend resp, UwsgiFrontend uwsgi) {
+/**
+ * The RESP front and the uwsgi front of a node, opened and closed together. For the event loop.
+ *
+ * <p>The uwsgi front is asked for with {@code isPresent} instead of a method reference: that would
+ * load its class in nodes without one.
+ *
+ * @param resp the front for balancers
+ * @param uwsgi the uwsgi front; empty where the node has none
+ */
+record Frontends(RespFrontend resp, Optional<UwsgiFrontend> uwsgi) {
+  /** Starts to listen on all addresses. */
   void listen() throws IOException {
     resp.listen();
-    if (uwsgi != null) {
-      uwsgi.listen();
+    if (uwsgi.isPresent()) {
+      uwsgi.get().listen();
+    }
+  }
+
+  /** Puts a changed configuration in force for requests that arrive from now on. */
+  void reconfigure(NodeParts parts) {
+    resp.reconfigure(parts.settings.requestCatalog(parts.runner));
+    if (uwsgi.isPresent()) {
+      uwsgi.get().reconfigure(parts.settings.broker().orElseThrow());
     }
   }
 
   /**
-   * Accepts what waits and then nothing more, once no connection has come for so long; true when
-   * none can come.
+   * Closes the listeners once no connection has arrived for some time, and uwsgi connections on
+   * which nothing of a request has arrived for as long.
+   *
+   * @return whether both listeners are closed
    */
-  boolean stopListening(long quietUs) {
-    boolean shut =
-        resp.closeListenerWhenQuiet(quietUs)
-            & (uwsgi == null || uwsgi.closeListenerWhenQuiet(quietUs));
-    closeIdle(quietUs);
-    return shut;
+  boolean closeListenersWhenQuiet(long quietUs) {
+    boolean respClosed = resp.closeListenerWhenQuiet(quietUs);
+    boolean uwsgiClosed = uwsgi.isEmpty() || uwsgi.get().closeListenerWhenQuiet(quietUs);
+    closeSilentConnections(quietUs);
+    return respClosed && uwsgiClosed;
   }
 
-  /** Accepts what waits, and then nothing more; true when none can come any more. */
-  boolean handOver() {
-    return resp.closeListenerWhenEmpty() & (uwsgi == null || uwsgi.closeListenerWhenEmpty());
+  /** Closes each listener as soon as no connection waits at it; returns whether both are closed. */
+  boolean closeListenersWhenEmpty() {
+    boolean respClosed = resp.closeListenerWhenEmpty();
+    boolean uwsgiClosed = uwsgi.isEmpty() || uwsgi.get().closeListenerWhenEmpty();
+    return respClosed && uwsgiClosed;
   }
 
-  /** Closes the second front's connections on which nothing of a request has come for so long. */
-  void closeIdle(long quietUs) {
-    if (uwsgi != null) {
-      uwsgi.closeSilentConnections(quietUs);
+  /** Closes uwsgi connections on which nothing of a request has arrived for some time. */
+  void closeSilentConnections(long quietUs) {
+    if (uwsgi.isPresent()) {
+      uwsgi.get().closeSilentConnections(quietUs);
     }
   }
 
-  /** Ends every connection in order, as soon as nothing is owed on it. */
-  void closeAll() {
+  /** Closes every connection as soon as it awaits no response. */
+  void closeConnections() {
     resp.closeConnections();
-    if (uwsgi != null) {
-      uwsgi.closeConnections();
+    if (uwsgi.isPresent()) {
+      uwsgi.get().closeConnections();
     }
   }
 
-  /** Connections that are open. */
-  int open() {
-    return resp.openConnections() + (uwsgi == null ? 0 : uwsgi.openConnections());
+  /** Returns the number of open connections. */
+  int openConnections() {
+    return resp.openConnections() + (uwsgi.isPresent() ? uwsgi.get().openConnections() : 0);
   }
 }
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -5,10 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.function.IntPredicate;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.NamedSettings;
+import rosecleat.config.NodeConfig;
 import rosecleat.core.CoreSettings;
 import rosecleat.core.NameIndex;
 import rosecleat.core.RequestClass;
@@ -72,7 +74,7 @@
    */
   List<Integer> update(ProcessConfig fresh, IntPredicate classInUse, IntPredicate tenantInUse) {
     config = fresh;
-    start = fresh.broker() == null ? fresh.node().settings() : fresh.broker().settings();
+    start = fresh.broker().isPresent() ? fresh.broker().get().settings() : fresh.node().settings();
     int ownClasses =
         fresh.node().settings().classNames().size(); // those of contracts come after them
     List<IndexedClass> indexed = new ArrayList<>();
@@ -108,7 +110,7 @@
   /** Where instances elsewhere do all work, the limit on running requests starts at their sum. */
   private PolicySettings settingsWithCapacity() {
     OptionalInt ownCapacity =
-        config.broker() == null ? OptionalInt.empty() : config.broker().localCapacity();
+        config.broker().isPresent() ? config.broker().get().localCapacity() : OptionalInt.empty();
     return ownCapacity.isEmpty()
         ? start.policy()
         : start.policy().withCores(Math.max(1, ownCapacity.getAsInt() + instanceCapacity));
@@ -158,11 +160,6 @@
     return new ClassAndTenantNames(classes.names(), tenants.names());
   }
 
-  /** Returns the node's name. */
-  String nodeName() {
-    return config.node().name();
-  }
-
   /** Returns the settings of each class in force, by the name under which estimates are stored. */
   Map<String, PriorityClass> classSettings() {
     Map<String, PriorityClass> settings = new HashMap<>();
@@ -185,15 +182,18 @@
     return quotas;
   }
 
-  /** Returns the broker's configuration by indices; null where there is none. */
-  BrokerConfig broker() {
-    if (config.broker() == null) {
-      return null;
+  /** Returns the node's configuration in force. */
+  NodeConfig nodeConfig() {
+    return config.node();
+  }
+
+  /** Returns the broker's configuration in force, by indices; empty where there is none. */
+  Optional<BrokerConfig> broker() {
+    if (config.broker().isEmpty()) {
+      return Optional.empty();
     }
-    return config
-        .broker()
-        .withIndexes(
-            classKeys.stream().map(classes::of).toList(),
-            start.tenantNames().stream().map(tenants::of).toList());
+    List<Integer> classIndexes = classKeys.stream().map(classes::of).toList();
+    List<Integer> tenantIndexes = start.tenantNames().stream().map(tenants::of).toList();
+    return Optional.of(config.broker().get().withIndexes(classIndexes, tenantIndexes));
   }
 }
--- a/src/main/java/rosecleat/node/InstancePools.java
+++ b/src/main/java/rosecleat/node/InstancePools.java
@@ -1,7 +1,6 @@
 package rosecleat.node;
 
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -12,52 +11,51 @@
 import rosecleat.pool.InstancePool;
 import rosecleat.routes.Instance;
 
-/** The instances of all services as runs are given places at them. For the loop. */
+/** A pool of instances for each service in the routes in force. For the event loop. */
 final class InstancePools implements InstanceBalancer {
   private final String zone;
   private final SplittableRandom random = new SplittableRandom();
   private final Map<String, InstancePool> pools = new HashMap<>();
-  private Runnable changed = () -> {};
+  private Runnable capacityListener = () -> {};
 
   InstancePools(String zone) {
     this.zone = zone;
   }
 
-  /** Who hears that there are other places now. */
-  void tell(Runnable of) {
-    changed = of;
-    of.run();
+  /** Runs a task now and whenever the capacity may have changed. */
+  void onCapacityChange(Runnable task) {
+    capacityListener = task;
+    task.run();
   }
 
-  /** What the table says from now on; what is out stays where it is. */
-  void use(Map<String, Map<String, Instance>> services) {
-    services
-        .keySet()
-        .forEach(
-            service -> pools.computeIfAbsent(service, s -> new InstancePool(zone, random.split())));
-    pools.forEach(
-        (service, pool) -> {
-          List<InstancePool.InstanceSpec> listed = new ArrayList<>();
-          services
-              .getOrDefault(service, Map.of())
-              .forEach(
-                  (name, i) ->
-                      listed.add(
-                          new InstancePool.InstanceSpec(
-                              name,
-                              i.host(),
-                              i.port(),
-                              i.zone(),
-                              i.weight(),
-                              i.capacity(),
-                              i.state() == Instance.State.ON)));
-          pool.update(listed);
-        });
-    changed.run();
+  /** Puts a table in force; leases that are held stay where they are. */
+  void update(Map<String, Map<String, Instance>> services) {
+    for (String service : services.keySet()) {
+      pools.computeIfAbsent(service, name -> new InstancePool(zone, random.split()));
+    }
+    pools.forEach((service, pool) -> pool.update(specs(services.getOrDefault(service, Map.of()))));
+    capacityListener.run();
+  }
+
+  private static List<InstancePool.InstanceSpec> specs(Map<String, Instance> instances) {
+    return instances.entrySet().stream()
+        .map(entry -> spec(entry.getKey(), entry.getValue()))
+        .toList();
   }
 
-  /** Requests that all instances work on at once. */
-  int places() {
+  private static InstancePool.InstanceSpec spec(String name, Instance instance) {
+    return new InstancePool.InstanceSpec(
+        name,
+        instance.host(),
+        instance.port(),
+        instance.zone(),
+        instance.weight(),
+        instance.capacity(),
+        instance.state() == Instance.State.ON);
+  }
+
+  /** Returns how many requests all instances work on at once. */
+  int capacity() {
     return pools.values().stream().mapToInt(InstancePool::capacity).sum();
   }
 
@@ -70,22 +68,21 @@
   @Override
   public Optional<Lease> lease(LeaseRequest request, long nowUs) {
     InstancePool pool = pools.get(request.service());
-    InstancePool.PooledInstance place = pool == null ? null : pool.acquire(1);
-    if (place == null) {
+    InstancePool.PooledInstance instance = pool == null ? null : pool.acquire(1);
+    if (instance == null) {
       return Optional.empty();
     }
-    InetSocketAddress at = new InetSocketAddress(place.host(), place.port());
-    return Optional.of(
-        new Lease() {
-          @Override
-          public InetSocketAddress address() {
-            return at;
-          }
+    InetSocketAddress address = new InetSocketAddress(instance.host(), instance.port());
+    return Optional.of(new PoolLease(pool, instance, address));
+  }
 
-          @Override
-          public void release(RunResult result, long durationUs, int responseBytes) {
-            pool.release(place, 1);
-          }
-        });
+  /** A lease of one slot at an instance. */
+  private record PoolLease(
+      InstancePool pool, InstancePool.PooledInstance instance, InetSocketAddress address)
+      implements Lease {
+    @Override
+    public void release(RunResult result, long durationUs, int responseBytes) {
+      pool.release(instance, 1);
+    }
   }
 }
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -15,99 +15,104 @@
 import rosecleat.runtime.RuntimeMessageWarmup;
 
 /**
- * Lives of made-up requests, played in memory before a node listens. Guards its first callers: code
- * that runs for the first time is interpreted, and a node that is still compiling answers late and
- * is out of credit for a second or two. Everything it touches is thrown away.
+ * Plays whole requests in memory before a node listens, so that the virtual machine compiles the
+ * code that serves them. A node whose code is still interpreted responds late to its first clients
+ * and grants them too little for a second or two. Nothing of it outlives the warm-up.
  */
 final class JitWarmup {
-  private static final int REQUESTS = 2_000;
-  private static final long LONGEST_NS = 800_000_000;
-  private static final long STEP_US = 5_000;
+  private static final int MAX_REQUESTS = 2_000;
+  private static final long MAX_DURATION_NS = 800_000_000;
+
+  /** The virtual time between two requests (us). */
+  private static final long REQUEST_INTERVAL_US = 5_000;
+
+  /** When the virtual time starts (us of the Unix clock). */
+  private static final long START_US = 1_000_000_000_000_000L;
+
+  private static final long RUN_TIME_US = 20_000;
   private static final byte[] REPLY = new byte[200];
+  private static final double[] GAUGES = {0.5, 3, 0.1, 4};
 
   private final ArrayDeque<Request> started = new ArrayDeque<>();
   private final ArrayDeque<String> calls = new ArrayDeque<>();
-  private final RuntimeMessageWarmup notices = new RuntimeMessageWarmup();
-  private long nowUs = 1_000_000_000_000_000L;
+  private final RuntimeMessageWarmup messages = new RuntimeMessageWarmup();
+  private final Counters counters = new Counters();
+  private long nowUs = START_US;
   private Core core;
 
-  private final Runner runner =
-      new Runner() {
-        @Override
-        public void start(Request request, long dueUs) {
-          started.add(request);
-        }
-
-        @Override
-        public void cancel(String id) {}
-
-        @Override
-        public void completeCall(String id, byte[] reply) {}
-
-        @Override
-        public void skipCall(String id, long notice) {}
-
-        @Override
-        public void requestGauges() {
-          core.gaugesReceived(new double[] {0.5, 3, 0.1, 4});
-        }
-      };
-
-  private final DownstreamClient ledger =
-      new DownstreamClient() {
-        @Override
-        public void call(String id, long untilUs, byte[] body) {
-          calls.add(id);
-        }
-
-        @Override
-        public void cancel(String id) {}
-      };
-
   private JitWarmup() {}
 
-  /** Plays; returns how many requests were served. */
+  /** Plays requests of a configuration; returns how many of them were served. */
   static long play(NodeConfig config) {
-    return new JitWarmup().lives(config);
+    return new JitWarmup().playRequests(config);
   }
 
-  private long lives(NodeConfig config) {
-    long endNs = System.nanoTime() + LONGEST_NS;
-    Counters counters = new Counters();
-    IndexedSettings settings = new IndexedSettings(new ProcessConfig(config, null));
-    try (Log quiet = Log.silent()) { // a starting node makes no thread that it can do without
+  private long playRequests(NodeConfig config) {
+    long endNs = System.nanoTime() + MAX_DURATION_NS;
+    IndexedSettings settings = new IndexedSettings(ProcessConfig.of(config));
+    PolicyEngine policy =
+        new PolicyEngine(settings.policySettings(), settings.gauges(), config.seed());
+    try (Log silent = Log.silent()) { // a starting node creates no thread that it can do without
       core =
-          new Core(
-              settings.coreSettings(),
-              new PolicyEngine(settings.policySettings(), settings.gauges(), config.seed()),
-              ledger,
-              () -> nowUs,
-              counters,
-              quiet);
+          new Core(settings.coreSettings(), policy, new CallQueue(), () -> nowUs, counters, silent);
+      Runner runner = new RunQueue();
       core.start(runner, false, 0);
       RespWarmup front = new RespWarmup(settings.requestCatalog(runner));
-      for (int n = 1; n <= REQUESTS && System.nanoTime() < endNs; n++) {
+      for (int n = 1; n <= MAX_REQUESTS && System.nanoTime() < endNs; n++) {
         front.submitRequest(core, n, nowUs);
-        nowUs += STEP_US;
+        nowUs += REQUEST_INTERVAL_US;
         core.tick();
-        finish();
+        completeRuns();
       }
     }
     return counters.get("answers.served");
   }
 
-  private void finish() {
+  private void completeRuns() {
     while (!started.isEmpty()) {
       Request request = started.remove();
       if (core.callsDownstream(request.classIndex())) {
-        core.callRequested(
-            request.id(), 1, notices.roundTrip("wants", request.id(), request.body()));
+        byte[] body = messages.roundTrip("wants", request.id(), request.body());
+        core.callRequested(request.id(), 1, body);
       }
       while (!calls.isEmpty()) {
         core.callEnded(calls.remove(), CallResult.OK, REPLY);
       }
-      core.runEnded(
-          request.id(), RunResult.OK, notices.roundTrip("end", request.id(), REPLY), 20_000);
+      byte[] result = messages.roundTrip("end", request.id(), REPLY);
+      core.runEnded(request.id(), RunResult.OK, result, RUN_TIME_US);
+    }
+  }
+
+  /** Collects the requests that the core starts. */
+  private final class RunQueue implements Runner {
+    @Override
+    public void start(Request request, long dueUs) {
+      started.add(request);
     }
+
+    @Override
+    public void cancel(String id) {}
+
+    @Override
+    public void completeCall(String id, byte[] reply) {}
+
+    @Override
+    public void skipCall(String id, long notice) {}
+
+    @Override
+    public void requestGauges() {
+      core.gaugesReceived(GAUGES);
+    }
+  }
+
+  /** Collects the downstream calls that the core makes. */
+  private final class CallQueue implements DownstreamClient {
+    @Override
+    public void call(String id, long untilUs, byte[] body) {
+      calls.add(id);
+    }
+
+    @Override
+    public void cancel(String id) {}
   }
 }
--- a/src/main/java/rosecleat/node/LimitShares.java
+++ b/src/main/java/rosecleat/node/LimitShares.java
@@ -8,65 +8,63 @@
 import rosecleat.takeover.ResourceAmounts;
 import rosecleat.takeover.TakeoverCoordinator;
 
-/** This process's part of the node's limits, which its module works under. For the loop. */
+/** This process's part of the node's limits, under which its policy works. For the event loop. */
 final class LimitShares {
-  private final TakeoverCoordinator handover;
+  private final TakeoverCoordinator takeover;
   private final IndexedSettings settings;
-  private final PolicyEngine decisions;
+  private final PolicyEngine policy;
   private final LongSupplier clock;
   private ResourceAmounts grant = ResourceAmounts.NONE;
 
   LimitShares(
-      TakeoverCoordinator handover,
+      TakeoverCoordinator takeover,
       IndexedSettings settings,
-      PolicyEngine decisions,
+      PolicyEngine policy,
       LongSupplier clock) {
-    this.handover = handover;
+    this.takeover = takeover;
     this.settings = settings;
-    this.decisions = decisions;
+    this.policy = policy;
     this.clock = clock;
   }
 
-  /**
-   * Finds what this process may take beside its others, and tells them; the module hears of it
-   * where it has changed.
-   */
-  void look(boolean leaving) {
+  /** Updates this process's part beside its peers; the policy is told where it has changed. */
+  void refresh(boolean shuttingDown) {
     ResourceAmounts before = grant;
-    find(leaving);
+    updateGrant(shuttingDown);
     if (!grant.equals(before)) {
-      tell(List.of());
+      reconfigurePolicy(List.of());
     }
   }
 
   /**
-   * The settings have changed: the module is told them, with the numbers that stand for other
-   * classes now.
+   * Puts changed settings in force.
+   *
+   * @param renamedClasses the indices that stand for other classes than before
    */
-  void retune(List<Integer> renamed, boolean leaving) {
-    find(leaving);
-    tell(renamed);
+  void reconfigure(List<Integer> renamedClasses, boolean shuttingDown) {
+    updateGrant(shuttingDown);
+    reconfigurePolicy(renamedClasses);
   }
 
-  private void find(boolean leaving) {
-    PolicySettings s = settings.policySettings();
-    LimitUsage taken = decisions.usage(clock.getAsLong());
-    grant =
-        handover.grant(
-            new ResourceAmounts(
-                s.concurrentCalls(), s.memoryKb(), s.cores() * s.overloadMultiple()),
-            new ResourceAmounts(taken.meanCalls().get(0), taken.memoryKb(), taken.running()),
-            taken.meanCalls(),
-            leaving);
+  private void updateGrant(boolean shuttingDown) {
+    PolicySettings node = settings.policySettings();
+    LimitUsage usage = policy.usage(clock.getAsLong());
+    ResourceAmounts limits =
+        new ResourceAmounts(
+            node.concurrentCalls(), node.memoryKb(), node.cores() * node.overloadMultiple());
+    ResourceAmounts inUse =
+        new ResourceAmounts(usage.meanCalls().get(0), usage.memoryKb(), usage.running());
+    grant = takeover.grant(limits, inUse, usage.meanCalls(), shuttingDown);
   }
 
-  private void tell(List<Integer> renamed) {
-    decisions.reconfigure(clock.getAsLong(), limits(), settings.gauges(), renamed);
+  private void reconfigurePolicy(List<Integer> renamedClasses) {
+    policy.reconfigure(clock.getAsLong(), limits(), settings.gauges(), renamedClasses);
   }
 
-  /** The settings in force, with this process's part of the limits. */
+  /** Returns the settings in force with this process's part of the limits. */
   PolicySettings limits() {
-    PolicySettings s = settings.policySettings();
-    return s.withLimits(grant.memoryKb(), Math.max(1, grant.running() / s.cores()), grant.calls());
+    PolicySettings node = settings.policySettings();
+    double overloadMultiple = Math.max(1, grant.running() / node.cores());
+    return node.withLimits(grant.memoryKb(), overloadMultiple, grant.calls());
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/node/NoFleet.java
@@ -0,0 +1,38 @@
+package rosecleat.node;
+
+import java.util.Optional;
+import rosecleat.config.BrokerConfig;
+import rosecleat.front.uwsgi.InstanceBalancer;
+
+/** Takes part in nothing: the process knows neither other members nor instances of services. */
+final class NoFleet implements FleetParticipation {
+  @Override
+  public InstanceBalancer balancer() {
+    return InstanceBalancer.NONE;
+  }
+
+  @Override
+  public int instanceCapacity() {
+    return 0;
+  }
+
+  @Override
+  public void onCapacityChange(Runnable task) {}
+
+  @Override
+  public void reconfigure(BrokerConfig broker) {}
+
+  @Override
+  public void announceLeave() {}
+
+  @Override
+  public void stop(long timeoutMs) {}
+
+  @Override
+  public void close() {}
+
+  @Override
+  public Optional<String> view(String path) {
+    return Optional.empty();
+  }
+}
--- /dev/null
+++ b/src/main/java/rosecleat/node/NodeEnvironment.java
@@ -0,0 +1,38 @@
+package rosecleat.node;
+
+import java.io.IOException;
+import java.util.Optional;
+import rosecleat.core.Counters;
+import rosecleat.log.Log;
+import rosecleat.net.EventLoop;
+import rosecleat.takeover.TakeoverCoordinator;
+
+/**
+ * What a node shares with the process around it, which exists before the node does.
+ *
+ * @param loop the one thread of the node
+ * @param takeover the peer processes of the node
+ * @param persistence where learned estimates are kept
+ * @param fleet the fleet that the process is a member of
+ * @param counters the counters of the process
+ * @param log the log of the process
+ */
+record NodeEnvironment(
+    EventLoop loop,
+    TakeoverCoordinator takeover,
+    EstimatePersistence persistence,
+    FleetParticipation fleet,
+    Counters counters,
+    Log log) {
+  /** Returns an environment without peers, stored estimates and fleet, on a loop of its own. */
+  static NodeEnvironment standalone(Log log) throws IOException {
+    Counters counters = new Counters();
+    return new NodeEnvironment(
+        new EventLoop(log),
+        TakeoverCoordinator.join(Optional.empty(), counters, log),
+        new NoEstimatePersistence(),
+        new NoFleet(),
+        counters,
+        log);
+  }
+}
--- a/src/main/java/rosecleat/node/NodeOperations.java
+++ b/src/main/java/rosecleat/node/NodeOperations.java
@@ -4,47 +4,49 @@
 import rosecleat.admin.AdminOperations;
 import rosecleat.takeover.TakeoverCoordinator;
 
-/** What operators asked of a node, kept from before it stands. For the loop. */
+/**
+ * What operators ask of a node through the admin server, which listens before the node is built.
+ * For the event loop.
+ */
 final class NodeOperations implements AdminOperations {
-  private final TakeoverCoordinator handover;
-  private final FleetIntegration sharing;
-  private Node node;
-
-  /** {@code sharing} is null where the process shares nothing. */
-  NodeOperations(TakeoverCoordinator handover, FleetIntegration sharing) {
-    this.handover = handover;
-    this.sharing = sharing;
+  private final TakeoverCoordinator takeover;
+  private final FleetParticipation fleet;
+  private Optional<Node> node = Optional.empty();
+
+  NodeOperations(TakeoverCoordinator takeover, FleetParticipation fleet) {
+    this.takeover = takeover;
+    this.fleet = fleet;
   }
 
-  /** The node stands; it follows what was asked before, and in its other processes. */
-  void serve(Node fresh) {
-    node = fresh;
+  /** Passes operations to a node from now on; it learns of earlier ones from the coordinator. */
+  void attach(Node built) {
+    node = Optional.of(built);
   }
 
   @Override
   public boolean isReady() {
-    return node != null && node.serving();
+    return node.isPresent() && node.get().isServing();
   }
 
   @Override
   public void drain() {
-    set(true);
+    setDrained(true);
   }
 
   @Override
   public void activate() {
-    set(false);
+    setDrained(false);
   }
 
   @Override
   public Optional<String> view(String path) {
-    return sharing == null ? Optional.empty() : Optional.ofNullable(sharing.view(path));
+    return fleet.view(path);
   }
 
-  private void set(boolean aside) {
-    handover.setDrained(aside);
-    if (node != null) {
-      node.core().setDrainedByOperator(aside);
+  private void setDrained(boolean drained) {
+    takeover.setDrained(drained);
+    if (node.isPresent()) {
+      node.get().core().setDrainedByOperator(drained);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/node/NodeParts.java
@@ -0,0 +1,90 @@
+package rosecleat.node;
+
+import java.io.IOException;
+import java.util.Optional;
+import java.util.function.LongSupplier;
+import rosecleat.config.NodeConfig;
+import rosecleat.core.Core;
+import rosecleat.core.Counters;
+import rosecleat.core.Runner;
+import rosecleat.front.resp.RespFrontend;
+import rosecleat.index.IndexClient;
+import rosecleat.log.Log;
+import rosecleat.net.EventLoop;
+import rosecleat.net.MonotonicClock;
+import rosecleat.policy.PolicyEngine;
+import rosecleat.registry.RegistryClient;
+import rosecleat.runtime.RuntimeClient;
+import rosecleat.runtime.UnavailableRunner;
+import rosecleat.takeover.TakeoverCoordinator;
+
+/**
+ * The parts of one node, created and connected to each other. They all work on one event loop;
+ * nothing connects or listens before {@link Node} says so.
+ */
+final class NodeParts {
+  /** Replaced by {@link DescriptorAllocation} before the RESP front listens. */
+  private static final int INITIAL_MAX_CONNECTIONS = 1;
+
+  final EventLoop loop;
+  final TakeoverCoordinator takeover;
+  final EstimatePersistence persistence;
+  final FleetParticipation fleet;
+  final Counters counters;
+  final Log log;
+  final LongSupplier clock = new MonotonicClock();
+  final IndexedSettings settings;
+  final IndexClient index;
+  final PolicyEngine policy;
+  final Core core;
+  final LimitShares limitShares;
+  final Optional<RuntimeClient> runtime;
+  final Runner runner;
+  final RegistryClient registry;
+  final Frontends frontends;
+
+  NodeParts(ProcessConfig config, NodeEnvironment environment) throws IOException {
+    loop = environment.loop();
+    takeover = environment.takeover();
+    persistence = environment.persistence();
+    fleet = environment.fleet();
+    counters = environment.counters();
+    log = environment.log();
+    NodeConfig node = config.node();
+    settings = new IndexedSettings(config);
+    index = new IndexClient(loop, node.indexAddress(), clock, counters, log);
+    policy = new PolicyEngine(settings.policySettings(), settings.gauges(), node.seed());
+    core =
+        new Core(settings.coreSettings(), policy, index, takeover.claims(), clock, counters, log);
+    limitShares = new LimitShares(takeover, settings, policy, clock);
+    persistence.attach(settings, policy, loop, clock, counters);
+    index.setCore(core);
+    runtime = createRuntime(node);
+    runner = runtime.isPresent() ? runtime.get() : new UnavailableRunner(loop, core);
+    registry = new RegistryClient(loop, node.registryAddress(), node.name(), counters, log);
+    frontends = createFrontends(config);
+  }
+
+  private Optional<RuntimeClient> createRuntime(NodeConfig node) {
+    return node.runtimeAddress() == null
+        ? Optional.empty()
+        : Optional.of(new RuntimeClient(loop, node.runtimeAddress(), core, clock, log));
+  }
+
+  private Frontends createFrontends(ProcessConfig config) throws IOException {
+    RespFrontend resp =
+        new RespFrontend(
+            loop,
+            config.node().listenAddress(),
+            INITIAL_MAX_CONNECTIONS,
+            core,
+            settings.requestCatalog(runner),
+            clock,
+            log);
+    return new Frontends(
+        resp,
+        config.broker().isPresent()
+            ? Optional.of(UwsgiFrontendFactory.create(this, config.node().seed()))
+            : Optional.empty());
+  }
+}
--- a/src/main/java/rosecleat/node/NodeProcess.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -13,131 +13,139 @@
 import rosecleat.net.EventLoop;
 import rosecleat.takeover.TakeoverCoordinator;
 
-/** The process round a node: keeps it alive, and takes its leave on SIGTERM. */
+/**
+ * The process around a node: builds it, keeps the virtual machine alive, and shuts the node down on
+ * SIGTERM. {@link ShutdownSequence} says in which order.
+ */
 public final class NodeProcess {
-  /** Not an exit code: the process goes on by itself. */
-  public static final int GOES_ON = -1;
+  /** The result of a start in place of an exit code: the process keeps running. */
+  public static final int KEEPS_RUNNING = -1;
 
-  /** The process ends so long before it would be killed, whatever the node is doing (us). */
-  private static final long EARLY_US = 75_000;
+  /** The process ends this long before it would be killed, whatever the node does (us). */
+  private static final long END_MARGIN_US = 75_000;
 
   private final Log log;
-  private final CountDownLatch left = new CountDownLatch(1);
-  private Node node;
-  private boolean told;
+  private final CountDownLatch completed = new CountDownLatch(1);
+  private Optional<Node> node = Optional.empty();
+  private boolean shutdownRequested;
 
   NodeProcess(Log log) {
     this.log = log;
   }
 
-  /** How a node is made; it may listen from then on. */
-  interface Standing {
-    Node stand() throws IOException;
+  /** Builds a node, which may listen from then on. */
+  interface NodeBuilder {
+    /** Builds the node. */
+    Node build() throws IOException;
   }
 
-  /** Makes the node; null, and none made, where the notice to leave has come already. */
-  synchronized Node stand(Standing standing) throws IOException {
-    if (!told) {
-      node = standing.stand();
+  /** Builds the node, unless SIGTERM has arrived already; empty where none is built. */
+  synchronized Optional<Node> build(NodeBuilder builder) throws IOException {
+    if (!shutdownRequested) {
+      node = Optional.of(builder.build());
     }
     return node;
   }
 
   /**
-   * The notice to leave has come: the node that is to leave, waited for while it is made; null
-   * where none ever will be.
+   * Records that SIGTERM has arrived.
+   *
+   * @return the node to shut down, waited for while it is built; empty where none will ever be
    */
-  synchronized Node told() {
-    told = true;
+  synchronized Optional<Node> requestShutdown() {
+    shutdownRequested = true;
     return node;
   }
 
   /**
-   * Starts a node, which logs its counters so often (seconds, 0 for never) and reads its
-   * configuration anew on SIGHUP; it goes on after this returns. {@code shared} is the folder that
-   * all processes of the node see, or null.
+   * Starts a node, which keeps running after this returns.
+   *
+   * @param config the configuration
+   * @param reader reads the configuration again on SIGHUP
+   * @param sharedFolder the folder that all processes of the node see, where there is one
+   * @param counterLogPeriodS how often the counters are logged (s); 0 for never
+   * @return {@link #KEEPS_RUNNING}
+   * @throws IOException where the node cannot listen
    */
   public static int start(
-      ProcessConfig setup, Supplier<ProcessConfig> reader, Path shared, int countersEvery)
+      ProcessConfig config,
+      Supplier<ProcessConfig> reader,
+      Optional<Path> sharedFolder,
+      int counterLogPeriodS)
       throws IOException {
-    NodeConfig config = setup.node();
     Log log = new Log(System.err);
-    NodeProcess serving = new NodeProcess(log);
-    // before it listens: a notice to leave that found no hook would end the process under those it
-    // has accepted
-    Runtime.getRuntime().addShutdownHook(new Thread(serving::leave, "leave"));
-    ConfigReloader reload = new ConfigReloader(setup, reader, log);
-    reload.install(); // before it listens: from then on a signal may come
+    NodeProcess process = new NodeProcess(log);
+    // Both are in place before the node listens. Without the hook, a SIGTERM would end the process
+    // under the clients that it has accepted.
+    Runtime.getRuntime().addShutdownHook(new Thread(process::shutDown, "leave"));
+    ConfigReloader reloader = new ConfigReloader(config, reader, log);
+    reloader.install();
     EventLoop loop = new EventLoop(log);
     Counters counters = new Counters();
-    TakeoverCoordinator handover =
-        TakeoverCoordinator.join(Optional.ofNullable(shared), counters, log);
-    FleetIntegration sharing =
-        setup.broker() == null || setup.broker().fleet() == null && setup.broker().routes() == null
-            ? null
-            : new FleetIntegration(setup.broker(), loop, counters, log);
-    NodeOperations operators = new NodeOperations(handover, sharing);
-    if (config.adminAddress() != null) { // open before the warm-up: operators may ask how far it is
-      new AdminServer(loop, config.adminAddress(), operators, counters, log);
-      log.info("operators are heard at " + config.adminAddress());
+    TakeoverCoordinator takeover = TakeoverCoordinator.join(sharedFolder, counters, log);
+    FleetParticipation fleet = FleetParticipation.start(config.broker(), loop, counters, log);
+    NodeOperations operations = new NodeOperations(takeover, fleet);
+    startAdminServer(config.node(), loop, operations, counters, log);
+    EstimatePersistence persistence = EstimatePersistence.of(config.broker(), log);
+    NodeEnvironment environment =
+        new NodeEnvironment(loop, takeover, persistence, fleet, counters, log);
+    if (config.node().runtimeAddress() != null) {
+      JitWarmup.play(config.node()); // meanwhile stored estimates are read
     }
-    EstimatePersistence learning =
-        EstimatePersistence.of(setup.broker(), log); // read during the warm-up
-    if (config.runtimeAddress() != null) {
-      JitWarmup.play(config);
+    Optional<Node> node = process.build(() -> new Node(config, environment));
+    if (node.isPresent()) {
+      process.run(node.get(), operations, reloader, counterLogPeriodS);
     }
-    Node node =
-        serving.stand(
-            new Standing() { // no lambda: its types are loaded, also those that a platform's node
-              // does without
-              @Override
-              public Node stand() throws IOException {
-                return new Node(
-                    config, setup.broker(), loop, handover, counters, learning, sharing, log);
-              }
-            });
-    if (node == null) {
-      return GOES_ON; // told to leave: the process ends now
+    return KEEPS_RUNNING;
+  }
+
+  /** Operators may ask for the state of the node while it is still being built. */
+  private static void startAdminServer(
+      NodeConfig config, EventLoop loop, NodeOperations operations, Counters counters, Log log)
+      throws IOException {
+    if (config.adminAddress() != null) {
+      new AdminServer(loop, config.adminAddress(), operations, counters, log);
+      log.info("operators are heard at " + config.adminAddress());
     }
-    new Thread(serving::stay, "stay").start();
-    node.onLoop(() -> operators.serve(node));
-    node.start();
-    reload.tell(node::reload);
-    if (countersEvery > 0) {
-      node.logCounters(countersEvery * 1_000_000L);
+  }
+
+  private void run(
+      Node built, NodeOperations operations, ConfigReloader reloader, int counterLogPeriodS) {
+    new Thread(this::keepAlive, "stay").start();
+    built.onLoop(() -> operations.attach(built));
+    built.start();
+    reloader.setListener(built::reload);
+    if (counterLogPeriodS > 0) {
+      built.logCounters(TimeUnit.SECONDS.toMicros(counterLogPeriodS));
     }
-    return GOES_ON;
   }
 
   /** Keeps the process alive; all other threads are daemons. */
-  private void stay() {
+  private void keepAlive() {
     try {
-      left.await();
+      completed.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /**
-   * Runs as the virtual machine's shutdown hook: what the node still does goes on while this waits.
-   */
-  private void leave() {
-    Node leaving = told();
-    if (leaving
-        == null) { // nobody was served, and the process ends by itself, with the code it was given
-      log.close();
+  /** Runs as the shutdown hook of the virtual machine: the node keeps working while this waits. */
+  private void shutDown() {
+    Optional<Node> built = requestShutdown();
+    if (built.isEmpty()) {
+      log.close(); // no client was served: the process ends with the code it was given
       return;
     }
-    long hasUs = leaving.leave(left::countDown);
+    long timeUs = built.get().beginShutdown(completed::countDown);
     try {
-      if (!left.await(hasUs - EARLY_US, TimeUnit.MICROSECONDS)) {
+      if (!completed.await(timeUs - END_MARGIN_US, TimeUnit.MICROSECONDS)) {
         log.warn("the time to leave ran out");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    leaving.settle(Node.SETTLE_MS);
-    log.close(Node.SETTLE_MS); // it is killed shortly after
+    built.get().awaitStored(Node.CLOSE_TIMEOUT_MS);
+    log.close(Node.CLOSE_TIMEOUT_MS); // the process is killed shortly after
     Runtime.getRuntime().halt(0);
   }
 }
--- /dev/null
+++ b/src/main/java/rosecleat/node/PeerMonitor.java
@@ -0,0 +1,59 @@
+package rosecleat.node;
+
+/** Follows what the node's other processes and its operators do. For the event loop. */
+final class PeerMonitor {
+  /** The time between two polls (us). */
+  private static final long POLL_PERIOD_US = 100_000;
+
+  private final NodeParts parts;
+  private final ClientListeners listeners;
+  private final DescriptorAllocation descriptors;
+  private final ShutdownSequence shutdown;
+  private boolean hadPeers;
+  private long nextPollUs;
+
+  PeerMonitor(
+      NodeParts parts,
+      ClientListeners listeners,
+      DescriptorAllocation descriptors,
+      ShutdownSequence shutdown) {
+    this.parts = parts;
+    this.listeners = listeners;
+    this.descriptors = descriptors;
+    this.shutdown = shutdown;
+  }
+
+  /** Polls the peers, where it is time. */
+  void pollIfDue(long nowUs) {
+    if (nowUs >= nextPollUs) {
+      nextPollUs = nowUs + POLL_PERIOD_US;
+      poll(nowUs);
+    }
+  }
+
+  private void poll(long nowUs) {
+    parts.takeover.poll(nowUs);
+    parts.core.setDrainedByOperator(parts.takeover.isDrained());
+    // beside a predecessor, this process listens only once it can serve
+    boolean mayListen = parts.core.ready() || !parts.takeover.predecessorIsAlive();
+    if (!listeners.areOpen() && mayListen) {
+      listeners.open();
+    }
+    boolean hasPeers = parts.takeover.hasPeers();
+    if (hasPeers != hadPeers) {
+      hadPeers = hasPeers;
+      peersChanged(hasPeers);
+    }
+    parts.limitShares.refresh(shutdown.isUnderWay());
+    parts.persistence.poll(nowUs);
+  }
+
+  private void peersChanged(boolean hasPeers) {
+    parts.counters.add(hasPeers ? "shares.two" : "shares.one");
+    parts.log.info(
+        hasPeers
+            ? "two processes of this node live, and share its limits"
+            : "this process is alone");
+    descriptors.setSharedWithPeer(hasPeers);
+  }
+}
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -3,69 +3,53 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import rosecleat.config.NodeConfig;
-import rosecleat.core.Failure;
 import rosecleat.log.Log;
-import rosecleat.net.ConnectHandler;
-import rosecleat.net.Connection;
-import rosecleat.net.ConnectionHandler;
-import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
-import rosecleat.net.LineBuffer;
-import rosecleat.net.Listener;
 
 /**
- * Serves some made-up requests on loopback, so that the virtual machine meets the classes of a
- * serving node. The build runs it to write them into an archive, from which a node then starts with
- * half the work.
+ * The command {@code rehearse}: serves made-up requests on loopback, so that the virtual machine
+ * loads the classes of a serving node. The build runs it to write these classes into an archive,
+ * from which a node then starts with half the work.
  */
 public final class Rehearsal {
   private static final int REQUESTS = 200;
-  private static final long PATIENCE_S = 20;
-  private static final ConnectionLimits LIMITS = ConnectionLimits.SMALL;
+  private static final long TIMEOUT_S = 20;
+
+  /** The time that the node gets to connect to its runtime before requests arrive (us). */
+  private static final long FIRST_REQUEST_DELAY_US = 200_000;
 
   private final Log log = new Log(System.err);
-  private final EventLoop loop;
-  private final CountDownLatch answers = new CountDownLatch(REQUESTS);
+  private final EventLoop loop = new EventLoop(log);
+  private final CountDownLatch responses = new CountDownLatch(REQUESTS);
 
-  private Rehearsal() throws IOException {
-    loop = new EventLoop(log);
-  }
+  private Rehearsal() throws IOException {}
 
-  /** Rehearses under a configuration; false where not all requests were answered in time. */
+  /**
+   * Serves requests under a configuration.
+   *
+   * @return whether all requests got a response in time
+   * @throws IOException where nothing can listen on loopback
+   */
   public static boolean run(NodeConfig config) throws IOException {
     JitWarmup.play(config);
-    return new Rehearsal().play(config);
+    return new Rehearsal().serve(config);
   }
 
-  private boolean play(NodeConfig config) throws IOException {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    Listener runtime = new Listener(loop, any, 1, LIMITS, this::runtime);
-    InetSocketAddress at = new InetSocketAddress(any.getAddress(), runtime.port());
-    try (Node node =
-        new Node(
-            new NodeConfig(
-                config.name(),
-                any,
-                null,
-                at,
-                null,
-                null,
-                config.seed(),
-                config.stopTimeoutUs(),
-                config.maxSockets(),
-                config.settings(),
-                config.source()),
-            null,
-            log)) {
+  private boolean serve(NodeConfig config) throws IOException {
+    InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    RehearsalRuntime runtime = new RehearsalRuntime(loop, anyPort);
+    NodeConfig onLoopback =
+        onLoopback(config, anyPort, new InetSocketAddress(anyPort.getAddress(), runtime.port()));
+    try (Node node = new Node(ProcessConfig.of(onLoopback), NodeEnvironment.standalone(log))) {
       node.start();
-      loop.schedule(
-          200_000, () -> balancer(config, new InetSocketAddress(any.getAddress(), node.port())));
-      return answers.await(PATIENCE_S, TimeUnit.SECONDS);
+      RehearsalBalancer balancer =
+          new RehearsalBalancer(loop, config.settings(), REQUESTS, responses::countDown, log);
+      InetSocketAddress address = new InetSocketAddress(anyPort.getAddress(), node.port());
+      loop.schedule(FIRST_REQUEST_DELAY_US, () -> balancer.connect(address));
+      return responses.await(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
@@ -75,98 +59,20 @@
     }
   }
 
-  /** A balancer that sends all requests and counts what comes back. */
-  private void balancer(NodeConfig config, InetSocketAddress to) {
-    Connection.connect(
-        loop,
-        to,
-        1_000_000,
-        LIMITS,
-        new ConnectHandler() {
-          @Override
-          public void connected(Connection connection) {
-            LineBuffer lines = new LineBuffer(1 << 16);
-            connection.start(
-                new Received(
-                    bytes -> {
-                      lines.append(bytes);
-                      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                        if (line.startsWith("*")) { // the head of an answer
-                          answers.countDown();
-                        }
-                      }
-                    }));
-            for (int i = 1; i <= REQUESTS; i++) {
-              request(config, connection, i);
-            }
-          }
-
-          @Override
-          public void failed(Failure failure) {
-            log.warn(failure.message());
-          }
-        });
-  }
-
-  private void request(NodeConfig config, Connection connection, int i) {
-    String tenant =
-        config.settings().tenantNames().isEmpty()
-            ? ""
-            : ",tenant=" + config.settings().tenantNames().get(0);
-    String fields =
-        "id="
-            + Long.toHexString((1L << 60) + i)
-            + ",at="
-            + System.currentTimeMillis()
-            + ",from=1,wait=5000,kb=10.5,rank=0.5000,once=key"
-            + i
-            + tenant;
-    String klass = config.settings().classNames().get(i % config.settings().classNames().size());
-    StringBuilder text = new StringBuilder("*5\r\n");
-    for (String word : new String[] {"DO", Integer.toString(i), klass, fields, "body"}) {
-      text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
-    }
-    byte[] bytes = text.toString().getBytes(StandardCharsets.US_ASCII);
-    loop.schedule(i * 5_000L, () -> connection.write(ByteBuffer.wrap(bytes)));
-  }
-
-  /** A runtime that ends each run at once. */
-  private void runtime(Connection connection) {
-    LineBuffer lines = new LineBuffer(1 << 16);
-    int[] notice = new int[1];
-    connection.start(
-        new Received(
-            bytes -> {
-              lines.append(bytes);
-              for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                String reply = "";
-                if (line.contains("\"sync\"")) {
-                  reply = "{\"type\":\"ready\",\"state\":\"warm\",\"took\":1}\n";
-                } else if (line.contains("\"gauges\"")) {
-                  reply = "{\"type\":\"load\",\"ref\":\"g\",\"gauges\":[0.1,1,0.1,1]}\n";
-                } else if (line.contains("\"start\"")) {
-                  String job = line.substring(line.indexOf("\"job\":\"") + 7);
-                  reply =
-                      "{\"type\":\"end\",\"n\":"
-                          + ++notice[0]
-                          + ",\"job\":\""
-                          + job.substring(0, job.indexOf('"'))
-                          + "\",\"state\":\"ok\",\"took\":1.5,\"data\":\"Ym9keQ==\"}\n";
-                }
-                connection.write(ByteBuffer.wrap(reply.getBytes(StandardCharsets.US_ASCII)));
-              }
-            }));
-  }
-
-  /** An owner that only takes bytes. */
-  private record Received(java.util.function.Consumer<ByteBuffer> taker)
-      implements ConnectionHandler {
-    @Override
-    public void received(ByteBuffer bytes) {
-      taker.accept(bytes);
-    }
-
-    @Override
-    public void closed(Failure failure, boolean endOfStream) {}
+  /** The same configuration between a runtime and a balancer on loopback, and nothing else. */
+  private static NodeConfig onLoopback(
+      NodeConfig config, InetSocketAddress listen, InetSocketAddress runtime) {
+    return new NodeConfig(
+        config.name(),
+        listen,
+        null,
+        runtime,
+        null,
+        null,
+        config.seed(),
+        config.stopTimeoutUs(),
+        config.maxSockets(),
+        config.settings(),
+        config.source());
   }
 }
--- a/src/main/java/rosecleat/node/StateDigests.java
+++ b/src/main/java/rosecleat/node/StateDigests.java
@@ -45,7 +45,11 @@
     settings.quotas().forEach((name, quota) -> tenants.put(name, digest(quota.digestText())));
     maxValues.put(new Fact.Key(FactKind.CALL_TIME, ""), maxCallUs);
     return new SettingsDigests(
-        settings.nodeName(), serverDigest(settings.policySettings()), classes, tenants, maxValues);
+        settings.nodeConfig().name(),
+        serverDigest(settings.policySettings()),
+        classes,
+        tenants,
+        maxValues);
   }
 
   private static String serverDigest(PolicySettings settings) {
--- /dev/null
+++ b/src/main/java/rosecleat/node/UwsgiFrontendFactory.java
@@ -0,0 +1,34 @@
+package rosecleat.node;
+
+import java.io.IOException;
+import rosecleat.config.BrokerConfig;
+import rosecleat.front.uwsgi.InstanceBalancer;
+import rosecleat.front.uwsgi.UwsgiFrontend;
+import rosecleat.front.uwsgi.UwsgiRunner;
+
+/**
+ * Creates the uwsgi front. A class of its own, so that a node without that front loads none of the
+ * classes that it needs.
+ */
+final class UwsgiFrontendFactory {
+  private UwsgiFrontendFactory() {}
+
+  /** Creates the front for the broker's configuration in force; its ids get a seed of their own. */
+  static UwsgiFrontend create(NodeParts parts, long nodeSeed) throws IOException {
+    BrokerConfig broker = parts.settings.broker().orElseThrow();
+    InstanceBalancer balancer = parts.fleet.balancer();
+    UwsgiRunner runner =
+        new UwsgiRunner(
+            parts.loop, parts.core, parts.clock, broker.limits().responseBytes(), balancer);
+    return new UwsgiFrontend(
+        parts.loop,
+        broker,
+        parts.core,
+        parts.runner,
+        runner,
+        balancer,
+        parts.clock,
+        parts.log,
+        ~nodeSeed);
+  }
+}
--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -125,7 +125,7 @@
               .filter(
                   line ->
                       line.matches(
-                          ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(FleetIntegration|InstancePools)"
+                          ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(FleetMembership|FileRoutes|RouteReplication|ActiveRoutes|InstancePools|FleetDocuments|RouteEntries)"
                               + " |front\\.uwsgi\\.(InstanceBalancer|Sample)).*"))
               .toList());
       List<String> sockets = new ArrayList<>();
--- a/src/test/java/rosecleat/node/BadClientsTest.java
+++ b/src/test/java/rosecleat/node/BadClientsTest.java
@@ -30,7 +30,10 @@
 
   @BeforeEach
   void start() throws IOException {
-    node = new Node(TestSite.config(runtime.port(), 0, 0, 2_000, 500), null, log);
+    node =
+        new Node(
+            ProcessConfig.of(TestSite.config(runtime.port(), 0, 0, 2_000, 500)),
+            NodeEnvironment.standalone(log));
     node.start();
     balancer = connect();
     while (!served(1)) {
--- a/src/test/java/rosecleat/node/ConfigReloaderTest.java
+++ b/src/test/java/rosecleat/node/ConfigReloaderTest.java
@@ -28,7 +28,7 @@
       ConfigReloader reload = new ConfigReloader(read(env), () -> read(env), log);
       reload.install();
       hangUp();
-      reload.tell(taken::add); // the signal that came before is made up for, or comes now
+      reload.setListener(taken::add); // the signal that came before is made up for, or comes now
       assertEquals(4400, taken.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
       for (String bad :
           List.of(
@@ -61,7 +61,7 @@
   }
 
   private static ProcessConfig read(Map<String, String> env) {
-    return new ProcessConfig(NodeConfigReader.fromEnvironment(env), null);
+    return ProcessConfig.of(NodeConfigReader.fromEnvironment(env));
   }
 
   private static void hangUp() throws Exception {
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -42,7 +42,9 @@
   private void start() throws IOException {
     node =
         new Node(
-            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null, log);
+            ProcessConfig.of(
+                TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500)),
+            NodeEnvironment.standalone(log));
     node.start();
     client = new RespClient(node.port(), null);
   }
@@ -105,7 +107,7 @@
     node.onLoop(() -> node.core().start(new FailingOnce(thrown), false, 0));
     await(thrown::get);
     CompletableFuture<Void> left = new CompletableFuture<>();
-    node.leave(() -> left.complete(null));
+    node.beginShutdown(() -> left.complete(null));
     client.close();
     left.get(3, TimeUnit.SECONDS);
   }
@@ -178,8 +180,7 @@
   void aReloadInTheMiddleOfADialGoesToTheLastAddress() throws IOException {
     startReady();
     runtime.moveAway();
-    node.reload(
-        new ProcessConfig(TestSite.config(1, 1, 1, 2_000, 500), null)); // nobody listens there
+    node.reload(ProcessConfig.of(TestSite.config(1, 1, 1, 2_000, 500))); // nobody listens there
     reload();
     reload();
     assertEquals("OK", answer("card-refresh").get(1));
@@ -208,7 +209,7 @@
     startReady();
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
-    node.leave(() -> {});
+    node.beginShutdown(() -> {});
     runtime.moveAway();
     reload();
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
@@ -236,7 +237,7 @@
                   .replace("balance-check", "check-" + round)
                   .replace("\"name\":\"big\"", "\"name\":\"big-" + round + "\""),
               Map.of());
-      node.reload(new ProcessConfig(fresh, null));
+      node.reload(ProcessConfig.of(fresh));
     }
     assertEquals(
         FakeRuntime.result("body 1"), client.answer().get(3)); // it runs on, as what it came as
@@ -249,7 +250,7 @@
     assertTrue(
         runtime.starts.get(runtime.starts.size() - 1).contains("load-30"),
         runtime.starts.toString());
-    node.reload(new ProcessConfig(NodeConfigReader.parse(file, Map.of()), null));
+    node.reload(ProcessConfig.of(NodeConfigReader.parse(file, Map.of())));
     send("card-load", "k");
     client.send(
         RespClient.array(
@@ -280,8 +281,7 @@
 
   private void reload() {
     node.reload(
-        new ProcessConfig(
-            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500), null));
+        ProcessConfig.of(TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500)));
   }
 
   @Test
@@ -312,9 +312,9 @@
   void aKeyedStartWhoseRunMustCallFirstIsSentAgain() throws IOException {
     node =
         new Node(
-            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500, true),
-            null,
-            log);
+            ProcessConfig.of(
+                TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500, true)),
+            NodeEnvironment.standalone(log));
     node.start();
     client = new RespClient(node.port(), null);
     await(this::ready);
@@ -515,20 +515,21 @@
   void whatOperatorsSayReachesHealthChecksAloneAndEndsWithTheirWord() throws IOException {
     Counters counters = new Counters();
     TakeoverCoordinator handover = TakeoverCoordinator.join(Optional.empty(), counters, log);
-    NodeOperations operators = new NodeOperations(handover, null);
+    NodeOperations operators = new NodeOperations(handover, new NoFleet());
     operators.drain(); // before the node stands
     node =
         new Node(
-            TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500),
-            null,
-            new EventLoop(log),
-            handover,
-            counters,
-            new NoEstimatePersistence(),
-            null,
-            log);
+            ProcessConfig.of(
+                TestSite.config(runtime.port(), index.port(), roster.port(), 2_000, 500)),
+            new NodeEnvironment(
+                new EventLoop(log),
+                handover,
+                new NoEstimatePersistence(),
+                new NoFleet(),
+                counters,
+                log));
     node.start();
-    node.onLoop(() -> operators.serve(node));
+    node.onLoop(() -> operators.attach(node));
     client = new RespClient(node.port(), null);
     await(this::ready);
     for (int round = 0; round < 2; round++) { // told twice is told once
@@ -563,7 +564,7 @@
     assertEquals("OK", answer("balance-check").get(1));
     await(() -> count("roster.failed") >= 3); // tried again sooner than the next second's report
     CompletableFuture<Void> left = new CompletableFuture<>();
-    node.leave(() -> left.complete(null));
+    node.beginShutdown(() -> left.complete(null));
     Thread.sleep(300);
     roster.up();
     await(() -> !roster.reports.isEmpty());
@@ -578,7 +579,7 @@
     startReady();
     await(() -> count("roster.reports") > 0);
     CompletableFuture<Void> left = new CompletableFuture<>();
-    node.leave(() -> left.complete(null));
+    node.beginShutdown(() -> left.complete(null));
     await(() -> roster.reports.get(roster.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 5, ""));
     assertEquals("DOWN", client.answer().get(1));
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/MemoryTest.java
@@ -67,7 +67,8 @@
   }
 
   private ProcessConfig setup(String more) throws IOException {
-    return new ProcessConfig(config(), NodeHarness.broker(folder, backend.port(), config(), more));
+    return new ProcessConfig(
+        config(), Optional.of(NodeHarness.broker(folder, backend.port(), config(), more)));
   }
 
   private Node start(NodeConfig config, Path shared) throws IOException {
@@ -75,14 +76,14 @@
     BrokerConfig broker = NodeHarness.broker(folder, backend.port(), config, STATE);
     Node fresh =
         new Node(
-            config,
-            broker,
-            new EventLoop(log),
-            TakeoverCoordinator.join(Optional.ofNullable(shared), counters, log),
-            counters,
-            EstimatePersistence.of(broker, log),
-            null,
-            log);
+            new ProcessConfig(config, Optional.of(broker)),
+            new NodeEnvironment(
+                new EventLoop(log),
+                TakeoverCoordinator.join(Optional.ofNullable(shared), counters, log),
+                EstimatePersistence.of(Optional.of(broker), log),
+                new NoFleet(),
+                counters,
+                log));
     fresh.start();
     return fresh;
   }
@@ -160,7 +161,7 @@
     before();
     node = start(config(), null);
     await(() -> count(node, "state.taken") >= 3);
-    List<Estimate> lessons = node.lessons().get(5, TimeUnit.SECONDS);
+    List<Estimate> lessons = node.estimates().get(5, TimeUnit.SECONDS);
     double us =
         lessons.stream()
             .filter(l -> l.subject().equals("balance-check"))
@@ -238,22 +239,22 @@
     Counters counters = new Counters();
     node =
         new Node(
-            config(),
-            broker,
-            new EventLoop(log),
-            TakeoverCoordinator.join(Optional.empty(), counters, log),
-            counters,
-            EstimatePersistence.of(broker, log),
-            null,
-            log);
+            new ProcessConfig(config(), Optional.of(broker)),
+            new NodeEnvironment(
+                new EventLoop(log),
+                TakeoverCoordinator.join(Optional.empty(), counters, log),
+                EstimatePersistence.of(Optional.of(broker), log),
+                new NoFleet(),
+                counters,
+                log));
     node.start();
     await(() -> count(node, "state.opened") == 1 && ask(node, Core::ready));
     serve(node, 12);
     assertFalse(knows("run-time"), "it is not time yet");
     CompletableFuture<Void> left = new CompletableFuture<>();
-    node.leave(() -> left.complete(null));
+    node.beginShutdown(() -> left.complete(null));
     left.get(10, TimeUnit.SECONDS);
-    node.settle(2_000);
+    node.awaitStored(2_000);
     assertTrue(knows("run-time"));
   }
 
@@ -277,7 +278,7 @@
       await(() -> count(newer, "state.taken") >= 3);
       assertEquals(0, count(newer, "state.opened"), "the older one writes");
       CompletableFuture<Void> left = new CompletableFuture<>();
-      older.leave(() -> left.complete(null));
+      older.beginShutdown(() -> left.complete(null));
       await(() -> count(newer, "state.opened") == 1);
       left.get(10, TimeUnit.SECONDS);
       serve(newer, 12);
@@ -294,10 +295,12 @@
   @Test
   void aReloadMayChangeAllButTheFolder() throws Exception {
     ProcessConfig first = setup(STATE);
-    setup("\nstate: {folder: kept, every_ms: 500, max_mb: 4, half_life_s: 60}\n").checkAfter(first);
+    setup("\nstate: {folder: kept, every_ms: 500, max_mb: 4, half_life_s: 60}\n")
+        .requireAdoptableAfter(first);
     assertThrows(
-        ConfigException.class, () -> setup("\nstate: {folder: elsewhere}\n").checkAfter(first));
-    assertThrows(ConfigException.class, () -> setup("").checkAfter(first));
+        ConfigException.class,
+        () -> setup("\nstate: {folder: elsewhere}\n").requireAdoptableAfter(first));
+    assertThrows(ConfigException.class, () -> setup("").requireAdoptableAfter(first));
     for (String bad :
         List.of(
             "{folder: kept, every: 5}",
@@ -310,7 +313,7 @@
           assertThrows(ConfigException.class, () -> setup("\nstate: " + bad + "\n")).getMessage();
       assertTrue(message.contains("state"), message);
     }
-    assertEquals(folder.resolve("kept"), first.broker().state().folder());
+    assertEquals(folder.resolve("kept"), first.broker().get().state().folder());
   }
 
   @Test
--- a/src/test/java/rosecleat/node/MixedLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedLoadTest.java
@@ -171,7 +171,7 @@
 
       Semaphore left = new Semaphore(0);
       long notice = System.nanoTime();
-      rig.node.leave(left::release);
+      rig.node.beginShutdown(left::release);
       for (int i = 0; i < perSecond; i++) { // a second more, past the grace
         pace(notice + i * gap);
         one(count + i, balancers, System.nanoTime() - notice > (GRACE_MS + 100) * 1_000_000L);
--- a/src/test/java/rosecleat/node/NodeHarness.java
+++ b/src/test/java/rosecleat/node/NodeHarness.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
@@ -76,7 +77,10 @@
       throws IOException {
     runtime = new FakeRuntime(workMs);
     NodeConfig config = TestSite.config(hasRuntime ? runtime.port() : 0, 0, 0, stopMs, graceMs);
-    node = new Node(config, broker(folder, backend.port(), config, ""), log);
+    node =
+        new Node(
+            new ProcessConfig(config, Optional.of(broker(folder, backend.port(), config, ""))),
+            NodeEnvironment.standalone(log));
     node.start();
     uwsgiPort = node.uwsgiPort();
     await(core -> core.ready());
--- a/src/test/java/rosecleat/node/NodeProcessTest.java
+++ b/src/test/java/rosecleat/node/NodeProcessTest.java
@@ -1,9 +1,9 @@
 package rosecleat.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -20,15 +20,18 @@
   @Test
   void aNoticeThatComesWhileTheNodeIsMadeWaitsForIt() throws Exception {
     try (Log log = new Log(System.err);
-        Node node = new Node(TestSite.config(0, 0, 0, 2_000, 500), null, log)) {
-      NodeProcess serving = new NodeProcess(log);
+        Node node =
+            new Node(
+                ProcessConfig.of(TestSite.config(0, 0, 0, 2_000, 500)),
+                NodeEnvironment.standalone(log))) {
+      NodeProcess process = new NodeProcess(log);
       CountDownLatch making = new CountDownLatch(1);
       CountDownLatch made = new CountDownLatch(1);
       Thread maker =
           new Thread(
               () -> {
                 try {
-                  serving.stand(
+                  process.build(
                       () -> {
                         making.countDown();
                         await(made);
@@ -40,8 +43,8 @@
               });
       maker.start();
       await(making);
-      CompletableFuture<Node> leaves = new CompletableFuture<>();
-      Thread notice = new Thread(() -> leaves.complete(serving.told()));
+      CompletableFuture<Optional<Node>> leaves = new CompletableFuture<>();
+      Thread notice = new Thread(() -> leaves.complete(process.requestShutdown()));
       notice.start();
       while (notice.getState() != Thread.State.BLOCKED) {
         assertEquals(
@@ -49,17 +52,18 @@
         Thread.yield();
       }
       made.countDown();
-      assertSame(node, leaves.get(5, TimeUnit.SECONDS));
+      assertSame(node, leaves.get(5, TimeUnit.SECONDS).orElseThrow());
     }
   }
 
   @Test
   void noNodeIsMadeBehindTheNotice() throws Exception {
     try (Log log = new Log(System.err)) {
-      NodeProcess serving = new NodeProcess(log);
-      assertNull(serving.told());
-      assertNull(
-          serving.stand(
+      NodeProcess process = new NodeProcess(log);
+      assertEquals(Optional.empty(), process.requestShutdown());
+      assertEquals(
+          Optional.empty(),
+          process.build(
               () -> {
                 throw new AssertionError("it would listen and be killed under its callers");
               }));
--- a/src/test/java/rosecleat/node/SizesTest.java
+++ b/src/test/java/rosecleat/node/SizesTest.java
@@ -91,7 +91,7 @@
           config(
               runtime.port(), index.port(), classes, tenants, servers, callers, callsOut, sockets);
       assertTrue(JitWarmup.play(config) > 0);
-      try (Node node = new Node(config, null, log)) {
+      try (Node node = new Node(ProcessConfig.of(config), NodeEnvironment.standalone(log))) {
         node.start();
         CompletableFuture<Boolean> ready = new CompletableFuture<>();
         for (int wait = 0; wait < 1_000 && !ready.getNow(false); wait++) {
--- a/src/test/java/rosecleat/node/StoredNamesTest.java
+++ b/src/test/java/rosecleat/node/StoredNamesTest.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import rosecleat.config.BrokerConfig;
@@ -28,7 +29,7 @@
     NodeConfig node =
         NodeConfigReader.parse(Files.readString(FILES.resolve("node.json")), Map.of());
     BrokerConfig broker = BrokerConfigReader.read(FILES.resolve("broker.yaml"), node.settings());
-    IndexedSettings settings = new IndexedSettings(new ProcessConfig(node, broker));
+    IndexedSettings settings = new IndexedSettings(new ProcessConfig(node, Optional.of(broker)));
     assertEquals(Files.readAllLines(FILES.resolve("names-and-digests.txt")), describe(settings));
   }
 
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/UpgradeTest.java
@@ -53,14 +53,14 @@
     Counters counters = new Counters();
     Node node =
         new Node(
-            NodeConfigReader.parse(file, Map.of()),
-            null,
-            new EventLoop(log),
-            TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log),
-            counters,
-            new NoEstimatePersistence(),
-            null,
-            log);
+            ProcessConfig.of(NodeConfigReader.parse(file, Map.of())),
+            new NodeEnvironment(
+                new EventLoop(log),
+                TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log),
+                new NoEstimatePersistence(),
+                new NoFleet(),
+                counters,
+                log));
     node.start();
     return node;
   }
@@ -76,8 +76,8 @@
   private void startNewer() throws IOException {
     newRuntime.readyAfterMs = 300;
     newer = node(newRuntime, older.port());
-    assertEquals(false, on(newer, newer::serving));
-    await(() -> on(newer, newer::serving));
+    assertEquals(false, on(newer, newer::isServing));
+    await(() -> on(newer, newer::isServing));
     await(() -> ask(older, core -> core.counters().get("shares.two")) == 1);
   }
 
@@ -147,7 +147,8 @@
     send(client, 1, "balance-check", null, "held");
     await(() -> oldRuntime.startsOf("held") == 1);
     CompletableFuture<Void> left = new CompletableFuture<>();
-    assertTrue(older.leave(() -> left.complete(null)) < 2_000_000, "longest deadline and 0.7 s");
+    assertTrue(
+        older.beginShutdown(() -> left.complete(null)) < 2_000_000, "longest deadline and 0.7 s");
     assertEquals("BYE", client.read().get(1));
     assertEquals(FakeRuntime.result("held"), client.read().get(3));
     try (RespClient after = new RespClient(newer.port(), null)) {
@@ -164,7 +165,7 @@
     assertTrue(
         roster.reports.stream().noneMatch(r -> r.contains("off")), roster.reports.toString());
     client = new RespClient(newer.port(), null);
-    newer.leave(() -> {}); // nobody takes over from this one: its notice to drain
+    newer.beginShutdown(() -> {}); // nobody takes over from this one: its notice to drain
     await(() -> roster.reports.get(roster.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 2, ""));
     assertEquals(
@@ -237,7 +238,7 @@
   void whenTheNewOneIsGoneTheOldOneDrains() throws Exception {
     newRuntime.readyAfterMs = 60_000;
     newer = node(newRuntime, older.port());
-    older.leave(() -> {});
+    older.beginShutdown(() -> {});
     client.send(RespClient.array("PING", 1, ""));
     assertEquals("UP", client.read().get(1));
     newer.close();
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -15,6 +15,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -85,7 +86,8 @@
     assertEquals(3, fresh.settings().tenantNames().size());
     rig.node.reload(
         new ProcessConfig(
-            fresh, BrokerConfigReader.read(folder.resolve("broker.yaml"), fresh.settings())));
+            fresh,
+            Optional.of(BrokerConfigReader.read(folder.resolve("broker.yaml"), fresh.settings()))));
     assertEquals(200, get("/cards/77/balance").status());
     assertEquals(200, get("/files/a").status());
     assertEquals(200, load("after", "x").status());
@@ -169,7 +171,7 @@
   @Test
   void whatIsTurnedAwayIsToldWhenToComeBack() throws Exception {
     byte[] bytes = packet(vars("GET", "/cards/late/balance", "till"), "");
-    rig.node.leave(() -> {});
+    rig.node.beginShutdown(() -> {});
     assertEquals(200, get("/cards/2/balance").status(), "within the grace work is still done");
     rig.await(core -> core.draining());
     Thread.sleep(1_200);
