--- a/src/test/java/rosecleat/fleet/SimulatedCluster.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -1,6 +1,5 @@
 package rosecleat.fleet;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -11,156 +10,157 @@
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
+import rosecleat.fleet.wire.Exchange;
+import rosecleat.fleet.wire.MemberNews;
 
 /**
- * Many processes' parts in a fleet on one virtual clock, with a network between them that loses,
- * delays and splits.
+ * Many members on one virtual clock, with a network between them that loses, duplicates, delays and
+ * partitions. All is drawn from one seed.
  */
 public final class SimulatedCluster {
+  /** The protocol period (us). */
   public static final long PERIOD = 1_000_000;
 
-  private record Event(long atUs, long nr, Runnable what) {}
+  private static final String CLUSTER = "test";
+  private static final int PORT = 7_946;
 
-  /** One process. */
+  /** Bytes that the network adds to a datagram. */
+  private static final int NETWORK_HEADER_BYTES = 28;
+
+  /** Events that wait for a paused member; its sockets would drop more. */
+  private static final int MAX_DELAYED_BY_PAUSE = 200;
+
+  private static final long MIN_DELAY_US = 200;
+  private static final long MAX_EXTRA_DELAY_US = 5_000;
+
+  private record Event(long atUs, long sequence, Runnable action) {}
+
+  /** One member. */
   public final class Peer {
     public final int index;
-    public MembershipProtocol fleet;
-    public boolean dead;
-    public long pausedUntil;
-    private long epochs;
-    private final List<Runnable> queued = new ArrayList<>();
-    private long wakeAt = Long.MAX_VALUE;
-    public long deadSeen;
-    public final Map<String, byte[]> records = new HashMap<>();
+    public MembershipProtocol protocol;
+    public boolean crashed;
+    public long pausedUntilUs;
+    private long starts;
+    private final List<Runnable> delayedByPause = new ArrayList<>();
+    private long timerUs = Long.MAX_VALUE;
 
     Peer(int index) {
       this.index = index;
     }
 
-    public Endpoint at() {
-      return new Endpoint("10.0." + index / 250 + "." + index % 250, 7946);
+    /** Where the others reach it. */
+    public Endpoint endpoint() {
+      return new Endpoint("10.0." + index / 250 + "." + index % 250, PORT);
+    }
+
+    String zone() {
+      return "z" + index % 3;
     }
 
+    /** Starts it anew, with the seeds of these numbers. */
     public void start(int... seeds) {
-      List<Endpoint> at = new ArrayList<>();
+      List<Endpoint> seedEndpoints = new ArrayList<>();
       for (int seed : seeds) {
-        at.add(peers.get(seed).at());
+        seedEndpoints.add(peers.get(seed).endpoint());
       }
-      dead = false;
-      fleet =
-          new MembershipProtocol(
-              new LocalNode(
-                  "test",
-                  new MemberId("n" + index, Math.max(nowUs, 1) + ++epochs),
-                  at(),
-                  "z" + index % 3,
-                  at),
-              tuning,
-              random.split(),
-              nowUs);
+      crashed = false;
+      MemberId id = new MemberId("n" + index, Math.max(nowUs, 1) + ++starts);
+      LocalNode local = new LocalNode(CLUSTER, id, endpoint(), zone(), seedEndpoints);
+      protocol = new MembershipProtocol(local, tuning, random.split(), nowUs);
       run();
     }
 
     public void crash() {
-      dead = true;
+      crashed = true;
     }
 
-    public void pause(long us) {
-      pausedUntil = nowUs + us;
+    /** Stands still for a while; what comes meanwhile is handled afterwards. */
+    public void pause(long durationUs) {
+      pausedUntilUs = nowUs + durationUs;
       SimulatedCluster.this.schedule(
-          pausedUntil,
+          pausedUntilUs,
           () -> {
-            if (nowUs >= pausedUntil) {
-              List<Runnable> all = List.copyOf(queued);
-              queued.clear();
-              all.forEach(Runnable::run);
-              run();
+            if (nowUs >= pausedUntilUs) {
+              resume();
             }
           });
     }
 
-    /** Runs what is due, and carries out what comes of it. */
+    private void resume() {
+      List<Runnable> delayed = List.copyOf(delayedByPause);
+      delayedByPause.clear();
+      delayed.forEach(Runnable::run);
+      run();
+    }
+
+    /** Runs due timers, and carries out the effects. */
     public void run() {
-      if (dead) {
+      if (crashed) {
         return;
       }
-      long next = fleet.onTimer(nowUs);
-      obey();
-      schedule(next);
+      long nextTimerUs = protocol.onTimer(nowUs);
+      runEffects();
+      scheduleTimer(nextTimerUs);
     }
 
-    private void schedule(long next) {
-      if (next < wakeAt || wakeAt <= nowUs) {
-        wakeAt = Math.max(next, nowUs + 1);
-        long mine = wakeAt;
-        MembershipProtocol of = fleet;
-        SimulatedCluster.this.schedule(
-            mine,
-            () -> {
-              if (wakeAt == mine && of == fleet && nowUs >= pausedUntil) {
-                wakeAt = Long.MAX_VALUE;
-                run();
-              }
-            });
+    private void scheduleTimer(long nextTimerUs) {
+      if (nextTimerUs >= timerUs && timerUs > nowUs) {
+        return;
       }
+      long scheduledUs = Math.max(nextTimerUs, nowUs + 1);
+      timerUs = scheduledUs;
+      MembershipProtocol scheduledFor = protocol;
+      SimulatedCluster.this.schedule(
+          scheduledUs,
+          () -> {
+            boolean current = timerUs == scheduledUs && scheduledFor == protocol;
+            if (current && nowUs >= pausedUntilUs) {
+              timerUs = Long.MAX_VALUE;
+              run();
+            }
+          });
     }
 
-    public void obey() {
-      for (Effect effect : fleet.drainEffects()) {
-        record(effect);
+    /** Carries out what the protocol asks. */
+    public void runEffects() {
+      for (Effect effect : protocol.drainEffects()) {
+        trace.add(effect);
         if (effect instanceof Effect.SendDatagram send) {
-          messages++;
-          bytes += send.payload().length + 28;
-          if (send.payload().length > largest) {
-            largest = send.payload().length;
-          }
-          deliver(this, send.destination(), send.payload());
+          send(this, send.destination(), send.payload());
         } else if (effect instanceof Effect.StartSync sync) {
-          Peer with = byAddress.get(sync.peer());
-          if (with != null
-              && with != this
-              && link.test(index, with.index)
-              && link.test(with.index, index)
-              && !with.dead) {
-            exchanges++;
-            talk(this, fleet.openSync(), with, with.fleet.acceptSync(), null, true, with.fleet);
-          }
-        } else if (effect instanceof Effect.IncrementCounter count) {
-          counts.merge(count.counter().counterName(), 1L, Long::sum);
-          if (count.counter().counterName().equals("dead")) {
-            deadSeen++;
-          }
-        } else if (effect instanceof Effect.RecordChanged r) {
-          records.put(
-              r.record().owner() + "/" + r.record().kind() + "/" + r.record().key(),
-              r.record().payload());
+          startSync(this, sync.peer());
+        } else if (effect instanceof Effect.IncrementCounter increment) {
+          counters.merge(increment.counter().counterName(), 1L, Long::sum);
         }
       }
     }
   }
 
   public final List<Peer> peers = new ArrayList<>();
-  private final Map<Endpoint, Peer> byAddress = new HashMap<>();
-  public final Map<String, Long> counts = new TreeMap<>();
-  private final PriorityQueue<Event> queue =
-      new PriorityQueue<>(Comparator.comparingLong(Event::atUs).thenComparingLong(Event::nr));
   public final SplittableRandom random;
   public final Tuning tuning;
   public long nowUs = 1_000_000;
+
+  /** Counters of all members, by name. */
+  public final Map<String, Long> counters = new TreeMap<>();
+
+  /** The probabilities that a datagram is lost, and that it is duplicated. */
   public double loss;
-  public double twice;
 
-  /** Whether something can pass from one to another. */
-  public BiPredicate<Integer, Integer> link = (a, b) -> true;
+  public double duplication;
+
+  /** Whether something can pass from one member to another, by their numbers. */
+  public BiPredicate<Integer, Integer> link = (from, to) -> true;
 
   public long messages;
   public long bytes;
-  public long exchanges;
-  public int largest;
-  private long nr;
-
-  /** A digest of all datagrams, frames and other effects in their order: equal for equal runs. */
-  public long trace;
+  public int largestDatagram;
+  private final EffectTrace trace = new EffectTrace();
+  private final Map<Endpoint, Peer> byEndpoint = new HashMap<>();
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(Comparator.comparingLong(Event::atUs).thenComparingLong(Event::sequence));
+  private long eventSequence;
 
   public SimulatedCluster(int size, long seed) {
     this(size, seed, Tuning.of(PERIOD));
@@ -172,167 +172,163 @@
     for (int i = 0; i < size; i++) {
       Peer peer = new Peer(i);
       peers.add(peer);
-      byAddress.put(peer.at(), peer);
+      byEndpoint.put(peer.endpoint(), peer);
     }
   }
 
-  /** All start at once and know some seeds. */
+  /** All start at once, with these seeds. */
   public SimulatedCluster started(int... seeds) {
-    peers.forEach(p -> p.start(seeds));
+    peers.forEach(peer -> peer.start(seeds));
     return this;
   }
 
-  /** All know one another already: as after a long calm. */
+  /** All start and know one another already, as after a long calm. */
   public SimulatedCluster acquainted() {
     started(0);
     for (Peer peer : peers) {
-      rosecleat.fleet.wire.Exchange.Builder all =
-          rosecleat.fleet.wire.Exchange.newBuilder().setCluster("test");
-      Peer first = peer.index == 0 ? peers.get(1) : peers.get(0);
-      all.setFrom(news(first));
-      peers.forEach(
-          other -> {
-            if (other != peer) {
-              all.addMembers(news(other));
-            }
-          });
-      peer.fleet.acceptSync().nextFrame(Checksum.attach(all.build().toByteArray(), "test"), nowUs);
-      peer.fleet.drainEffects();
+      Exchange.Builder allMembers = Exchange.newBuilder().setCluster(CLUSTER);
+      Peer introducer = peer.index == 0 ? peers.get(1) : peers.get(0);
+      allMembers.setFrom(aliveUpdate(introducer));
+      for (Peer other : peers) {
+        if (other != peer) {
+          allMembers.addMembers(aliveUpdate(other));
+        }
+      }
+      byte[] frame = Checksum.attach(allMembers.build().toByteArray(), CLUSTER);
+      peer.protocol.acceptSync().nextFrame(frame, nowUs);
+      peer.protocol.drainEffects();
     }
     run(3);
-    counts.clear();
+    counters.clear();
     return this;
   }
 
-  private void record(Effect effect) {
-    if (effect instanceof Effect.SendDatagram send) {
-      record("send " + send.destination());
-      trace = Hash.of(send.payload(), trace);
-    } else if (effect instanceof Effect.StartSync sync) {
-      record("sync " + sync.peer() + " " + sync.reason().counterName());
-    } else if (effect instanceof Effect.WriteLog say) {
-      record("log " + say.warning() + " " + say.line());
-    } else if (effect instanceof Effect.IncrementCounter count) {
-      record("count " + count.counter().counterName());
-    } else if (effect instanceof Effect.ViewChanged) {
-      record("changed");
-    } else if (effect instanceof Effect.RecordChanged recorded) {
-      FleetRecord written = recorded.record();
-      record(
-          "record "
-              + written.owner()
-              + "/"
-              + written.kind()
-              + "/"
-              + written.key()
-              + " "
-              + written.version()
-              + " "
-              + (written.payload() == null));
-    }
-  }
-
-  private void record(String line) {
-    trace = Hash.of(line.getBytes(StandardCharsets.UTF_8), trace);
+  private static MemberNews aliveUpdate(Peer peer) {
+    MemberId id = peer.protocol.localId();
+    return WireCodec.encode(
+        new MemberUpdate(id, peer.endpoint(), peer.zone(), MemberState.ALIVE, 1, 0));
   }
 
-  private rosecleat.fleet.wire.MemberNews news(Peer p) {
-    return WireCodec.encode(
-        new MemberUpdate(p.fleet.localId(), p.at(), "z" + p.index % 3, MemberState.ALIVE, 1, 0));
+  /** The digest of all datagrams, frames and other effects so far. */
+  public long traceDigest() {
+    return trace.digest();
   }
 
-  void schedule(long us, Runnable what) {
-    queue.add(new Event(us, nr++, what));
+  private void schedule(long atUs, Runnable action) {
+    events.add(new Event(atUs, eventSequence++, action));
   }
 
-  private long delay() {
-    return 200 + random.nextLong(5_000);
+  private long networkDelayUs() {
+    return MIN_DELAY_US + random.nextLong(MAX_EXTRA_DELAY_US);
   }
 
-  void deliver(Peer from, Endpoint to, byte[] bytes) {
-    Peer peer = byAddress.get(to);
-    if (peer == null
-        || !link.test(from.index, peer.index)
+  private void send(Peer from, Endpoint destination, byte[] payload) {
+    messages++;
+    bytes += payload.length + NETWORK_HEADER_BYTES;
+    largestDatagram = Math.max(largestDatagram, payload.length);
+    Peer receiver = byEndpoint.get(destination);
+    if (receiver == null
+        || !link.test(from.index, receiver.index)
         || loss > 0 && random.nextDouble() < loss) {
       return;
     }
-    for (int copies = twice > 0 && random.nextDouble() < twice ? 2 : 1; copies > 0; copies--) {
+    int copies = duplication > 0 && random.nextDouble() < duplication ? 2 : 1;
+    for (int copy = 0; copy < copies; copy++) {
       schedule(
-          nowUs + delay(),
+          nowUs + networkDelayUs(),
           () ->
-              arrive(
-                  peer,
+              deliver(
+                  receiver,
                   () -> {
-                    peer.fleet.onDatagram(bytes, nowUs);
-                    peer.run();
+                    receiver.protocol.onDatagram(payload, nowUs);
+                    receiver.run();
                   }));
     }
   }
 
-  private void arrive(Peer peer, Runnable what) {
-    if (peer.dead || peer.fleet == null) {
+  private void deliver(Peer receiver, Runnable handler) {
+    if (receiver.crashed || receiver.protocol == null) {
       return;
     }
-    if (nowUs < peer.pausedUntil) {
-      if (peer.queued.size() < 200) {
-        peer.queued.add(what);
-      }
+    if (nowUs >= receiver.pausedUntilUs) {
+      handler.run();
+    } else if (receiver.delayedByPause.size() < MAX_DELAYED_BY_PAUSE) {
+      receiver.delayedByPause.add(handler);
+    }
+  }
+
+  /** An exchange between two members, which ends when either is restarted. */
+  private record Sync(
+      Peer opener,
+      ExchangeSession openerSession,
+      Peer responder,
+      ExchangeSession responderSession,
+      MembershipProtocol responderProtocol) {}
+
+  private void startSync(Peer opener, Endpoint destination) {
+    Peer responder = byEndpoint.get(destination);
+    if (responder == null
+        || responder == opener
+        || responder.crashed
+        || !areConnected(opener, responder)) {
       return;
     }
-    what.run();
+    ExchangeSession openerSession = opener.protocol.openSync();
+    ExchangeSession responderSession = responder.protocol.acceptSync();
+    continueSync(
+        new Sync(opener, openerSession, responder, responderSession, responder.protocol),
+        null,
+        true);
   }
 
-  private void talk(
-      Peer one,
-      ExchangeSession mine,
-      Peer other,
-      ExchangeSession theirs,
-      byte[] frame,
-      boolean myTurn,
-      MembershipProtocol with) {
+  private boolean areConnected(Peer one, Peer other) {
+    return link.test(one.index, other.index) && link.test(other.index, one.index);
+  }
+
+  private void continueSync(Sync sync, byte[] received, boolean openersTurn) {
     schedule(
-        nowUs + delay(),
+        nowUs + networkDelayUs(),
         () -> {
-          Peer turn = myTurn ? one : other;
-          if (one.dead
-              || other.dead
-              || other.fleet != with
-              || !link.test(one.index, other.index)
-              || !link.test(other.index, one.index)) {
+          if (sync.opener.crashed
+              || sync.responder.crashed
+              || sync.responder.protocol != sync.responderProtocol
+              || !areConnected(sync.opener, sync.responder)) {
             return;
           }
-          arrive(
-              turn,
-              () -> {
-                byte[] next = (myTurn ? mine : theirs).nextFrame(frame, nowUs);
-                turn.run();
-                if (next != null) {
-                  bytes += next.length;
-                  trace = Hash.of(next, trace);
-                  talk(one, mine, other, theirs, next, !myTurn, with);
-                }
-              });
+          Peer receiver = openersTurn ? sync.opener : sync.responder;
+          deliver(receiver, () -> handleFrame(sync, received, openersTurn));
         });
   }
 
+  private void handleFrame(Sync sync, byte[] received, boolean openersTurn) {
+    ExchangeSession session = openersTurn ? sync.openerSession : sync.responderSession;
+    byte[] next = session.nextFrame(received, nowUs);
+    (openersTurn ? sync.opener : sync.responder).run();
+    if (next != null) {
+      bytes += next.length;
+      trace.add(next);
+      continueSync(sync, next, !openersTurn);
+    }
+  }
+
   /** Lets so many periods pass. */
   public void run(double periods) {
-    long end = nowUs + (long) (periods * PERIOD);
-    while (!queue.isEmpty() && queue.peek().atUs <= end) {
-      Event event = queue.poll();
+    long endUs = nowUs + (long) (periods * PERIOD);
+    while (!events.isEmpty() && events.peek().atUs <= endUs) {
+      Event event = events.poll();
       nowUs = event.atUs;
-      event.what.run();
+      event.action.run();
     }
-    nowUs = end;
+    nowUs = endUs;
   }
 
   /**
-   * Runs until something holds, looking ten times a period; the periods that took, or -1 after so
-   * many.
+   * Runs until a condition holds, which is tried ten times a period; returns the periods that
+   * passed, or -1 after so many.
    */
-  public double until(double most, BooleanSupplier holds) {
-    for (double waited = 0; waited <= most; waited += 0.1) {
-      if (holds.getAsBoolean()) {
+  public double runUntil(double maxPeriods, BooleanSupplier condition) {
+    for (double waited = 0; waited <= maxPeriods; waited += 0.1) {
+      if (condition.getAsBoolean()) {
         return waited;
       }
       run(0.1);
@@ -340,32 +336,30 @@
     return -1;
   }
 
-  public List<Peer> living() {
-    return peers.stream().filter(p -> !p.dead && p.fleet != null).toList();
+  /** The members that run. */
+  public List<Peer> running() {
+    return peers.stream().filter(peer -> !peer.crashed && peer.protocol != null).toList();
   }
 
-  /** Whether all that live hold exactly one another for there. */
-  public boolean agree() {
-    List<Peer> living = living();
-    if (living.isEmpty()) {
+  /** Whether the views of all running members are settled. */
+  public boolean allSettled() {
+    return running().stream().allMatch(peer -> peer.protocol.isSettled(nowUs));
+  }
+
+  /** Whether all running members hold exactly one another for active. */
+  public boolean viewsAgree() {
+    List<Peer> running = running();
+    if (running.isEmpty()) {
       return true;
     }
-    long digest = living.get(0).fleet.digest();
-    for (Peer peer : living) {
-      if (peer.fleet.digest() != digest) {
-        return false;
-      }
-    }
-    return living.get(0).fleet.view(nowUs).activeCount() == living.size();
+    MembershipProtocol first = running.get(0).protocol;
+    return running.stream().allMatch(peer -> peer.protocol.digest() == first.digest())
+        && first.view(nowUs).activeCount() == running.size();
   }
 
-  /** Whether all that live hold one for gone. */
-  public boolean gone(MemberId id) {
-    for (Peer peer : living()) {
-      if (peer.fleet.stateOf(id).filter(MemberState::isActive).isPresent()) {
-        return false;
-      }
-    }
-    return true;
+  /** Whether no running member holds another for active. */
+  public boolean allConsiderGone(MemberId id) {
+    return running().stream()
+        .noneMatch(peer -> peer.protocol.stateOf(id).filter(MemberState::isActive).isPresent());
   }
 }
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -12,6 +12,11 @@
  * What docs/measurements/fleet-view.md keeps of the view on virtual time: {@code FleetView SEEDS}.
  */
 public final class FleetView {
+  private static final int PAUSE_MEMBERS = 100;
+  private static final int PAUSING_MEMBERS = PAUSE_MEMBERS / 10;
+  private static final int PAUSE_PERIODS = 400;
+  private static final long FIRST_PAUSE_SEED = 100;
+
   private FleetView() {}
 
   public static void main(String[] args) {
@@ -36,109 +41,129 @@
     }
   }
 
-  private static double crash(int n, long seed) {
-    SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
-    world.run(world.random.nextDouble() * 2);
-    SimulatedCluster.Peer victim = world.peers.get(world.random.nextInt(n));
-    MemberId id = victim.fleet.localId();
-    victim.crash();
-    return world.until(60, () -> world.gone(id));
+  private static double crash(int size, long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(size, seed).acquainted();
+    cluster.run(cluster.random.nextDouble() * 2);
+    MemberId id = crashOne(cluster);
+    return cluster.runUntil(60, () -> cluster.allConsiderGone(id));
+  }
+
+  private static double settled(int size, long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(size, seed).acquainted();
+    MemberId id = crashOne(cluster);
+    cluster.runUntil(60, () -> cluster.allConsiderGone(id));
+    return cluster.runUntil(60, cluster::allSettled);
   }
 
-  private static double settled(int n, long seed) {
-    SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
-    SimulatedCluster.Peer victim = world.peers.get(world.random.nextInt(n));
-    MemberId id = victim.fleet.localId();
-    victim.crash();
-    world.until(60, () -> world.gone(id));
-    return world.until(
-        60, () -> world.living().stream().allMatch(p -> p.fleet.isSettled(world.nowUs)));
+  private static MemberId crashOne(SimulatedCluster cluster) {
+    int victim = cluster.random.nextInt(cluster.peers.size());
+    MemberId id = cluster.peers.get(victim).protocol.localId();
+    cluster.peers.get(victim).crash();
+    return id;
   }
 
-  private static double heal(int n, long seed) {
-    SimulatedCluster world = new SimulatedCluster(n, seed).acquainted();
-    world.link = (a, b) -> a % 2 == b % 2;
-    world.run(30);
-    world.link = (a, b) -> true;
-    return world.until(60, world::agree);
+  private static double heal(int size, long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(size, seed).acquainted();
+    cluster.link = (from, to) -> from % 2 == to % 2;
+    cluster.run(30);
+    cluster.link = (from, to) -> true;
+    return cluster.runUntil(60, cluster::viewsAgree);
   }
 
-  private static void idle(int n) {
-    SimulatedCluster world = new SimulatedCluster(n, 1).acquainted();
-    world.run(20);
-    world.messages = 0;
-    world.bytes = 0;
-    world.run(40);
+  private static void idle(int size) {
+    SimulatedCluster cluster = new SimulatedCluster(size, 1).acquainted();
+    cluster.run(20);
+    cluster.messages = 0;
+    cluster.bytes = 0;
+    cluster.run(40);
     System.out.printf(
         Locale.ROOT,
         "idle, n=%d: %.2f messages, %.0f bytes by member and period%n",
-        n,
-        world.messages / 40.0 / n,
-        world.bytes / 40.0 / n);
+        size,
+        cluster.messages / 40.0 / size,
+        cluster.bytes / 40.0 / size);
   }
 
   /** A tenth of the members pause up to 5 periods again and again, 5% of all is lost. */
-  private static void pauses(boolean health, int seeds) {
-    int n = 100;
-    int periods = 400;
-    long[] sums =
+  private static void pauses(boolean localHealth, int seeds) {
+    FalseDeaths sum =
         IntStream.range(0, seeds)
             .parallel()
-            .mapToObj(
-                seed -> {
-                  SimulatedCluster world =
-                      new SimulatedCluster(
-                              n, seed + 100, new Tuning(SimulatedCluster.PERIOD, health))
-                          .acquainted();
-                  world.loss = 0.05;
-                  long wrong = 0;
-                  long paused = 0;
-                  boolean[][] held = new boolean[n][n];
-                  for (int p = 0; p < periods; p++) {
-                    for (int k = 0; k < n / 10; k++) {
-                      SimulatedCluster.Peer peer = world.peers.get(k);
-                      if (world.nowUs > peer.pausedUntil && world.random.nextInt(8) == 0) {
-                        peer.pause(
-                            SimulatedCluster.PERIOD
-                                + world.random.nextLong(4 * SimulatedCluster.PERIOD));
-                      }
-                    }
-                    world.run(1);
-                    for (SimulatedCluster.Peer a : world.peers) {
-                      for (SimulatedCluster.Peer b : world.peers) {
-                        boolean dead = !a.fleet.stateOf(b.fleet.localId()).get().isActive();
-                        if (dead && !held[a.index][b.index]) {
-                          if (b.index >= n / 10) {
-                            wrong++;
-                          } else {
-                            paused++;
-                          }
-                        }
-                        held[a.index][b.index] = dead;
-                      }
-                    }
-                  }
-                  return new long[] {wrong, paused};
-                })
-            .reduce(new long[2], (a, b) -> new long[] {a[0] + b[0], a[1] + b[1]});
+            .mapToObj(seed -> countFalseDeaths(localHealth, seed + FIRST_PAUSE_SEED))
+            .reduce(new FalseDeaths(0, 0), FalseDeaths::plus);
     System.out.printf(
         Locale.ROOT,
         "pauses, local health %s, %d member periods: healthy ones held for dead %d, pausing ones"
             + " %d%n",
-        health ? "on" : "off",
-        (long) n * periods * seeds,
-        sums[0],
-        sums[1]);
+        localHealth ? "on" : "off",
+        (long) PAUSE_MEMBERS * PAUSE_PERIODS * seeds,
+        sum.healthy,
+        sum.pausing);
+  }
+
+  /** How often members that run were newly held for dead, by another. */
+  private record FalseDeaths(long healthy, long pausing) {
+    FalseDeaths plus(FalseDeaths other) {
+      return new FalseDeaths(healthy + other.healthy, pausing + other.pausing);
+    }
+  }
+
+  private static FalseDeaths countFalseDeaths(boolean localHealth, long seed) {
+    Tuning tuning = new Tuning(SimulatedCluster.PERIOD, localHealth);
+    SimulatedCluster cluster = new SimulatedCluster(PAUSE_MEMBERS, seed, tuning).acquainted();
+    cluster.loss = 0.05;
+    FalseDeaths sum = new FalseDeaths(0, 0);
+    boolean[][] heldForDead = new boolean[PAUSE_MEMBERS][PAUSE_MEMBERS];
+    for (int period = 0; period < PAUSE_PERIODS; period++) {
+      pauseSome(cluster);
+      cluster.run(1);
+      sum = sum.plus(newlyHeldForDead(cluster, heldForDead));
+    }
+    return sum;
+  }
+
+  private static void pauseSome(SimulatedCluster cluster) {
+    for (int i = 0; i < PAUSING_MEMBERS; i++) {
+      SimulatedCluster.Peer peer = cluster.peers.get(i);
+      if (cluster.nowUs > peer.pausedUntilUs && cluster.random.nextInt(8) == 0) {
+        long extraUs = cluster.random.nextLong(4 * SimulatedCluster.PERIOD);
+        peer.pause(SimulatedCluster.PERIOD + extraUs);
+      }
+    }
+  }
+
+  private static FalseDeaths newlyHeldForDead(SimulatedCluster cluster, boolean[][] heldForDead) {
+    long healthy = 0;
+    long pausing = 0;
+    for (SimulatedCluster.Peer observer : cluster.peers) {
+      for (SimulatedCluster.Peer target : cluster.peers) {
+        MemberId id = target.protocol.localId();
+        boolean dead = !observer.protocol.stateOf(id).orElseThrow().isActive();
+        if (dead && !heldForDead[observer.index][target.index]) {
+          if (target.index >= PAUSING_MEMBERS) {
+            healthy++;
+          } else {
+            pausing++;
+          }
+        }
+        heldForDead[observer.index][target.index] = dead;
+      }
+    }
+    return new FalseDeaths(healthy, pausing);
   }
 
   private interface Trial {
-    double of(long seed);
+    double run(long seed);
   }
 
   private static void row(String what, int seeds, Trial trial) {
     long begun = System.nanoTime();
     double[] all =
-        IntStream.range(0, Math.max(3, seeds)).parallel().mapToDouble(trial::of).sorted().toArray();
+        IntStream.range(0, Math.max(3, seeds))
+            .parallel()
+            .mapToDouble(trial::run)
+            .sorted()
+            .toArray();
     List<Double> shown =
         List.of(
             all[all.length / 2], all[(int) Math.ceil(0.99 * all.length) - 1], all[all.length - 1]);
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -33,45 +33,50 @@
   private static void row(int size, int changes) {
     RouteStore author = new RouteStore();
     Map<RouteEntry.Key, Instance> file = new HashMap<>();
-    for (int i = 0; i < size; i++) {
-      file.put(new RouteEntry.Key("service" + i % 100, "instance" + i), instance(i, 0));
-    }
+    putInstances(file, size, 0);
     author.publish("a", file);
     RouteStore follower = new RouteStore();
-    int whole = meet(follower, author);
-    long[] diff = new long[ROUNDS];
-    long[] full = new long[ROUNDS];
-    long[] apply = new long[ROUNDS];
-    int bytes = 0;
+    int completeBytes = synchronize(follower, author);
+    long[] diffNs = new long[ROUNDS];
+    long[] comparisonNs = new long[ROUNDS];
+    long[] syncNs = new long[ROUNDS];
+    int changeBytes = 0;
     for (int round = 1; round <= ROUNDS; round++) {
       RouteTable before = author.table();
-      for (int i = 0; i < changes; i++) {
-        file.put(new RouteEntry.Key("service" + i % 100, "instance" + i), instance(i, round));
-      }
+      putInstances(file, changes, round);
       author.publish("a", file);
       RouteTable after = author.table();
-      diff[round - 1] = time(() -> before.diff(after).size());
-      full[round - 1] = time(() -> compare(before, after));
-      long begun = System.nanoTime();
-      bytes = meet(follower, author);
-      apply[round - 1] = System.nanoTime() - begun;
+      diffNs[round - 1] = time(() -> before.diff(after).size());
+      comparisonNs[round - 1] = time(() -> compareCompletely(before, after));
+      long begunNs = System.nanoTime();
+      changeBytes = synchronize(follower, author);
+      syncNs[round - 1] = System.nanoTime() - begunNs;
     }
-    Arrays.sort(diff);
-    Arrays.sort(full);
-    Arrays.sort(apply);
     System.out.printf(
         Locale.ROOT,
         "%d entries, %d changes: diff %.3f ms, whole comparison %.3f ms (%.0fx), told and applied"
             + " %.3f ms, %d bytes, whole table %d bytes (%.0fx)%n",
         size,
         changes,
-        diff[ROUNDS / 2] / 1e6,
-        full[ROUNDS / 2] / 1e6,
-        (double) full[ROUNDS / 2] / diff[ROUNDS / 2],
-        apply[ROUNDS / 2] / 1e6,
-        bytes,
-        whole,
-        (double) whole / bytes);
+        median(diffNs) / 1e6,
+        median(comparisonNs) / 1e6,
+        (double) median(comparisonNs) / median(diffNs),
+        median(syncNs) / 1e6,
+        changeBytes,
+        completeBytes,
+        (double) completeBytes / changeBytes);
+  }
+
+  private static void putInstances(Map<RouteEntry.Key, Instance> file, int count, int round) {
+    for (int i = 0; i < count; i++) {
+      file.put(new RouteEntry.Key("service" + i % 100, "instance" + i), instance(i, round));
+    }
+  }
+
+  private static long median(long[] durations) {
+    long[] sorted = durations.clone();
+    Arrays.sort(sorted);
+    return sorted[sorted.length / 2];
   }
 
   private static Instance instance(int i, int round) {
@@ -85,7 +90,7 @@
   }
 
   /** The baseline: both tables as maps, each key looked up. */
-  private static long compare(RouteTable before, RouteTable after) {
+  private static long compareCompletely(RouteTable before, RouteTable after) {
     Map<String, Map<String, Instance>> a = before.services();
     Map<String, Map<String, Instance>> b = after.services();
     long differ = 0;
@@ -106,8 +111,8 @@
     return System.nanoTime() - begun;
   }
 
-  /** An exchange; returns the bytes of the answer. */
-  private static int meet(RouteStore one, RouteStore other) {
+  /** Makes two stores equal; returns the bytes of the answer. */
+  private static int synchronize(RouteStore one, RouteStore other) {
     RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
     RouteSyncSession answers =
         new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
