--- /dev/null
+++ b/src/test/java/rosecleat/core/CoreHarness.java
@@ -0,0 +1,234 @@
+package rosecleat.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import rosecleat.config.NodeConfig;
+import rosecleat.fakes.TestSite;
+import rosecleat.log.Log;
+import rosecleat.policy.PolicyEngine;
+
+/**
+ * A core with the policy of {@link TestSite}, a clock that the test sets, and a runner and a
+ * downstream client that record what they are asked for. No protocol, no thread, no waiting.
+ */
+final class CoreHarness implements AutoCloseable {
+  static final long START_US = 1_800_000_000_000_000L;
+  static final long TIMEOUT_US = 1_200_000;
+  static final long WINDOW_US = 4_000_000;
+  static final long GRACE_PERIOD_US = 1_500_000;
+  static final int MAX_RESULT_BYTES = 1 << 20;
+
+  static final int BALANCE_CHECK = 0;
+  static final int CARD_REFRESH = 1;
+  static final int CARD_LOAD = 2;
+
+  private static final List<RequestClass> CLASSES =
+      List.of(
+          new RequestClass("balance-check", false, false, 0, TIMEOUT_US),
+          new RequestClass("card-refresh", false, true, 0, TIMEOUT_US),
+          new RequestClass("card-load", true, false, WINDOW_US, TIMEOUT_US));
+
+  private static final long TICK_US = 20_000;
+  private static final long RUN_US = 10_000;
+
+  /** One attempt as its caller sees it. */
+  static final class Attempt implements Responder {
+    final List<Response> responses = new ArrayList<>();
+    final String id;
+    RequestHandle handle;
+
+    private Attempt(String id) {
+      this.id = id;
+    }
+
+    @Override
+    public void respond(Response response) {
+      responses.add(response);
+    }
+
+    Response response() {
+      assertEquals(1, responses.size(), "responses: " + responses);
+      return responses.get(0);
+    }
+
+    String result() {
+      byte[] result = assertInstanceOf(Response.Completed.class, response()).result();
+      return new String(result, StandardCharsets.UTF_8);
+    }
+
+    Failure failure() {
+      return assertInstanceOf(Response.Failed.class, response()).failure();
+    }
+
+    Progress failureProgress() {
+      return failure().progress();
+    }
+
+    void assertRejected() {
+      assertInstanceOf(Response.Rejected.class, response());
+    }
+  }
+
+  /** What the runner and the downstream client were asked for, in order. */
+  final List<String> commands = new ArrayList<>();
+
+  final Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
+  final Core core;
+  long nowUs = START_US;
+  private int lastId;
+
+  private final Runner runner =
+      new Runner() {
+        @Override
+        public void start(Request request, long deadlineUs) {
+          commands.add("start " + request.id());
+        }
+
+        @Override
+        public void cancel(String id) {
+          commands.add("cancel run " + id);
+        }
+
+        @Override
+        public void completeCall(String id, byte[] reply) {
+          commands.add("complete call " + id);
+        }
+
+        @Override
+        public void skipCall(String id, long callNumber) {
+          commands.add("skip call " + id + " " + callNumber);
+        }
+      };
+
+  private final DownstreamClient downstream =
+      new DownstreamClient() {
+        @Override
+        public void call(String id, long untilUs, byte[] body) {
+          commands.add("call " + id);
+        }
+
+        @Override
+        public void cancel(String id) {
+          commands.add("cancel call " + id);
+        }
+      };
+
+  private CoreHarness(long maxResultBytes, IdempotencyClaims claims) {
+    NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
+    core =
+        new Core(
+            new CoreSettings(
+                TestSite.CORES,
+                CLASSES,
+                List.of("big", "small"),
+                80_000,
+                GRACE_PERIOD_US,
+                30_000_000,
+                maxResultBytes),
+            new PolicyEngine(config.settings().policy(), config.settings().gaugeNames(), 5),
+            downstream,
+            claims,
+            () -> nowUs,
+            new Counters(),
+            log);
+  }
+
+  /** A core that has not started. */
+  static CoreHarness notStarted() {
+    return new CoreHarness(MAX_RESULT_BYTES, IdempotencyClaims.SINGLE_PROCESS);
+  }
+
+  /** A core that has started, in its node's only process. */
+  static CoreHarness started() {
+    return startedWith(MAX_RESULT_BYTES);
+  }
+
+  /** A core that has started and caches so many bytes of results. */
+  static CoreHarness startedWith(long maxResultBytes) {
+    CoreHarness harness = new CoreHarness(maxResultBytes, IdempotencyClaims.SINGLE_PROCESS);
+    harness.core.start(false, 0);
+    return harness;
+  }
+
+  /** A core that has started, beside the processes that share these claims. */
+  static CoreHarness startedWith(IdempotencyClaims claims) {
+    CoreHarness harness = new CoreHarness(MAX_RESULT_BYTES, claims);
+    harness.core.start(false, 0);
+    return harness;
+  }
+
+  /** Submits a request under a new id. */
+  Attempt send(int classIndex, String idempotencyKey, String body) {
+    lastId++;
+    return sendWithLastId(classIndex, idempotencyKey, body, nowUs);
+  }
+
+  /** Submits a request under the id of the last one. */
+  Attempt sendWithLastId(int classIndex, String idempotencyKey, String body, long arrivedAtUs) {
+    Attempt attempt = new Attempt("id" + lastId);
+    Request request =
+        new Request(
+            attempt.id,
+            arrivedAtUs,
+            TIMEOUT_US,
+            classIndex,
+            CLASSES.get(classIndex).name(),
+            0,
+            1,
+            false,
+            10,
+            0.5,
+            idempotencyKey,
+            0,
+            body.getBytes(StandardCharsets.UTF_8),
+            Map.of(),
+            runner,
+            attempt);
+    attempt.handle = core.submit(request);
+    return attempt;
+  }
+
+  /** Submits an idempotent request whose body follows from its key. */
+  Attempt sendLoad(String idempotencyKey) {
+    return send(CARD_LOAD, idempotencyKey, "load " + idempotencyKey);
+  }
+
+  /** Submits an idempotent request, as {@link #sendLoad}, that arrived earlier. */
+  Attempt sendLoadArrivedAt(String idempotencyKey, long arrivedAtUs) {
+    lastId++;
+    return sendWithLastId(CARD_LOAD, idempotencyKey, "load " + idempotencyKey, arrivedAtUs);
+  }
+
+  void complete(Attempt attempt, String result) {
+    byte[] output = result.getBytes(StandardCharsets.UTF_8);
+    core.runEnded(attempt.id, RunResult.OK, output, RUN_US);
+  }
+
+  void end(Attempt attempt, RunResult result) {
+    core.runEnded(attempt.id, result, RUN_US);
+  }
+
+  /** Lets time pass, in ticks. */
+  void pass(long durationUs) {
+    for (long endUs = nowUs + durationUs; nowUs < endUs; nowUs += TICK_US) {
+      core.tick();
+    }
+  }
+
+  /** How many runs were started. */
+  long starts() {
+    return commands.stream().filter(command -> command.startsWith("start")).count();
+  }
+
+  @Override
+  public void close() {
+    log.close();
+  }
+}
--- /dev/null
+++ b/src/test/java/rosecleat/core/PeerProcessTest.java
@@ -0,0 +1,106 @@
+package rosecleat.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import rosecleat.core.CoreHarness.Attempt;
+
+/** Attempts whose idempotency key a peer process may have claimed. */
+class PeerProcessTest {
+  /** A peer that claims a key between this process's look at it and its own claim. */
+  private static final class PeerClaims implements IdempotencyClaims {
+    ClaimStatus status = new Unclaimed();
+    ClaimStatus claim = new Unclaimed();
+    PeerRun run = new Pending();
+
+    @Override
+    public ClaimStatus status(String key) {
+      return status;
+    }
+
+    @Override
+    public ClaimStatus claim(String key, byte[] digest, long untilUs) {
+      return claim;
+    }
+
+    @Override
+    public void completed(String key, byte[] result) {}
+
+    @Override
+    public void endedWithoutResult(String key) {}
+
+    @Override
+    public void neverRan(String key) {}
+
+    @Override
+    public PeerRun peerRun(String key) {
+      return run;
+    }
+  }
+
+  private static final long TICK_US = 20_000;
+
+  private final PeerClaims claims = new PeerClaims();
+  private final CoreHarness harness = CoreHarness.startedWith(claims);
+
+  @AfterEach
+  void close() {
+    harness.close();
+  }
+
+  private IdempotencyClaims.OwnedByPeer ownedByPeer(String body) {
+    byte[] digest = IdempotencyTable.digest(body.getBytes(StandardCharsets.UTF_8));
+    return new IdempotencyClaims.OwnedByPeer(digest, harness.nowUs + CoreHarness.WINDOW_US);
+  }
+
+  @Test
+  void attemptGetsTheResultOfThePeerThatHadClaimedItsKey() {
+    claims.status = ownedByPeer("load a");
+    Attempt attempt = harness.sendLoad("a");
+    harness.pass(TICK_US);
+    assertTrue(attempt.responses.isEmpty(), "the peer's run has not ended");
+    claims.run = new IdempotencyClaims.Completed("done".getBytes(StandardCharsets.UTF_8));
+    harness.pass(TICK_US);
+    assertEquals("done", attempt.result());
+    assertEquals(0, harness.starts());
+  }
+
+  @Test
+  void attemptGetsTheResultOfThePeerThatClaimsItsKeyMeanwhile() {
+    claims.claim = ownedByPeer("load a");
+    Attempt attempt = harness.sendLoad("a");
+    claims.run = new IdempotencyClaims.Completed("done".getBytes(StandardCharsets.UTF_8));
+    harness.pass(TICK_US);
+    assertEquals("done", attempt.result());
+    assertEquals(0, harness.starts());
+    assertEquals(0, harness.core.inFlight());
+  }
+
+  @Test
+  void attemptFailsWhenThePeersRunHasNoResult() {
+    claims.status = ownedByPeer("load a");
+    Attempt attempt = harness.sendLoad("a");
+    claims.run = new IdempotencyClaims.NoResult();
+    harness.pass(TICK_US);
+    assertEquals(Progress.MAY_HAVE_RUN, attempt.failureProgress());
+    assertEquals(1, harness.core.counters().get("elsewhere.nothing"));
+  }
+
+  @Test
+  void attemptWithAnotherBodyThanThePeersFails() {
+    claims.claim = ownedByPeer("load b");
+    Attempt attempt = harness.sendLoad("a");
+    assertEquals(FailureReason.IDEMPOTENCY_KEY_CONFLICT, attempt.failure().reason());
+    assertEquals(Progress.NOT_SENT, attempt.failureProgress());
+  }
+
+  @Test
+  void attemptIsRejectedWhenItsKeyCannotBeClaimed() {
+    harness.sendLoad("a").assertRejected();
+    assertEquals(0, harness.starts());
+    assertEquals(0, harness.core.inFlight());
+  }
+}
