--- a/src/main/java/rosecleat/policy/AdmissionController.java
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -43,17 +43,17 @@
    * @param advisedLevel the rank below which callers were advised not to send
    */
   void admit(TrackedRequest tracked, double weight, double advisedLevel) {
-    boolean late = availability.isPastGrace(tracked);
-    if (tracked.request.originalId() != 0 && repeats(tracked, late)) {
+    boolean afterGrace = availability.isPastGrace(tracked);
+    if (tracked.request.originalId() != 0 && repeats(tracked, afterGrace)) {
       return;
     }
     double rejectionChance = rejectionChance(weight);
     overload.recordDecision(rejectionChance, tracked.request.rank() < advisedLevel);
-    if (late
+    if (afterGrace
         || availability.isStalled()
         || memory.isFull()
         || forecast.isHopeless(tracked)
-        || tracked.isKeyed() && !memory.hasRoomForKey()
+        || tracked.isKeyed() && !memory.hasCapacityForKey()
         || isDrawn(rejectionChance) && !replaceLighter(weight)) {
       responses.reject(tracked);
     } else if (tracked.isKeyed()) {
@@ -62,8 +62,8 @@
   }
 
   /** Deals with a request that repeats another; false where it is new work. */
-  private boolean repeats(TrackedRequest tracked, boolean late) {
-    switch (idempotency.classify(tracked, late, availability.isStalled())) {
+  private boolean repeats(TrackedRequest tracked, boolean afterGrace) {
+    switch (idempotency.classify(tracked, afterGrace, availability.isStalled())) {
       case ATTACH -> idempotency.attach(tracked);
       case ANSWER -> responses.answer(tracked);
       default -> {
@@ -96,12 +96,12 @@
   /** Rejects the lightest queued request in place of a heavier one; false where none is lighter. */
   private boolean replaceLighter(double weight) {
     TrackedRequest lightest = null;
-    double least = weight * RequestWeights.EQUAL;
+    double lightestWeight = weight * RequestWeights.EQUAL;
     for (TrackedRequest tracked : requests.queue()) {
       double other = weights.weight(tracked);
-      if (other < least && tracked.mayBeRejected()) {
+      if (other < lightestWeight && tracked.mayBeRejected()) {
         lightest = tracked;
-        least = other;
+        lightestWeight = other;
       }
     }
     if (lightest != null) {
--- a/src/main/java/rosecleat/policy/CompletionForecast.java
+++ b/src/main/java/rosecleat/policy/CompletionForecast.java
@@ -26,12 +26,14 @@
     if (requests.running() == 0 && now < tracked.objectiveUs) {
       return false;
     }
-    boolean worthLate = tracked.priorityClass.lateWeight() > 0 && !gate.isBinding();
+    boolean lateAnswerCounts = tracked.priorityClass.lateWeight() > 0 && !gate.isBinding();
     long endUs =
-        worthLate ? tracked.deadlineUs - PolicyTiming.DEADLINE_MARGIN_US : tracked.objectiveUs;
+        lateAnswerCounts
+            ? tracked.deadlineUs - PolicyTiming.DEADLINE_MARGIN_US
+            : tracked.objectiveUs;
     boolean hopeless = now + serviceTimes.expectedRunTime(tracked) >= endUs;
     if (hopeless && now < endUs) {
-      serviceTimes.doubtRestored(tracked.request.classIndex());
+      serviceTimes.discountRestored(tracked.request.classIndex());
     }
     return hopeless;
   }
--- a/src/main/java/rosecleat/policy/CoreLoad.java
+++ b/src/main/java/rosecleat/policy/CoreLoad.java
@@ -40,13 +40,13 @@
     }
     int cores = context.settings().cores();
     double weight = Math.min(1, gapUs / SMOOTHING_US);
-    double wanted = Math.max(1, Math.max(running, gauges.runnable) / cores);
-    contention += weight * (wanted - contention);
+    double demand = Math.max(1, Math.max(running, gauges.runnable) / cores);
+    contention += weight * (demand - contention);
     double reads =
         gauges.runnable < 0
             ? 0
             : Math.max(0, gauges.runnable - running) / Math.max(cores, gauges.runnable);
     readShare += weight * (reads - readShare);
-    return wanted;
+    return demand;
   }
 }
--- a/src/main/java/rosecleat/policy/Dispatcher.java
+++ b/src/main/java/rosecleat/policy/Dispatcher.java
@@ -59,7 +59,7 @@
     double bestWeight = -1;
     for (int i = 0; i < queue.size(); i++) {
       TrackedRequest tracked = queue.get(i);
-      if (tracked.mustNotRunAgain() || !memory.hasRoomToRun(tracked)) {
+      if (tracked.mustNotRunAgain() || !memory.hasCapacityToRun(tracked)) {
         continue;
       }
       if (forecast.isHopeless(tracked)) {
--- a/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
@@ -9,7 +9,7 @@
  */
 final class DownstreamCallLimiter {
   /** Usual lengths of a call after which it is given up; chosen here. */
-  private static final double GIVE_UP_LENGTHS = 8;
+  private static final double TIMEOUT_LENGTHS = 8;
 
   /** Usual lengths of a call from which fewer are outstanding; chosen here. */
   private static final double SLOW_LENGTHS = 3;
@@ -24,13 +24,13 @@
   private static final double DECREASE = 0.7;
 
   /** Least rise of the usual length a step while calls are slow (factor); chosen here. */
-  private static final double USUAL_LENGTH_DRIFT = 1.05;
+  private static final double TYPICAL_LENGTH_DRIFT = 1.05;
 
   /** Weight of the newest call in the recent length; chosen here. */
   private static final double RECENT_WEIGHT = 0.1;
 
   /** Least weight of the newest call in the usual length; chosen here. */
-  private static final double MIN_USUAL_WEIGHT = 0.002;
+  private static final double MIN_TYPICAL_WEIGHT = 0.002;
 
   /** A quota of so many lingering times is halved among calls; chosen here. */
   private static final double LARGE_QUOTA_LINGERS = 4;
@@ -38,7 +38,7 @@
   private final PolicyContext context;
   private final List<DownstreamCall> recentCalls = new ArrayList<>();
   private double recentLengthUs;
-  private double usualLengthUs;
+  private double typicalLengthUs;
   private int callsEnded;
   private boolean rejectedSinceStep;
   private long noCallBeforeUs;
@@ -66,8 +66,8 @@
   }
 
   /** The same over many more calls (us). */
-  double usualLengthUs() {
-    return usualLengthUs;
+  double typicalLengthUs() {
+    return typicalLengthUs;
   }
 
   /** Calls whose length is known. */
@@ -89,8 +89,8 @@
   void recordLength(long tookUs) {
     recentLengthUs += (tookUs - recentLengthUs) * (recentLengthUs == 0 ? 1 : RECENT_WEIGHT);
     callsEnded++;
-    usualLengthUs +=
-        (recentLengthUs - usualLengthUs) * Math.max(MIN_USUAL_WEIGHT, 1.0 / callsEnded);
+    typicalLengthUs +=
+        (recentLengthUs - typicalLengthUs) * Math.max(MIN_TYPICAL_WEIGHT, 1.0 / callsEnded);
   }
 
   /** Counts a call that the dependency rejected. */
@@ -118,7 +118,7 @@
     long now = context.nowUs();
     long lingerUs = ended ? 0 : context.settings().callLingerUs();
     call.occupiedUntilUs = Math.min(call.occupiedUntilUs, now + lingerUs);
-    double tookUs = Math.min(now - call.startedUs, GIVE_UP_LENGTHS * usualLengthUs);
+    double tookUs = Math.min(now - call.startedUs, TIMEOUT_LENGTHS * typicalLengthUs);
     pausedUntilUs = now + (limit >= 1 ? 0 : (long) (tookUs * (1 / limit - 1)));
     tracked.activeCall = null;
   }
@@ -141,9 +141,9 @@
             ? Math.min(1, MIN_LIMIT_QUOTA_PART * settings.concurrentCalls() / MIN_LIMIT)
             : 1;
     double minLimit = MIN_LIMIT * part;
-    if (rejectedSinceStep || recentLengthUs > SLOW_LENGTHS * usualLengthUs) {
+    if (rejectedSinceStep || recentLengthUs > SLOW_LENGTHS * typicalLengthUs) {
       limit = Math.max(minLimit, DECREASE * Math.min(limit, outstanding));
-      usualLengthUs *= limit > minLimit ? 1 : Math.pow(USUAL_LENGTH_DRIFT, part);
+      typicalLengthUs *= limit > minLimit ? 1 : Math.pow(TYPICAL_LENGTH_DRIFT, part);
     } else if (outstanding >= limit || isPaused()) {
       limit += ConcurrencyLimiter.INCREASE * part;
     }
@@ -162,18 +162,18 @@
    * @param optional whether an answer without the call is worth something
    * @param availableUs the capacity, of {@link #availableUs}
    */
-  long giveUpAt(double endUs, boolean optional, double availableUs) {
+  long timeoutAt(double endUs, boolean optional, double availableUs) {
     PolicySettings settings = context.settings();
     long now = context.nowUs();
     double end = endUs;
     if (optional && recentLengthUs > 0) {
-      end = Math.min(end, now + GIVE_UP_LENGTHS * recentLengthUs);
+      end = Math.min(end, now + TIMEOUT_LENGTHS * recentLengthUs);
     }
     if (settings.downstreamMode() == DownstreamMode.SHARED) {
       double quotaUs = settings.concurrentCalls() * windowUs();
       boolean large = quotaUs >= LARGE_QUOTA_LINGERS * settings.callLingerUs();
       double longest = (large ? quotaUs / 2 : quotaUs) - settings.callLingerUs();
-      double few = Math.max(SLOW_LENGTHS * usualLengthUs, availableUs / 2);
+      double few = Math.max(SLOW_LENGTHS * typicalLengthUs, availableUs / 2);
       end = Math.min(end, now + Math.min(longest, few));
     }
     return (long) Math.max(now + 1, end);
@@ -223,7 +223,7 @@
     if (callsEnded == 0 && recentLengthUs == 0) {
       recentLengthUs = learnedLengthUs;
     }
-    usualLengthUs = recentLengthUs;
+    typicalLengthUs = recentLengthUs;
     if (learnedLimit > 0) {
       limit = Math.min(limit, Math.max(MIN_LIMIT, learnedLimit));
     }
--- a/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
@@ -103,7 +103,7 @@
     double availableUs = limiter.availableUs();
     double shortCallUs = SHORT_CALL_PART * serviceTimes.expectedRunTime(tracked);
     double endUs = Math.max(usefulUntil(tracked), now + shortCallUs);
-    long untilUs = limiter.giveUpAt(endUs, isOptional(tracked), availableUs);
+    long untilUs = limiter.timeoutAt(endUs, isOptional(tracked), availableUs);
     if (isOptional(tracked) && isTooLate(untilUs) || untilUs - now > availableUs) {
       return false;
     }
@@ -164,8 +164,8 @@
     if (!isOptional(tracked)) {
       return lastAnswerUs;
     }
-    double wholeUs = serviceTimes.expectedRunTime(tracked);
+    double expectedUs = serviceTimes.expectedRunTime(tracked);
     double workedUs = tracked.stateSinceUs - tracked.runStartedUs - tracked.waitedAtCallsUs;
-    return Math.min(lastAnswerUs, tracked.objectiveUs) - Math.max(wholeUs - workedUs, 0);
+    return Math.min(lastAnswerUs, tracked.objectiveUs) - Math.max(expectedUs - workedUs, 0);
   }
 }
--- a/src/main/java/rosecleat/policy/EstimateExchange.java
+++ b/src/main/java/rosecleat/policy/EstimateExchange.java
@@ -25,7 +25,7 @@
    * The concurrency limit while it is in use, smoothed: the limit itself falls as soon as nothing
    * needs it.
    */
-  private double usualLimit;
+  private double typicalLimit;
 
   /** The seconds of use that the usual limit rests on. */
   private double usedSeconds;
@@ -35,7 +35,7 @@
 
   EstimateExchange(Policy policy) {
     this.policy = policy;
-    usualLimit = policy.concurrencyLimit();
+    typicalLimit = policy.concurrencyLimit();
   }
 
   /** Samples the limit where it is time, while half of it or more is in use. */
@@ -46,7 +46,7 @@
     lastSampleUs = nowUs;
     double limit = policy.concurrencyLimit();
     if (policy.concurrentRequests() >= limit / 2) {
-      usualLimit += SAMPLE_WEIGHT * (limit - usualLimit);
+      typicalLimit += SAMPLE_WEIGHT * (limit - typicalLimit);
       usedSeconds += SAMPLE_INTERVAL_US / US_PER_S;
     }
   }
@@ -79,7 +79,7 @@
       estimates.add(new Estimate(EstimateKind.CALL_TIME, "", learned.callTimeUs(), calls));
     }
     if (usedSeconds > 0) {
-      estimates.add(new Estimate(EstimateKind.LIMIT, "", usualLimit, usedSeconds));
+      estimates.add(new Estimate(EstimateKind.LIMIT, "", typicalLimit, usedSeconds));
     }
     if (learned.callLimit() < NO_CALL_LIMIT && calls > 0) {
       estimates.add(new Estimate(EstimateKind.CALL_LIMIT, "", learned.callLimit(), usedSeconds));
@@ -111,7 +111,7 @@
     }
     restoredArrivals = restoration.arrivals;
     policy.restore(restoration.learned());
-    usualLimit = policy.concurrencyLimit();
+    typicalLimit = policy.concurrencyLimit();
   }
 
   /** Collects estimates by name into what the policy takes in by index. */
--- a/src/main/java/rosecleat/policy/IdempotencyRecords.java
+++ b/src/main/java/rosecleat/policy/IdempotencyRecords.java
@@ -26,12 +26,12 @@
   /**
    * Decides what to do with a request whose original the host has found.
    *
-   * @param late whether it arrived after the grace of a drain
+   * @param afterGrace whether it arrived after the grace of a drain
    * @param stalled whether the server stands still
    */
-  RepeatDecision classify(TrackedRequest tracked, boolean late, boolean stalled) {
+  RepeatDecision classify(TrackedRequest tracked, boolean afterGrace, boolean stalled) {
     if (tracked.isSafe()) {
-      boolean shared = context.settings().readSharingUs() > 0 && !late && !stalled;
+      boolean shared = context.settings().readSharingUs() > 0 && !afterGrace && !stalled;
       return shared ? RepeatDecision.ATTACH : RepeatDecision.RUN;
     }
     if (!tracked.isKeyed()) {
@@ -42,7 +42,7 @@
     if (execution != null && !execution.executed && !hasQueuedLeader(execution)) {
       return RepeatDecision.RUN; // no attempt ever ran
     }
-    return late ? RepeatDecision.ANSWER : RepeatDecision.ATTACH;
+    return afterGrace ? RepeatDecision.ANSWER : RepeatDecision.ATTACH;
   }
 
   private static boolean hasQueuedLeader(IdempotentExecution execution) {
--- a/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
+++ b/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
@@ -51,22 +51,22 @@
    */
   void countArrival(long callerId, double averageUtilisation) {
     long now = context.nowUs();
-    double worthUs =
+    double benefitUs =
         Math.min(
             context.settings().maxIdleUs(),
             NEW_CONNECTION_US / Math.max(averageUtilisation, MIN_UTILISATION));
     Iterator<Long> times = lastArrivals.values().iterator(); // the oldest come first
-    while (times.hasNext() && now - times.next() >= worthUs) {
+    while (times.hasNext() && now - times.next() >= benefitUs) {
       times.remove();
     }
     Long before = lastArrivals.remove(callerId);
     lastArrivals.put(callerId, now);
-    double gainUs = before == null ? -worthUs : worthUs - (now - before);
+    double gainUs = before == null ? -benefitUs : benefitUs - (now - before);
     savingUs += (gainUs - savingUs) / SAMPLE_ARRIVALS;
   }
 
   /** Whether kept connections are used again soon enough. */
-  boolean isWorthKeeping() {
+  boolean keepingPays() {
     return savingUs > 0;
   }
 
--- a/src/main/java/rosecleat/policy/MemoryBudget.java
+++ b/src/main/java/rosecleat/policy/MemoryBudget.java
@@ -33,7 +33,7 @@
   }
 
   /** Whether there is memory for one more key that must be remembered. */
-  boolean hasRoomForKey() {
+  boolean hasCapacityForKey() {
     PolicySettings settings = context.settings();
     return usedKb + settings.keyKb() <= RUN_SHARE * settings.memoryKb();
   }
@@ -45,7 +45,7 @@
   }
 
   /** Whether a queued request can be run within the memory there is. */
-  boolean hasRoomToRun(TrackedRequest tracked) {
+  boolean hasCapacityToRun(TrackedRequest tracked) {
     PolicySettings settings = context.settings();
     double runningKb = settings.runMemoryFactor() * tracked.request.queuedKb();
     return usedKb + runningKb - tracked.memoryKb <= RUN_SHARE * settings.memoryKb();
--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -253,8 +253,8 @@
     lastTickUs = now;
     concurrency.tick(now);
     idempotency.expire();
-    double wanted = load.update(gauges, gapUs, requests.running());
-    if (stallGuard.tick(gapUs, wanted)) {
+    double demand = load.update(gauges, gapUs, requests.running());
+    if (stallGuard.tick(gapUs, demand)) {
       List.copyOf(requests.queue()).forEach(responses::answer);
       advisor.announce();
     }
@@ -275,7 +275,7 @@
     }
     advisor.adjustLevel(seconds);
     idleTimeout.adjust(
-        idleTimeout.isWorthKeeping()
+        idleTimeout.keepingPays()
             || overload.hasBacklog()
             || load.readShare() > SWAMPED_READ_SHARE);
     advisor.announce();
@@ -297,7 +297,7 @@
     return new LearnedEstimates(
         serviceTimes.learnedRunTimes(),
         serviceTimes.learnedRunCounts(),
-        callLimiter.usualLengthUs(),
+        callLimiter.typicalLengthUs(),
         callLimiter.callsEnded(),
         concurrency.limit(),
         callLimiter.limit(),
--- a/src/main/java/rosecleat/policy/PolicySettings.java
+++ b/src/main/java/rosecleat/policy/PolicySettings.java
@@ -15,7 +15,7 @@
  * @param runMemoryFactor memory of a running request over that of a queued one
  * @param keyKb memory of one remembered key (KB)
  * @param overloadMultiple concurrent requests a core from which the server collapses
- * @param overloadSpanUs how long an overload may last before the server collapses (us)
+ * @param overloadDurationUs how long an overload may last before the server collapses (us)
  * @param graceUs how long after the start of draining requests may still arrive (us)
  * @param slackUs how much later than its deadline an answer may be written (us)
  * @param propagatesDeadline whether requests carry their deadline
@@ -51,7 +51,7 @@
     double runMemoryFactor,
     double keyKb,
     double overloadMultiple,
-    long overloadSpanUs,
+    long overloadDurationUs,
     long graceUs,
     long slackUs,
     boolean propagatesDeadline,
@@ -127,7 +127,7 @@
         runMemoryFactor,
         keyKb,
         otherOverloadMultiple,
-        overloadSpanUs,
+        overloadDurationUs,
         graceUs,
         slackUs,
         propagatesDeadline,
--- a/src/main/java/rosecleat/policy/RequestTable.java
+++ b/src/main/java/rosecleat/policy/RequestTable.java
@@ -61,7 +61,7 @@
 
   /** Queues a request again whose run was dropped or paused before it was answered. */
   void requeue(TrackedRequest tracked) {
-    leave(tracked);
+    remove(tracked);
     tracked.state = RequestState.QUEUED;
     tracked.cancelRequested = false;
     queue.add(tracked);
@@ -108,11 +108,11 @@
 
   /** Takes a request out that is over. */
   void complete(TrackedRequest tracked) {
-    leave(tracked);
+    remove(tracked);
     byId.remove(tracked.id());
   }
 
-  private void leave(TrackedRequest tracked) {
+  private void remove(TrackedRequest tracked) {
     (tracked.state == RequestState.QUEUED ? queue : active).remove(tracked);
     if (tracked.state != RequestState.COMPLETED) {
       memory.release(tracked.memoryKb);
--- a/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
+++ b/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
@@ -8,7 +8,7 @@
  */
 final class ServiceTimeEstimator {
   /** A class's run time is known after so many runs; chosen here. */
-  private static final int KNOWN_RUNS = 8;
+  private static final int ENOUGH_RUNS = 8;
 
   /** Weight of the newest run in the slowdown; chosen here. */
   private static final double SLOWDOWN_WEIGHT = 0.1;
@@ -17,7 +17,7 @@
   private static final double MAX_SLOWDOWN = 4;
 
   /** Growth of the least slowdown with each run, so that it is forgotten; chosen here. */
-  private static final double LEAST_SLOWDOWN_GROWTH = 1.0005;
+  private static final double MIN_SLOWDOWN_GROWTH = 1.0005;
 
   /** Run times are learned while the server is less than this many times slower; chosen here. */
   private static final double LEARNING_SLOWNESS = 1.5;
@@ -31,7 +31,7 @@
   private double[] restoredRunTimes = {};
   private int[] restoredRunCounts = {};
   private double slowdown = 1;
-  private double leastSlowdown = 1;
+  private double minSlowdown = 1;
 
   ServiceTimeEstimator(CoreLoad load) {
     this.load = load;
@@ -58,8 +58,8 @@
   }
 
   /** Whether enough runs of a class have ended here. */
-  boolean isKnown(int classIndex) {
-    return runCounts[classIndex] >= KNOWN_RUNS;
+  boolean hasEnoughRuns(int classIndex) {
+    return runCounts[classIndex] >= ENOUGH_RUNS;
   }
 
   /** Counts a run that ended by itself. */
@@ -86,7 +86,7 @@
     }
     double ratio = Math.min(MAX_SLOWDOWN, unit / runTimes[index]);
     slowdown += SLOWDOWN_WEIGHT * (ratio - ended * slowdown);
-    leastSlowdown = Math.min(leastSlowdown * LEAST_SLOWDOWN_GROWTH, slowdown);
+    minSlowdown = Math.min(minSlowdown * MIN_SLOWDOWN_GROWTH, slowdown);
     runCounts[index] += ended;
     if (slowness() < LEARNING_SLOWNESS) {
       runTimes[index] +=
@@ -97,7 +97,7 @@
 
   /** How many times slower runs are than they were at their fastest. */
   double slowness() {
-    return leastSlowdown > 0 ? slowdown / leastSlowdown : 1;
+    return minSlowdown > 0 ? slowdown / minSlowdown : 1;
   }
 
   /** The run time to expect now (us); 0 while no run of the class has ended here. */
@@ -110,7 +110,7 @@
   }
 
   /** Trusts a restored run time less, as it may be wrong: called where it leads to a rejection. */
-  void doubtRestored(int classIndex) {
+  void discountRestored(int classIndex) {
     if (restoredRunCounts[classIndex] > 0) {
       restoredRunCounts[classIndex]--;
     }
@@ -120,8 +120,7 @@
   double[] learnedRunTimes() {
     double[] learned = new double[runTimes.length];
     for (int index = 0; index < learned.length; index++) {
-      learned[index] =
-          seenEnough(index) ? runTimes[index] * leastSlowdown : restoredRunTimes[index];
+      learned[index] = seenEnough(index) ? runTimes[index] * minSlowdown : restoredRunTimes[index];
     }
     return learned;
   }
@@ -144,7 +143,7 @@
     restoredRunTimes = learnedRunTimes.clone();
     restoredRunCounts = new int[learnedRunCounts.length];
     for (int index = 0; index < learnedRunCounts.length; index++) {
-      restoredRunCounts[index] = Math.min(learnedRunCounts[index], KNOWN_RUNS);
+      restoredRunCounts[index] = Math.min(learnedRunCounts[index], ENOUGH_RUNS);
     }
   }
 }
--- a/src/main/java/rosecleat/policy/StallGuard.java
+++ b/src/main/java/rosecleat/policy/StallGuard.java
@@ -50,17 +50,17 @@
    * Counts the completions that were to be expected since the last tick.
    *
    * @param gapUs time since the last tick
-   * @param wanted what wants the cores over the cores right now
+   * @param demand what wants the cores over the cores right now
    * @return whether a stall has begun; the requests that wait are to be given back
    */
-  boolean tick(double gapUs, double wanted) {
+  boolean tick(double gapUs, double demand) {
     if (gapUs > PROCESS_PAUSE_US) {
       overdueCompletions = 0;
       lastEndUs = context.nowUs();
       return false;
     }
     int running = requests.running();
-    double expected = expectedCompletions(gapUs, wanted);
+    double expected = expectedCompletions(gapUs, demand);
     overdueCompletions = running == 0 ? 0 : overdueCompletions + expected;
     boolean many =
         running >= context.settings().cores() && overdueCompletions > OVERDUE_COMPLETIONS;
@@ -77,22 +77,22 @@
     return true;
   }
 
-  private double expectedCompletions(double gapUs, double wanted) {
+  private double expectedCompletions(double gapUs, double demand) {
     double completions = 0;
     for (TrackedRequest tracked : requests.active()) {
       if (tracked.state == RequestState.RUNNING) {
-        completions += gapUs / Math.max(PolicyTiming.TICK_US, expectedRunTime(tracked, wanted));
+        completions += gapUs / Math.max(PolicyTiming.TICK_US, expectedRunTime(tracked, demand));
       }
     }
     return completions;
   }
 
   /** The expected run time; before a class is known, its latency objective stands in. */
-  private double expectedRunTime(TrackedRequest tracked, double wanted) {
+  private double expectedRunTime(TrackedRequest tracked, double demand) {
     double runTimeUs =
-        serviceTimes.isKnown(tracked.request.classIndex())
+        serviceTimes.hasEnoughRuns(tracked.request.classIndex())
             ? serviceTimes.expectedRunTime(tracked)
             : tracked.priorityClass.latencyObjectiveUs() * load.contention();
-    return runTimeUs * Math.max(1, wanted / load.contention());
+    return runTimeUs * Math.max(1, demand / load.contention());
   }
 }
--- a/src/main/java/rosecleat/simulator/ReplyFrame.java
+++ b/src/main/java/rosecleat/simulator/ReplyFrame.java
@@ -45,9 +45,9 @@
     if (tailLength == 0) {
       out.write(frame.array(), 0, end);
     } else {
-      byte[] whole = Arrays.copyOf(frame.array(), end + tailLength);
-      System.arraycopy(tail, 0, whole, end, tailLength);
-      out.write(whole);
+      byte[] complete = Arrays.copyOf(frame.array(), end + tailLength);
+      System.arraycopy(tail, 0, complete, end, tailLength);
+      out.write(complete);
     }
     out.flush();
   }
--- a/src/test/java/rosecleat/policy/FleetRamp.java
+++ b/src/test/java/rosecleat/policy/FleetRamp.java
@@ -162,7 +162,7 @@
             seed);
     SplittableRandom random = new SplittableRandom(seed);
     List<Integer> running = new ArrayList<>();
-    long overForUs = h.settings.overloadSpanUs();
+    long overForUs = h.settings.overloadDurationUs();
     double most = 0;
     for (long now = 0; now < h.settings.warmupUs(); now += STEP_US) {
       double share =
