--- /dev/null
+++ b/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
@@ -0,0 +1,79 @@
+package rosecleat.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The quota of calls (one call in the mean of 5 s; calls linger 200 ms), and their limit. */
+class DownstreamCallLimiterTest {
+  private static final long WINDOW_US = 5_000_000;
+  private static final long LINGER_US = 200_000;
+
+  private final PolicyContext context =
+      new PolicyContext(
+          Sites.with(
+              CancelMode.DROP,
+              LoadAdviceMode.OFF,
+              DownstreamMode.SHARED,
+              1,
+              100_000,
+              false,
+              List.of(),
+              List.of(Sites.SAFE)),
+          1,
+          null);
+  private final DownstreamCallLimiter limiter = new DownstreamCallLimiter(context);
+  private final TrackedRequest tracked =
+      new TrackedRequest(
+          new PolicyRequest(1, 0, 0, 0, 0, 0, 10, 0.5, false, false, 1, 0, 0),
+          Sites.SAFE,
+          0,
+          1_000_000,
+          3_000_000);
+
+  @Test
+  void anOutstandingCallReservesItsTimeAndItsLingering() {
+    assertEquals(WINDOW_US - LINGER_US, limiter.availableUs());
+    limiter.acquire(tracked, 1_000_000);
+    assertEquals(WINDOW_US - 1_000_000 - 2 * LINGER_US, limiter.availableUs());
+  }
+
+  @Test
+  void aCallThatEndedOccupiesOnlyTheTimeThatItTook() {
+    limiter.acquire(tracked, 1_000_000);
+    context.nowUs(100_000);
+    limiter.release(tracked, true);
+    assertNull(tracked.activeCall);
+    assertEquals(100_000, limiter.occupiedUs(WINDOW_US, WINDOW_US));
+  }
+
+  @Test
+  void aCallThatWasGivenUpLingers() {
+    limiter.acquire(tracked, 1_000_000);
+    context.nowUs(100_000);
+    limiter.release(tracked, false);
+    assertEquals(100_000 + LINGER_US, limiter.occupiedUs(WINDOW_US, WINDOW_US));
+  }
+
+  @Test
+  void aRejectionLowersTheLimitToLessThanWhatWasOutstanding() {
+    limiter.recordRejection();
+    limiter.adjust(10);
+    assertEquals(7, limiter.limit(), 1e-9);
+    limiter.adjust(7);
+    assertTrue(limiter.limit() > 7, "it rises while it is used up: " + limiter.limit());
+  }
+
+  @Test
+  void aRestoredLengthCountsOnlyWhereNoCallWasSeen() {
+    limiter.restore(30_000, 5);
+    assertEquals(30_000, limiter.typicalLengthUs());
+    assertEquals(5, limiter.limit());
+    limiter.recordLength(30_000);
+    limiter.restore(90_000, 0);
+    assertEquals(30_000, limiter.typicalLengthUs(), 1e-6);
+  }
+}
--- a/src/test/java/rosecleat/policy/FleetRamp.java
+++ b/src/test/java/rosecleat/policy/FleetRamp.java
@@ -52,10 +52,10 @@
    */
   static Below5s below(int processes, double share, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Host> fleet = new ArrayList<>();
+    List<SimulatedHost> fleet = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
-      Host h =
-          new Host(
+      SimulatedHost host =
+          new SimulatedHost(
               Sites.with(
                   CancelMode.DROP,
                   LoadAdviceMode.CREDIT,
@@ -66,80 +66,92 @@
                   List.of(),
                   List.of(LESS, NOTHING)),
               random.nextLong());
-      h.gauges.coreUtilisation = 0.5;
-      fleet.add(h);
+      host.gauges.coreUtilisation = 0.5;
+      fleet.add(host);
     }
-    Map<Host.Entry, Long> ends = new HashMap<>(); // of calls, and the beginnings of runs
-    Map<Host.Entry, Long> began = new HashMap<>();
+    Map<SimulatedHost.HostedRequest, Long> ends =
+        new HashMap<>(); // of calls, and the beginnings of runs
+    Map<SimulatedHost.HostedRequest, Long> began = new HashMap<>();
     for (long now = 0; now < END_US; now += STEP_US) {
-      for (Host h : fleet) {
-        step(h, now, random, ends, began);
+      for (SimulatedHost host : fleet) {
+        step(host, now, random, ends, began);
       }
     }
     double most = 0;
     int calls = 0;
     for (long at = SPAN_US; at < END_US; at += 50_000) {
       double held = 0;
-      for (Host h : fleet) {
-        for (Host.Out out : h.outs) {
-          held += Math.max(0, Math.min(at, out.until) - Math.max(out.from, at - SPAN_US));
+      for (SimulatedHost host : fleet) {
+        for (SimulatedHost.OutstandingCall out : host.allCalls) {
+          held += Math.max(0, Math.min(at, out.untilUs) - Math.max(out.startedUs, at - SPAN_US));
         }
       }
       most = Math.max(most, held / SPAN_US);
     }
-    for (Host h : fleet) {
-      calls += h.outs.size();
+    for (SimulatedHost host : fleet) {
+      calls += host.allCalls.size();
     }
     return new Below5s(most, processes * share, calls);
   }
 
   private static void step(
-      Host h,
+      SimulatedHost host,
       long now,
       SplittableRandom random,
-      Map<Host.Entry, Long> ends,
-      Map<Host.Entry, Long> began) {
-    h.pass(STEP_US);
+      Map<SimulatedHost.HostedRequest, Long> ends,
+      Map<SimulatedHost.HostedRequest, Long> began) {
+    host.advance(STEP_US);
     if (random.nextInt(8) == 0) { // some twelve a second, as many as one node of the fleet is sent
-      h.arrive(random.nextInt(2));
+      host.arrive(random.nextInt(2));
     }
-    for (Host.Entry e : List.copyOf(h.entries.values())) {
-      switch (e.at) {
-        case RUNNING -> run(h, e, random, began);
-        case CALLING -> call(h, e, now, ends);
+    for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
+      switch (hosted.state) {
+        case RUNNING -> run(host, hosted, random, began);
+        case CALLING -> call(host, hosted, now, ends);
         default -> {
-          if (!e.owed && e.at != Host.At.OVER) {
-            h.end(e, Outcome.CANCELLED, 1);
+          if (!hosted.awaitingResponse && hosted.state != RequestState.COMPLETED) {
+            host.end(hosted, Outcome.CANCELLED, 1);
           }
         }
       }
     }
-    h.entries.values().removeIf(e -> e.at == Host.At.OVER);
+    host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
   }
 
   private static void run(
-      Host h, Host.Entry e, SplittableRandom random, Map<Host.Entry, Long> began) {
-    if (e.halting) {
-      h.end(e, Outcome.CANCELLED, 1);
-    } else if (e.out == null && e.callUntil == 0) {
-      began.put(e, h.now);
-      h.need(e); // each run calls once, at once
+      SimulatedHost host,
+      SimulatedHost.HostedRequest hosted,
+      SplittableRandom random,
+      Map<SimulatedHost.HostedRequest, Long> began) {
+    if (hosted.cancelling) {
+      host.end(hosted, Outcome.CANCELLED, 1);
+    } else if (hosted.call == null && hosted.callUntilUs == 0) {
+      began.put(hosted, host.nowUs);
+      host.needCall(hosted); // each run calls once, at once
     } else if (random.nextInt(10) == 0) {
-      h.end(e, e.owed ? Outcome.OK : Outcome.CANCELLED, h.now - began.remove(e) + WORK_US);
+      host.end(
+          hosted,
+          hosted.awaitingResponse ? Outcome.OK : Outcome.CANCELLED,
+          host.nowUs - began.remove(hosted) + WORK_US);
     }
   }
 
-  private static void call(Host h, Host.Entry e, long now, Map<Host.Entry, Long> ends) {
+  private static void call(
+      SimulatedHost host,
+      SimulatedHost.HostedRequest hosted,
+      long now,
+      Map<SimulatedHost.HostedRequest, Long> ends) {
     if (now >= AWAY_FROM_US && now < BACK_US) {
-      ends.remove(e);
-      h.called(e, Outcome.UNREACHABLE);
+      ends.remove(hosted);
+      host.endCall(hosted, Outcome.UNREACHABLE);
       return;
     }
     double cold = now < BACK_US ? 0 : Math.max(0, 1 - (now - BACK_US) / (double) RAMP_US);
-    long end = ends.computeIfAbsent(e, x -> now + (long) (CALL_US * (1 + (COLD_TIMES - 1) * cold)));
-    if (now >= Math.min(end, e.callUntil)) {
-      ends.remove(e);
-      h.called(e, now >= end ? Outcome.OK : Outcome.TIMEOUT);
+    long end =
+        ends.computeIfAbsent(hosted, x -> now + (long) (CALL_US * (1 + (COLD_TIMES - 1) * cold)));
+    if (now >= Math.min(end, hosted.callUntilUs)) {
+      ends.remove(hosted);
+      host.endCall(hosted, now >= end ? Outcome.OK : Outcome.TIMEOUT);
     }
   }
 
@@ -148,8 +160,8 @@
    * survives at that moment.
    */
   static double cold(int callers, int seed) {
-    Host h =
-        new Host(
+    SimulatedHost host =
+        new SimulatedHost(
             Sites.with(
                 CancelMode.OFF,
                 LoadAdviceMode.CREDIT,
@@ -162,32 +174,37 @@
             seed);
     SplittableRandom random = new SplittableRandom(seed);
     List<Integer> running = new ArrayList<>();
-    long overForUs = h.settings.overloadDurationUs();
+    long overForUs = host.settings.overloadDurationUs();
     double most = 0;
-    for (long now = 0; now < h.settings.warmupUs(); now += STEP_US) {
+    for (long now = 0; now < host.settings.warmupUs(); now += STEP_US) {
       double share =
-          h.settings.coldCapacity() + (1 - h.settings.coldCapacity()) * now / h.settings.warmupUs();
-      h.gauges.coreUtilisation = h.running().isEmpty() ? 0.2 : 1;
-      h.pass(STEP_US);
+          host.settings.coldCapacity()
+              + (1 - host.settings.coldCapacity()) * now / host.settings.warmupUs();
+      host.gauges.coreUtilisation = host.running().isEmpty() ? 0.2 : 1;
+      host.advance(STEP_US);
       for (int caller = 0;
           caller < callers;
           caller++) { // each has as much out as it was told it may
-        h.caller = caller;
+        host.callerId = caller;
         int mine = caller;
         long out =
-            h.entries.values().stream().filter(e -> e.q.callerId() == mine && e.owed).count();
-        for (double more = h.said - out; more >= 1 && h.entries.size() < 2_000; more--) {
-          h.arrive(0);
+            host.requests.values().stream()
+                .filter(hosted -> hosted.request.callerId() == mine && hosted.awaitingResponse)
+                .count();
+        for (double more = host.loadAdvice - out;
+            more >= 1 && host.requests.size() < 2_000;
+            more--) {
+          host.arrive(0);
         }
       }
-      for (Host.Entry e : h.running()) {
+      for (SimulatedHost.HostedRequest hosted : host.running()) {
         if (random.nextDouble()
-            < share * STEP_US / 250_000.0 / Math.max(1, h.running().size() / 4.0)) {
-          h.end(e, Outcome.OK, 250_000);
+            < share * STEP_US / 250_000.0 / Math.max(1, host.running().size() / 4.0)) {
+          host.end(hosted, Outcome.OK, 250_000);
         }
       }
-      h.entries.values().removeIf(e -> e.at == Host.At.OVER);
-      running.add(h.running().size());
+      host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
+      running.add(host.running().size());
       int span = (int) (overForUs / STEP_US);
       if (running.size() >= span) {
         double mean =
@@ -198,7 +215,9 @@
         most =
             Math.max(
                 most,
-                mean / (h.settings.cores() * (1 + (h.settings.overloadMultiple() - 1) * share)));
+                mean
+                    / (host.settings.cores()
+                        * (1 + (host.settings.overloadMultiple() - 1) * share)));
       }
     }
     return most;
--- /dev/null
+++ b/src/test/java/rosecleat/policy/IdempotencyTest.java
@@ -0,0 +1,116 @@
+package rosecleat.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Effects run at most once. */
+class IdempotencyTest {
+  @Test
+  void aRetryOfAKeyedRequestAttachesWhileItIsQueuedRunningOrCompleted() {
+    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost.HostedRequest a = host.arrive(1);
+    SimulatedHost.HostedRequest running = host.arrive(1, 0, 0, 0, a.request.id());
+    assertEquals(RequestState.ATTACHED, running.state);
+    host.end(a, Outcome.OK, 50_000);
+    SimulatedHost.HostedRequest after = host.arrive(1, 0, 0, 0, a.request.id());
+    assertEquals(RequestState.ATTACHED, after.state);
+    for (int i = 0; i < 4; i++) {
+      host.arrive(0);
+    }
+    SimulatedHost.HostedRequest held = host.arrive(1);
+    assertEquals(RequestState.QUEUED, held.state);
+    assertEquals(RequestState.ATTACHED, host.arrive(1, 0, 0, 0, held.request.id()).state);
+  }
+
+  @Test
+  void aRetryOfARequestCancelledWhileQueuedRunsOnce() {
+    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    for (int i = 0; i < 4; i++) {
+      host.arrive(0);
+    }
+    SimulatedHost.HostedRequest a = host.arrive(1);
+    host.callerCancels(a);
+    SimulatedHost.HostedRequest b = host.arrive(1, 0, 0, 0, a.request.id());
+    assertEquals(RequestState.QUEUED, b.state);
+    host.end(host.running().get(0), Outcome.OK, 1000);
+    assertEquals(RequestState.RUNNING, b.state);
+    assertEquals(RequestState.ATTACHED, host.arrive(1, 0, 0, 0, b.request.id()).state);
+  }
+
+  @Test
+  void aRetryOfAFailedOrUnknownEffectNeverRuns() {
+    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost.HostedRequest a = host.arrive(1);
+    host.end(a, Outcome.FAILED, 1000);
+    assertFalse(host.arrive(1, 0, 0, 0, a.request.id()).executed);
+    SimulatedHost.HostedRequest lost = new SimulatedHost.HostedRequest();
+    lost.request = new PolicyRequest(999, 1, 0, 7, 0, 0, 10, 0.5, false, false, 1, 0, 0);
+    lost.executed = true;
+    host.requests.put(999L, lost);
+    lost.awaitingResponse = false;
+    lost.state = RequestState.COMPLETED;
+    assertFalse(host.arrive(1, 0, 0, 0, 999).executed);
+  }
+
+  @Test
+  void aKeyedRequestIsRejectedWhereKeysHaveNoMemoryLeft() {
+    SimulatedHost host =
+        new SimulatedHost(
+            Sites.with(
+                CancelMode.DROP,
+                LoadAdviceMode.OFF,
+                DownstreamMode.OFF,
+                0,
+                300,
+                false,
+                List.of(),
+                List.of(Sites.SAFE, Sites.KEYED)),
+            1);
+    int refused = 0;
+    for (int i = 0; i < 30; i++) {
+      SimulatedHost.HostedRequest hosted = host.arrive(1);
+      refused += hosted.answer.equals("reject") ? 1 : 0;
+      if (hosted.state == RequestState.RUNNING) {
+        host.end(hosted, Outcome.OK, 1000);
+      }
+    }
+    assertTrue(refused > 10);
+  }
+
+  @Test
+  void anEffectWhoseRunWasDroppedIsFailedAndNotRunAgain() {
+    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost.HostedRequest a = host.arrive(2);
+    host.end(a, Outcome.CANCELLED, 1000);
+    host.advance(40_000);
+    assertEquals("fail", a.answer);
+  }
+
+  @Test
+  void anUnsafeCallIsRetriedOnlyWhereItProvablyNeverRan() {
+    PriorityClass calling =
+        new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
+    SimulatedHost host =
+        new SimulatedHost(
+            Sites.with(
+                CancelMode.DROP,
+                LoadAdviceMode.OFF,
+                DownstreamMode.SHARED,
+                4,
+                100_000,
+                false,
+                List.of(),
+                List.of(calling)),
+            1);
+    SimulatedHost.HostedRequest a = host.arrive(0);
+    host.needCall(a);
+    host.endCall(a, Outcome.REJECTED);
+    assertEquals(RequestState.CALLING, a.state);
+    host.endCall(a, Outcome.TIMEOUT);
+    assertEquals("fail", a.answer);
+  }
+}
--- /dev/null
+++ b/src/test/java/rosecleat/policy/LoadAdviceTest.java
@@ -0,0 +1,107 @@
+package rosecleat.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What callers are advised: level, credit, Retry-After. */
+class LoadAdviceTest {
+  @Test
+  void creditIsFiniteWhereTheCallersAreNotKnown() {
+    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 0), 1);
+    host.advance(200_000);
+    assertTrue(host.loadAdvice >= 1 && Double.isFinite(host.loadAdvice), "said " + host.loadAdvice);
+  }
+
+  @Test
+  void requestsReadLateRaiseTheLevelAndTheRetryAfter() {
+    SimulatedHost host = Scenarios.warmedUp();
+    assertTrue(host.loadAdvice < 0.05);
+    for (int i = 0; i < 80; i++) {
+      host.arrive(0, 0, 980_000, 0, 0);
+      host.advance(20_000);
+    }
+    assertTrue(host.loadAdvice > 0.1);
+    assertTrue(host.lastRetryAfterUs > 0);
+    host.advance(30_000_000);
+    assertTrue(host.loadAdvice < 0.05);
+  }
+
+  /**
+   * Callers without credit turn requests away blindly, those of tenants inside their shares with
+   * the rest.
+   */
+  @Test
+  void eachOfAFewCallersIsGivenCreditForAllThatTheServerRuns() {
+    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 32), 1);
+    host.advance(200_000);
+    assertTrue(
+        host.loadAdvice >= 4,
+        "said " + host.loadAdvice); // all four cores, while the others are quiet
+  }
+
+  /**
+   * Guards requests that other servers can serve: this one can't, and callers with credit here send
+   * on.
+   */
+  @Test
+  void aServerFarSlowerThanBeforeHasNoCreditToSpare() {
+    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 8), 1);
+    for (int i = 0; i < 120; i++) {
+      SimulatedHost.HostedRequest hosted = host.arrive(0);
+      host.advance(i < 60 ? 50_000 : 400_000);
+      host.end(hosted, Outcome.OK, host.nowUs - hosted.arrivedUs);
+      host.advance(20_000);
+      if (i == 59) {
+        assertTrue(host.loadAdvice >= 16, "said " + host.loadAdvice);
+      }
+    }
+    assertTrue(host.loadAdvice <= 1, "said " + host.loadAdvice);
+  }
+
+  @Test
+  void eachOfManyCallersIsGivenLessThanOneCreditWhileTheServerRejects() {
+    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 1280), 1);
+    host.advance(200_000);
+    assertEquals(1, host.loadAdvice, 1e-9);
+    host.gauges.coreUtilisation = 1;
+    for (int i = 0; i < 200; i++) {
+      host.arrive(0);
+      host.policy.gate().averageUtilisation = 1;
+      host.policy.gate().averageOfferedLoad = 3;
+      host.advance(20_000);
+    }
+    assertTrue(
+        host.loadAdvice < 0.3,
+        "said " + host.loadAdvice); // 256 requests in all for 1280 callers, less by the refusals
+    for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
+      if (hosted.state == RequestState.RUNNING) {
+        host.end(hosted, hosted.awaitingResponse ? Outcome.OK : Outcome.CANCELLED, 100_000);
+      }
+    }
+    host.gauges.coreUtilisation = 0.2;
+    host.policy.gate().averageUtilisation = 0.2;
+    for (int i = 0; i < 100; i++) {
+      host.end(host.arrive(0), Outcome.OK, 1000);
+      host.advance(50_000);
+    }
+    assertTrue(host.loadAdvice > 0.9, "said " + host.loadAdvice);
+  }
+
+  @Test
+  void aFirstAttemptMayTryElsewhereWhereTheServerRejectsSeldom() {
+    SimulatedHost host = new SimulatedHost(Sites.marked(), 1);
+    host.arrive(0, 0, 2_000_000, 0, 0); // read too late to be of use
+    host.arrive(0);
+    host.arrive(0, 0, 2_900_000, 0, 0);
+    host.advance(40_000);
+    assertFalse(host.lastNoRetry);
+    host.markRetries = true;
+    host.arrive(0, 0, 2_900_000, 0, 0);
+    host.advance(40_000);
+    assertTrue(host.lastNoRetry);
+  }
+}
--- /dev/null
+++ b/src/test/java/rosecleat/policy/OverloadLimitTest.java
@@ -0,0 +1,89 @@
+package rosecleat.policy;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Memory and concurrency stay within what the server survives. */
+class OverloadLimitTest {
+  @Test
+  void memoryStaysWithinItsLimit() {
+    SimulatedHost host =
+        new SimulatedHost(
+            Sites.with(
+                CancelMode.OFF,
+                LoadAdviceMode.OFF,
+                DownstreamMode.OFF,
+                0,
+                400,
+                false,
+                List.of(),
+                List.of(Sites.SAFE)),
+            1);
+    host.gauges.coreUtilisation = 0.3;
+    for (int i = 0; i < 200; i++) {
+      host.arrive(0);
+      if (i % 10 == 0) {
+        host.advance(20_000);
+      }
+    }
+    assertTrue(host.memoryKb() <= 400);
+  }
+
+  @Test
+  void aColdServerKeepsToItsSmallerOverloadLimit() {
+    SimulatedHost host =
+        new SimulatedHost(
+            Sites.with(
+                CancelMode.OFF,
+                LoadAdviceMode.OFF,
+                DownstreamMode.OFF,
+                0,
+                100_000,
+                true,
+                List.of(),
+                List.of(Sites.SAFE)),
+            1);
+    host.gauges.coreUtilisation = 0.3;
+    for (int i = 0; i < 100; i++) {
+      host.arrive(0);
+      host.advance(20_000);
+    }
+    assertTrue(host.running().size() <= 10);
+  }
+
+  @Test
+  void requestsThatReturnFromCallsAtOnceStayWithinTheOverloadLimit() {
+    for (boolean cold : new boolean[] {false, true}) {
+      SimulatedHost host = Scenarios.allWaitingForCalls(60, cold);
+      host.requests.values().stream()
+          .filter(hosted -> hosted.state == RequestState.CALLING)
+          .toList()
+          .forEach(hosted -> host.endCall(hosted, Outcome.OK)); // the host asserts the crowd
+      assertTrue(host.running().size() > 4);
+    }
+  }
+
+  @Test
+  void pausedRequestsKeepTheirMemoryCounted() {
+    SimulatedHost host =
+        new SimulatedHost(
+            Sites.with(
+                CancelMode.PAUSE,
+                LoadAdviceMode.LEVEL,
+                DownstreamMode.OFF,
+                0,
+                400,
+                false,
+                List.of(),
+                List.of(Sites.SAFE)),
+            1);
+    for (int i = 0; i < 4; i++) {
+      host.end(host.arrive(0), Outcome.CANCELLED, 1000);
+    }
+    for (int i = 0; i < 30; i++) {
+      host.arrive(0); // the host asserts the memory
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/rosecleat/policy/ServiceTimeTest.java
@@ -0,0 +1,110 @@
+package rosecleat.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What runs teach the policy about run times. */
+class ServiceTimeTest {
+  /**
+   * Guards all that is reckoned by run times against a run of no length, or of less than the clock
+   * makes of its calls.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {0, 100_000})
+  void aRunOfNoLengthKeepsEveryEstimateFinite(long tookUs) {
+    SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
+    SimulatedHost.HostedRequest hosted = host.arrive(0);
+    host.needCall(hosted);
+    host.advance(tookUs + 1_000); // its time at the call, by this clock
+    host.endCall(hosted, Outcome.OK);
+    host.end(hosted, Outcome.OK, tookUs);
+    assertTrue(
+        host.policy.learnedEstimates().runTimesUs()[0] > 0,
+        "a run time of " + host.policy.learnedEstimates().runTimesUs()[0]);
+    for (int i = 0; i < 5; i++) { // the host asserts that no call is given up before it is made
+      SimulatedHost.HostedRequest next = host.arrive(0);
+      host.advance(40_000);
+      host.needCall(next);
+      assertEquals(RequestState.CALLING, next.state);
+      host.endCall(next, Outcome.OK);
+      host.end(next, Outcome.OK, 40_000);
+    }
+  }
+
+  /**
+   * Guards run times against a run that was dropped at a call and began anew: that call's time is
+   * none of the second run's.
+   */
+  @Test
+  void aSecondRunIsMeasuredWithoutTheCallTimeOfTheFirst() {
+    SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
+    SimulatedHost.HostedRequest hosted = host.arrive(0);
+    host.needCall(hosted);
+    host.advance(300_000);
+    host.endCall(hosted, Outcome.OK);
+    host.end(hosted, Outcome.CANCELLED, 310_000); // by itself, as where a link lost a command
+    host.advance(20_000);
+    assertEquals(RequestState.RUNNING, hosted.state);
+    host.advance(40_000);
+    host.end(hosted, Outcome.OK, 40_000);
+    assertEquals(40_000, host.policy.learnedEstimates().runTimesUs()[0], 5_000);
+  }
+
+  @Test
+  void timeSpentAtCallsIsNoContentionForTheCores() {
+    SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
+    for (int i = 0; i < 60; i++) {
+      SimulatedHost.HostedRequest hosted = host.arrive(0);
+      host.advance(50_000);
+      host.needCall(hosted);
+      host.advance(i < 30 ? 20_000 : 400_000);
+      host.endCall(hosted, Outcome.OK);
+      host.advance(50_000);
+      host.end(hosted, Outcome.OK, host.nowUs - hosted.arrivedUs);
+    }
+    SimulatedHost.HostedRequest late =
+        host.arrive(0, 0, 800_000, 0, 0); // 200 ms are left and 100 ms of work
+    assertEquals(RequestState.RUNNING, late.state);
+  }
+
+  @Test
+  void cancelledLongRunsStillRaiseTheExpectedRunTime() {
+    SimulatedHost host =
+        new SimulatedHost(
+            Sites.with(
+                CancelMode.PAUSE,
+                LoadAdviceMode.LEVEL,
+                DownstreamMode.OFF,
+                0,
+                100_000,
+                false,
+                List.of(),
+                List.of(Sites.SAFE)),
+            1);
+    for (int i = 0;
+        i < 60;
+        i++) { // one in three ends, after 300 ms; the others are stopped after 900
+      SimulatedHost.HostedRequest hosted = host.arrive(0);
+      if (i % 3 == 0) {
+        host.advance(300_000);
+        host.end(hosted, Outcome.OK, 300_000);
+      } else {
+        host.advance(900_000);
+        host.callerCancels(hosted);
+        host.end(hosted, Outcome.CANCELLED, 900_000);
+      }
+    }
+    for (int i = 0; i < 4; i++) {
+      host.arrive(0);
+    }
+    // 500 ms are left and the cores are taken: enough for a run of 300 ms, not for one of 2100 for
+    // each end
+    SimulatedHost.HostedRequest late = host.arrive(0, 0, 500_000, 0, 0);
+    assertEquals("reject", late.answer);
+  }
+}
--- /dev/null
+++ b/src/test/java/rosecleat/policy/StallTest.java
@@ -0,0 +1,77 @@
+package rosecleat.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** When work that stands still is noticed. */
+class StallTest {
+  private static void assertNoStall(SimulatedHost host) {
+    for (int i = 0; i < 4; i++) {
+      host.arrive(0);
+    }
+    host.advance(900_000);
+    assertTrue(host.logs.isEmpty());
+  }
+
+  @Test
+  void aStallRejectsQueuedRequestsAndClosesTheServer() {
+    SimulatedHost host = Scenarios.warmedUp();
+    for (int i = 0; i < 9; i++) {
+      host.arrive(i % 3);
+    }
+    host.advance(900_000);
+    assertFalse(host.healthy);
+    assertEquals(1, host.loadAdvice);
+    SimulatedHost.HostedRequest more = host.arrive(0);
+    assertEquals("reject", more.answer);
+    assertTrue(host.lastRetryAfterUs > 0);
+    assertFalse(host.lastNoRetry);
+    host.end(
+        host.running().stream().filter(hosted -> hosted.awaitingResponse).findFirst().orElseThrow(),
+        Outcome.OK,
+        900_000);
+    host.advance(200_000);
+    assertTrue(host.healthy);
+  }
+
+  @Test
+  void aNewServerSeesNoStallInItsFirstSecond() {
+    assertNoStall(new SimulatedHost(Sites.plain(), 1));
+  }
+
+  @Test
+  void aFewLongRunsAreNoStallUntilADozenEndsAreOverdue() {
+    SimulatedHost host = Scenarios.warmedUp(600_000);
+    for (int i = 0; i < 4; i++) {
+      host.arrive(0);
+    }
+    host.advance(1_200_000); // eight ends overdue
+    assertTrue(host.logs.isEmpty());
+    for (int i = 0;
+        i < 4;
+        i++) { // runs past their wanted time may have been stopped: work is there again
+      host.arrive(2);
+    }
+    host.advance(1_200_000);
+    assertFalse(host.logs.isEmpty());
+  }
+
+  @Test
+  void aVeryLongRunIsNoStallWhileOtherCoresAreFree() {
+    SimulatedHost host = Scenarios.warmedUp();
+    host.arrive(2);
+    host.arrive(2);
+    host.advance(1_700_000);
+    assertTrue(host.logs.isEmpty());
+  }
+
+  @Test
+  void manyReadsAreNoStall() {
+    SimulatedHost host = Scenarios.warmedUp();
+    host.gauges.runnable = 40;
+    assertNoStall(host);
+  }
+}
