--- a/src/main/java/rosecleat/front/resp/RespConnection.java
+++ b/src/main/java/rosecleat/front/resp/RespConnection.java
@@ -5,9 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import java.util.function.Supplier;
 import rosecleat.core.Core;
 import rosecleat.core.Counters;
 import rosecleat.core.Failure;
@@ -51,13 +49,12 @@
   /** Errors in a row after which nothing more is read. */
   private static final int STOP_READING_ERRORS = 2 * MAX_CONSECUTIVE_ERRORS;
 
+  private final RespFrontend frontend;
   private final Connection connection;
   private final Core core;
   private final Counters counters;
   private final LongSupplier clock;
   private final Log log;
-  private final Supplier<RequestDecoder> decoder;
-  private final Consumer<RespConnection> onClosed;
   private final RespParser parser = new RespParser(MAX_STRING_BYTES);
   private final TagWindow tags = new TagWindow();
   private final Map<Long, RequestHandle> inFlight = new HashMap<>();
@@ -86,23 +83,16 @@
   /**
    * Creates the protocol state of a connection.
    *
-   * @param decoder the decoder in force, which a reload replaces
-   * @param onClosed called once, when the connection has ended
+   * @param frontend the owner, which has the decoder in force and is told when the connection ends
    */
   RespConnection(
-      Connection connection,
-      Core core,
-      LongSupplier clock,
-      Log log,
-      Supplier<RequestDecoder> decoder,
-      Consumer<RespConnection> onClosed) {
+      RespFrontend frontend, Connection connection, Core core, LongSupplier clock, Log log) {
+    this.frontend = frontend;
     this.connection = connection;
     this.core = core;
     this.counters = core.counters();
     this.clock = clock;
     this.log = log;
-    this.decoder = decoder;
-    this.onClosed = onClosed;
     acceptedAtUs = clock.getAsLong();
     lastActivityUs = acceptedAtUs;
   }
@@ -192,7 +182,7 @@
   /** Cancels what is in flight, since nobody is left to receive the responses. */
   @Override
   public void closed(Failure failure, boolean endOfStream) {
-    onClosed.accept(this);
+    frontend.connectionClosed(this);
     for (RequestHandle handle : new ArrayList<>(inFlight.values())) {
       handle.cancel();
     }
@@ -228,8 +218,8 @@
     }
     boolean[] responded = new boolean[1];
     DecodeResult decoded =
-        decoder
-            .get()
+        frontend
+            .decoder()
             .decode(
                 message,
                 response -> {
--- a/src/main/java/rosecleat/front/resp/RespFrontend.java
+++ b/src/main/java/rosecleat/front/resp/RespFrontend.java
@@ -161,14 +161,19 @@
   }
 
   private void accept(Connection connection) {
-    RespConnection accepted =
-        new RespConnection(connection, core, clock, log, () -> decoder, this::connectionClosed);
+    RespConnection accepted = new RespConnection(this, connection, core, clock, log);
     connections.add(accepted);
     core.counters().add("resp.connections");
     connection.start(accepted);
   }
 
-  private void connectionClosed(RespConnection closed) {
+  /** Returns the decoder in force, which a reload replaces. */
+  RequestDecoder decoder() {
+    return decoder;
+  }
+
+  /** Forgets a connection that has ended. */
+  void connectionClosed(RespConnection closed) {
     connections.remove(closed);
     listener.connectionClosed(closed.connection());
   }
--- a/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
+++ b/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
@@ -26,7 +26,9 @@
   private final Node root = new Node();
 
   OperationRouter(List<ServiceOperation> operations) {
-    operations.forEach(this::add);
+    for (ServiceOperation operation : operations) {
+      add(operation);
+    }
   }
 
   /** Returns the operation, the methods that the path supports, or that it is unknown. */
