--- a/src/main/java/rosecleat/fleet/DatagramSender.java
+++ b/src/main/java/rosecleat/fleet/DatagramSender.java
@@ -19,8 +19,8 @@
     return Datagram.newBuilder()
         .setCluster(context.cluster())
         .setFrom(WireCodec.encode(self, self.state, 0))
-        .setDigest(context.members().viewDigest())
-        .setSync(context.syncDigest());
+        .setViewDigest(context.members().viewDigest())
+        .setSyncDigest(context.syncDigest());
   }
 
   /** Sends a datagram with as many queued updates as fit. */
@@ -34,7 +34,8 @@
   void ping(Member target, int sequence) {
     Datagram.Builder datagram =
         newDatagram()
-            .setPing(Ping.newBuilder().setSeq(sequence).setTarget(WireCodec.encode(target.id)));
+            .setPing(
+                Ping.newBuilder().setSequence(sequence).setTarget(WireCodec.encode(target.id)));
     if (target.state != MemberState.ALIVE) {
       MemberState told = target.state == MemberState.LEFT ? MemberState.DEAD : target.state;
       datagram.addMembers(WireCodec.encode(target, told, context.self().hash));
--- a/src/main/java/rosecleat/fleet/Dissemination.java
+++ b/src/main/java/rosecleat/fleet/Dissemination.java
@@ -1,7 +1,7 @@
 package rosecleat.fleet;
 
 import rosecleat.fleet.wire.Datagram;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
 
 /**
  * The updates that this member still has to pass on, and when the next gossip round is due. Updates
@@ -21,7 +21,7 @@
   private record SuspicionKey(MemberId id, long witness) {}
 
   private final ProtocolContext context;
-  private final DisseminationQueue<MemberNews> memberUpdates = new DisseminationQueue<>();
+  private final DisseminationQueue<MemberUpdateMessage> memberUpdates = new DisseminationQueue<>();
   private final DisseminationQueue<FleetRecord.Key> recordUpdates = new DisseminationQueue<>();
   private long nextRoundUs = ProtocolContext.NEVER;
 
@@ -36,7 +36,7 @@
 
   /** Queues a member's state for so many transmissions. */
   void broadcast(Member member, long witness, int transmissions, long nowUs) {
-    MemberNews update = WireCodec.encode(member, member.state, witness);
+    MemberUpdateMessage update = WireCodec.encode(member, member.state, witness);
     if (witness == 0) {
       member.witnesses.forEach(each -> memberUpdates.remove(new SuspicionKey(member.id, each)));
     }
@@ -73,7 +73,7 @@
   /** Adds as many queued updates to a datagram as fit. */
   void piggyback(Datagram.Builder datagram) {
     int budget = Tuning.MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES;
-    for (MemberNews update : memberUpdates.take(budget)) {
+    for (MemberUpdateMessage update : memberUpdates.take(budget)) {
       datagram.addMembers(update);
       budget -= update.getSerializedSize() + FIELD_OVERHEAD_BYTES;
     }
--- a/src/main/java/rosecleat/fleet/FailureDetector.java
+++ b/src/main/java/rosecleat/fleet/FailureDetector.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import rosecleat.fleet.wire.Ack;
 import rosecleat.fleet.wire.Datagram;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
 import rosecleat.fleet.wire.Nack;
 import rosecleat.fleet.wire.Ping;
 import rosecleat.fleet.wire.PingRequest;
@@ -108,7 +108,7 @@
             nowUs + timeoutUs);
     begin(probe);
     Ping.Builder ping =
-        Ping.newBuilder().setSeq(probe.sequence).setTarget(WireCodec.encode(member.id));
+        Ping.newBuilder().setSequence(probe.sequence).setTarget(WireCodec.encode(member.id));
     Datagram.Builder datagram =
         sender
             .newDatagram()
@@ -157,7 +157,7 @@
   /** Asks relays, in case only the path between this process and the target is broken. */
   private void directAnswerOverdue(Probe probe) {
     if (probe.purpose == Probe.Purpose.RELAY) {
-      Nack.Builder nack = Nack.newBuilder().setSeq(probe.requester.sequence());
+      Nack.Builder nack = Nack.newBuilder().setSequence(probe.requester.sequence());
       sender.send(probe.requester.endpoint(), sender.newDatagram().setNack(nack));
       return;
     }
@@ -165,11 +165,12 @@
       return;
     }
     Member target = probe.target;
-    MemberNews update = WireCodec.encode(target, target.state, context.self().hash);
-    PingRequest request = PingRequest.newBuilder().setSeq(probe.sequence).setTarget(update).build();
+    MemberUpdateMessage update = WireCodec.encode(target, target.state, context.self().hash);
+    PingRequest request =
+        PingRequest.newBuilder().setSequence(probe.sequence).setTarget(update).build();
     for (Member relay : context.members().sample(Tuning.INDIRECT_PROBES, target)) {
       probe.relaysAsked++;
-      sender.send(relay.endpoint, sender.newDatagram().setRequest(request));
+      sender.send(relay.endpoint, sender.newDatagram().setPingRequest(request));
     }
     sender.ping(target, probe.sequence);
   }
@@ -208,7 +209,7 @@
       sender.send(from, answer);
       return;
     }
-    sender.send(from, answer.setAck(Ack.newBuilder().setSeq(ping.getSeq())));
+    sender.send(from, answer.setAck(Ack.newBuilder().setSequence(ping.getSequence())));
   }
 
   /** Ends a probe that was answered; an overdue answer counts only by the sender's header. */
@@ -218,7 +219,7 @@
       return;
     }
     if (probe.purpose == Probe.Purpose.RELAY) {
-      Ack.Builder ack = Ack.newBuilder().setSeq(probe.requester.sequence());
+      Ack.Builder ack = Ack.newBuilder().setSequence(probe.requester.sequence());
       sender.send(probe.requester.endpoint(), sender.newDatagram().setAck(ack));
     } else if (probe.purpose == Probe.Purpose.DETECTION) {
       localHealth.adjust(-1);
@@ -250,7 +251,7 @@
             nextSequence(),
             target.get(),
             Probe.Purpose.RELAY,
-            new Probe.Requester(from, request.getSeq()),
+            new Probe.Requester(from, request.getSequence()),
             nowUs + (long) (Tuning.DIRECT_TIMEOUT_PERIODS * periodUs),
             nowUs + periodUs);
     begin(probe);
--- a/src/main/java/rosecleat/fleet/MembershipProtocol.java
+++ b/src/main/java/rosecleat/fleet/MembershipProtocol.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
 
 /**
  * One member's part in the membership protocol: SWIM's failure detector and gossip, Lifeguard's
@@ -95,7 +95,7 @@
   }
 
   /** This process as it is announced to others. */
-  public MemberNews selfUpdate() {
+  public MemberUpdateMessage selfUpdate() {
     Member self = context.self();
     return WireCodec.encode(self, self.state, 0);
   }
--- a/src/main/java/rosecleat/fleet/MessageReceiver.java
+++ b/src/main/java/rosecleat/fleet/MessageReceiver.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 import rosecleat.fleet.wire.Datagram;
-import rosecleat.fleet.wire.Exchange;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
+import rosecleat.fleet.wire.SyncFrame;
 
 /** Checks received messages and passes their parts to whom they concern. */
 final class MessageReceiver {
@@ -42,18 +42,18 @@
       return;
     }
     Member sender = handleSender(from, nowUs);
-    noteReport(sender, from, datagram.getDigest(), nowUs);
+    noteReport(sender, from, datagram.getViewDigest(), nowUs);
     handleMembers(datagram.getMembersList(), MemberUpdate.Source.GOSSIP, nowUs);
     datagram.getRecordsList().forEach(each -> records.receive(each, nowUs));
     handleBody(from.endpoint(), datagram, nowUs);
     if (sender != null && sender.state == MemberState.ALIVE) {
-      antiEntropy.onPeerDigest(sender, datagram.getSync(), nowUs);
+      antiEntropy.onPeerDigest(sender, datagram.getSyncDigest(), nowUs);
     }
     convergence.observe(context.members().viewDigest(), nowUs);
   }
 
   /** Handles a frame of a synchronization (null where it is malformed); false if it is invalid. */
-  boolean onExchange(Exchange frame, long nowUs) {
+  boolean onExchange(SyncFrame frame, long nowUs) {
     if (frame == null || !frame.hasFrom()) {
       context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
       return false;
@@ -70,7 +70,7 @@
   }
 
   /** The sender of a message; empty, and counted, where the message is to be ignored. */
-  private Optional<MemberUpdate> acceptSender(MemberNews from, String cluster) {
+  private Optional<MemberUpdate> acceptSender(MemberUpdateMessage from, String cluster) {
     Optional<MemberUpdate> sender = WireCodec.decode(from);
     if (sender.isEmpty()) {
       context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
@@ -114,8 +114,9 @@
     }
   }
 
-  private void handleMembers(List<MemberNews> messages, MemberUpdate.Source source, long nowUs) {
-    for (MemberNews message : messages) {
+  private void handleMembers(
+      List<MemberUpdateMessage> messages, MemberUpdate.Source source, long nowUs) {
+    for (MemberUpdateMessage message : messages) {
       Optional<MemberUpdate> update = WireCodec.decode(message);
       if (update.isPresent()) {
         memberUpdates.handle(update.get(), source, nowUs);
@@ -128,9 +129,9 @@
   private void handleBody(Endpoint from, Datagram datagram, long nowUs) {
     switch (datagram.getBodyCase()) {
       case PING -> detector.onPing(from, datagram.getPing());
-      case ACK -> detector.onAck(datagram.getAck().getSeq(), nowUs);
-      case NACK -> detector.onNack(datagram.getNack().getSeq());
-      case REQUEST -> detector.onPingRequest(from, datagram.getRequest(), nowUs);
+      case ACK -> detector.onAck(datagram.getAck().getSequence(), nowUs);
+      case NACK -> detector.onNack(datagram.getNack().getSequence());
+      case PING_REQUEST -> detector.onPingRequest(from, datagram.getPingRequest(), nowUs);
       default -> {
         // updates alone
       }
--- a/src/main/java/rosecleat/fleet/RecordReplicator.java
+++ b/src/main/java/rosecleat/fleet/RecordReplicator.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rosecleat.fleet.wire.RecordNews;
+import rosecleat.fleet.wire.RecordUpdateMessage;
 
 /** Writes this process's records, and takes those of others from messages. */
 final class RecordReplicator {
@@ -61,7 +61,7 @@
   }
 
   /** Takes a record from a message, where it is newer than what is stored. */
-  void receive(RecordNews message, long nowUs) {
+  void receive(RecordUpdateMessage message, long nowUs) {
     RecordUpdate update = WireCodec.decode(message).orElse(null);
     if (update == null) {
       context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
--- a/src/main/java/rosecleat/fleet/RecordStore.java
+++ b/src/main/java/rosecleat/fleet/RecordStore.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
-import rosecleat.fleet.wire.RecordNews;
+import rosecleat.fleet.wire.RecordUpdateMessage;
 
 /**
  * The records of all owners. Which version stays is decided by epoch and version alone, so that any
@@ -43,7 +43,7 @@
     }
 
     /** The record as a message, with or without its payload. */
-    RecordNews encode(long nowUs, boolean withPayload) {
+    RecordUpdateMessage encode(long nowUs, boolean withPayload) {
       return WireCodec.encode(record, ownerGoneMs(nowUs), withPayload);
     }
 
--- a/src/main/java/rosecleat/fleet/SyncFrames.java
+++ b/src/main/java/rosecleat/fleet/SyncFrames.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rosecleat.fleet.wire.Exchange;
-import rosecleat.fleet.wire.RecordNews;
+import rosecleat.fleet.wire.RecordUpdateMessage;
+import rosecleat.fleet.wire.SyncFrame;
 
 /** Builds the frames of a push/pull synchronization from what this member holds. */
 final class SyncFrames {
@@ -16,17 +16,17 @@
   }
 
   /** A frame that says who sends it and, by a digest, what it holds. */
-  Exchange.Builder header() {
+  SyncFrame.Builder header() {
     Member self = context.self();
-    return Exchange.newBuilder()
+    return SyncFrame.newBuilder()
         .setCluster(context.cluster())
         .setFrom(WireCodec.encode(self, self.state, 0))
-        .setSync(context.syncDigest());
+        .setSyncDigest(context.syncDigest());
   }
 
   /** A header with all members, dead ones with them. */
-  Exchange.Builder allMembers() {
-    Exchange.Builder frame = header();
+  SyncFrame.Builder allMembers() {
+    SyncFrame.Builder frame = header();
     for (Member member : context.members().all()) {
       if (member != context.self()) {
         boolean suspected = member.state == MemberState.SUSPECT;
@@ -38,8 +38,8 @@
   }
 
   /** All members, and all records without their payloads. */
-  Exchange.Builder allMembersAndRecordHeads() {
-    Exchange.Builder frame = allMembers();
+  SyncFrame.Builder allMembersAndRecordHeads() {
+    SyncFrame.Builder frame = allMembers();
     for (RecordStore.StoredRecord stored : context.records().all()) {
       frame.addHeads(stored.encode(context.eventTimeUs(), false));
     }
@@ -47,12 +47,12 @@
   }
 
   /** The records that the other side, by its heads, lacks. */
-  List<RecordNews> recordsMissingThere(List<RecordNews> theirHeads) {
+  List<RecordUpdateMessage> recordsMissingThere(List<RecordUpdateMessage> theirHeads) {
     Map<FleetRecord.Key, FleetRecord> theirs = new HashMap<>();
-    for (RecordNews head : theirHeads) {
+    for (RecordUpdateMessage head : theirHeads) {
       WireCodec.decode(head).ifPresent(update -> theirs.put(update.record().id(), update.record()));
     }
-    List<RecordNews> missing = new ArrayList<>();
+    List<RecordUpdateMessage> missing = new ArrayList<>();
     for (RecordStore.StoredRecord stored : context.records().all()) {
       if (stored.record().newerThan(theirs.get(stored.record().id()))) {
         missing.add(stored.encode(context.eventTimeUs(), true));
@@ -62,11 +62,11 @@
   }
 
   /** The other side's heads of records that this member lacks. */
-  List<RecordNews> headsMissingHere(List<RecordNews> theirHeads) {
+  List<RecordUpdateMessage> headsMissingHere(List<RecordUpdateMessage> theirHeads) {
     return theirHeads.stream().filter(this::isMissingHere).toList();
   }
 
-  private boolean isMissingHere(RecordNews head) {
+  private boolean isMissingHere(RecordUpdateMessage head) {
     FleetRecord theirs = WireCodec.decode(head).map(RecordUpdate::record).orElse(null);
     if (theirs == null) {
       return false;
@@ -79,9 +79,9 @@
   }
 
   /** The records, with payloads, that the other side asked for by their heads. */
-  List<RecordNews> requestedRecords(List<RecordNews> heads) {
-    List<RecordNews> found = new ArrayList<>();
-    for (RecordNews head : heads) {
+  List<RecordUpdateMessage> requestedRecords(List<RecordUpdateMessage> heads) {
+    List<RecordUpdateMessage> found = new ArrayList<>();
+    for (RecordUpdateMessage head : heads) {
       WireCodec.decode(head)
           .flatMap(update -> context.records().find(update.record().id()))
           .ifPresent(stored -> found.add(stored.encode(context.eventTimeUs(), true)));
--- a/src/main/java/rosecleat/fleet/SyncSession.java
+++ b/src/main/java/rosecleat/fleet/SyncSession.java
@@ -1,6 +1,6 @@
 package rosecleat.fleet;
 
-import rosecleat.fleet.wire.Exchange;
+import rosecleat.fleet.wire.SyncFrame;
 
 /**
  * One side of a push/pull synchronization, four frames at the most:
@@ -31,7 +31,7 @@
   @Override
   public byte[] nextFrame(byte[] received, long nowUs) {
     context.setEventTimeUs(nowUs);
-    Exchange frame = null;
+    SyncFrame frame = null;
     if (received != null) {
       frame = WireCodec.decodeExchange(received, context.cluster()).orElse(null);
       if (!receiver.onExchange(frame, nowUs)) {
@@ -42,33 +42,33 @@
     return opener ? nextOfOpener(frame) : nextOfResponder(frame);
   }
 
-  private byte[] nextOfOpener(Exchange received) {
+  private byte[] nextOfOpener(SyncFrame received) {
     if (step == 1) {
       return encode(frames.header());
     }
-    if (step == 2 && !received.getSame()) {
+    if (step == 2 && !received.getInSync()) {
       return encode(
           frames
               .allMembers()
               .addAllRecords(frames.recordsMissingThere(received.getHeadsList()))
-              .addAllWanted(frames.headsMissingHere(received.getHeadsList())));
+              .addAllRequestedHeads(frames.headsMissingHere(received.getHeadsList())));
     }
     return null;
   }
 
-  private byte[] nextOfResponder(Exchange received) {
+  private byte[] nextOfResponder(SyncFrame received) {
     if (step == 1) {
-      boolean same = received.getSync() == context.syncDigest();
-      return encode(same ? frames.header().setSame(true) : frames.allMembersAndRecordHeads());
+      boolean same = received.getSyncDigest() == context.syncDigest();
+      return encode(same ? frames.header().setInSync(true) : frames.allMembersAndRecordHeads());
     }
     if (step == 2) {
       return encode(
-          frames.header().addAllRecords(frames.requestedRecords(received.getWantedList())));
+          frames.header().addAllRecords(frames.requestedRecords(received.getRequestedHeadsList())));
     }
     return null;
   }
 
-  private byte[] encode(Exchange.Builder frame) {
+  private byte[] encode(SyncFrame.Builder frame) {
     return Checksum.attach(frame.build().toByteArray(), context.cluster());
   }
 }
--- a/src/main/java/rosecleat/fleet/WireCodec.java
+++ b/src/main/java/rosecleat/fleet/WireCodec.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import rosecleat.fleet.wire.Datagram;
-import rosecleat.fleet.wire.Exchange;
-import rosecleat.fleet.wire.MemberNews;
-import rosecleat.fleet.wire.RecordNews;
-import rosecleat.fleet.wire.Standing;
-import rosecleat.fleet.wire.Who;
+import rosecleat.fleet.wire.MemberIdMessage;
+import rosecleat.fleet.wire.MemberStateMessage;
+import rosecleat.fleet.wire.MemberUpdateMessage;
+import rosecleat.fleet.wire.RecordUpdateMessage;
+import rosecleat.fleet.wire.SyncFrame;
 
 /**
  * Members and records as messages and back. Decoding is empty where a name, host or number is out
@@ -28,50 +28,50 @@
 
   private WireCodec() {}
 
-  static MemberNews encode(Member member, MemberState state, long witness) {
+  static MemberUpdateMessage encode(Member member, MemberState state, long witness) {
     return encode(
         new MemberUpdate(
             member.id, member.endpoint, member.zone, state, member.incarnation, witness));
   }
 
-  static MemberNews encode(MemberUpdate update) {
+  static MemberUpdateMessage encode(MemberUpdate update) {
     Endpoint endpoint = update.endpoint();
-    return MemberNews.newBuilder()
-        .setWho(encode(update.id()))
+    return MemberUpdateMessage.newBuilder()
+        .setId(encode(update.id()))
         .setHost(ByteString.copyFrom(endpoint.host(), StandardCharsets.US_ASCII))
         .setPort(endpoint.port())
         .setZone(update.zone())
-        .setStandingValue(update.state().ordinal())
+        .setStateValue(update.state().ordinal())
         .setIncarnation(update.incarnation())
         .setWitness(update.witness())
         .build();
   }
 
-  static Who encode(MemberId id) {
-    return Who.newBuilder().setName(id.name()).setEpoch(id.epoch()).build();
+  static MemberIdMessage encode(MemberId id) {
+    return MemberIdMessage.newBuilder().setName(id.name()).setEpoch(id.epoch()).build();
   }
 
-  static MemberId decode(Who message) {
+  static MemberId decode(MemberIdMessage message) {
     return new MemberId(message.getName(), message.getEpoch());
   }
 
-  static Optional<MemberUpdate> decode(MemberNews message) {
+  static Optional<MemberUpdate> decode(MemberUpdateMessage message) {
     String host = message.getHost().toString(StandardCharsets.US_ASCII);
     Endpoint endpoint = new Endpoint(host, message.getPort());
-    if (!isName(message.getWho().getName())
-        || !isEpoch(message.getWho().getEpoch())
+    if (!isName(message.getId().getName())
+        || !isEpoch(message.getId().getEpoch())
         || !endpoint.isUsable()
         || message.getZone().length() > MemberId.MAX_NAME_LENGTH
-        || message.getStanding() == Standing.UNRECOGNIZED
+        || message.getState() == MemberStateMessage.UNRECOGNIZED
         || !isNumber(message.getIncarnation())) {
       return Optional.empty();
     }
     return Optional.of(
         new MemberUpdate(
-            decode(message.getWho()),
+            decode(message.getId()),
             endpoint,
             message.getZone(),
-            STATES[message.getStandingValue()],
+            STATES[message.getStateValue()],
             message.getIncarnation(),
             message.getWitness()));
   }
@@ -88,23 +88,23 @@
     return number >= 0 && number <= MAX_NUMBER;
   }
 
-  static RecordNews encode(FleetRecord record, long ownerGoneMs, boolean withPayload) {
-    RecordNews.Builder message =
-        RecordNews.newBuilder()
+  static RecordUpdateMessage encode(FleetRecord record, long ownerGoneMs, boolean withPayload) {
+    RecordUpdateMessage.Builder message =
+        RecordUpdateMessage.newBuilder()
             .setOwner(record.owner())
             .setEpoch(record.epoch())
             .setKind(record.kind())
             .setKey(record.key())
             .setVersion(record.version())
             .setTtlMs(record.ttlMs())
-            .setGoneMs(ownerGoneMs);
+            .setOwnerGoneMs(ownerGoneMs);
     if (withPayload) {
       message.setPayload(ByteString.copyFrom(record.payload()));
     }
     return message.build();
   }
 
-  static Optional<RecordUpdate> decode(RecordNews message) {
+  static Optional<RecordUpdate> decode(RecordUpdateMessage message) {
     if (!isName(message.getOwner())
         || !isName(message.getKind())
         || message.getKey().length() > MAX_KEY_LENGTH
@@ -112,7 +112,7 @@
         || !isNumber(message.getVersion())
         || message.getTtlMs() < 0
         || message.getTtlMs() > MAX_TTL_MS
-        || message.getGoneMs() < 0
+        || message.getOwnerGoneMs() < 0
         || message.getPayload().size() > Tuning.MAX_RECORD_BYTES) {
       return Optional.empty();
     }
@@ -125,7 +125,7 @@
             message.getVersion(),
             message.getTtlMs(),
             message.getPayload().toByteArray());
-    return Optional.of(new RecordUpdate(record, message.getGoneMs()));
+    return Optional.of(new RecordUpdate(record, message.getOwnerGoneMs()));
   }
 
   /** A datagram as it came, its checksum verified. */
@@ -139,10 +139,10 @@
   }
 
   /** A frame of a synchronization as it came, its checksum verified. */
-  static Optional<Exchange> decodeExchange(byte[] bytes, String cluster) {
+  static Optional<SyncFrame> decodeExchange(byte[] bytes, String cluster) {
     byte[] message = Checksum.verify(bytes, cluster);
     try {
-      return message == null ? Optional.empty() : Optional.of(Exchange.parseFrom(message));
+      return message == null ? Optional.empty() : Optional.of(SyncFrame.parseFrom(message));
     } catch (InvalidProtocolBufferException e) {
       return Optional.empty();
     }
--- a/src/main/java/rosecleat/node/RouteReplication.java
+++ b/src/main/java/rosecleat/node/RouteReplication.java
@@ -11,7 +11,7 @@
 import rosecleat.fleet.FleetRecord;
 import rosecleat.fleet.MembershipProtocol;
 import rosecleat.fleet.transport.MembershipService;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
 import rosecleat.log.Log;
 import rosecleat.routes.RouteStore;
 import rosecleat.routes.RouteSyncSession;
@@ -49,7 +49,7 @@
   private final Map<String, String> tableDigests = new ConcurrentHashMap<>();
   private final Map<String, String> storeDigests = new HashMap<>();
   private final MembershipService service;
-  private MemberNews selfUpdate;
+  private MemberUpdateMessage selfUpdate;
   private boolean syncing;
   private boolean hasPublished;
 
--- a/src/main/java/rosecleat/routes/RouteCodec.java
+++ b/src/main/java/rosecleat/routes/RouteCodec.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 import rosecleat.fleet.Checksum;
-import rosecleat.routes.wire.Routes;
-import rosecleat.routes.wire.Stamped;
+import rosecleat.routes.wire.RouteEntryMessage;
+import rosecleat.routes.wire.RouteSyncFrame;
 
 /** Entries as messages and back. Decoding is empty where a field is out of its bounds. */
 final class RouteCodec {
@@ -22,22 +22,22 @@
   private RouteCodec() {}
 
   /** A frame as it came, its checksum verified. */
-  static Optional<Routes> decodeFrame(byte[] bytes, String cluster) {
+  static Optional<RouteSyncFrame> decodeFrame(byte[] bytes, String cluster) {
     byte[] message = Checksum.verify(bytes, cluster);
     try {
-      return message == null ? Optional.empty() : Optional.of(Routes.parseFrom(message));
+      return message == null ? Optional.empty() : Optional.of(RouteSyncFrame.parseFrom(message));
     } catch (InvalidProtocolBufferException e) {
       return Optional.empty();
     }
   }
 
-  static byte[] encodeFrame(Routes.Builder frame, String cluster) {
+  static byte[] encodeFrame(RouteSyncFrame.Builder frame, String cluster) {
     return Checksum.attach(frame.build().toByteArray(), cluster);
   }
 
-  static Stamped encode(RouteEntry entry) {
-    Stamped.Builder message =
-        Stamped.newBuilder()
+  static RouteEntryMessage encode(RouteEntry entry) {
+    RouteEntryMessage.Builder message =
+        RouteEntryMessage.newBuilder()
             .setService(entry.key().service())
             .setName(entry.key().name())
             .setTime(entry.time())
@@ -52,11 +52,11 @@
         .setZone(instance.zone())
         .setWeight(instance.weight())
         .setState(instance.state().ordinal())
-        .setPlaces(instance.capacity())
+        .setCapacity(instance.capacity())
         .build();
   }
 
-  static Optional<RouteEntry> decode(Stamped message) {
+  static Optional<RouteEntry> decode(RouteEntryMessage message) {
     if (!isName(message.getService())
         || !isName(message.getName())
         || message.getTime() <= 0
@@ -71,9 +71,9 @@
   }
 
   /** All entries; empty where one of them is invalid, as the others can't be trusted then. */
-  static Optional<List<RouteEntry>> decodeAll(List<Stamped> messages) {
+  static Optional<List<RouteEntry>> decodeAll(List<RouteEntryMessage> messages) {
     List<RouteEntry> entries = new ArrayList<>();
-    for (Stamped message : messages) {
+    for (RouteEntryMessage message : messages) {
       Optional<RouteEntry> entry = decode(message);
       if (entry.isEmpty()) {
         return Optional.empty();
@@ -91,7 +91,7 @@
     return !text.isEmpty() && isText(text);
   }
 
-  private static boolean hasValidInstance(Stamped message) {
+  private static boolean hasValidInstance(RouteEntryMessage message) {
     return message.getPort() > 0
         && message.getPort() <= MAX_PORT
         && isText(message.getHost())
@@ -99,17 +99,17 @@
         && message.getWeight() <= MAX_WEIGHT
         && message.getState() >= 0
         && message.getState() < STATES.length
-        && message.getPlaces() >= 0
+        && message.getCapacity() >= 0
         && isText(message.getZone());
   }
 
-  private static Instance decodeInstance(Stamped message) {
+  private static Instance decodeInstance(RouteEntryMessage message) {
     return new Instance(
         message.getHost(),
         message.getPort(),
         message.getZone(),
         message.getWeight(),
         STATES[message.getState()],
-        message.getPlaces());
+        message.getCapacity());
   }
 }
--- a/src/main/java/rosecleat/routes/RouteSyncSession.java
+++ b/src/main/java/rosecleat/routes/RouteSyncSession.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import rosecleat.fleet.ExchangeSession;
-import rosecleat.fleet.wire.MemberNews;
-import rosecleat.routes.wire.Routes;
+import rosecleat.fleet.wire.MemberUpdateMessage;
+import rosecleat.routes.wire.RouteSyncFrame;
 
 /**
  * One side of an exchange that makes two replicas of the routes equal, whichever has more:
@@ -27,7 +27,7 @@
   private final RouteStore store;
   private final boolean opener;
   private final String cluster;
-  private final Supplier<MemberNews> self;
+  private final Supplier<MemberUpdateMessage> self;
   private final Runnable onChange;
   private final Runnable onEnd;
   private int step;
@@ -44,7 +44,7 @@
       RouteStore store,
       boolean opener,
       String cluster,
-      Supplier<MemberNews> self,
+      Supplier<MemberUpdateMessage> self,
       Runnable onChange,
       Runnable onEnd) {
     this.store = store;
@@ -66,7 +66,7 @@
     if (received == null) {
       return RouteCodec.encodeFrame(digestFrame(), cluster);
     }
-    Optional<Routes.Builder> next =
+    Optional<RouteSyncFrame.Builder> next =
         RouteCodec.decodeFrame(received, cluster)
             .flatMap(frame -> opener ? nextOfOpener(frame) : nextOfResponder(frame));
     if (opener || next.isEmpty()) {
@@ -76,11 +76,11 @@
   }
 
   /** After the answer: what the responder lacks, or nothing. */
-  private Optional<Routes.Builder> nextOfOpener(Routes answer) {
+  private Optional<RouteSyncFrame.Builder> nextOfOpener(RouteSyncFrame answer) {
     if (step != 2) {
       return Optional.empty();
     }
-    List<RouteEntry> missing = answer.getJoined() ? List.of() : missingThere(answer);
+    List<RouteEntry> missing = answer.getChangesOnly() ? List.of() : missingThere(answer);
     merge(answer);
     if (missing.isEmpty()) {
       return Optional.empty();
@@ -89,10 +89,10 @@
   }
 
   /** First the answer to digests that differ; then the opener's entries are merged. */
-  private Optional<Routes.Builder> nextOfResponder(Routes frame) {
+  private Optional<RouteSyncFrame.Builder> nextOfResponder(RouteSyncFrame frame) {
     if (step == 1
-        && frame.getHolds() != store.stateDigest()
-        && frame.getPartsCount() == RouteTrie.PARTS) {
+        && frame.getStateDigest() != store.stateDigest()
+        && frame.getPartDigestsCount() == RouteTrie.PARTS) {
       return Optional.of(answerFrame(frame));
     }
     if (step == 2) {
@@ -101,41 +101,42 @@
     return Optional.empty();
   }
 
-  private Routes.Builder header() {
-    return Routes.newBuilder().setFrom(self.get()).setHolds(store.stateDigest());
+  private RouteSyncFrame.Builder header() {
+    return RouteSyncFrame.newBuilder().setFrom(self.get()).setStateDigest(store.stateDigest());
   }
 
-  private Routes.Builder digestFrame() {
-    Routes.Builder frame = header();
+  private RouteSyncFrame.Builder digestFrame() {
+    RouteSyncFrame.Builder frame = header();
     for (long digest : store.trie().partDigests()) {
-      frame.addParts(digest);
+      frame.addPartDigests(digest);
     }
     return frame;
   }
 
-  private Routes.Builder answerFrame(Routes digests) {
-    Routes.Builder frame = header();
-    Optional<List<RouteEntry>> changes = store.changesSince(digests.getHolds());
+  private RouteSyncFrame.Builder answerFrame(RouteSyncFrame digests) {
+    RouteSyncFrame.Builder frame = header();
+    Optional<List<RouteEntry>> changes = store.changesSince(digests.getStateDigest());
     if (changes.isPresent()) {
-      return addEntries(frame, changes.get()).setJoined(true);
+      return addEntries(frame, changes.get()).setChangesOnly(true);
     }
     long[] own = store.trie().partDigests();
     for (int part = 0; part < own.length; part++) {
-      if (own[part] != digests.getParts(part)) {
-        frame.addDiffering(part);
+      if (own[part] != digests.getPartDigests(part)) {
+        frame.addDifferingParts(part);
         addEntries(frame, store.trie().entriesOfPart(part));
       }
     }
     return frame;
   }
 
-  private static Routes.Builder addEntries(Routes.Builder frame, List<RouteEntry> entries) {
+  private static RouteSyncFrame.Builder addEntries(
+      RouteSyncFrame.Builder frame, List<RouteEntry> entries) {
     entries.forEach(entry -> frame.addEntries(RouteCodec.encode(entry)));
     return frame;
   }
 
   /** The entries here, of the differing parts, that supersede those of the other side. */
-  private List<RouteEntry> missingThere(Routes answer) {
+  private List<RouteEntry> missingThere(RouteSyncFrame answer) {
     Map<RouteEntry.Key, RouteEntry> theirs = new HashMap<>();
     answer
         .getEntriesList()
@@ -143,7 +144,7 @@
             message ->
                 RouteCodec.decode(message).ifPresent(entry -> theirs.put(entry.key(), entry)));
     List<RouteEntry> missing = new ArrayList<>();
-    for (int part : answer.getDifferingList()) {
+    for (int part : answer.getDifferingPartsList()) {
       for (RouteEntry mine : entriesOfPart(part)) {
         if (mine.supersedes(theirs.get(mine.key()))) {
           missing.add(mine);
@@ -158,7 +159,7 @@
     return part < 0 || part >= RouteTrie.PARTS ? List.of() : store.trie().entriesOfPart(part);
   }
 
-  private void merge(Routes frame) {
+  private void merge(RouteSyncFrame frame) {
     Optional<List<RouteEntry>> entries = RouteCodec.decodeAll(frame.getEntriesList());
     if (entries.isPresent() && store.merge(entries.get())) {
       onChange.run();
--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rosecleat.fleet.wire.Datagram;
-import rosecleat.fleet.wire.MemberNews;
-import rosecleat.fleet.wire.RecordNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
+import rosecleat.fleet.wire.RecordUpdateMessage;
 
 /** Many members on virtual time: faults, and that the views converge again. */
 class MembershipProtocolTest {
@@ -239,7 +239,7 @@
       forged.addMembers(
           WireCodec.encode(new MemberUpdate(id, peer.endpoint(), "z", MemberState.DEAD, 1, 0)));
       forged.addRecords(
-          RecordNews.newBuilder()
+          RecordUpdateMessage.newBuilder()
               .setOwner(id.name())
               .setEpoch(id.epoch())
               .setKind("x")
@@ -249,7 +249,7 @@
     return forged;
   }
 
-  private static MemberNews aliveAt(MemberId id, Endpoint endpoint) {
+  private static MemberUpdateMessage aliveAt(MemberId id, Endpoint endpoint) {
     return WireCodec.encode(new MemberUpdate(id, endpoint, "", MemberState.ALIVE, 1, 0));
   }
 
@@ -266,7 +266,7 @@
             local, Tuning.of(SimulatedCluster.PERIOD), new SplittableRandom(1), 1);
     for (int i = 0; i < 5_000; i++) {
       Endpoint endpoint = new Endpoint("10.1." + i / 250 + "." + i % 250, 7);
-      MemberNews sender = aliveAt(new MemberId("m" + i, 1), endpoint);
+      MemberUpdateMessage sender = aliveAt(new MemberId("m" + i, 1), endpoint);
       protocol.onDatagram(sealed(Datagram.newBuilder().setCluster(CLUSTER).setFrom(sender)), 2);
       if (i % 100 == 0) {
         protocol.drainEffects();
--- a/src/test/java/rosecleat/fleet/SimulatedCluster.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
-import rosecleat.fleet.wire.Exchange;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
+import rosecleat.fleet.wire.SyncFrame;
 
 /**
  * Many members on one virtual clock, with a network between them that loses, duplicates, delays and
@@ -186,7 +186,7 @@
   public SimulatedCluster acquainted() {
     started(0);
     for (Peer peer : peers) {
-      Exchange.Builder allMembers = Exchange.newBuilder().setCluster(CLUSTER);
+      SyncFrame.Builder allMembers = SyncFrame.newBuilder().setCluster(CLUSTER);
       Peer introducer = peer.index == 0 ? peers.get(1) : peers.get(0);
       allMembers.setFrom(aliveUpdate(introducer));
       for (Peer other : peers) {
@@ -203,7 +203,7 @@
     return this;
   }
 
-  private static MemberNews aliveUpdate(Peer peer) {
+  private static MemberUpdateMessage aliveUpdate(Peer peer) {
     MemberId id = peer.protocol.localId();
     return WireCodec.encode(
         new MemberUpdate(id, peer.endpoint(), peer.zone(), MemberState.ALIVE, 1, 0));
--- a/src/test/java/rosecleat/harness/Links.java
+++ b/src/test/java/rosecleat/harness/Links.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import rosecleat.fleet.wire.Exchange;
+import rosecleat.fleet.wire.SyncFrame;
 
 /**
  * The links between the processes of a site: each is reached by the others only through a relay
@@ -152,7 +152,7 @@
       byte[] frame = new byte[in.readInt()];
       in.readFully(frame);
       int port =
-          Exchange.parseFrom(java.util.Arrays.copyOfRange(frame, 8, frame.length))
+          SyncFrame.parseFrom(java.util.Arrays.copyOfRange(frame, 8, frame.length))
               .getFrom()
               .getPort(); // behind its hash
       int from = -1;
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
 import rosecleat.routes.Instance;
 import rosecleat.routes.RouteEntry;
 import rosecleat.routes.RouteStore;
@@ -17,7 +17,7 @@
  * it.
  */
 public final class RoutesSpeed {
-  private static final MemberNews SELF = MemberNews.getDefaultInstance();
+  private static final MemberUpdateMessage SELF = MemberUpdateMessage.getDefaultInstance();
   private static final int ROUNDS = 21;
 
   private RoutesSpeed() {}
--- a/src/test/java/rosecleat/routes/RouteStoreTest.java
+++ b/src/test/java/rosecleat/routes/RouteStoreTest.java
@@ -12,11 +12,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
-import rosecleat.fleet.wire.MemberNews;
+import rosecleat.fleet.wire.MemberUpdateMessage;
 
 /** Books of routes against plain maps: any order, any loss, any author. */
 class RouteStoreTest {
-  private static final MemberNews SELF = MemberNews.getDefaultInstance();
+  private static final MemberUpdateMessage SELF = MemberUpdateMessage.getDefaultInstance();
 
   private static RouteEntry entry(long c) {
     long what = Math.floorMod(c / 64, 5);
