--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -126,8 +126,8 @@
   }
 
   /** Whether the time is over within which requests that arrive during a shutdown still run. */
-  public boolean gracePeriodOver() {
-    return shutdown.gracePeriodOverAt(clock.getAsLong());
+  public boolean gracePeriodEnded() {
+    return shutdown.gracePeriodEndedBefore(clock.getAsLong());
   }
 
   /** Whether each run of a class pauses for a downstream call before it ends. */
@@ -270,7 +270,7 @@
       return;
     }
     counters.add("gone");
-    request.callerGone();
+    request.cancelledByCaller();
     if (request.pausedForCall()) {
       runs.abandonCall(request);
     }
--- a/src/main/java/rosecleat/core/Counters.java
+++ b/src/main/java/rosecleat/core/Counters.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts by name of what comes in, goes out and is answered. For the core's thread. */
+/** Named counters of what a process does, for operators. For the core's thread. */
 public final class Counters {
   private final Map<String, long[]> counts = new TreeMap<>();
 
--- a/src/main/java/rosecleat/core/GracefulShutdown.java
+++ b/src/main/java/rosecleat/core/GracefulShutdown.java
@@ -19,8 +19,8 @@
     return begun;
   }
 
-  /** Whether a time, in Unix microseconds, is after the grace period. */
-  boolean gracePeriodOverAt(long timeUs) {
+  /** Whether the grace period ended before a time, in Unix microseconds. */
+  boolean gracePeriodEndedBefore(long timeUs) {
     return timeUs > gracePeriodEndUs;
   }
 }
--- a/src/main/java/rosecleat/core/InFlightRequest.java
+++ b/src/main/java/rosecleat/core/InFlightRequest.java
@@ -223,7 +223,7 @@
   }
 
   /** The caller is gone: no response will be sent. */
-  void callerGone() {
+  void cancelledByCaller() {
     awaitingResponse = false;
   }
 
--- a/src/main/java/rosecleat/core/NameIndex.java
+++ b/src/main/java/rosecleat/core/NameIndex.java
@@ -10,70 +10,77 @@
 import java.util.function.IntPredicate;
 
 /**
- * The numbers that names go by inside, with what each stands for. A name keeps its number over any
- * number of lists; one that is dropped keeps it while something uses it, and comes back to it. Only
- * then may another name have it, so lists that change for ever do not grow.
+ * Assigns indices to names, each with a value. A name keeps its index over any number of updates. A
+ * removed name keeps it as long as the index is in use, and gets it back if it returns; only then
+ * may another name have the index, so that endless updates do not grow the lists. Not thread-safe.
+ *
+ * @param <T> what is stored for each name
  */
 public final class NameIndex<T> {
+  private static final int UNKNOWN = -1;
+
   private final List<String> names = new ArrayList<>();
-  private final List<T> terms = new ArrayList<>();
+  private final List<T> values = new ArrayList<>();
   private final Set<Integer> current = new HashSet<>();
 
   /**
-   * Takes a new list of names (each once) with their terms.
+   * Replaces the current names and their values.
    *
-   * @param used whether something still goes by a number
-   * @return the numbers that stand for another name than before, new ones included
+   * @param updatedNames the names, each once
+   * @param updatedValues the value of each name, in the same order
+   * @param inUse whether an index is still in use and must keep its meaning
+   * @return the indices that belong to another name than before, new ones included
    */
-  public List<Integer> take(List<String> fresh, List<T> freshTerms, IntPredicate used) {
-    Map<String, Integer> known = new HashMap<>();
-    for (int n = 0; n < names.size(); n++) {
-      known.put(names.get(n), n);
+  public List<Integer> update(
+      List<String> updatedNames, List<T> updatedValues, IntPredicate inUse) {
+    Map<String, Integer> assigned = new HashMap<>();
+    for (int index = 0; index < names.size(); index++) {
+      assigned.put(names.get(index), index);
     }
     current.clear();
-    fresh.forEach(name -> current.add(known.getOrDefault(name, -1)));
-    current.remove(-1);
+    updatedNames.forEach(name -> current.add(assigned.getOrDefault(name, UNKNOWN)));
+    current.remove(UNKNOWN);
     List<Integer> renamed = new ArrayList<>();
-    for (int i = 0; i < fresh.size(); i++) {
-      Integer number = known.get(fresh.get(i));
-      if (number == null) {
-        number = free(used);
-        names.set(number, fresh.get(i));
-        renamed.add(number);
-        current.add(number);
+    for (int i = 0; i < updatedNames.size(); i++) {
+      Integer index = assigned.get(updatedNames.get(i));
+      if (index == null) {
+        index = allocate(inUse);
+        names.set(index, updatedNames.get(i));
+        renamed.add(index);
+        current.add(index);
       }
-      terms.set(number, freshTerms.get(i));
+      values.set(index, updatedValues.get(i));
     }
     return renamed;
   }
 
-  private int free(IntPredicate used) {
-    for (int n = 0; n < names.size(); n++) {
-      if (!current.contains(n) && !used.test(n)) {
-        return n;
+  private int allocate(IntPredicate inUse) {
+    for (int index = 0; index < names.size(); index++) {
+      if (!current.contains(index) && !inUse.test(index)) {
+        return index;
       }
     }
     names.add("");
-    terms.add(null);
+    values.add(null);
     return names.size() - 1;
   }
 
-  /** The number of a name of the last list. */
-  public int of(String name) {
+  /** The index of a current name. */
+  public int indexOf(String name) {
     return names.indexOf(name);
   }
 
-  /** The names by number; null for those that are not on the last list. */
+  /** The names by index; null in place of each that is not current. */
   public List<String> names() {
     List<String> all = new ArrayList<>();
-    for (int n = 0; n < names.size(); n++) {
-      all.add(current.contains(n) ? names.get(n) : null);
+    for (int index = 0; index < names.size(); index++) {
+      all.add(current.contains(index) ? names.get(index) : null);
     }
     return Collections.unmodifiableList(all);
   }
 
-  /** What each number stands for, or stood for last. */
-  public List<T> terms() {
-    return List.copyOf(terms);
+  /** The values by index; that of a removed name is its last. */
+  public List<T> values() {
+    return List.copyOf(values);
   }
 }
--- a/src/main/java/rosecleat/core/PolicyDriver.java
+++ b/src/main/java/rosecleat/core/PolicyDriver.java
@@ -137,7 +137,7 @@
   }
 
   private void start(InFlightRequest request) {
-    runs.start(request, shutdown.gracePeriodOverAt(request.request().arrivedAtUs()));
+    runs.start(request, shutdown.gracePeriodEndedBefore(request.request().arrivedAtUs()));
   }
 
   /** Acts on a request; a command for one that is closed by now does nothing. */
--- a/src/main/java/rosecleat/core/Progress.java
+++ b/src/main/java/rosecleat/core/Progress.java
@@ -1,17 +1,17 @@
 package rosecleat.core;
 
-/** How far an attempt had come when it failed: the proof that an error carries. */
+/** How far an attempt had come when it failed, which tells the caller whether a retry is safe. */
 public enum Progress {
   /** Nothing left this process. */
   NOT_SENT,
-  /** It was sent, and the other side has said that it did nothing. */
+  /** It was sent, and it is proven that the other side executed nothing. */
   SENT,
   /** It was sent, and nothing proves what became of it. */
   MAY_HAVE_RUN,
   /** It ran. */
   RAN;
 
-  /** Whether this proves that nothing ran. */
+  /** Whether it is proven that nothing was executed. */
   public boolean neverRan() {
     return this == NOT_SENT || this == SENT;
   }
--- a/src/main/java/rosecleat/node/DrainPhase.java
+++ b/src/main/java/rosecleat/node/DrainPhase.java
@@ -16,13 +16,13 @@
 
   @Override
   boolean closesConnections() {
-    return parts.core.gracePeriodOver();
+    return parts.core.gracePeriodEnded();
   }
 
   @Override
   boolean closeWhatIsDone(boolean hurry) {
     boolean closed =
-        parts.core.gracePeriodOver()
+        parts.core.gracePeriodEnded()
             && parts.frontends.closeListenersWhenQuiet(hurry ? 0 : QUIET_US);
     return closed && parts.core.awaitingResponse() == 0 && parts.frontends.openConnections() == 0;
   }
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -86,8 +86,8 @@
       indexed.add(each);
       classKeys.add(each.key());
     }
-    tenants.take(start.tenantNames(), start.policy().tenants(), tenantInUse);
-    return classes.take(classKeys, indexed, classInUse);
+    tenants.update(start.tenantNames(), start.policy().tenants(), tenantInUse);
+    return classes.update(classKeys, indexed, classInUse);
   }
 
   /** Sets how many requests all instances together work on at once. */
@@ -100,11 +100,11 @@
     List<TenantQuota> quotas = new ArrayList<>();
     List<String> names = tenants.names();
     for (int i = 0; i < names.size(); i++) {
-      quotas.add(names.get(i) == null ? new TenantQuota(0) : tenants.terms().get(i));
+      quotas.add(names.get(i) == null ? new TenantQuota(0) : tenants.values().get(i));
     }
     return settingsWithCapacity()
         .withClassesAndTenants(
-            classes.terms().stream().map(IndexedClass::settings).toList(), List.copyOf(quotas));
+            classes.values().stream().map(IndexedClass::settings).toList(), List.copyOf(quotas));
   }
 
   /** Where instances elsewhere do all work, the limit on running requests starts at their sum. */
@@ -126,7 +126,7 @@
     PolicySettings settings = settingsWithCapacity();
     return new CoreSettings(
         settings.cores(),
-        classes.terms().stream().map(IndexedSettings::requestClass).toList(),
+        classes.values().stream().map(IndexedSettings::requestClass).toList(),
         tenants.names(),
         settings.slackUs(),
         settings.graceUs(),
@@ -149,7 +149,7 @@
     List<RequestClass> named = new ArrayList<>();
     List<String> keys = classes.names();
     for (int i = 0; i < keys.size(); i++) {
-      IndexedClass indexed = classes.terms().get(i);
+      IndexedClass indexed = classes.values().get(i);
       named.add(keys.get(i) != null && indexed.own ? requestClass(indexed) : null);
     }
     return new RequestCatalog(Collections.unmodifiableList(named), tenants.names(), runner);
@@ -165,7 +165,7 @@
     Map<String, PriorityClass> settings = new HashMap<>();
     for (int i = 0; i < classes.names().size(); i++) {
       if (classes.names().get(i) != null) {
-        settings.put(classes.names().get(i), classes.terms().get(i).settings);
+        settings.put(classes.names().get(i), classes.values().get(i).settings);
       }
     }
     return settings;
@@ -176,7 +176,7 @@
     Map<String, TenantQuota> quotas = new HashMap<>();
     for (int i = 0; i < tenants.names().size(); i++) {
       if (tenants.names().get(i) != null) {
-        quotas.put(tenants.names().get(i), tenants.terms().get(i));
+        quotas.put(tenants.names().get(i), tenants.values().get(i));
       }
     }
     return quotas;
@@ -192,8 +192,8 @@
     if (config.broker().isEmpty()) {
       return Optional.empty();
     }
-    List<Integer> classIndexes = classKeys.stream().map(classes::of).toList();
-    List<Integer> tenantIndexes = start.tenantNames().stream().map(tenants::of).toList();
+    List<Integer> classIndexes = classKeys.stream().map(classes::indexOf).toList();
+    List<Integer> tenantIndexes = start.tenantNames().stream().map(tenants::indexOf).toList();
     return Optional.of(config.broker().get().withIndexes(classIndexes, tenantIndexes));
   }
 }
--- a/src/test/java/rosecleat/core/NameIndexTest.java
+++ b/src/test/java/rosecleat/core/NameIndexTest.java
@@ -13,40 +13,42 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/**
- * The numbers of names over many lists, against a model: what a number in use stands for must not
- * change.
- */
+/** The indices of names over many updates, against a model. */
 class NameIndexTest {
   @Property(tries = 300, seed = "20261202")
-  void aNumberInUseKeepsItsNameAndListsDoNotGrow(
-      @ForAll @Size(min = 1, max = 30) List<@Size(max = 4) Set<@IntRange(max = 40) Integer>> lists,
-      @ForAll @Size(min = 30, max = 30) List<Boolean> holds) {
-    NameIndex<String> numbers = new NameIndex<>();
-    Map<Integer, String> used = new HashMap<>(); // number to the name its user came with
-    int most = 0;
-    for (int round = 0; round < lists.size(); round++) {
-      List<String> names = lists.get(round).stream().map(n -> "class-" + n).toList();
-      List<String> terms = names.stream().map(n -> "terms of " + n).toList();
-      Set<Integer> renamed = new HashSet<>(numbers.take(names, terms, used::containsKey));
+  void indexInUseKeepsItsNameAndListsDoNotGrow(
+      @ForAll @Size(min = 1, max = 30)
+          List<@Size(max = 4) Set<@IntRange(max = 40) Integer>> updates,
+      @ForAll @Size(min = 30, max = 30) List<Boolean> staysInUse) {
+    NameIndex<String> index = new NameIndex<>();
+    Map<Integer, String> inUse = new HashMap<>(); // index to the name its user came with
+    int maxInUse = 0;
+    for (int round = 0; round < updates.size(); round++) {
+      List<String> names = updates.get(round).stream().map(n -> "class-" + n).toList();
+      List<String> values = names.stream().map(NameIndexTest::valueOf).toList();
+      Set<Integer> renamed = new HashSet<>(index.update(names, values, inUse::containsKey));
       Set<Integer> seen = new HashSet<>();
       for (String name : names) {
-        int number = numbers.of(name);
-        assertTrue(seen.add(number), "two names have one number");
-        assertEquals(name, numbers.names().get(number));
-        assertEquals("terms of " + name, numbers.terms().get(number));
+        int position = index.indexOf(name);
+        assertTrue(seen.add(position), "two names have one index");
+        assertEquals(name, index.names().get(position));
+        assertEquals(valueOf(name), index.values().get(position));
       }
-      used.forEach(
-          (number, name) -> {
-            assertTrue(!renamed.contains(number), "a number in use was given away");
-            assertEquals("terms of " + name, numbers.terms().get(number));
+      inUse.forEach(
+          (position, name) -> {
+            assertTrue(!renamed.contains(position), "an index in use was given away");
+            assertEquals(valueOf(name), index.values().get(position));
           });
-      if (!holds.get(round)) {
-        used.clear();
+      if (!staysInUse.get(round)) {
+        inUse.clear();
       }
-      names.stream().limit(1).forEach(name -> used.put(numbers.of(name), name));
-      most = Math.max(most, used.size());
-      assertTrue(numbers.names().size() <= 4 + 4 + most, "lists grow: " + numbers.names());
+      names.stream().limit(1).forEach(name -> inUse.put(index.indexOf(name), name));
+      maxInUse = Math.max(maxInUse, inUse.size());
+      assertTrue(index.names().size() <= 4 + 4 + maxInUse, "lists grow: " + index.names());
     }
   }
+
+  private static String valueOf(String name) {
+    return "terms of " + name;
+  }
 }
--- a/src/test/java/rosecleat/node/LinksTest.java
+++ b/src/test/java/rosecleat/node/LinksTest.java
@@ -584,7 +584,7 @@
     client.send(RespClient.array("PING", 5, ""));
     assertEquals("DOWN", client.answer().get(1));
     assertEquals("OK", answer("balance-check").get(1)); // within the grace
-    await(() -> ask(Core::gracePeriodOver));
+    await(() -> ask(Core::gracePeriodEnded));
     Thread.sleep(5); // requests tell whole milliseconds
     assertEquals(
         "BUSY", answer("balance-check").get(1)); // behind it: nothing is run, all is answered
--- a/src/test/java/rosecleat/node/MixedLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedLoadTest.java
@@ -236,7 +236,7 @@
         book.breach("answered " + reply.status(), sent);
       }
     } catch (java.net.ConnectException e) {
-      if (!rig.ask(core -> core.gracePeriodOver())) { // a refused connection: nothing ran
+      if (!rig.ask(core -> core.gracePeriodEnded())) { // a refused connection: nothing ran
         book.breach("not accepted", sent);
       }
     } catch (IOException e) {
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontTest.java
@@ -177,7 +177,7 @@
     Thread.sleep(1_200);
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(bytes, 0, 10); // begun within the grace, whole only after it
-      rig.await(core -> core.gracePeriodOver());
+      rig.await(core -> core.gracePeriodEnded());
       socket.getOutputStream().write(bytes, 10, bytes.length - 10);
       Reply refused = UwsgiClient.read(socket);
       assertEquals(503, refused.status());
