--- a/src/main/java/rosecleat/front/uwsgi/HttpResponse.java
+++ b/src/main/java/rosecleat/front/uwsgi/HttpResponse.java
@@ -21,20 +21,11 @@
 
   /** Encodes everything before the body. */
   ByteBuffer encodeHead(String contentType) {
-    StringBuilder head =
-        new StringBuilder("HTTP/1.1 ")
-            .append(status)
-            .append(' ')
-            .append(ReasonPhrases.of(status))
-            .append("\r\nConnection: close\r\n");
+    ResponseHead head = new ResponseHead(status).header("Connection", "close");
     if (status != NO_CONTENT) {
-      head.append("Content-Type: ")
-          .append(contentType)
-          .append("\r\nContent-Length: ")
-          .append(body.length)
-          .append("\r\n");
+      head.header("Content-Type", contentType).contentLength(body.length);
     }
-    headers.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
-    return ByteBuffer.wrap(head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
+    headers.forEach(head::header);
+    return head.encode();
   }
 }
--- a/src/main/java/rosecleat/front/uwsgi/ServiceResponse.java
+++ b/src/main/java/rosecleat/front/uwsgi/ServiceResponse.java
@@ -1,7 +1,6 @@
 package rosecleat.front.uwsgi;
 
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
@@ -63,22 +62,17 @@
    * @param defaultContentType the content type of a body for which the service named none
    */
   ByteBuffer encodeHead(String defaultContentType) {
-    StringBuilder head =
-        new StringBuilder("HTTP/1.1 ")
-            .append(status)
-            .append(' ')
-            .append(ReasonPhrases.of(status))
-            .append("\r\n");
-    headers.forEach(
-        header -> head.append(header.name).append(": ").append(header.value).append("\r\n"));
+    ResponseHead head = new ResponseHead(status);
+    for (Header header : headers) {
+      head.header(header.name, header.value);
+    }
     if (body.length > 0 && !hasHeader("content-type")) {
-      head.append("Content-Type: ").append(defaultContentType).append("\r\n");
+      head.header("Content-Type", defaultContentType);
     }
     if (!isBodiless(status)) {
-      head.append("Content-Length: ").append(body.length).append("\r\n");
+      head.contentLength(body.length);
     }
-    return ByteBuffer.wrap(
-        head.append("Connection: close\r\n\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
+    return head.header("Connection", "close").encode();
   }
 
   private boolean hasHeader(String name) {
