--- a/src/test/java/rosecleat/policy/AdmissionGateTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionGateTest.java
@@ -29,7 +29,7 @@
 
   @Test
   void averagesFollowAHandWorkedSequence() {
-    SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG)), 1));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
     host.arrive(0); // nothing ended yet: rho_c is u_s = 1
     assertEquals(0.1, host.policy.gate().averageOfferedLoad, 1e-12);
     assertEquals(0.1, host.policy.gate().averageUtilisation, 1e-12);
@@ -42,7 +42,7 @@
 
   @Test
   void theFilteringCoefficientIsFromZeroToOne() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     host.policy.gate().averageOfferedLoad = 0.95;
     assertEquals(0.8, host.policy.gate().filteringCoefficient(1), 1e-12);
     host.policy.gate().averageOfferedLoad = 0.5;
@@ -54,7 +54,7 @@
 
   @Test
   void nothingIsRejectedBeforeTheGateBinds() {
-    SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG)), 1));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
     host.policy.gate().averageUtilisation = 1;
     host.policy.gate().averageOfferedLoad = 3;
     for (int i = 0; i < 50; i++) { // held, but the oldest has not waited a tenth of its time
@@ -72,7 +72,7 @@
 
   @Test
   void rejectionsComeAsOftenAsTheFilteringCoefficientSays() {
-    SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG)), 42));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 42));
     for (int i = 0; i < 6; i++) {
       host.arrive(0);
     }
@@ -100,7 +100,7 @@
   void anArrivalCompetesOnlyWithArrivalsOfItsWeightOrMore() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG, heavy)), 3));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
     for (int i = 0; i < 60; i++) {
       host.arrive(i % 4 == 0 ? 1 : 0);
     }
@@ -116,7 +116,7 @@
 
   @Test
   void aMarkedRetryGivesWayToAFirstAttempt() {
-    SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG)), 3));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
     host.markRetries = true;
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
@@ -140,7 +140,7 @@
   void theLevelDoesNotRiseForRejectionsBelowIt() {
     double[] said = new double[2];
     for (int all = 0; all < 2; all++) {
-      SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG)), 3));
+      SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
       rejectsEveryDraw(host);
       host.rank = all == 0 ? 0.3 : 0.99;
       for (int i = 0;
@@ -161,7 +161,7 @@
   void aHeavierArrivalThatWasDrawnReplacesTheLightestQueuedRequest() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG, heavy)), 3));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
     rejectsEveryDraw(host);
     assertEquals("reject", host.arrive(0).answer);
     host.policy.gate().averageOfferedLoad = 90;
@@ -176,7 +176,7 @@
     SimulatedHost host =
         busy(
             new SimulatedHost(
-                Sites.with(
+                TestSettings.with(
                     CancelMode.DROP,
                     LoadAdviceMode.WEIGHT,
                     DownstreamMode.OFF,
@@ -209,7 +209,7 @@
     SimulatedHost host =
         busy(
             new SimulatedHost(
-                Sites.with(
+                TestSettings.with(
                     CancelMode.DROP,
                     LoadAdviceMode.WEIGHT,
                     DownstreamMode.OFF,
@@ -228,7 +228,7 @@
   void nothingQueuedGivesWayToAnArrivalThatIsRejectedAnyway() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(Sites.plain(List.of(LONG, heavy)), 3));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
     rejectsEveryDraw(host);
     assertEquals(
         "reject", host.arrive(1, 0, 60_100_000, 0, 0).answer); // past its wanted time when read
@@ -241,7 +241,7 @@
     SimulatedHost host =
         busy(
             new SimulatedHost(
-                Sites.with(
+                TestSettings.with(
                     CancelMode.DROP,
                     LoadAdviceMode.WEIGHT,
                     DownstreamMode.OFF,
@@ -273,7 +273,7 @@
 
   @Test
   void theLimitStartsAtTheCoresGrowsWhileTheyAreFreeAndStaysUnderTheOverloadLimit() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(List.of(LONG)), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(List.of(LONG)), 1);
     for (int i = 0; i < 60; i++) {
       host.arrive(0);
     }
@@ -287,7 +287,7 @@
 
   @Test
   void theLimitFallsToTheCoresAsRunTimesRise() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(List.of(LONG)), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(List.of(LONG)), 1);
     for (int i = 0; i < 200; i++) {
       host.arrive(0);
     }
@@ -308,7 +308,7 @@
 
   @Test
   void queuedRequestsStartOldestFirst() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(List.of(LONG)), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(List.of(LONG)), 1);
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
     }
--- a/src/test/java/rosecleat/policy/AdmissionTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionTest.java
@@ -21,9 +21,9 @@
   void aLightArrivalIsRejectedOnAnEmptyQueueWhereHeavierOnesAloneAreTooMany() {
     SimulatedHost host =
         new SimulatedHost(
-            Sites.plain(
+            TestSettings.plain(
                 List.of(
-                    Sites.SAFE,
+                    TestSettings.SAFE,
                     new PriorityClass(
                         10, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, false, 0))),
             1);
--- /dev/null
+++ b/src/test/java/rosecleat/policy/ColdNodeRamp.java
@@ -0,0 +1,94 @@
+package rosecleat.policy;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** A cold node that warms up under callers who send as much as its credit allows. */
+final class ColdNodeRamp {
+  private static final long STEP_US = 10_000;
+  private static final double RUN_TIME_US = 250_000;
+  private static final int MAX_REQUESTS = 2_000;
+
+  private final SplittableRandom random;
+  private final SimulatedHost host;
+
+  private ColdNodeRamp(int seed) {
+    random = new SplittableRandom(seed);
+    host =
+        new SimulatedHost(
+            TestSettings.with(
+                CancelMode.OFF,
+                LoadAdviceMode.CREDIT,
+                DownstreamMode.OFF,
+                0,
+                100_000,
+                true,
+                List.of(),
+                List.of(TestSettings.SAFE)),
+            seed);
+  }
+
+  /**
+   * The largest mean of what a cold node runs, over the time that it survives an overload, as a
+   * part of what it survives at that moment.
+   */
+  static double maxLoad(int callers, int seed) {
+    return new ColdNodeRamp(seed).maxLoad(callers);
+  }
+
+  private double maxLoad(int callers) {
+    PolicySettings settings = host.settings;
+    int window = (int) (settings.overloadDurationUs() / STEP_US);
+    Deque<Integer> running = new ArrayDeque<>();
+    double max = 0;
+    for (long now = 0; now < settings.warmupUs(); now += STEP_US) {
+      double warm =
+          settings.coldCapacity() + (1 - settings.coldCapacity()) * now / settings.warmupUs();
+      host.gauges.coreUtilisation = host.running().isEmpty() ? 0.2 : 1;
+      host.advance(STEP_US);
+      for (int caller = 0; caller < callers; caller++) {
+        sendAllowed(caller);
+      }
+      endSome(warm);
+      running.add(host.running().size());
+      if (running.size() > window) {
+        running.remove();
+      }
+      if (running.size() == window) {
+        double survived = settings.cores() * (1 + (settings.overloadMultiple() - 1) * warm);
+        max = Math.max(max, mean(running) / survived);
+      }
+    }
+    return max;
+  }
+
+  /** A caller has as much outstanding as its credit allows. */
+  private void sendAllowed(int caller) {
+    host.callerId = caller;
+    long outstanding =
+        host.requests.values().stream()
+            .filter(hosted -> hosted.request.callerId() == caller && hosted.awaitingResponse)
+            .count();
+    double allowed = host.loadAdvice - outstanding;
+    while (allowed >= 1 && host.requests.size() < MAX_REQUESTS) {
+      host.arrive(0);
+      allowed--;
+    }
+  }
+
+  private void endSome(double warm) {
+    for (SimulatedHost.HostedRequest hosted : host.running()) {
+      double crowd = Math.max(1, host.running().size() / 4.0);
+      if (random.nextDouble() < warm * STEP_US / RUN_TIME_US / crowd) {
+        host.end(hosted, Outcome.OK, (long) RUN_TIME_US);
+      }
+    }
+    host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
+  }
+
+  private static double mean(Deque<Integer> values) {
+    return values.stream().mapToInt(value -> value).average().orElse(0);
+  }
+}
--- a/src/test/java/rosecleat/policy/DeadlineTest.java
+++ b/src/test/java/rosecleat/policy/DeadlineTest.java
@@ -14,7 +14,7 @@
     for (CancelMode halt : CancelMode.values()) {
       SimulatedHost host =
           new SimulatedHost(
-              Sites.with(
+              TestSettings.with(
                   halt,
                   LoadAdviceMode.OFF,
                   DownstreamMode.OFF,
@@ -22,7 +22,7 @@
                   100_000,
                   false,
                   List.of(),
-                  List.of(Sites.SAFE, Sites.KEYED, Sites.UNSAFE)),
+                  List.of(TestSettings.SAFE, TestSettings.KEYED, TestSettings.UNSAFE)),
               1);
       for (int i = 0; i < 30; i++) {
         host.arrive(i % 3);
@@ -36,7 +36,7 @@
 
   @Test
   void aShorterTimeoutBindsAndARequestReadTooLateIsAnsweredAtOnce() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     SimulatedHost.HostedRequest tight = host.arrive(0, 0, 0, 300_000, 0);
     host.advance(300_000);
     assertFalse(tight.awaitingResponse);
@@ -52,7 +52,7 @@
         new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
     SimulatedHost host =
         new SimulatedHost(
-            Sites.with(
+            TestSettings.with(
                 CancelMode.DROP,
                 LoadAdviceMode.OFF,
                 DownstreamMode.SHARED,
@@ -73,7 +73,7 @@
 
   @Test
   void aRequestThatCannotFinishInTimeIsRejectedWhileOthersRun() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 30; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       host.advance(400_000);
--- a/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
@@ -14,7 +14,7 @@
 
   private final PolicyContext context =
       new PolicyContext(
-          Sites.with(
+          TestSettings.with(
               CancelMode.DROP,
               LoadAdviceMode.OFF,
               DownstreamMode.SHARED,
@@ -22,14 +22,14 @@
               100_000,
               false,
               List.of(),
-              List.of(Sites.SAFE)),
+              List.of(TestSettings.SAFE)),
           1,
           null);
   private final DownstreamCallLimiter limiter = new DownstreamCallLimiter(context);
   private final TrackedRequest tracked =
       new TrackedRequest(
           new PolicyRequest(1, 0, 0, 0, 0, 0, 10, 0.5, false, false, 1, 0, 0),
-          Sites.SAFE,
+          TestSettings.SAFE,
           0,
           1_000_000,
           3_000_000);
--- a/src/test/java/rosecleat/policy/DownstreamCallTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallTest.java
@@ -227,7 +227,7 @@
     for (int seed = 1; seed <= 8; seed++) {
       SimulatedHost host =
           new SimulatedHost(
-              Sites.with(
+              TestSettings.with(
                   CancelMode.DROP,
                   LoadAdviceMode.OFF,
                   DownstreamMode.SHARED,
--- a/src/test/java/rosecleat/policy/DrainTest.java
+++ b/src/test/java/rosecleat/policy/DrainTest.java
@@ -10,7 +10,7 @@
 class DrainTest {
   @Test
   void afterTheGraceArrivalsAreRejectedAndAllIsAnsweredBeforeTheStop() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 12; i++) {
       host.arrive(i % 3);
     }
@@ -29,7 +29,7 @@
 
   @Test
   void aDrainShorterThanTheWorkStillAnswersAll() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 12; i++) {
       host.arrive(i % 3);
     }
--- a/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
+++ b/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
@@ -25,7 +25,7 @@
     }
 
     void receive(long now, PolicyRequest request, Runnable job) {
-      work.put(request.id(), job); // before the event: the module may answer or run it at once
+      work.put(request.id(), job); // before the event: the policy may answer or run it at once
       policy.arrived(now, request);
     }
 
@@ -42,8 +42,8 @@
     }
 
     @Override
-    public void reject(long id, long holdOffUs, boolean last) {
-      answers.add("turned away " + id);
+    public void reject(long id, long retryAfterUs, boolean noRetry) {
+      answers.add("rejected " + id);
       work.remove(id);
     }
 
--- a/src/test/java/rosecleat/policy/EstimatesTest.java
+++ b/src/test/java/rosecleat/policy/EstimatesTest.java
@@ -6,7 +6,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** What one policy has learned, restored into another. */
@@ -17,22 +19,23 @@
   private long id;
 
   private PolicyEngine started() {
-    PolicyEngine engine = new PolicyEngine(Sites.plain(), List.of("core_use", "on_cores"), 7);
+    PolicyEngine engine =
+        new PolicyEngine(TestSettings.plain(), List.of("core_use", "on_cores"), 7);
     engine.start(now, false);
     return engine;
   }
 
   /** One request of the first class that comes now; what became of it at once. */
-  private List<PolicyCommand> arrive(PolicyEngine engine, long leftUs) {
+  private List<PolicyCommand> arrive(PolicyEngine engine, long timeoutUs) {
     engine.handle(
-        now, new PolicyEvent.Arrived(++id, 0, 0, 0, leftUs, 16, 0.5, false, false, 1, 0, 0));
-    return java.util.stream.Stream.generate(engine::nextCommand)
-        .takeWhile(o -> o != null)
+        now, new PolicyEvent.Arrived(++id, 0, 0, 0, timeoutUs, 16, 0.5, false, false, 1, 0, 0));
+    return Stream.generate(engine::nextCommand)
+        .takeWhile(Objects::nonNull)
         .filter(
-            o ->
-                o instanceof PolicyCommand.Run
-                    || o instanceof PolicyCommand.Reject
-                    || o instanceof PolicyCommand.Fail)
+            command ->
+                command instanceof PolicyCommand.Run
+                    || command instanceof PolicyCommand.Reject
+                    || command instanceof PolicyCommand.Fail)
         .toList();
   }
 
@@ -47,7 +50,7 @@
 
   private static Map<EstimateKind, Estimate> byKind(PolicyEngine engine) {
     return engine.estimates(NAMES).stream()
-        .collect(Collectors.toMap(Estimate::kind, l -> l, (a, b) -> a));
+        .collect(Collectors.toMap(Estimate::kind, estimate -> estimate, (a, b) -> a));
   }
 
   @Test
@@ -60,7 +63,8 @@
     assertEquals(20, learned.samples());
     Estimate passedOn = new Estimate(EstimateKind.RUN_TIME, "safe", learned.value(), 8);
 
-    PolicyEngine second = new PolicyEngine(Sites.plain(), List.of("core_use", "on_cores"), 7);
+    PolicyEngine second =
+        new PolicyEngine(TestSettings.plain(), List.of("core_use", "on_cores"), 7);
     second.restore(NAMES, () -> first.estimates(NAMES)); // it has not started: taken in then
     second.start(now, false);
     assertEquals(
@@ -86,8 +90,10 @@
         List.of(new PolicyCommand.Run(id + 1)), arrive(unaware, 200_000), "it knows no better");
     assertEquals(
         1,
-        arrive(restored, 200_000).stream().filter(o -> o instanceof PolicyCommand.Reject).count(),
-        "a run of 400 ms does not fit into 200 ms: turned away at once, not failed later");
+        arrive(restored, 200_000).stream()
+            .filter(command -> command instanceof PolicyCommand.Reject)
+            .count(),
+        "a run of 400 ms does not fit into 200 ms: rejected at once, not failed later");
   }
 
   @Test
@@ -113,19 +119,20 @@
         now, new PolicyEvent.Arrived(++id, 2, 0, 0, 3_000_000, 16, 0.5, false, false, 1, 0, 0));
     assertEquals(
         new PolicyCommand.Run(id),
-        java.util.stream.Stream.generate(restored::nextCommand)
-            .filter(o -> o instanceof PolicyCommand.Run)
+        Stream.generate(restored::nextCommand)
+            .filter(command -> command instanceof PolicyCommand.Run)
             .findFirst()
             .orElseThrow()); // never idle from here on
     int rejected = 0;
     for (int i = 0; i < 20; i++) {
       rejected +=
-          arrive(restored, 800_000).stream().anyMatch(o -> o instanceof PolicyCommand.Reject)
+          arrive(restored, 800_000).stream()
+                  .anyMatch(command -> command instanceof PolicyCommand.Reject)
               ? 1
               : 0;
     }
     assertTrue(
-        rejected >= 1 && rejected <= 8, rejected + " were turned away by what was never seen here");
+        rejected >= 1 && rejected <= 8, rejected + " were rejected by what was never seen here");
   }
 
   @Test
@@ -159,7 +166,7 @@
         restored
             .estimates(new ClassAndTenantNames(Arrays.asList(null, "keyed", "unsafe"), List.of()))
             .stream()
-            .filter(l -> l.kind() == EstimateKind.RUN_TIME)
+            .filter(estimate -> estimate.kind() == EstimateKind.RUN_TIME)
             .toList(),
         "a number without a name has no lesson");
   }
--- a/src/test/java/rosecleat/policy/EventSequenceTest.java
+++ b/src/test/java/rosecleat/policy/EventSequenceTest.java
@@ -73,7 +73,7 @@
     PriorityClass unsafe =
         new PriorityClass(2, 0, 800_000, 0, 2_500_000, Idempotency.UNSAFE, 0, true, 0);
     return new SimulatedHost(
-        Sites.with(
+        TestSettings.with(
             CancelMode.values()[(int) (seed % 3)],
             LoadAdviceMode.values()[(int) (seed % 4)],
             DownstreamMode.SHARED,
--- a/src/test/java/rosecleat/policy/FleetRampTest.java
+++ b/src/test/java/rosecleat/policy/FleetRampTest.java
@@ -14,11 +14,10 @@
    */
   @ParameterizedTest
   @CsvSource({"20, 0.05", "30, 0.05", "20, 1", "30, 1"})
-  void theSumOfAFleetsCallsKeepsToItsBudgetWhenTheDependencyComesBackCold(
-      int processes, double share) {
-    FleetRamp.Below5s sum = FleetRamp.below(processes, share, 1);
-    assertTrue(sum.most() <= sum.allowed(), sum.toString());
-    assertTrue(share < 0.1 || sum.most() <= sum.budget(), sum.toString());
+  void theCallsOfAFleetKeepToItsQuotasWhenTheDependencyRestartsCold(int processes, double share) {
+    FleetRamp.DownstreamLoad sum = FleetRamp.below(processes, share, 1);
+    assertTrue(sum.maxMeanCalls() <= sum.allowed(), sum.toString());
+    assertTrue(share < 0.1 || sum.maxMeanCalls() <= sum.budget(), sum.toString());
     assertTrue(sum.calls() > 20 * processes, "it calls at all: " + sum);
   }
 
@@ -29,7 +28,7 @@
   @Test
   void aColdNodeRunsNoMoreForThirtyCallersThanForFour() {
     for (int callers : new int[] {4, 20, 30}) {
-      double most = FleetRamp.cold(callers, 1);
+      double most = ColdNodeRamp.maxLoad(callers, 1);
       assertTrue(most <= 1, callers + " callers: " + most + " of what it survives");
       assertTrue(most > 0.1, callers + " callers: it hardly runs at all, " + most);
     }
--- a/src/test/java/rosecleat/policy/IdempotencyTest.java
+++ b/src/test/java/rosecleat/policy/IdempotencyTest.java
@@ -11,7 +11,7 @@
 class IdempotencyTest {
   @Test
   void aRetryOfAKeyedRequestAttachesWhileItIsQueuedRunningOrCompleted() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     SimulatedHost.HostedRequest a = host.arrive(1);
     SimulatedHost.HostedRequest running = host.arrive(1, 0, 0, 0, a.request.id());
     assertEquals(RequestState.ATTACHED, running.state);
@@ -28,7 +28,7 @@
 
   @Test
   void aRetryOfARequestCancelledWhileQueuedRunsOnce() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 4; i++) {
       host.arrive(0);
     }
@@ -43,7 +43,7 @@
 
   @Test
   void aRetryOfAFailedOrUnknownEffectNeverRuns() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     SimulatedHost.HostedRequest a = host.arrive(1);
     host.end(a, Outcome.FAILED, 1000);
     assertFalse(host.arrive(1, 0, 0, 0, a.request.id()).executed);
@@ -60,7 +60,7 @@
   void aKeyedRequestIsRejectedWhereKeysHaveNoMemoryLeft() {
     SimulatedHost host =
         new SimulatedHost(
-            Sites.with(
+            TestSettings.with(
                 CancelMode.DROP,
                 LoadAdviceMode.OFF,
                 DownstreamMode.OFF,
@@ -68,7 +68,7 @@
                 300,
                 false,
                 List.of(),
-                List.of(Sites.SAFE, Sites.KEYED)),
+                List.of(TestSettings.SAFE, TestSettings.KEYED)),
             1);
     int refused = 0;
     for (int i = 0; i < 30; i++) {
@@ -83,7 +83,7 @@
 
   @Test
   void anEffectWhoseRunWasDroppedIsFailedAndNotRunAgain() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     SimulatedHost.HostedRequest a = host.arrive(2);
     host.end(a, Outcome.CANCELLED, 1000);
     host.advance(40_000);
@@ -96,7 +96,7 @@
         new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
     SimulatedHost host =
         new SimulatedHost(
-            Sites.with(
+            TestSettings.with(
                 CancelMode.DROP,
                 LoadAdviceMode.OFF,
                 DownstreamMode.SHARED,
--- a/src/test/java/rosecleat/policy/IdleConnectionTimeoutTest.java
+++ b/src/test/java/rosecleat/policy/IdleConnectionTimeoutTest.java
@@ -9,7 +9,7 @@
 class IdleConnectionTimeoutTest {
   @Test
   void theTimeoutIsShortWhereCallersHardlyReturnAndLongWhereTheyDo() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 400; i++) {
       host.callerId = i % 300; // thirty seconds apart
       host.end(host.arrive(0), Outcome.OK, 1000);
@@ -29,7 +29,7 @@
    */
   @Test
   void callersSeenOnceKeepTheTimeoutShortBesideAFewThatReturn() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 100; i++) {
       host.callerId = i % 4 == 0 ? 1 : 1_000 + i;
       host.end(host.arrive(0), Outcome.OK, 1000);
@@ -40,7 +40,7 @@
 
   @Test
   void theTimeoutIsLongWhileReadingSwampsTheCores() {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     host.gauges.runnable = 40;
     host.advance(5_000_000);
     assertEquals(host.settings.maxIdleUs(), host.idleTimeoutUs);
--- a/src/test/java/rosecleat/policy/LoadAdviceTest.java
+++ b/src/test/java/rosecleat/policy/LoadAdviceTest.java
@@ -11,7 +11,7 @@
 class LoadAdviceTest {
   @Test
   void creditIsFiniteWhereTheCallersAreNotKnown() {
-    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 0), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 0), 1);
     host.advance(200_000);
     assertTrue(host.loadAdvice >= 1 && Double.isFinite(host.loadAdvice), "said " + host.loadAdvice);
   }
@@ -36,7 +36,7 @@
    */
   @Test
   void eachOfAFewCallersIsGivenCreditForAllThatTheServerRuns() {
-    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 32), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 32), 1);
     host.advance(200_000);
     assertTrue(
         host.loadAdvice >= 4,
@@ -49,7 +49,7 @@
    */
   @Test
   void aServerFarSlowerThanBeforeHasNoCreditToSpare() {
-    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 8), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 8), 1);
     for (int i = 0; i < 120; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       host.advance(i < 60 ? 50_000 : 400_000);
@@ -64,7 +64,7 @@
 
   @Test
   void eachOfManyCallersIsGivenLessThanOneCreditWhileTheServerRejects() {
-    SimulatedHost host = new SimulatedHost(Sites.crowded(LoadAdviceMode.CREDIT, 1280), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 1280), 1);
     host.advance(200_000);
     assertEquals(1, host.loadAdvice, 1e-9);
     host.gauges.coreUtilisation = 1;
@@ -93,7 +93,7 @@
 
   @Test
   void aFirstAttemptMayTryElsewhereWhereTheServerRejectsSeldom() {
-    SimulatedHost host = new SimulatedHost(Sites.marked(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.marked(), 1);
     host.arrive(0, 0, 2_000_000, 0, 0); // read too late to be of use
     host.arrive(0);
     host.arrive(0, 0, 2_900_000, 0, 0);
--- a/src/test/java/rosecleat/policy/MemoryBudgetTest.java
+++ b/src/test/java/rosecleat/policy/MemoryBudgetTest.java
@@ -8,13 +8,14 @@
 
 /** The shares of the memory that arrivals, runs and keys may fill. */
 class MemoryBudgetTest {
-  private final PolicyContext context = new PolicyContext(Sites.plain(), 1, null); // 100,000 KB
+  private final PolicyContext context =
+      new PolicyContext(TestSettings.plain(), 1, null); // 100,000 KB
   private final MemoryBudget memory = new MemoryBudget(context);
 
   private static TrackedRequest queued(double queuedKb) {
     PolicyRequest request =
         new PolicyRequest(1, 0, 0, 0, 0, 0, queuedKb, 0.5, false, false, 1, 0, 0);
-    return new TrackedRequest(request, Sites.SAFE, 0, 1_000_000, 3_000_000);
+    return new TrackedRequest(request, TestSettings.SAFE, 0, 1_000_000, 3_000_000);
   }
 
   @Test
--- a/src/test/java/rosecleat/policy/OverloadLimitTest.java
+++ b/src/test/java/rosecleat/policy/OverloadLimitTest.java
@@ -11,7 +11,7 @@
   void memoryStaysWithinItsLimit() {
     SimulatedHost host =
         new SimulatedHost(
-            Sites.with(
+            TestSettings.with(
                 CancelMode.OFF,
                 LoadAdviceMode.OFF,
                 DownstreamMode.OFF,
@@ -19,7 +19,7 @@
                 400,
                 false,
                 List.of(),
-                List.of(Sites.SAFE)),
+                List.of(TestSettings.SAFE)),
             1);
     host.gauges.coreUtilisation = 0.3;
     for (int i = 0; i < 200; i++) {
@@ -35,7 +35,7 @@
   void aColdServerKeepsToItsSmallerOverloadLimit() {
     SimulatedHost host =
         new SimulatedHost(
-            Sites.with(
+            TestSettings.with(
                 CancelMode.OFF,
                 LoadAdviceMode.OFF,
                 DownstreamMode.OFF,
@@ -43,7 +43,7 @@
                 100_000,
                 true,
                 List.of(),
-                List.of(Sites.SAFE)),
+                List.of(TestSettings.SAFE)),
             1);
     host.gauges.coreUtilisation = 0.3;
     for (int i = 0; i < 100; i++) {
@@ -69,7 +69,7 @@
   void pausedRequestsKeepTheirMemoryCounted() {
     SimulatedHost host =
         new SimulatedHost(
-            Sites.with(
+            TestSettings.with(
                 CancelMode.PAUSE,
                 LoadAdviceMode.LEVEL,
                 DownstreamMode.OFF,
@@ -77,7 +77,7 @@
                 400,
                 false,
                 List.of(),
-                List.of(Sites.SAFE)),
+                List.of(TestSettings.SAFE)),
             1);
     for (int i = 0; i < 4; i++) {
       host.end(host.arrive(0), Outcome.CANCELLED, 1000);
--- a/src/test/java/rosecleat/policy/Scenarios.java
+++ b/src/test/java/rosecleat/policy/Scenarios.java
@@ -19,7 +19,7 @@
   static SimulatedHost withDownstreamQuota(
       double callsOut, boolean cold, PriorityClass... classes) {
     return new SimulatedHost(
-        Sites.with(
+        TestSettings.with(
             CancelMode.PAUSE,
             LoadAdviceMode.LEVEL,
             DownstreamMode.SHARED,
@@ -48,7 +48,7 @@
   }
 
   static SimulatedHost warmedUp(long took) {
-    SimulatedHost host = new SimulatedHost(Sites.plain(), 1);
+    SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 30; i++) {
       host.end(host.arrive(i % 3), Outcome.OK, took);
       host.advance(100_000);
--- a/src/test/java/rosecleat/policy/ServiceTimeEstimatorTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeEstimatorTest.java
@@ -12,7 +12,7 @@
   private static final int RUNS = 30;
 
   private final ServiceTimeEstimator estimator =
-      new ServiceTimeEstimator(new CoreLoad(new PolicyContext(Sites.plain(), 1, null)));
+      new ServiceTimeEstimator(new CoreLoad(new PolicyContext(TestSettings.plain(), 1, null)));
   private final TrackedRequest tracked = tracked(0);
 
   ServiceTimeEstimatorTest() {
@@ -22,7 +22,7 @@
   private static TrackedRequest tracked(long hintUs) {
     PolicyRequest request =
         new PolicyRequest(1, 0, 0, 0, 0, hintUs, 10, 0.5, false, false, 1, 0, 0);
-    return new TrackedRequest(request, Sites.SAFE, 0, 1_000_000, 3_000_000);
+    return new TrackedRequest(request, TestSettings.SAFE, 0, 1_000_000, 3_000_000);
   }
 
   private void runs(long tookUs) {
--- a/src/test/java/rosecleat/policy/ServiceTimeTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeTest.java
@@ -76,7 +76,7 @@
   void cancelledLongRunsStillRaiseTheExpectedRunTime() {
     SimulatedHost host =
         new SimulatedHost(
-            Sites.with(
+            TestSettings.with(
                 CancelMode.PAUSE,
                 LoadAdviceMode.LEVEL,
                 DownstreamMode.OFF,
@@ -84,7 +84,7 @@
                 100_000,
                 false,
                 List.of(),
-                List.of(Sites.SAFE)),
+                List.of(TestSettings.SAFE)),
             1);
     for (int i = 0;
         i < 60;
--- a/src/test/java/rosecleat/policy/StallTest.java
+++ b/src/test/java/rosecleat/policy/StallTest.java
@@ -39,7 +39,7 @@
 
   @Test
   void aNewServerSeesNoStallInItsFirstSecond() {
-    assertNoStall(new SimulatedHost(Sites.plain(), 1));
+    assertNoStall(new SimulatedHost(TestSettings.plain(), 1));
   }
 
   @Test
--- a/src/test/java/rosecleat/policy/Sites.java
+++ b/src/test/java/rosecleat/policy/TestSettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** PolicySettings for tests; their figures are made up. */
-final class Sites {
+final class TestSettings {
   static final PriorityClass SAFE =
       new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, false, 0);
   static final PriorityClass KEYED =
@@ -11,28 +11,38 @@
   static final PriorityClass UNSAFE =
       new PriorityClass(5, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, false, 0);
 
-  private Sites() {}
+  private TestSettings() {}
 
   static PolicySettings with(
-      CancelMode halt,
-      LoadAdviceMode say,
-      DownstreamMode below,
-      double callsOut,
+      CancelMode cancelMode,
+      LoadAdviceMode loadAdviceMode,
+      DownstreamMode downstreamMode,
+      double concurrentCalls,
       double memoryKb,
-      boolean cold,
+      boolean coldStart,
       List<TenantQuota> tenants,
       List<PriorityClass> classes) {
-    return with(halt, say, below, callsOut, memoryKb, cold, false, 4, tenants, classes);
+    return with(
+        cancelMode,
+        loadAdviceMode,
+        downstreamMode,
+        concurrentCalls,
+        memoryKb,
+        coldStart,
+        false,
+        4,
+        tenants,
+        classes);
   }
 
   private static PolicySettings with(
-      CancelMode halt,
-      LoadAdviceMode say,
-      DownstreamMode below,
-      double callsOut,
+      CancelMode cancelMode,
+      LoadAdviceMode loadAdviceMode,
+      DownstreamMode downstreamMode,
+      double concurrentCalls,
       double memoryKb,
-      boolean cold,
-      boolean marksRetry,
+      boolean coldStart,
+      boolean marksRetries,
       int callers,
       List<TenantQuota> tenants,
       List<PriorityClass> classes) {
@@ -40,8 +50,8 @@
         4,
         10,
         callers,
-        cold,
-        cold ? 0.3 : 1,
+        coldStart,
+        coldStart ? 0.3 : 1,
         15_000_000,
         memoryKb,
         8,
@@ -52,19 +62,19 @@
         60_000,
         false,
         true,
-        marksRetry,
+        marksRetries,
         false,
         0.05,
-        halt,
-        say,
+        cancelMode,
+        loadAdviceMode,
         1_000_000,
         1_000_000,
         true,
         false,
         30_000_000,
         0,
-        below,
-        callsOut,
+        downstreamMode,
+        concurrentCalls,
         5_000_000,
         200_000,
         4_000,
@@ -72,10 +82,10 @@
         tenants);
   }
 
-  static PolicySettings crowded(LoadAdviceMode say, int callers) {
+  static PolicySettings crowded(LoadAdviceMode loadAdviceMode, int callers) {
     return with(
         CancelMode.DROP,
-        say,
+        loadAdviceMode,
         DownstreamMode.OFF,
         0,
         100_000,
