--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -5,9 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
+import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -128,30 +130,37 @@
                           ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(FleetMembership|FileRoutes|RouteReplication|ActiveRoutes|InstancePools|FleetDocuments|RouteEntries)"
                               + " |front\\.uwsgi\\.(InstanceBalancer|Sample)).*"))
               .toList());
-      List<String> sockets = new ArrayList<>();
-      try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
-        for (Path each : open.toList()) {
-          try {
-            sockets.add(
-                Files.readSymbolicLink(each).toString().replaceAll("socket:\\[(.*)]", "$1"));
-          } catch (java.nio.file.NoSuchFileException e) {
-            continue; // closed meanwhile
-          }
-        }
-      }
-      assertFalse(
-          Files.readString(Path.of("/proc/net/udp"))
-              .lines()
-              .anyMatch(
-                  line ->
-                      line.split("\\s+").length > 10
-                          && sockets.contains(line.trim().split("\\s+")[9])),
-          "no datagrams");
+      assertFalse(hasDatagramSocket(process.pid()), "no datagrams");
     } finally {
       process.destroyForcibly();
     }
   }
 
+  private static boolean hasDatagramSocket(long pid) throws IOException {
+    List<String> sockets = openFiles(pid);
+    return Files.readString(Path.of("/proc/net/udp"))
+        .lines()
+        .anyMatch(
+            line ->
+                line.split("\\s+").length > 10 && sockets.contains(line.trim().split("\\s+")[9]));
+  }
+
+  /** The open files of a process; sockets by their inodes. */
+  private static List<String> openFiles(long pid) throws IOException {
+    List<String> files = new ArrayList<>();
+    try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + pid + "/fd"))) {
+      for (Path descriptor : descriptors.toList()) {
+        try {
+          String file = Files.readSymbolicLink(descriptor).toString();
+          files.add(file.replaceAll("socket:\\[(.*)]", "$1"));
+        } catch (NoSuchFileException e) {
+          continue; // closed meanwhile
+        }
+      }
+    }
+    return files;
+  }
+
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
--- a/src/test/java/rosecleat/harness/FleetProcesses.java
+++ b/src/test/java/rosecleat/harness/FleetProcesses.java
@@ -4,91 +4,123 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Locale;
-import rosecleat.harness.Links.Way;
+import rosecleat.harness.Links.LinkCondition;
 
 /**
  * What docs/measurements/fleet-view.md keeps of real processes: {@code FleetProcesses COUNT
  * PERIOD_MS}; long.
  */
 public final class FleetProcesses {
+  private static final int CHANGES = 10;
+
+  /** From this change on one process is stopped. */
+  private static final int FIRST_CHANGE_WITH_ONE_STOPPED = 5;
+
   private FleetProcesses() {}
 
   public static void main(String[] args) throws Exception {
-    int n = Integer.parseInt(args[0]);
-    int period = Integer.parseInt(args[1]);
+    int count = Integer.parseInt(args[0]);
+    int periodMs = Integer.parseInt(args[1]);
     Path folder = Files.createTempDirectory("fleet");
-    try (Site site = new Site(folder, n, period, "")) {
-      site.routes("c0: {address: \"uwsgi://127.0.0.1:9\"}");
+    try (Site site = new Site(folder, count, periodMs, "")) {
+      site.writeRoutes(route(0));
       site.startAll();
       site.await("settled", 180, () -> site.settled(site.all()));
-      Thread.sleep(20L * period);
-      long before = cpu(site);
-      Thread.sleep(30L * period);
-      System.out.printf(
-          Locale.ROOT,
-          "%d processes, period %d ms: CPU of an idle one %.2f%% of a core%n",
-          n,
-          period,
-          (cpu(site) - before) / (double) n / (30.0 * period) * 100);
-      double[] changes = new double[10];
-      for (int i = 0; i < changes.length; i++) {
-        site.routes("c" + (i + 1) + ": {address: \"uwsgi://127.0.0.1:9\"}");
-        if (i == 5) {
-          site.signal(n - 1, "STOP"); // holds none of the others back
-        }
-        long begun = System.nanoTime();
-        site.signal(0, "HUP");
-        String name = "c" + (i + 1);
-        int[] all = i < 5 ? site.all() : site.but(n - 1);
-        site.await(
-            name,
-            60,
-            () ->
-                Arrays.stream(all)
-                    .allMatch(
-                        k ->
-                            site.see(k, "/v1/routes")
-                                .path("services")
-                                .path("cards")
-                                .path("instances")
-                                .has(name)));
-        changes[i] = (System.nanoTime() - begun) / 1e6 / period;
+      measureIdle(site);
+      measureRouteChanges(site);
+      measureCrash(site);
+      measurePartition(site);
+    }
+  }
+
+  private static String route(int number) {
+    return "c" + number + ": {address: \"uwsgi://127.0.0.1:9\"}";
+  }
+
+  private static double periodsSince(long begunNs, Site site) {
+    return (System.nanoTime() - begunNs) / 1e6 / site.periodMs;
+  }
+
+  private static void measureIdle(Site site) throws Exception {
+    Thread.sleep(20L * site.periodMs);
+    long before = cpu(site);
+    Thread.sleep(30L * site.periodMs);
+    System.out.printf(
+        Locale.ROOT,
+        "%d processes, period %d ms: CPU of an idle one %.2f%% of a core%n",
+        site.size,
+        site.periodMs,
+        (cpu(site) - before) / (double) site.size / (30.0 * site.periodMs) * 100);
+  }
+
+  private static void measureRouteChanges(Site site) throws Exception {
+    int stopped = site.size - 1;
+    double[] changes = new double[CHANGES];
+    for (int i = 0; i < CHANGES; i++) {
+      site.writeRoutes(route(i + 1));
+      if (i == FIRST_CHANGE_WITH_ONE_STOPPED) {
+        site.signal(stopped, "STOP"); // holds none of the others back
       }
-      site.signal(n - 1, "CONT");
-      System.out.println(
-          "a changed route in force everywhere, periods (from the sixth on one is stopped): "
-              + Arrays.toString(
-                  Arrays.stream(changes).map(x -> Math.round(10 * x) / 10.0).toArray()));
-      site.await("settled", 120, () -> site.settled(site.all()));
-      long begun = System.nanoTime();
-      site.signal(n / 2, "KILL");
-      site.await(
-          "crash known",
-          120,
-          () ->
-              Arrays.stream(site.but(n / 2))
-                  .allMatch(k -> site.state(k, "n" + n / 2).equals("dead")));
-      System.out.printf(
-          Locale.ROOT,
-          "crash known to all: %.1f periods%n",
-          (System.nanoTime() - begun) / 1e6 / period);
-      site.await("settled", 120, () -> site.settled(site.but(n / 2)));
-      System.out.printf(
-          Locale.ROOT,
-          "settled again: %.1f periods after the crash%n",
-          (System.nanoTime() - begun) / 1e6 / period);
-      site.start(n / 2);
-      site.await("settled", 120, () -> site.settled(site.all()));
-      site.links.ways((a, b) -> a >= 0 && a % 2 == b % 2 ? Way.CLEAR : Way.CUT);
-      Thread.sleep(30L * period);
-      site.links.ways((a, b) -> Way.CLEAR);
-      begun = System.nanoTime();
-      site.await("healed", 180, () -> site.settled(site.all()));
-      System.out.printf(
-          Locale.ROOT,
-          "all views equal and settled after a split of 30: %.1f periods%n",
-          (System.nanoTime() - begun) / 1e6 / period);
+      int[] observers = i < FIRST_CHANGE_WITH_ONE_STOPPED ? site.all() : site.allBut(stopped);
+      changes[i] = applyChange(site, "c" + (i + 1), observers);
     }
+    site.signal(stopped, "CONT");
+    System.out.println(
+        "a changed route in force everywhere, periods (from the sixth on one is stopped): "
+            + Arrays.toString(
+                Arrays.stream(changes).map(x -> Math.round(10 * x) / 10.0).toArray()));
+    site.await("settled", 120, () -> site.settled(site.all()));
+  }
+
+  /** Lets n0 read its routes; returns the periods until all observers have an instance. */
+  private static double applyChange(Site site, String instance, int[] observers) throws Exception {
+    long begunNs = System.nanoTime();
+    site.signal(0, "HUP");
+    site.await(
+        instance,
+        60,
+        () ->
+            Arrays.stream(observers)
+                .allMatch(
+                    i ->
+                        site.adminJson(i, "/v1/routes")
+                            .path("services")
+                            .path("cards")
+                            .path("instances")
+                            .has(instance)));
+    return periodsSince(begunNs, site);
+  }
+
+  private static void measureCrash(Site site) throws Exception {
+    int victim = site.size / 2;
+    long begunNs = System.nanoTime();
+    site.signal(victim, "KILL");
+    site.await(
+        "crash known",
+        120,
+        () ->
+            Arrays.stream(site.allBut(victim))
+                .allMatch(i -> site.state(i, "n" + victim).equals("dead")));
+    System.out.printf(
+        Locale.ROOT, "crash known to all: %.1f periods%n", periodsSince(begunNs, site));
+    site.await("settled", 120, () -> site.settled(site.allBut(victim)));
+    System.out.printf(
+        Locale.ROOT, "settled again: %.1f periods after the crash%n", periodsSince(begunNs, site));
+    site.start(victim);
+    site.await("settled", 120, () -> site.settled(site.all()));
+  }
+
+  private static void measurePartition(Site site) throws Exception {
+    site.links.setConditions(
+        (from, to) -> from >= 0 && from % 2 == to % 2 ? LinkCondition.CLEAR : LinkCondition.CUT);
+    Thread.sleep(30L * site.periodMs);
+    site.links.setConditions((from, to) -> LinkCondition.CLEAR);
+    long begunNs = System.nanoTime();
+    site.await("healed", 180, () -> site.settled(site.all()));
+    System.out.printf(
+        Locale.ROOT,
+        "all views equal and settled after a split of 30: %.1f periods%n",
+        periodsSince(begunNs, site));
   }
 
   /** Milliseconds of processor time that all have used. */
--- a/src/test/java/rosecleat/harness/Links.java
+++ b/src/test/java/rosecleat/harness/Links.java
@@ -27,18 +27,18 @@
  * here, which knows who sends, and loses, doubles, delays, cuts one way or both, throttles.
  */
 final class Links implements AutoCloseable {
-  /** What may happen on the way from one to another; probabilities, and milliseconds. */
-  record Way(double loss, double twice, int delayMs, boolean cut, int bytesPerS) {
-    static final Way CLEAR = new Way(0, 0, 0, false, 0);
-    static final Way CUT = new Way(0, 0, 0, true, 0);
+  /** What may happen between a sender and a receiver; probabilities, and milliseconds. */
+  record LinkCondition(
+      double loss, double duplication, int delayMs, boolean cut, int bytesPerSecond) {
+    static final LinkCondition CLEAR = new LinkCondition(0, 0, 0, false, 0);
+    static final LinkCondition CUT = new LinkCondition(0, 0, 0, true, 0);
   }
 
   /**
-   * Chooses the way from one process to another, by their numbers; a sender that is not known has
-   * -1.
+   * Chooses the conditions from one process to another, by their numbers; an unknown sender has -1.
    */
-  interface Ways {
-    Way of(int from, int to);
+  interface LinkConditions {
+    LinkCondition of(int from, int to);
   }
 
   private static final InetAddress HERE = InetAddress.getLoopbackAddress();
@@ -48,24 +48,24 @@
   private final ScheduledExecutorService later =
       Executors.newSingleThreadScheduledExecutor(r -> daemon(r));
   private final int[] real;
-  private final int[] told;
+  private final int[] advertised;
   private final Random random = new Random(7);
   final AtomicInteger torn = new AtomicInteger();
 
   /** Breaks each exchange that is not of members alone after so many bytes; 0 for none. */
   volatile int tearAfter;
 
-  private volatile Ways ways = (from, to) -> Way.CLEAR;
+  private volatile LinkConditions conditions = (from, to) -> LinkCondition.CLEAR;
   private volatile boolean closed;
 
   /** Links to processes that listen at these ports, by relays at those. */
-  Links(int[] real, int[] told) throws IOException {
+  Links(int[] real, int[] advertised) throws IOException {
     this.real = real;
-    this.told = told;
+    this.advertised = advertised;
     for (int i = 0; i < real.length; i++) {
       int to = i;
-      DatagramSocket udp = new DatagramSocket(new InetSocketAddress(HERE, told[i]));
-      ServerSocket tcp = new ServerSocket(told[i], 50, HERE);
+      DatagramSocket udp = new DatagramSocket(new InetSocketAddress(HERE, advertised[i]));
+      ServerSocket tcp = new ServerSocket(advertised[i], 50, HERE);
       datagrams.add(udp);
       servers.add(tcp);
       daemon(() -> relay(udp, to)).start();
@@ -79,11 +79,12 @@
     return thread;
   }
 
-  /** The ways from now on; connections on ways that are cut end. */
-  void ways(Ways fresh) {
-    ways = fresh;
+  /** The conditions from now on; connections that are cut now end. */
+  void setConditions(LinkConditions updated) {
+    conditions = updated;
     for (Pipe pipe : pipes) {
-      if (fresh.of(pipe.from, pipe.to).cut || fresh.of(pipe.to, pipe.from).cut) {
+      if (updated.of(pipe.sender, pipe.receiver).cut
+          || updated.of(pipe.receiver, pipe.sender).cut) {
         pipe.close();
       }
     }
@@ -99,13 +100,15 @@
         for (int i = 0; i < real.length; i++) {
           from = packet.getPort() == real[i] ? i : from;
         }
-        Way way = ways.of(from, to);
-        if (way.cut || random.nextDouble() < way.loss) {
+        LinkCondition condition = conditions.of(from, to);
+        if (condition.cut || random.nextDouble() < condition.loss) {
           continue;
         }
         byte[] bytes = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
-        for (int copies = random.nextDouble() < way.twice ? 2 : 1; copies > 0; copies--) {
-          int wait = way.delayMs == 0 ? 0 : random.nextInt(2 * way.delayMs);
+        for (int copies = random.nextDouble() < condition.duplication ? 2 : 1;
+            copies > 0;
+            copies--) {
+          int wait = condition.delayMs == 0 ? 0 : random.nextInt(2 * condition.delayMs);
           later.schedule(() -> send(udp, bytes, real[to]), wait, TimeUnit.MILLISECONDS);
         }
       } catch (IOException e) {
@@ -117,7 +120,7 @@
   }
 
   /** Sends bytes to a process as a stranger does. */
-  void garbage(int to, byte[] bytes) throws IOException {
+  void sendGarbage(int to, byte[] bytes) throws IOException {
     try (DatagramSocket socket = new DatagramSocket()) {
       send(socket, bytes, real[to]);
     }
@@ -156,10 +159,10 @@
               .getFrom()
               .getPort(); // behind its hash
       int from = -1;
-      for (int i = 0; i < told.length; i++) {
-        from = told[i] == port || real[i] == port ? i : from;
+      for (int i = 0; i < advertised.length; i++) {
+        from = advertised[i] == port || real[i] == port ? i : from;
       }
-      if (ways.of(from, to).cut || ways.of(to, from).cut) {
+      if (conditions.of(from, to).cut || conditions.of(to, from).cut) {
         return;
       }
       on.connect(new InetSocketAddress(HERE, real[to]), 1_000);
@@ -185,16 +188,16 @@
   }
 
   private final class Pipe {
-    final int from;
-    final int to;
+    final int sender;
+    final int receiver;
     private final int kind;
     private final Socket one;
     private final Socket other;
     private int passed;
 
-    Pipe(int from, int to, int kind, Socket one, Socket other) {
-      this.from = from;
-      this.to = to;
+    Pipe(int sender, int receiver, int kind, Socket one, Socket other) {
+      this.sender = sender;
+      this.receiver = receiver;
       this.kind = kind;
       this.one = one;
       this.other = other;
@@ -215,7 +218,7 @@
             close();
             return;
           }
-          int rate = ways.of(from, to).bytesPerS;
+          int rate = conditions.of(sender, receiver).bytesPerSecond;
           if (rate > 0) {
             TimeUnit.MILLISECONDS.sleep(1000L * count / rate);
           }
--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -7,8 +7,10 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
@@ -19,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.fakes.FakeUwsgiService;
 import rosecleat.fakes.UwsgiClient;
-import rosecleat.harness.Links.Way;
+import rosecleat.harness.Links.LinkCondition;
 
 /**
  * One table of routes in five processes, and uwsgi traffic through each, while it changes and
@@ -34,7 +36,7 @@
   @BeforeEach
   void start() throws Exception {
     site = new Site(folder, 5, 200, "");
-    site.routes(line("c1", one, "on"));
+    site.writeRoutes(line("c1", one, "on"));
     site.startAll().awaitSettled(site.all());
     inForce(digest(0, "c1"), site.all());
   }
@@ -51,13 +53,17 @@
   }
 
   /** The digest in force at a process once its table names an instance. */
-  private String digest(int at, String name) throws InterruptedException {
-    site.await(
-        "instance " + name,
-        20,
-        () ->
-            site.see(at, "/v1/routes").path("services").path("cards").path("instances").has(name));
-    return site.see(at, "/v1/routes").path("digest").asText();
+  private String digest(int process, String instance) throws InterruptedException {
+    site.await("instance " + instance, 20, () -> hasInstance(process, instance));
+    return tableDigest(process);
+  }
+
+  private boolean hasInstance(int process, String instance) {
+    return site.adminJson(process, "/v1/routes")
+        .path("services")
+        .path("cards")
+        .path("instances")
+        .has(instance);
   }
 
   private void inForce(String digest, int... where) throws InterruptedException {
@@ -66,7 +72,7 @@
         20,
         () -> {
           for (int i : where) {
-            if (!site.see(i, "/v1/routes").path("digest").asText().equals(digest)) {
+            if (!site.adminJson(i, "/v1/routes").path("digest").asText().equals(digest)) {
               return false;
             }
           }
@@ -77,7 +83,7 @@
   private UwsgiClient.Reply ask(int at) {
     try {
       return UwsgiClient.exchange(
-          site.front(at), UwsgiClient.packet(UwsgiClient.vars("GET", "/cheap", "till"), ""));
+          site.frontendPort(at), UwsgiClient.packet(UwsgiClient.vars("GET", "/cheap", "till"), ""));
     } catch (IOException e) {
       return new UwsgiClient.Reply(0, "", e.toString());
     }
@@ -86,7 +92,7 @@
   private UwsgiClient.Reply load(int at, String key) {
     try {
       return UwsgiClient.exchange(
-          site.front(at),
+          site.frontendPort(at),
           UwsgiClient.packet(
               UwsgiClient.vars("POST", "/loads", "till", "HTTP_IDEMPOTENCY_KEY", key), "amount=5"));
     } catch (IOException e) {
@@ -94,107 +100,139 @@
     }
   }
 
+  /** Callers at all processes, each with one read and one load in two attempts at a time. */
+  private final class Traffic {
+    private final AtomicBoolean stopping = new AtomicBoolean();
+    private final AtomicInteger requests = new AtomicInteger();
+    private final AtomicInteger lost = new AtomicInteger();
+    private final List<Thread> callers = new ArrayList<>();
+
+    Traffic start() {
+      for (int i : site.all()) {
+        Thread caller = new Thread(() -> call(i));
+        callers.add(caller);
+        caller.start();
+      }
+      return this;
+    }
+
+    private void call(int process) {
+      while (!stopping.get()) {
+        String key = "k" + process + "-" + requests.incrementAndGet();
+        countIfLost(ask(process).status() == 200);
+        UwsgiClient.Reply first = load(process, key);
+        countIfLost(first.status() == 200 && first.body().equals(load(process, key).body()));
+      }
+    }
+
+    private void countIfLost(boolean served) {
+      lost.addAndGet(served ? 0 : 1);
+    }
+
+    void stop() throws InterruptedException {
+      stopping.set(true);
+      for (Thread caller : callers) {
+        caller.join();
+      }
+    }
+  }
+
   @Test
   void aChangeReachesAllAndLosesNothingUnderTraffic() throws Exception {
-    AtomicBoolean over = new AtomicBoolean();
-    AtomicInteger asked = new AtomicInteger();
-    AtomicInteger lost = new AtomicInteger();
-    Thread[] callers = new Thread[5];
-    for (int i = 0; i < 5; i++) {
-      int at = i;
-      callers[i] =
-          new Thread(
-              () -> {
-                while (!over.get()) {
-                  String key = "k" + at + "-" + asked.incrementAndGet();
-                  lost.addAndGet(ask(at).status() == 200 ? 0 : 1);
-                  UwsgiClient.Reply first = load(at, key);
-                  lost.addAndGet(
-                      first.status() == 200 && first.body().equals(load(at, key).body()) ? 0 : 1);
-                }
-              });
-      callers[i].start();
-    }
+    Traffic traffic = new Traffic().start();
     for (int round = 0; round < 6; round++) {
-      String fresh = round % 2 == 0 ? "d" + round : "c" + round;
-      FakeUwsgiService at = round % 2 == 0 ? two : one;
-      site.routes(
-          line(fresh, at, "on")
-              + (round % 3 == 0 ? ", " + line("old", round % 2 == 0 ? one : two, "drain") : ""));
-      site.signal(0, "HUP");
-      inForce(digest(0, fresh), site.all());
+      publishInstances(round);
     }
-    String before = site.see(0, "/v1/routes").path("digest").asText();
+    String before = tableDigest(0);
+    publishInvalidFile();
+    assertEquals(before, tableDigest(0));
+    traffic.stop();
+    assertTrue(traffic.requests.get() > 100 && two.requests.get() > 0);
+    assertEquals(0, traffic.lost.get(), "of " + traffic.requests.get());
+    assertEachKeyRanOnce();
+    publish("gone: {address: \"uwsgi://127.0.0.1:9\", state: off}");
+    inForce(digest(0, "gone"), site.all());
+    UwsgiClient.Reply none = ask(3);
+    assertEquals(503, none.status());
+    assertEquals("never-ran", none.header("X-Progress"));
+    assertFalse(site.logOf(2).contains("a task failed"), site.logOf(2));
+  }
+
+  /** Moves the traffic to the other backend; in some rounds the former one drains. */
+  private void publishInstances(int round) throws Exception {
+    boolean even = round % 2 == 0;
+    String name = (even ? "d" : "c") + round;
+    String draining = round % 3 == 0 ? ", " + line("old", even ? one : two, "drain") : "";
+    publish(line(name, even ? two : one, "on") + draining);
+    inForce(digest(0, name), site.all());
+  }
+
+  private void publish(String instances) throws Exception {
+    site.writeRoutes(instances);
+    site.signal(0, "HUP");
+  }
+
+  private void publishInvalidFile() throws Exception {
     Files.writeString(
         folder.resolve("routes.yaml"), "services: {cards: {instances: {x: {adress: 5}}}}");
     site.signal(0, "HUP");
     site.await("the finding", 10, () -> site.logOf(0).contains("adress"));
-    assertEquals(before, site.see(0, "/v1/routes").path("digest").asText());
-    over.set(true);
-    for (Thread caller : callers) {
-      caller.join();
-    }
-    assertTrue(asked.get() > 100 && two.requests.get() > 0);
-    assertEquals(0, lost.get(), "of " + asked.get());
+  }
+
+  private String tableDigest(int process) {
+    return site.adminJson(process, "/v1/routes").path("digest").asText();
+  }
+
+  private void assertEachKeyRanOnce() {
     Map<String, Integer> runs = new HashMap<>(one.runs);
     two.runs.forEach((key, count) -> runs.merge(key, count, Integer::sum));
     assertEquals(Set.of(1), new HashSet<>(runs.values()), "a key ran twice");
     assertTrue(runs.size() > 50);
-    site.routes("gone: {address: \"uwsgi://127.0.0.1:9\", state: off}");
-    site.signal(0, "HUP");
-    inForce(digest(0, "gone"), site.all());
-    UwsgiClient.Reply none = ask(3);
-    assertEquals(503, none.status());
-    assertEquals("never-ran", none.header("X-Progress"));
-    assertFalse(site.logOf(2).contains("a task failed"), site.logOf(2));
   }
 
   @Test
-  void splitsTornExchangesAndOldFilesEndInOneTable() throws Exception {
-    site.links.ways((a, b) -> a >= 0 && (a < 2) == (b < 2) ? Way.CLEAR : Way.CUT);
+  void partitionsTornExchangesAndOldFilesEndInOneTable() throws Exception {
+    publishOnBothSidesOfAPartition();
+    healWithTornExchanges();
+    String all = tableDigest(1);
+    site.signal(0, "KILL"); // back with its file, which others have written since: they stay
+    site.start(0);
+    inForce(all, site.all());
+    site.awaitSettled(site.all());
+    site.signal(2, "STOP"); // a follower that takes nothing holds nobody up
+    publish(line("c1", one, "on"));
+    site.await("a removal", 20, () -> !hasInstance(4, "left"));
+    site.signal(2, "CONT");
+    inForce(tableDigest(4), site.all());
+    assertEquals(200, ask(2).status());
+  }
+
+  private void publishOnBothSidesOfAPartition() throws Exception {
+    site.links.setConditions(
+        (from, to) ->
+            from >= 0 && (from < 2) == (to < 2) ? LinkCondition.CLEAR : LinkCondition.CUT);
     site.await(
         "split",
         30,
         () -> site.state(0, "n4").equals("dead") && site.state(4, "n0").equals("dead"));
-    site.routes(line("c1", one, "on") + ", " + line("left", two, "on"));
-    site.signal(0, "HUP");
+    publish(line("c1", one, "on") + ", " + line("left", two, "on"));
     inForce(digest(0, "left"), 0, 1);
-    site.configure(
-        4,
-        "n4",
-        "\"" + site.toldAt(3) + "\"",
-        "routes: {file: other.yaml}\n"); // an author on the other side
+    String seeds = "\"" + site.advertisedAddress(3) + "\"";
+    site.configure(4, "n4", seeds, "routes: {file: other.yaml}\n");
     Files.writeString(
         folder.resolve("other.yaml"),
         "services: {cards: {instances: {" + line("right", two, "on") + "}}}");
     site.signal(4, "KILL");
     site.start(4);
     inForce(digest(4, "right"), 2, 3, 4);
+  }
+
+  private void healWithTornExchanges() throws Exception {
     site.links.tearAfter = 100; // each exchange of routes breaks
-    site.links.ways((a, b) -> Way.CLEAR);
+    site.links.setConditions((from, to) -> LinkCondition.CLEAR);
     site.await("torn", 30, () -> site.links.torn.get() > 3);
     site.links.tearAfter = 0;
     digest(4, "left");
     inForce(digest(0, "right"), site.all());
-    String all = site.see(1, "/v1/routes").path("digest").asText();
-    site.signal(0, "KILL"); // back with its file, which others have written since: they stay
-    site.start(0);
-    inForce(all, site.all());
-    site.awaitSettled(site.all());
-    site.signal(2, "STOP"); // a follower that takes nothing holds nobody up
-    site.routes(line("c1", one, "on"));
-    site.signal(0, "HUP");
-    site.await(
-        "a removal",
-        20,
-        () ->
-            !site.see(4, "/v1/routes")
-                .path("services")
-                .path("cards")
-                .path("instances")
-                .has("left"));
-    site.signal(2, "CONT");
-    inForce(site.see(4, "/v1/routes").path("digest").asText(), site.all());
-    assertEquals(200, ask(2).status());
   }
 }
--- a/src/test/java/rosecleat/harness/Site.java
+++ b/src/test/java/rosecleat/harness/Site.java
@@ -39,9 +39,9 @@
   private final Path folder;
   private final Process[] processes;
   private final int[] fleetPorts;
-  private final int[] toldPorts;
-  private final int[] doors;
-  private final int[] fronts;
+  private final int[] advertisedPorts;
+  private final int[] adminPorts;
+  private final int[] frontendPorts;
   private final String more;
 
   /** Processes with these further lines in their files; not started yet. */
@@ -53,10 +53,10 @@
     processes = new Process[size];
     int[] ports = ports(4 * size);
     fleetPorts = java.util.Arrays.copyOfRange(ports, 0, size);
-    toldPorts = java.util.Arrays.copyOfRange(ports, size, 2 * size);
-    doors = java.util.Arrays.copyOfRange(ports, 2 * size, 3 * size);
-    fronts = java.util.Arrays.copyOfRange(ports, 3 * size, 4 * size);
-    links = new Links(fleetPorts, toldPorts);
+    advertisedPorts = java.util.Arrays.copyOfRange(ports, size, 2 * size);
+    adminPorts = java.util.Arrays.copyOfRange(ports, 2 * size, 3 * size);
+    frontendPorts = java.util.Arrays.copyOfRange(ports, 3 * size, 4 * size);
+    links = new Links(fleetPorts, advertisedPorts);
     Files.writeString(folder.resolve("api.yaml"), DESCRIPTION);
     for (int i = 0; i < size; i++) {
       configure(i, "n" + i, seeds(i), i == 0 ? "routes: {file: routes.yaml}\n" : "");
@@ -82,7 +82,7 @@
     return String.join(
         ", ",
         IntStream.range(0, Math.min(3, size))
-            .mapToObj(k -> "\"127.0.0.1:" + toldPorts[k] + "\"")
+            .mapToObj(k -> "\"127.0.0.1:" + advertisedPorts[k] + "\"")
             .toList());
   }
 
@@ -109,19 +109,19 @@
         """
             .formatted(
                 name,
-                doors[i],
+                adminPorts[i],
                 fleetPorts[i],
-                toldPorts[i],
+                advertisedPorts[i],
                 i % 3,
                 seeds,
                 periodMs,
-                fronts[i],
+                frontendPorts[i],
                 sections,
                 more));
   }
 
   /** Writes the file of routes that n0 publishes; {@code lines} are instances. */
-  public void routes(String lines) throws IOException {
+  public void writeRoutes(String lines) throws IOException {
     Path fresh = folder.resolve("routes.new");
     Files.writeString(fresh, "services:\n  cards:\n    instances: {" + lines + "}\n");
     Files.move(fresh, folder.resolve("routes.yaml"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
@@ -183,25 +183,25 @@
     return processes[i].pid();
   }
 
-  public boolean lives(int i) {
+  public boolean isAlive(int i) {
     return processes[i] != null && processes[i].isAlive();
   }
 
-  public int front(int i) {
-    return fronts[i];
+  public int frontendPort(int i) {
+    return frontendPorts[i];
   }
 
   public int fleetPort(int i) {
     return fleetPorts[i];
   }
 
-  public String toldAt(int i) {
-    return "127.0.0.1:" + toldPorts[i];
+  public String advertisedAddress(int i) {
+    return "127.0.0.1:" + advertisedPorts[i];
   }
 
   /** What the operators' door of a process shows; a missing node where it does not answer. */
-  public JsonNode see(int i, String path) {
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), doors[i])) {
+  public JsonNode adminJson(int i, String path) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), adminPorts[i])) {
       socket.setSoTimeout(3_000);
       socket
           .getOutputStream()
@@ -219,7 +219,7 @@
    */
   public String state(int at, String name) {
     String state = "";
-    for (JsonNode member : see(at, "/v1/fleet").path("members")) {
+    for (JsonNode member : adminJson(at, "/v1/fleet").path("members")) {
       state = member.path("name").asText().equals(name) ? member.path("state").asText() : state;
     }
     return state;
@@ -227,7 +227,7 @@
 
   public long epoch(int at, String name) {
     long epoch = 0;
-    for (JsonNode member : see(at, "/v1/fleet").path("members")) {
+    for (JsonNode member : adminJson(at, "/v1/fleet").path("members")) {
       epoch = member.path("name").asText().equals(name) ? member.path("epoch").asLong() : epoch;
     }
     return epoch;
@@ -239,7 +239,7 @@
   public boolean settled(int... which) {
     String digest = null;
     for (int i : which) {
-      JsonNode view = see(i, "/v1/fleet");
+      JsonNode view = adminJson(i, "/v1/fleet");
       int alive = 0;
       for (JsonNode member : view.path("members")) {
         alive += member.path("state").asText().equals("alive") ? 1 : 0;
@@ -258,7 +258,7 @@
     return IntStream.range(0, size).toArray();
   }
 
-  public int[] but(int... without) {
+  public int[] allBut(int... without) {
     return IntStream.range(0, size)
         .filter(i -> IntStream.of(without).noneMatch(w -> w == i))
         .toArray();
@@ -274,8 +274,8 @@
           seen.append("\nn")
               .append(i)
               .append(": ")
-              .append(see(i, "/v1/fleet"))
-              .append(see(i, "/v1/routes"))
+              .append(adminJson(i, "/v1/fleet"))
+              .append(adminJson(i, "/v1/routes"))
               .append(logOf(i).lines().limit(6).toList());
         }
         throw new AssertionError(what + " did not come to be:" + seen);
@@ -291,7 +291,7 @@
   }
 
   /** These hold one another for alive and are settled, whatever else they know. */
-  public Site awaitSettledSide(int alive, int... which) throws InterruptedException {
+  public Site awaitSettledPartition(int alive, int... which) throws InterruptedException {
     await("a side settled", 60, () -> settled(which) && which.length == alive);
     return this;
   }
--- a/src/test/java/rosecleat/harness/ViewTest.java
+++ b/src/test/java/rosecleat/harness/ViewTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rosecleat.harness.Links.Way;
+import rosecleat.harness.Links.LinkCondition;
 
 /** What seven processes of the program hold of one another while pieces break. */
 class ViewTest {
@@ -21,7 +21,7 @@
   @BeforeEach
   void start() throws Exception {
     site = new Site(folder, 7, PERIOD_MS, "");
-    site.routes("c1: {address: \"uwsgi://127.0.0.1:9\"}");
+    site.writeRoutes("c1: {address: \"uwsgi://127.0.0.1:9\"}");
     site.startAll().awaitSettled(site.all());
   }
 
@@ -48,11 +48,11 @@
   void aCrashAPauseALeaveAndARestartAreToldApart() throws Exception {
     long before = site.epoch(1, "n6");
     site.signal(6, "KILL");
-    everywhere("n6", "dead", site.but(6));
-    site.awaitSettled(site.but(6));
+    everywhere("n6", "dead", site.allBut(6));
+    site.awaitSettled(site.allBut(6));
     site.signal(5, "TERM");
-    everywhere("n5", "left", site.but(5, 6));
-    site.await("its end", 20, () -> !site.lives(5));
+    everywhere("n5", "left", site.allBut(5, 6));
+    site.await("its end", 20, () -> !site.isAlive(5));
     site.signal(4, "STOP"); // longer than detection takes, then it goes on
     everywhere("n4", "dead", 0, 1, 2, 3);
     site.signal(4, "CONT");
@@ -72,29 +72,31 @@
 
   @Test
   void sidesOfASplitFindEachOther() throws Exception {
-    Links.Ways halves = (a, b) -> a >= 0 && a % 2 == b % 2 ? Way.CLEAR : Way.CUT;
-    site.links.ways(halves);
+    Links.LinkConditions halves =
+        (a, b) -> a >= 0 && a % 2 == b % 2 ? LinkCondition.CLEAR : LinkCondition.CUT;
+    site.links.setConditions(halves);
     everywhere("n1", "dead", 0, 2, 4, 6);
     everywhere("n0", "dead", 1, 3, 5);
     site.await(
         "the smaller side says that it may be cut off",
         10,
-        () -> !site.see(1, "/v1/fleet").path("settled").asBoolean());
-    site.awaitSettledSide(4, 0, 2, 4, 6); // more than half: settled without the others
-    site.links.ways((a, b) -> Way.CLEAR);
+        () -> !site.adminJson(1, "/v1/fleet").path("settled").asBoolean());
+    site.awaitSettledPartition(4, 0, 2, 4, 6); // more than half: settled without the others
+    site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
-    site.links.ways((a, b) -> a >= 0 && a % 3 == b % 3 ? Way.CLEAR : Way.CUT);
+    site.links.setConditions(
+        (a, b) -> a >= 0 && a % 3 == b % 3 ? LinkCondition.CLEAR : LinkCondition.CUT);
     everywhere("n1", "dead", 0, 3, 6);
     everywhere("n2", "dead", 0, 3, 6);
     everywhere("n0", "dead", 1, 4, 2, 5);
-    site.links.ways((a, b) -> Way.CLEAR);
+    site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
-    site.links.ways((a, b) -> a == 2 || b == 2 ? Way.CUT : Way.CLEAR);
-    everywhere("n2", "dead", site.but(2));
+    site.links.setConditions((a, b) -> a == 2 || b == 2 ? LinkCondition.CUT : LinkCondition.CLEAR);
+    everywhere("n2", "dead", site.allBut(2));
     assertFalse(
-        site.see(2, "/v1/fleet").path("settled").asBoolean(),
-        site.see(2, "/v1/fleet") + site.logOf(2));
-    site.links.ways((a, b) -> Way.CLEAR);
+        site.adminJson(2, "/v1/fleet").path("settled").asBoolean(),
+        site.adminJson(2, "/v1/fleet") + site.logOf(2));
+    site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
   }
 
@@ -104,38 +106,38 @@
    */
   @Test
   void oneWayAndLossAndGarbageHarmNobody() throws Exception {
-    site.links.ways((a, b) -> a == 3 && b == 4 ? Way.CUT : Way.CLEAR);
+    site.links.setConditions((a, b) -> a == 3 && b == 4 ? LinkCondition.CUT : LinkCondition.CLEAR);
     Random random = new Random(5);
     for (int round = 0; round < 40; round++) {
       for (int i = 0; i < site.size; i++) {
         byte[] bytes = new byte[random.nextInt(1_500)];
         random.nextBytes(bytes);
-        site.links.garbage(i, bytes);
+        site.links.sendGarbage(i, bytes);
       }
       Thread.sleep(PERIOD_MS / 4);
     }
     site.awaitSettled(site.all());
-    site.links.ways((a, b) -> new Way(0.2, 0.1, 20, false, 0));
+    site.links.setConditions((a, b) -> new LinkCondition(0.2, 0.1, 20, false, 0));
     Thread.sleep(20L * PERIOD_MS); // it must hold for a while, which no condition tells
     for (int i : site.all()) {
       assertFalse(site.logOf(i).contains("is dead"), site.logOf(i));
     }
-    site.links.ways((a, b) -> Way.CLEAR);
+    site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
   }
 
   @Test
   void twoProcessesUnderOneNameAreKeptApartAndANewRingStartsAtOnce() throws Exception {
-    site.configure(6, "n5", "\"" + site.toldAt(0) + "\"", "");
+    site.configure(6, "n5", "\"" + site.advertisedAddress(0) + "\"", "");
     site.signal(6, "TERM");
-    site.await("its end", 20, () -> !site.lives(6));
+    site.await("its end", 20, () -> !site.isAlive(6));
     site.start(6);
     site.await(
         "both seen",
         30,
         () -> {
           int named = 0;
-          for (var member : site.see(0, "/v1/fleet").path("members")) {
+          for (var member : site.adminJson(0, "/v1/fleet").path("members")) {
             named +=
                 member.path("name").asText().equals("n5")
                         && member.path("state").asText().equals("alive")
@@ -151,9 +153,9 @@
     for (int i : site.all()) { // all at once, with seeds that start with them
       site.signal(i, "KILL");
     }
-    site.configure(6, "n6", "\"" + site.toldAt(5) + "\"", "");
+    site.configure(6, "n6", "\"" + site.advertisedAddress(5) + "\"", "");
     site.startAll();
     site.awaitSettled(site.all());
-    assertEquals(7, site.see(6, "/v1/fleet").path("members").size());
+    assertEquals(7, site.adminJson(6, "/v1/fleet").path("members").size());
   }
 }
