--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -38,17 +38,16 @@
       UwsgiRunner runner =
           new UwsgiRunner(loop, core, clock, MAX_RESPONSE_BYTES, InstanceBalancer.NONE);
       long nowUs = System.currentTimeMillis() * 1000;
-      gate.on(
+      gate.run(
           () -> {
             runner.start(request(nowUs, backend.port(), runner), nowUs + TIMEOUT_US);
-            return 0;
           });
       long end = System.nanoTime() + TEST_TIMEOUT_NS;
-      while (gate.on(() -> counters.get("backend.ok") + counters.get("backend.cut")) == 0) {
-        assertTrue(System.nanoTime() < end, gate.on(counters::toString));
+      while (gate.call(() -> counters.get("backend.ok") + counters.get("backend.cut")) == 0) {
+        assertTrue(System.nanoTime() < end, gate.call(counters::toString));
         Thread.yield();
       }
-      assertEquals(1, gate.on(() -> counters.get("backend.ok")), gate.on(counters::toString));
+      assertEquals(1, gate.call(() -> counters.get("backend.ok")), gate.call(counters::toString));
       assertEquals(1, backend.requests.get());
     }
   }
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -13,6 +13,7 @@
 import rosecleat.core.Core;
 import rosecleat.core.CoreSettings;
 import rosecleat.core.Counters;
+import rosecleat.fakes.Await;
 import rosecleat.fakes.FakeIndex;
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
@@ -21,10 +22,7 @@
 import rosecleat.net.MonotonicClock;
 import rosecleat.policy.PolicyEngine;
 
-/**
- * Calls that cross the end of the connection they would go by: the loop hears of that end behind
- * the call, or just before.
- */
+/** A call that meets the end of the connection on which it would be sent. */
 class IndexClientTest {
   private final Log log = new Log(System.err);
   private final FakeIndex index = new FakeIndex();
@@ -68,40 +66,33 @@
     client.call(id, System.currentTimeMillis() * 1000 + 5_000_000, new byte[] {'c'});
   }
 
-  private void await(String counter, long count) {
-    long end = System.nanoTime() + 10_000_000_000L;
-    while (gate.on(() -> counters.get(counter)) < count) {
-      if (System.nanoTime() > end) {
-        throw new AssertionError(
-            "it did not come to " + counter + "=" + count + ": " + gate.on(counters::toString));
-      }
-      Thread.yield();
-    }
+  private void awaitCount(String counter, long count) {
+    Await.until(() -> gate.call(() -> counters.get(counter)) >= count);
   }
 
   /**
-   * Guards the proof that a call never ran. The idle connection's end and the call come in one turn
-   * of the loop: the connection has ended, and its owner is told of it only behind the call.
+   * A call that was not sent never ran, and must not count as interrupted. The end of the idle
+   * connection and the call reach the loop in one turn: the connection has ended, and its handler
+   * is notified after the call.
    */
   @Test
-  void aCallIsNotPutOnAConnectionWhoseEndIsStillToBeTold() throws Exception {
-    gate.on(
+  void callIsNotSentOnConnectionWhoseEndTheClientHasNotHandled() throws Exception {
+    gate.run(
         () -> {
           call("00000000000000a1");
-          return 0;
         });
-    await("index.replies", 1);
+    awaitCount("index.replies", 1);
     gate.hold();
     index.cut();
     gate.settle();
     loop.execute(() -> call("00000000000000a2"));
     gate.release();
-    await("index.replies", 2);
+    awaitCount("index.replies", 2);
     assertEquals(
         0,
-        gate.on(() -> counters.get("index.lost")),
+        gate.call(() -> counters.get("index.lost")),
         "a call that was never sent counts as cut off");
-    assertEquals(2, gate.on(() -> counters.get("index.calls")));
-    assertEquals(2, gate.on(() -> counters.get("index.connections")));
+    assertEquals(2, gate.call(() -> counters.get("index.calls")));
+    assertEquals(2, gate.call(() -> counters.get("index.connections")));
   }
 }
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -19,22 +19,19 @@
 import rosecleat.core.Progress;
 import rosecleat.log.Log;
 
-/**
- * Ends of connections that cross what their peers do: the loop stands still until the peer has done
- * it.
- */
+/** Ends of connections that coincide with what their peers do; the loop is held meanwhile. */
 class ConnectionTest {
   private final Log log = new Log(System.err);
   private EventLoop loop;
   private LoopGate gate;
   private Listener listener;
-  private final CompletableFuture<Connection> taken = new CompletableFuture<>();
+  private final CompletableFuture<Connection> accepted = new CompletableFuture<>();
   private final CompletableFuture<Failure> ended = new CompletableFuture<>();
-  private boolean owes;
+  private boolean responsePending;
 
   /**
-   * Echoes what comes; a "q" is taken and owed an answer, which {@link #answer} gives, and a "c" is
-   * a reason to close.
+   * Echoes bytes, except "q", whose response is pending until {@link #answer}, and "c", which
+   * closes the connection.
    */
   private final class Echo implements ConnectionHandler {
     private final Connection connection;
@@ -42,19 +39,19 @@
     Echo(Connection connection) {
       this.connection = connection;
       connection.start(this);
-      taken.complete(connection);
+      accepted.complete(connection);
     }
 
     @Override
     public boolean hasPendingResponses() {
-      return owes;
+      return responsePending;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       while (bytes.hasRemaining()) {
         byte word = bytes.get();
-        owes |= word == 'q';
+        responsePending |= word == 'q';
         if (word == 'c') {
           connection.closeGracefully();
         } else if (word != 'q') {
@@ -71,10 +68,10 @@
   }
 
   private void answer() {
-    gate.on(
+    gate.call(
         () -> {
-          owes = false;
-          return taken.join().write(ByteBuffer.wrap(new byte[] {'a'}));
+          responsePending = false;
+          return accepted.join().write(ByteBuffer.wrap(new byte[] {'a'}));
         });
   }
 
@@ -101,24 +98,21 @@
   private Socket connect() throws Exception {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), listener.port());
     socket.setSoTimeout(5_000);
-    taken.get(5, TimeUnit.SECONDS);
+    accepted.get(5, TimeUnit.SECONDS);
     return socket;
   }
 
   private void closeGracefully() {
-    loop.execute(() -> taken.join().closeGracefully());
+    loop.execute(() -> accepted.join().closeGracefully());
   }
 
-  /**
-   * Guards a request that had come before its connection was closed, and of which the loop had not
-   * heard.
-   */
+  /** The loop has not been notified of the message when it closes the connection. */
   @Test
-  void whatHadArrivedWhenTheCloseCameIsAnswered() throws Exception {
+  void messageThatArrivedBeforeTheCloseIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       gate.hold();
-      closeGracefully(); // the loop will do this first,
-      peer.getOutputStream().write('x'); // and hear of this behind it
+      closeGracefully(); // the loop runs this first,
+      peer.getOutputStream().write('x'); // and is notified of this after it
       gate.settle();
       gate.release();
       assertEquals('x', peer.getInputStream().read());
@@ -126,12 +120,9 @@
     }
   }
 
-  /**
-   * Guards what stands behind the reason for a close, in the same bytes: it has come, and its owner
-   * is about to read it.
-   */
+  /** Both come in the same bytes, and the handler is about to read the message. */
   @Test
-  void whatStandsBehindTheReasonToCloseIsAnswered() throws Exception {
+  void messageBehindTheReasonToCloseIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write(new byte[] {'c', 'x'});
       assertEquals('x', peer.getInputStream().read());
@@ -139,11 +130,8 @@
     }
   }
 
-  /**
-   * Guards requests that run while their connection is closed, and those that still come meanwhile.
-   */
   @Test
-  void aCloseWaitsForWhatIsOwedAndHearsWhatComesMeanwhile() throws Exception {
+  void closeWaitsForPendingResponseAndReceivesMeanwhile() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('q');
       gate.settle();
@@ -156,48 +144,47 @@
     }
   }
 
-  /** Guards answers against a reset: what comes behind the end is read, though nobody hears it. */
+  /** A reset could lose the response, so the bytes are read all the same. */
   @Test
-  void whatCrossesTheEndIsNotHeardAndResetsNothing() throws Exception {
+  void bytesAfterTheShutdownAreDroppedAndResetNothing() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('z');
       gate.settle();
       closeGracefully();
-      gate.on(() -> 0);
+      gate.run(() -> {});
       peer.getOutputStream().write("late".getBytes());
       gate.settle();
-      gate.on(() -> 0);
+      gate.run(() -> {});
       peer.getOutputStream()
           .write("later".getBytes()); // a reset would fail this write, or the reading
       assertEquals('z', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
-      assertFalse(ended.isDone(), "it waits for its peer");
+      assertFalse(ended.isDone(), "it lingers until its peer closes");
     }
     assertEquals(Progress.SENT, ended.get(5, TimeUnit.SECONDS).progress());
   }
 
   @Test
-  void closingTwiceIsClosingOnceAndNothingIsWrittenBehindTheEnd() throws Exception {
+  void secondCloseHasNoEffectAndNothingIsWrittenAfterTheShutdown() throws Exception {
     try (Socket peer = connect()) {
-      gate.on(
+      gate.call(
           () -> {
-            Connection connection = taken.join();
+            Connection connection = accepted.join();
             connection.write(ByteBuffer.wrap(new byte[] {'1'}));
             connection.closeGracefully();
             connection.closeGracefully();
             return connection.write(
-                ByteBuffer.wrap(new byte[] {'2'})); // the end was not told yet: this still goes
+                ByteBuffer.wrap(new byte[] {'2'})); // the output is not shut down yet
           });
       assertEquals('1', peer.getInputStream().read());
       assertEquals('2', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
-      assertFalse(gate.on(() -> taken.join().write(ByteBuffer.wrap(new byte[] {'3'}))));
+      assertFalse(gate.call(() -> accepted.join().write(ByteBuffer.wrap(new byte[] {'3'}))));
     }
   }
 
-  /** Guards descriptors: a peer that never closes in its turn is not waited for for ever. */
   @Test
-  void aPeerThatNeverClosesIsLetGo() throws Exception {
+  void connectionToPeerThatNeverClosesEndsAfterTheLingerTime() throws Exception {
     try (Socket peer = connect()) {
       closeGracefully();
       assertEquals(-1, peer.getInputStream().read());
@@ -205,13 +192,9 @@
     }
   }
 
-  /**
-   * Guards owners against a connection that was closed before they got it: a time-out that the loop
-   * hears of before the connect, which had come to pass, makes the attempt a failed one, and
-   * nothing was sent.
-   */
+  /** The connect has succeeded, but its handler must not be given a closed connection. */
   @Test
-  void aTimeOutThatCrossesTheConnectIsAFailedAttempt() throws Exception {
+  void timeoutHandledBeforeTheConnectFailsTheAttempt() throws Exception {
     CompletableFuture<String> outcome = new CompletableFuture<>();
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       gate.hold();
@@ -247,12 +230,12 @@
     }
   }
 
-  /** Guards the proof in an error: a connection that ended takes not a byte, and says so. */
+  /** The proof that a request was not sent depends on it. */
   @Test
-  void whatIsWrittenBehindTheEndIsRefused() throws Exception {
+  void writeAfterTheEndIsRejected() throws Exception {
     connect().close();
     ended.get(5, TimeUnit.SECONDS);
-    assertFalse(gate.on(() -> taken.join().write(ByteBuffer.allocate(1))));
-    assertTrue(gate.on(() -> taken.join().isClosed()));
+    assertFalse(gate.call(() -> accepted.join().write(ByteBuffer.allocate(1))));
+    assertTrue(gate.call(() -> accepted.join().isClosed()));
   }
 }
--- a/src/test/java/rosecleat/net/ListenerTest.java
+++ b/src/test/java/rosecleat/net/ListenerTest.java
@@ -17,7 +17,7 @@
 import rosecleat.core.Failure;
 import rosecleat.log.Log;
 
-/** What a listener does when all its places are taken. */
+/** A listener at its maximum of connections, and one that closes. */
 class ListenerTest {
   private final Log log = new Log(System.err);
   private EventLoop loop;
@@ -27,7 +27,7 @@
   /** Echoes; a "b" makes its connection busy for good. */
   private final class Echo implements ConnectionHandler {
     private final Connection connection;
-    private ConnectionUsage use = ConnectionUsage.UNUSED;
+    private ConnectionUsage usage = ConnectionUsage.UNUSED;
 
     Echo(Connection connection) {
       this.connection = connection;
@@ -36,14 +36,16 @@
 
     @Override
     public ConnectionUsage usage() {
-      return use;
+      return usage;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       byte word = bytes.get();
-      use =
-          word == 'b' || use == ConnectionUsage.BUSY ? ConnectionUsage.BUSY : ConnectionUsage.IDLE;
+      usage =
+          word == 'b' || usage == ConnectionUsage.BUSY
+              ? ConnectionUsage.BUSY
+              : ConnectionUsage.IDLE;
       connection.write(ByteBuffer.wrap(new byte[] {word}));
     }
 
@@ -53,6 +55,17 @@
     }
   }
 
+  private void listen(int maxConnections) throws IOException {
+    loop = new EventLoop(log);
+    listener =
+        new Listener(
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            maxConnections,
+            ConnectionLimits.SMALL,
+            Echo::new);
+  }
+
   private Socket connect() throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), listener.port());
     socket.setSoTimeout(10_000);
@@ -60,7 +73,7 @@
     return socket;
   }
 
-  private static int say(Socket socket, char word) throws IOException {
+  private static int echo(Socket socket, char word) throws IOException {
     socket.getOutputStream().write(word);
     return socket.getInputStream().read();
   }
@@ -74,12 +87,9 @@
     log.close();
   }
 
-  /**
-   * Guards callers in an upgrade: of those that connect while one of two sockets closes, none may
-   * be turned back.
-   */
+  /** During an upgrade two processes listen at one address, and the old one closes. */
   @Test
-  void aSharedAddressLosesNobodyWhileOneOfTwoCloses() throws Exception {
+  void sharedAddressRejectsNoConnectionWhileOneOfTwoListenersCloses() throws Exception {
     loop = new EventLoop(log);
     listener =
         new Listener(
@@ -89,107 +99,84 @@
             ConnectionLimits.SMALL,
             Echo::new,
             true);
-    InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
+    InetSocketAddress address =
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
     Listener other =
         new Listener(
-            loop, at, 1 << 20, ConnectionLimits.SMALL, Echo::new, true); // gets none released
+            loop,
+            address,
+            1 << 20,
+            ConnectionLimits.SMALL,
+            Echo::new,
+            true); // is not told of closed connections
     boolean[] closed = new boolean[1];
-    loop.schedule(50_000, () -> closeWhenEmpty(closed));
-    int asked = 0;
-    for (long end = System.nanoTime() + 300_000_000; System.nanoTime() < end; asked++) {
+    loop.schedule(50_000, () -> closeWhenBacklogEmpty(closed));
+    int connections = 0;
+    for (long end = System.nanoTime() + 300_000_000; System.nanoTime() < end; connections++) {
       try (Socket socket =
-          new Socket(at.getAddress(), at.getPort())) { // a storm: it never is quiet
+          new Socket(address.getAddress(), address.getPort())) { // there is no quiet period
         socket.setSoTimeout(5_000);
-        assertEquals('x', say(socket, 'x'), "turned back after " + asked);
+        assertEquals('x', echo(socket, 'x'), "rejected after " + connections);
       }
     }
     assertEquals(true, closed[0]);
-    assertEquals(at.getPort(), other.port());
+    assertEquals(address.getPort(), other.port());
   }
 
-  private void closeWhenEmpty(boolean[] closed) {
+  private void closeWhenBacklogEmpty(boolean[] closed) {
     closed[0] = listener.closeWhenBacklogEmpty();
     if (!closed[0]) {
-      loop.schedule(2_000, () -> closeWhenEmpty(closed));
+      loop.schedule(2_000, () -> closeWhenBacklogEmpty(closed));
     }
   }
 
   @Test
-  void connectionsThatNobodyUsesMakeRoomTheLongestUnusedFirst() throws Exception {
-    loop = new EventLoop(log);
-    listener =
-        new Listener(
-            loop,
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            4,
-            ConnectionLimits.SMALL,
-            Echo::new);
+  void unusedThenLongestIdleConnectionsAreEvictedAtMaximum() throws Exception {
+    listen(4);
     Socket busy = connect();
-    assertEquals('b', say(busy, 'b'));
+    assertEquals('b', echo(busy, 'b'));
     Socket older = connect();
-    assertEquals('x', say(older, 'x'));
-    Socket silent = connect();
-    Thread.sleep(300); // a while in which it might have spoken
-    assertEquals('x', say(connect(), 'x')); // takes the last place: the silent one goes
-    assertEquals(-1, silent.getInputStream().read());
-    assertEquals('x', say(connect(), 'x')); // then the one that has not been used for longest
+    assertEquals('x', echo(older, 'x'));
+    Socket unused = connect();
+    Thread.sleep(300); // no longer young
+    assertEquals('x', echo(connect(), 'x')); // takes the last place: the unused one is evicted
+    assertEquals(-1, unused.getInputStream().read());
+    assertEquals('x', echo(connect(), 'x')); // then the longest idle
     assertEquals(-1, older.getInputStream().read());
-    assertEquals('x', say(busy, 'x'));
+    assertEquals('x', echo(busy, 'x'));
   }
 
-  /**
-   * Guards a first request against its place being needed: a silent connection on which bytes are
-   * on their way.
-   */
   @Test
-  void whoseFirstBytesCrossTheNeedForItsPlaceIsAnswered() throws Exception {
-    loop = new EventLoop(log);
-    listener =
-        new Listener(
-            loop,
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            2,
-            ConnectionLimits.SMALL,
-            Echo::new);
+  void evictedConnectionWhoseFirstBytesAreInFlightIsAnswered() throws Exception {
+    listen(2);
     try (LoopGate gate = new LoopGate(loop)) {
       Socket first = connect();
-      Thread.sleep(300); // a while in which it might have spoken
+      Thread.sleep(300); // no longer young
       gate.hold();
-      connect(); // takes the last place: the loop will look for room before it hears
+      connect(); // takes the last place: the loop evicts before it learns
       gate.settle();
       first.getOutputStream().write('x'); // of this
       gate.settle();
       gate.release();
       assertEquals('x', first.getInputStream().read());
-      assertEquals(-1, first.getInputStream().read()); // then its place was needed
+      assertEquals(-1, first.getInputStream().read()); // closed to make room
     }
   }
 
-  /**
-   * Guards what waits unaccepted while all places are taken: a node that leaves takes it before it
-   * shuts the door.
-   */
   @Test
-  void whatWaitsForAPlaceIsTakenBeforeTheListenerCloses() throws Exception {
-    loop = new EventLoop(log);
-    listener =
-        new Listener(
-            loop,
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            2,
-            ConnectionLimits.SMALL,
-            Echo::new);
+  void backlogIsAcceptedBeforeTheListenerCloses() throws Exception {
+    listen(2);
     try (LoopGate gate = new LoopGate(loop)) {
       int port = listener.port();
       Socket busy = connect();
-      assertEquals('b', say(busy, 'b'));
-      assertEquals('b', say(connect(), 'b'));
+      assertEquals('b', echo(busy, 'b'));
+      assertEquals('b', echo(connect(), 'b'));
       Socket waits = connect();
       waits.getOutputStream().write('x');
-      assertEquals(false, gate.on(() -> listener.closeAfterQuietPeriod(0)));
+      assertEquals(false, gate.call(() -> listener.closeAfterQuietPeriod(0)));
       busy.close();
       assertEquals('x', waits.getInputStream().read());
-      while (!gate.on(() -> listener.closeAfterQuietPeriod(0))) {
+      while (!gate.call(() -> listener.closeAfterQuietPeriod(0))) {
         Thread.yield();
       }
       assertThrows(
@@ -197,53 +184,32 @@
     }
   }
 
-  /**
-   * Guards newcomers: where all others are in use, the one whose first bytes are on their way is
-   * not the one to go.
-   */
+  /** Its first bytes may be in flight, also where all other connections are in use. */
   @Test
-  void whoHasJustComeIsNoUnusedConnection() throws Exception {
-    loop = new EventLoop(log);
-    listener =
-        new Listener(
-            loop,
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            2,
-            ConnectionLimits.SMALL,
-            Echo::new);
+  void youngUnusedConnectionIsNotEvicted() throws Exception {
+    listen(2);
     try (LoopGate gate = new LoopGate(loop)) {
-      assertEquals('b', say(connect(), 'b'));
+      assertEquals('b', echo(connect(), 'b'));
       Socket newcomer = connect();
       gate.settle();
-      gate.on(() -> 0); // it has been taken, and a place was looked for
-      assertEquals('x', say(newcomer, 'x'));
+      gate.run(() -> {}); // it was accepted, and eviction was tried
+      assertEquals('x', echo(newcomer, 'x'));
     }
   }
 
-  /**
-   * Guards callers against peers that hold a place and never close it: they are told the end, and
-   * not waited for.
-   */
   @Test
-  void placesOfThoseThatNeverCloseAreFreeInTime() throws Exception {
-    loop = new EventLoop(log);
-    int most = 64;
-    listener =
-        new Listener(
-            loop,
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            most,
-            ConnectionLimits.SMALL,
-            Echo::new);
-    for (int i = 0; i < most; i++) {
+  void placesOfPeersThatNeverCloseAreFreedInTime() throws Exception {
+    int maxConnections = 64;
+    listen(maxConnections);
+    for (int i = 0; i < maxConnections; i++) {
       connect();
     }
-    long began = System.nanoTime();
-    for (int i = 0; i < most - 1; i++) { // the last place is always on its way to be free
-      assertEquals('b', say(connect(), 'b'));
+    long startNs = System.nanoTime();
+    for (int i = 0; i < maxConnections - 1; i++) { // the last place is always being freed
+      assertEquals('b', echo(connect(), 'b'));
     }
     assertTrue(
-        System.nanoTime() - began < 5_000_000_000L,
-        "took " + (System.nanoTime() - began) / 1_000_000 + " ms");
+        System.nanoTime() - startNs < 5_000_000_000L,
+        "took " + (System.nanoTime() - startNs) / 1_000_000 + " ms");
   }
 }
--- a/src/test/java/rosecleat/net/LoopGate.java
+++ b/src/test/java/rosecleat/net/LoopGate.java
@@ -12,21 +12,21 @@
 import java.util.function.Supplier;
 
 /**
- * Holds a loop still while peers act, so that a test says in which order the loop learns of what
- * they did.
+ * Holds a loop while peers act, so that a test determines the order in which the loop learns of
+ * what they did.
  */
 public final class LoopGate implements AutoCloseable {
   private final EventLoop loop;
   private final ServerSocket server;
   private CountDownLatch gate;
 
-  /** A gate for a loop, open at first. */
+  /** Creates a gate for a loop, open at first. */
   public LoopGate(EventLoop loop) throws IOException {
     this.loop = loop;
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   }
 
-  /** Holds the loop; returns once it stands still. */
+  /** Holds the loop; returns once it is held. */
   public void hold() {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch mine = new CountDownLatch(1);
@@ -39,15 +39,15 @@
     await(held);
   }
 
-  /** Lets the loop go on with all that has been posted meanwhile, in the order in which it was. */
+  /** Releases the loop, which runs all tasks posted meanwhile in their order. */
   public void release() {
     gate.countDown();
   }
 
   /**
-   * Returns once the thread of the channels has dealt with all that peers had done before: it takes
-   * events in their order, and this waits for one of its own, and then for another, as the first
-   * may come by the same look as theirs.
+   * Returns once the thread of the channels has handled all that peers did before. It takes events
+   * in their order, so this waits for a connect of its own, and then for another, as the first may
+   * be selected together with the peers' events.
    */
   public void settle() throws Exception {
     for (int turn = 0; turn < 2; turn++) {
@@ -73,8 +73,17 @@
     }
   }
 
-  /** Runs something on the loop and returns its result. */
-  public <T> T on(Supplier<T> task) {
+  /** Runs a task on the loop and returns once it has run. */
+  public void run(Runnable task) {
+    call(
+        () -> {
+          task.run();
+          return null;
+        });
+  }
+
+  /** Runs a task on the loop and returns its result. */
+  public <T> T call(Supplier<T> task) {
     CompletableFuture<T> done = new CompletableFuture<>();
     loop.execute(() -> done.complete(task.get()));
     return done.orTimeout(10, TimeUnit.SECONDS).join();
@@ -83,7 +92,7 @@
   private static void await(CountDownLatch latch) {
     try {
       if (!latch.await(10, TimeUnit.SECONDS)) {
-        throw new AssertionError("the loop did not come there");
+        throw new AssertionError("the loop was not held");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
