--- a/src/test/java/rosecleat/node/ConfigReloaderTest.java
+++ b/src/test/java/rosecleat/node/ConfigReloaderTest.java
@@ -19,7 +19,7 @@
 /** SIGHUP, as a process gets it: the virtual machine that runs this test would end on it. */
 class ConfigReloaderTest {
   @Test
-  void theSignalBringsTheNewFileAndABadOneChangesNothing(@TempDir Path folder) throws Exception {
+  void signalAdoptsAValidFileAndAnInvalidFileChangesNothing(@TempDir Path folder) throws Exception {
     String good = Files.readString(Path.of("deploy/example.json"));
     Path file = Files.writeString(folder.resolve("config.json"), good);
     Map<String, String> env = Map.of("PROXY_CONFIG", file.toString());
--- a/src/test/java/rosecleat/node/SizesTest.java
+++ b/src/test/java/rosecleat/node/DeploymentSizesTest.java
@@ -23,7 +23,7 @@
  * Other deployments than the one at hand: each starts, serves every class of its first and last
  * tenant, and ends.
  */
-class SizesTest {
+class DeploymentSizesTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private static NodeConfig config(
@@ -81,7 +81,7 @@
     "2, 1, 120, 1, 0.2, 64",
     "3, 1500, 1, 1, 500, 32"
   })
-  void startsAndServes(
+  void deploymentOfThisSizeStartsAndServes(
       int classes, int tenants, int servers, int callers, double callsOut, int sockets)
       throws Exception {
     try (Log log = new Log(System.err);
--- a/src/test/java/rosecleat/node/DescriptorBudgetTest.java
+++ b/src/test/java/rosecleat/node/DescriptorBudgetTest.java
@@ -24,7 +24,7 @@
     "65536, 500, 64504, 1000",
     "1024, 1e12, 512, 480"
   })
-  void descriptorsAreSharedOutByLimitsAndSettings(
+  void descriptorsAreDividedByLimitsAndSettings(
       int sockets, double callsOut, int balancers, int index) {
     assertEquals(
         new DescriptorBudget(balancers, index), DescriptorBudget.of(sockets, 0, callsOut, false));
@@ -32,7 +32,7 @@
 
   @ParameterizedTest
   @CsvSource({"1024, 0", "1024, 13", "512, 77", "64, 13"})
-  void twoProcessesTogetherKeepToTheLimit(int sockets, int others) {
+  void twoProcessesTogetherStayWithinTheLimit(int sockets, int others) {
     DescriptorBudget half = DescriptorBudget.of(sockets, others, 500, true);
     assertTrue(
         2 * (half.balancers() + half.index() + others) <= sockets || half.balancers() == 1,
--- a/src/test/java/rosecleat/node/DescriptorsTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -29,7 +29,7 @@
  * A process whose descriptors the system itself limits, under clients that take all they can get
  * and say nothing.
  */
-class DescriptorsTest {
+class DescriptorLimitTest {
   @TempDir Path folder;
   private final List<Socket> idle = new ArrayList<>();
   private int tag;
@@ -98,7 +98,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {64, 200})
-  void idleClientsKeepNoDescriptorFromTheLinks(int descriptors) throws Exception {
+  void idleClientsLeaveDescriptorsForRuntimeIndexAndRegistry(int descriptors) throws Exception {
     Process process = null;
     int listen = freePort();
     try (FakeRuntime runtime = new FakeRuntime(5);
--- a/src/test/java/rosecleat/node/BadClientsTest.java
+++ b/src/test/java/rosecleat/node/MisbehavingClientsTest.java
@@ -21,7 +21,7 @@
  * Clients that mean harm or know no better: each is refused or closed in time, and a balancer goes
  * on.
  */
-class BadClientsTest {
+class MisbehavingClientsTest {
   private final FakeRuntime runtime = new FakeRuntime(20);
   private final Log log = new Log(System.err);
   private final List<RespClient> clients = new ArrayList<>();
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void whoOnlyErrsIsShutOut() throws IOException {
+  void clientThatSendsOnlyInvalidRequestsIsDisconnected() throws IOException {
     RespClient errant = connect();
     for (int i = 0; i < 64; i++) {
       errant.send(RespClient.array("DO", 1 + i, "no-such-class", "id=1", "b"));
@@ -101,7 +101,7 @@
    * are owed to it.
    */
   @Test
-  void whatWasAskedBeforeTheMistakesIsAnsweredAndWhatCameBehindThemToo() throws IOException {
+  void validRequestsAroundTooManyInvalidOnesGetResponses() throws IOException {
     RespClient errant = connect();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(
@@ -133,7 +133,7 @@
    * before the end.
    */
   @Test
-  void whatWasAskedBeforeBytesWithoutSenseIsAnswered() throws IOException {
+  void requestBeforeUnparsableBytesGetsItsResponse() throws IOException {
     RespClient spoilt = connect();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(
@@ -154,7 +154,7 @@
    * there.
    */
   @Test
-  void whatStandsBehindAnArrayWithoutTagIsAnswered() throws IOException {
+  void requestAfterAnArrayWithoutTagGetsItsResponse() throws IOException {
     RespClient untagged = connect();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(RespClient.array("DO", "x", "balance-check", "id", "b"));
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void hugeBodiesAreNotKept() throws IOException {
+  void oversizedBodyIsNotBuffered() throws IOException {
     RespClient huge = connect();
     huge.send(
         "*5\r\n$2\r\nDO\r\n$1\r\n1\r\n$13\r\nbalance-check\r\n$2\r\nid\r\n$60000000\r\n"
--- a/src/test/java/rosecleat/node/MixedLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
@@ -26,7 +26,7 @@
  * Both protocols at once at 150% of what the cores can do, with every rule counted after each
  * request.
  */
-class MixedLoadTest {
+class MixedProtocolLoadTest {
   private static final int WORK_MS = 20;
   private static final int WAIT_MS = 900;
 
@@ -146,7 +146,7 @@
   private long ids = 1;
 
   @Test
-  void bothProtocolsKeepTheRulesAndNeitherStarves() throws Exception {
+  void bothProtocolsKeepTheRulesUnderOverloadAndNeitherStarves() throws Exception {
     rig = new NodeHarness(WORK_MS, STOP_MS, GRACE_MS, folder);
     try {
       List<Balancer> balancers = List.of(new Balancer(), new Balancer());
--- a/src/test/java/rosecleat/node/NodeHarness.java
+++ b/src/test/java/rosecleat/node/NodeHarness.java
@@ -4,8 +4,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Optional;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import rosecleat.config.BrokerConfig;
 import rosecleat.config.BrokerConfigReader;
@@ -97,9 +95,7 @@
 
   /** Asks the core something on its own thread. */
   <T> T ask(Function<Core, T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    node.onLoop(() -> answer.complete(question.apply(node.core())));
-    return answer.orTimeout(10, TimeUnit.SECONDS).join();
+    return NodeProbe.ask(node, question);
   }
 
   /** Waits until something holds of the core. */
--- /dev/null
+++ b/src/test/java/rosecleat/node/NodeProbe.java
@@ -0,0 +1,43 @@
+package rosecleat.node;
+
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.Function;
+import java.util.function.Supplier;
+import rosecleat.core.Core;
+
+/** Questions to a node from a test's thread, answered on the node's event loop. */
+final class NodeProbe {
+  private static final long TIMEOUT_S = 10;
+
+  private NodeProbe() {}
+
+  /** Evaluates something on the event loop of a node. */
+  static <T> T onLoop(Node node, Supplier<T> question) {
+    CompletableFuture<T> answer = new CompletableFuture<>();
+    node.onLoop(() -> answer.complete(question.get()));
+    return answer.orTimeout(TIMEOUT_S, TimeUnit.SECONDS).join();
+  }
+
+  /** Asks the core of a node something. */
+  static <T> T ask(Node node, Function<Core, T> question) {
+    return onLoop(node, () -> question.apply(node.core()));
+  }
+
+  /** Returns a counter of a node. */
+  static long counter(Node node, String name) {
+    return ask(node, core -> core.counters().get(name));
+  }
+
+  /** Waits until a condition holds. */
+  static void await(BooleanSupplier condition) {
+    long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() > endNs) {
+        throw new AssertionError("the condition did not come to hold");
+      }
+      Thread.yield();
+    }
+  }
+}
--- a/src/test/java/rosecleat/node/NodeProcessTest.java
+++ b/src/test/java/rosecleat/node/NodeProcessTest.java
@@ -18,7 +18,7 @@
    * lets it leave.
    */
   @Test
-  void aNoticeThatComesWhileTheNodeIsMadeWaitsForIt() throws Exception {
+  void shutdownRequestWaitsForANodeThatIsBeingBuilt() throws Exception {
     try (Log log = new Log(System.err);
         Node node =
             new Node(
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void noNodeIsMadeBehindTheNotice() throws Exception {
+  void shutdownRequestPreventsALaterNode() throws Exception {
     try (Log log = new Log(System.err)) {
       NodeProcess process = new NodeProcess(log);
       assertEquals(Optional.empty(), process.requestShutdown());
--- /dev/null
+++ b/src/test/java/rosecleat/node/NodeRegistryTest.java
@@ -0,0 +1,120 @@
+package rosecleat.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import rosecleat.core.Core;
+import rosecleat.core.Counters;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.TestSite;
+import rosecleat.net.EventLoop;
+import rosecleat.takeover.TakeoverCoordinator;
+
+/** What a node tells the registry, and what it makes of a registry that is down. */
+class NodeRegistryTest extends NodeLinksHarness {
+  @Test
+  void failingRegistryIsToldAgainEachSecond() throws IOException {
+    registry.mood = "";
+    startServing();
+    await(
+        () ->
+            registry.reports.size()
+                == 2); // the first got no answer: it was given up, and a new link made
+    registry.mood = "503";
+    await(() -> registry.reports.size() == 3);
+    registry.mood = "204";
+    await(() -> count("roster.reports") == 1);
+    assertEquals("PUT /roster/t1 HTTP/1.1 {\"duty\":\"on\"}", registry.reports.get(0));
+  }
+
+  /**
+   * Guards a drain by call against that of SIGTERM: only health checks may hear of it, and nothing
+   * is turned away.
+   */
+  @Test
+  void drainByOperatorsChangesHealthChecksAlone() throws IOException {
+    Counters counters = new Counters();
+    TakeoverCoordinator handover = TakeoverCoordinator.join(Optional.empty(), counters, log);
+    NodeOperations operators = new NodeOperations(handover, new NoFleet());
+    operators.drain(); // before the node stands
+    node =
+        new Node(
+            ProcessConfig.of(
+                TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500)),
+            new NodeEnvironment(
+                new EventLoop(log),
+                handover,
+                new NoEstimatePersistence(),
+                new NoFleet(),
+                counters,
+                log));
+    node.start();
+    node.onLoop(() -> operators.attach(node));
+    client = new RespClient(node.port(), null);
+    await(this::ready);
+    for (int round = 0; round < 2; round++) { // told twice is told once
+      node.onLoop(operators::drain);
+      assertEquals("DOWN", check());
+      assertEquals("OK", answer("balance-check").get(1));
+    }
+    reload();
+    assertEquals("DOWN", check());
+    assertEquals(0, client.byes);
+    assertEquals(true, ask(core -> operators.isReady()));
+    node.onLoop(operators::activate);
+    assertEquals("UP", check());
+    assertEquals(1, count("operators.drains"));
+    assertTrue(
+        registry.reports.stream().noneMatch(r -> r.contains("off")), registry.reports.toString());
+  }
+
+  private String check() throws IOException {
+    client.send(RespClient.array("PING", 999, ""));
+    return client.answer().get(1);
+  }
+
+  /**
+   * Guards a release while the registry is down: the node serves and leaves without it, and tells
+   * it when it is back.
+   */
+  @Test
+  void unreachableRegistryDelaysNothingAndIsToldOnceItIsBack() throws Exception {
+    registry.down();
+    startServing();
+    assertEquals("OK", answer("balance-check").get(1));
+    await(() -> count("roster.failed") >= 3); // tried again sooner than the next second's report
+    CompletableFuture<Void> left = new CompletableFuture<>();
+    node.beginShutdown(() -> left.complete(null));
+    Thread.sleep(300);
+    registry.up();
+    await(() -> !registry.reports.isEmpty());
+    assertTrue(registry.reports.get(0).contains("off"), registry.reports.toString());
+    registry.down();
+    client.close();
+    left.get(2, TimeUnit.SECONDS);
+  }
+
+  @Test
+  void beginningShutdownIsToldToTheRegistryAtOnce() throws Exception {
+    startServing();
+    await(() -> count("roster.reports") > 0);
+    CompletableFuture<Void> left = new CompletableFuture<>();
+    node.beginShutdown(() -> left.complete(null));
+    await(() -> registry.reports.get(registry.reports.size() - 1).contains("off"));
+    client.send(RespClient.array("PING", 5, ""));
+    assertEquals("DOWN", client.answer().get(1));
+    assertEquals("OK", answer("balance-check").get(1)); // within the grace
+    await(() -> ask(Core::gracePeriodEnded));
+    Thread.sleep(5); // requests tell whole milliseconds
+    assertEquals(
+        "BUSY", answer("balance-check").get(1)); // behind it: nothing is run, all is answered
+    assertTrue(client.byes > 0);
+    client.close();
+    left.get(2, TimeUnit.SECONDS);
+  }
+}
--- /dev/null
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -0,0 +1,152 @@
+package rosecleat.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import org.junit.jupiter.api.Test;
+import rosecleat.fakes.FakeRuntime;
+import rosecleat.fakes.RespClient;
+import rosecleat.fakes.TestSite;
+
+/** A node whose connection to its runtime breaks, falls silent or carries nonsense. */
+class NodeRuntimeTest extends NodeLinksHarness {
+  @Test
+  void startingRuntimeLeavesHealthChecksAnswered() throws IOException {
+    runtime.readyAfterMs = 500;
+    start();
+    client.send(RespClient.array("PING", 1, ""));
+    assertEquals("UP", client.answer().get(1));
+    assertTrue(!ready());
+    assertEquals("BUSY", answer("balance-check").get(1)); // nothing can run yet, and nothing has
+    await(this::ready);
+    assertEquals(FakeRuntime.result("body 2"), answer("balance-check").get(3));
+  }
+
+  @Test
+  void brokenConnectionIsSynchronizedAndRepeatsNothing() throws IOException {
+    startServing();
+    send("balance-check", null);
+    await(() -> runtime.starts.size() == 1);
+    runtime.cut(); // the run goes on, and ends while there is no link
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
+    assertEquals("OK", answer("balance-check").get(1));
+    assertEquals(2, runtime.starts.size());
+    assertEquals(2, count("runs.ok"));
+    assertTrue(runtime.commands.contains("sync "), "no sync");
+  }
+
+  @Test
+  void commandLostWithTheConnectionIsSentAgain() throws IOException {
+    startServing();
+    runtime.swallow = 1;
+    send("balance-check", null);
+    await(() -> runtime.swallow == 0);
+    runtime.cut();
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
+    assertEquals(1, count("runtime.resent"));
+  }
+
+  @Test
+  void idempotentStartThatMayHaveArrivedFailsAtOnce() throws IOException {
+    startServing();
+    runtime.swallow = 1;
+    long sentNs = System.nanoTime();
+    send("card-load", "k"); // its runs may end without a call: a repeat could run it twice
+    await(() -> runtime.swallow == 0);
+    runtime.cut();
+    assertEquals("FAILED", client.answer().get(1));
+    assertTrue(System.nanoTime() - sentNs < 700_000_000, "it hung until its due time");
+    assertEquals(0, runtime.starts.size());
+  }
+
+  @Test
+  void idempotentStartWhoseRunMustCallFirstIsSentAgain() throws IOException {
+    node =
+        new Node(
+            ProcessConfig.of(
+                TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500, true)),
+            NodeEnvironment.standalone(log));
+    node.start();
+    client = new RespClient(node.port(), null);
+    await(this::ready);
+    runtime.swallow = 1;
+    send("card-load", "k");
+    await(() -> runtime.swallow == 0);
+    runtime.cut();
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
+    runtime.cut(); // the run has shown its end: nothing is sent again
+    assertEquals("OK", answer("balance-check").get(1));
+    assertEquals(1, runtime.startsOf("body 1"));
+  }
+
+  @Test
+  void unreadableMessageFailsOnlyItsOwnRun() throws IOException {
+    startServing();
+    runtime.spoil =
+        "{\"type\":\"info\",\"n\":true,\"state\":\"x\"}\n[]\n{\"type\":\"end\"\n"
+            + "{\"type\":\"end\",\"job\":\"0000000000000001\",\"state\":\"ok\",\"data\":\"?!\"}\n";
+    send("balance-check", null);
+    assertEquals("FAILED", client.answer().get(1)); // its end came, its result can't be read
+    assertEquals("OK", answer("balance-check").get(1));
+    assertEquals(0, count("runtime.unreached"));
+    assertEquals(1, count("runs.cut"));
+  }
+
+  @Test
+  void rejectedStartFailsAndLeavesTheKeyUnclaimed() throws IOException {
+    startServing();
+    runtime.nackStarts = true;
+    send("card-load", "k");
+    assertEquals("FAILED", client.answer().get(1));
+    runtime.nackStarts = false;
+    client.send(
+        RespClient.array(
+            "DO",
+            9,
+            "card-load",
+            RespClient.fields("00000000000000f9", "small", 900, "k"),
+            "body 1"));
+    assertEquals("OK", client.answer().get(1));
+    assertEquals(1, runtime.startsOf("body 1"));
+  }
+
+  /**
+   * Guards a node against a link that stays open and brings nothing: it must not wait for that for
+   * ever.
+   */
+  @Test
+  void silentConnectionIsReplaced() throws IOException {
+    startServing();
+    assertEquals("OK", answer("balance-check").get(1));
+    runtime.mute();
+    await(() -> count("runtime.silent") == 1);
+    client.close();
+    client = new RespClient(node.port(), null); // the other stood idle for too long
+    await(() -> answered("balance-check").equals("OK"));
+    assertEquals(1, count("runtime.silent"));
+  }
+
+  private String answered(String klass) {
+    try {
+      return answer(klass).get(1);
+    } catch (IOException e) {
+      throw new java.io.UncheckedIOException(e);
+    }
+  }
+
+  /**
+   * Guards an honest balancer that a reload left with a name too many: its other requests are no
+   * mistakes.
+   */
+  @Test
+  void clientWithSomeValidRequestsIsNotDisconnected() throws IOException {
+    startServing();
+    for (int i = 0; i < 200; i++) {
+      assertEquals("FAILED", answer("no-such-class").get(1));
+      if (i % 50 == 0) {
+        assertEquals("OK", answer("balance-check").get(1));
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/rosecleat/node/NodeTickerTest.java
@@ -0,0 +1,46 @@
+package rosecleat.node;
+
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import org.junit.jupiter.api.Test;
+import rosecleat.core.Request;
+import rosecleat.core.Runner;
+
+/** A tick of the node that fails. */
+class NodeTickerTest extends NodeLinksHarness {
+  /** Guards all that is done by time: one beat that fails must not be the last. */
+  @Test
+  void tickThatThrowsIsFollowedByOthers() throws Exception {
+    startServing();
+    AtomicBoolean thrown = new AtomicBoolean();
+    node.onLoop(() -> node.core().start(new FailingOnce(thrown), false, 0));
+    await(thrown::get);
+    CompletableFuture<Void> left = new CompletableFuture<>();
+    node.beginShutdown(() -> left.complete(null));
+    client.close();
+    left.get(3, TimeUnit.SECONDS);
+  }
+
+  /** A runner that throws when it is first asked for gauges. */
+  private record FailingOnce(AtomicBoolean thrown) implements Runner {
+    @Override
+    public void start(Request ask, long dueUs) {}
+
+    @Override
+    public void cancel(String id) {}
+
+    @Override
+    public void completeCall(String id, byte[] reply) {}
+
+    @Override
+    public void skipCall(String id, long notice) {}
+
+    @Override
+    public void requestGauges() {
+      if (!thrown.getAndSet(true)) {
+        throw new IllegalStateException("thrown by the test");
+      }
+    }
+  }
+}
--- a/src/test/java/rosecleat/node/StoredNamesTest.java
+++ b/src/test/java/rosecleat/node/StateDigestsTest.java
@@ -21,7 +21,7 @@
  * The names and digests under which estimates are stored. Commit a6781e5 wrote the expected file
  * from the same configuration; a difference would drop every stored estimate at the next start.
  */
-class StoredNamesTest {
+class StateDigestsTest {
   private static final Path FILES = Path.of("src/test/resources/rosecleat/node/learned-by-a6781e5");
 
   @Test
--- a/src/test/java/rosecleat/node/MemoryTest.java
+++ b/src/test/java/rosecleat/node/StatePersistenceTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rosecleat.node.NodeProbe.ask;
+import static rosecleat.node.NodeProbe.counter;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -18,7 +20,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import java.util.function.Function;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -43,7 +44,7 @@
  * A node that keeps what it learnt: started again, with other settings, beside another process, on
  * a bad folder.
  */
-class MemoryTest {
+class StatePersistenceTest {
   private static final String STATE = "\nstate: {folder: kept, every_ms: 100}\n";
   private final FakeRuntime runtime = new FakeRuntime(30);
   private final FakeUwsgiService backend = new FakeUwsgiService();
@@ -88,16 +89,6 @@
     return fresh;
   }
 
-  private <T> T ask(Node of, Function<Core, T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    of.onLoop(() -> answer.complete(question.apply(of.core())));
-    return answer.orTimeout(10, TimeUnit.SECONDS).join();
-  }
-
-  private long count(Node of, String name) {
-    return ask(of, core -> core.counters().get(name));
-  }
-
   private static void await(BooleanSupplier condition) throws InterruptedException {
     long end = System.nanoTime() + 10_000_000_000L;
     while (!condition.getAsBoolean()) {
@@ -149,18 +140,18 @@
   /** A node that has learnt something and is gone. */
   private void before() throws Exception {
     node = start(config(), null);
-    await(() -> ask(node, Core::ready) && count(node, "state.opened") == 1);
+    await(() -> ask(node, Core::ready) && counter(node, "state.opened") == 1);
     serve(node, 12);
-    await(() -> knows("run-time") && count(node, "state.saves") > 0);
+    await(() -> knows("run-time") && counter(node, "state.saves") > 0);
     node.close();
     node = null;
   }
 
   @Test
-  void theNextProcessBeginsWithWhatTheLastOneKnew() throws Exception {
+  void restartedNodeStartsWithStoredEstimates() throws Exception {
     before();
     node = start(config(), null);
-    await(() -> count(node, "state.taken") >= 3);
+    await(() -> counter(node, "state.taken") >= 3);
     List<Estimate> lessons = node.estimates().get(5, TimeUnit.SECONDS);
     double us =
         lessons.stream()
@@ -172,24 +163,24 @@
   }
 
   @Test
-  void otherSettingsDropWhatWasLearntUnderTheOld() throws Exception {
+  void changedSettingsDropStoredEstimates() throws Exception {
     before();
     String other =
         config().source().toString().replace("\"deadline-us\":1200000", "\"deadline-us\":1300000");
     node = start(NodeConfigReader.parse(other, Map.of()), null);
-    await(() -> count(node, "state.dropped.other_terms") > 0);
+    await(() -> counter(node, "state.dropped.other_terms") > 0);
     node.close();
     node =
         start(
             NodeConfigReader.parse(
                 config().source().toString().replace("\"t1\"", "\"t2\""), Map.of()),
             null);
-    await(() -> count(node, "state.dropped.other_node") > 0);
-    assertEquals(0, count(node, "state.taken"));
+    await(() -> counter(node, "state.dropped.other_node") > 0);
+    assertEquals(0, counter(node, "state.taken"));
   }
 
   @Test
-  void aDamagedOrNewerFileIsNoWorseThanNone() throws Exception {
+  void damagedFilesAreNoWorseThanNone() throws Exception {
     before();
     Path kept = folder.resolve("kept");
     try (Stream<Path> files = Files.list(kept)) {
@@ -209,7 +200,7 @@
             null,
             new ByteArrayOutputStream()));
     node = start(config(), null);
-    await(() -> count(node, "state.opened") == 1);
+    await(() -> counter(node, "state.opened") == 1);
     serve(node, 5);
     await(() -> knows("run-time"));
     assertEquals(
@@ -222,17 +213,17 @@
   }
 
   @Test
-  void aFolderThatCantBeUsedKeepsTheNodeServing() throws Exception {
+  void unusableFolderLeavesTheNodeServing() throws Exception {
     Files.createFile(
         folder.resolve("kept")); // a file where the folder should be; root may write anywhere else
     node = start(config(), null);
     await(() -> ask(node, Core::ready));
     serve(node, 3);
-    assertEquals(0, count(node, "state.opened"));
+    assertEquals(0, counter(node, "state.opened"));
   }
 
   @Test
-  void aNodeThatLeavesWritesDownWhatItLearntLast() throws Exception {
+  void shutdownStoresTheLastEstimates() throws Exception {
     BrokerConfig broker =
         NodeHarness.broker(
             folder, backend.port(), config(), "\nstate: {folder: kept, every_ms: 3600000}\n");
@@ -248,7 +239,7 @@
                 counters,
                 log));
     node.start();
-    await(() -> count(node, "state.opened") == 1 && ask(node, Core::ready));
+    await(() -> counter(node, "state.opened") == 1 && ask(node, Core::ready));
     serve(node, 12);
     assertFalse(knows("run-time"), "it is not time yet");
     CompletableFuture<Void> left = new CompletableFuture<>();
@@ -259,11 +250,11 @@
   }
 
   @Test
-  void theOlderProcessHandsTheFolderOver() throws Exception {
+  void predecessorReleasesTheFolderToItsSuccessor() throws Exception {
     Path shared = Files.createDirectory(folder.resolve("shared"));
     Node older = start(config(), shared);
     node = older;
-    await(() -> ask(older, Core::ready) && count(older, "state.opened") == 1);
+    await(() -> ask(older, Core::ready) && counter(older, "state.opened") == 1);
     serve(older, 12);
     await(() -> knows("run-time"));
     FakeRuntime second = new FakeRuntime(30);
@@ -275,15 +266,15 @@
               .replace("127.0.0.1:0", "127.0.0.1:" + older.port());
       Node newer = start(NodeConfigReader.parse(same, Map.of()), shared);
       node = newer;
-      await(() -> count(newer, "state.taken") >= 3);
-      assertEquals(0, count(newer, "state.opened"), "the older one writes");
+      await(() -> counter(newer, "state.taken") >= 3);
+      assertEquals(0, counter(newer, "state.opened"), "the older one writes");
       CompletableFuture<Void> left = new CompletableFuture<>();
       older.beginShutdown(() -> left.complete(null));
-      await(() -> count(newer, "state.opened") == 1);
+      await(() -> counter(newer, "state.opened") == 1);
       left.get(10, TimeUnit.SECONDS);
       serve(newer, 12);
-      await(() -> count(newer, "state.saves") > 0);
-      assertEquals(0, count(newer, "state.findings"));
+      await(() -> counter(newer, "state.saves") > 0);
+      assertEquals(0, counter(newer, "state.findings"));
     } finally {
       older.close();
       node.close();
@@ -293,7 +284,7 @@
   }
 
   @Test
-  void aReloadMayChangeAllButTheFolder() throws Exception {
+  void reloadMayChangeEverythingButTheFolder() throws Exception {
     ProcessConfig first = setup(STATE);
     setup("\nstate: {folder: kept, every_ms: 500, max_mb: 4, half_life_s: 60}\n")
         .requireAdoptableAfter(first);
@@ -317,7 +308,7 @@
   }
 
   @Test
-  void whereItIsOffNothingOfItIsLoaded() throws Exception {
+  void nodeWithoutStateLoadsNoClassOfTheStore() throws Exception {
     Path loaded = folder.resolve("loaded");
     ProcessBuilder command =
         new ProcessBuilder(
--- a/src/test/java/rosecleat/node/UpgradeTest.java
+++ b/src/test/java/rosecleat/node/TakeoverTest.java
@@ -2,6 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rosecleat.node.NodeProbe.ask;
+import static rosecleat.node.NodeProbe.await;
+import static rosecleat.node.NodeProbe.onLoop;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -10,8 +13,6 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
-import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -32,7 +33,7 @@
  * A new version beside a running one: two nodes that share a folder and an address, as two
  * processes would.
  */
-class UpgradeTest {
+class TakeoverTest {
   private final FakeRuntime oldRuntime = new FakeRuntime(300);
   private final FakeRuntime newRuntime = new FakeRuntime(300);
   private final FakeRegistry roster = new FakeRegistry();
@@ -76,8 +77,8 @@
   private void startNewer() throws IOException {
     newRuntime.readyAfterMs = 300;
     newer = node(newRuntime, older.port());
-    assertEquals(false, on(newer, newer::isServing));
-    await(() -> on(newer, newer::isServing));
+    assertEquals(false, onLoop(newer, newer::isServing));
+    await(() -> onLoop(newer, newer::isServing));
     await(() -> ask(older, core -> core.counters().get("shares.two")) == 1);
   }
 
@@ -94,24 +95,6 @@
     log.close();
   }
 
-  private static <T> T on(Node node, java.util.function.Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    node.onLoop(() -> answer.complete(question.get()));
-    return answer.orTimeout(10, TimeUnit.SECONDS).join();
-  }
-
-  private static <T> T ask(Node node, Function<Core, T> question) {
-    return on(node, () -> question.apply(node.core()));
-  }
-
-  private static void await(BooleanSupplier condition) {
-    long end = System.nanoTime() + 10_000_000_000L;
-    while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "it did not come to hold");
-      Thread.yield();
-    }
-  }
-
   private void send(RespClient to, int tag, String klass, String once, String body)
       throws IOException {
     to.send(
@@ -129,11 +112,11 @@
    */
   private RespClient clientOf(Node wanted) throws IOException {
     for (int i = 0; i < 100; i++) {
-      int before = on(wanted, () -> (int) wanted.core().counters().get("resp.checks"));
+      int before = onLoop(wanted, () -> (int) wanted.core().counters().get("resp.checks"));
       RespClient fresh = new RespClient(older.port(), null);
       fresh.send(RespClient.array("PING", 1, ""));
       assertEquals("UP", fresh.read().get(1));
-      if (on(wanted, () -> (int) wanted.core().counters().get("resp.checks")) > before) {
+      if (onLoop(wanted, () -> (int) wanted.core().counters().get("resp.checks")) > before) {
         return fresh;
       }
       fresh.close();
@@ -142,7 +125,7 @@
   }
 
   @Test
-  void whatTheOldOneHoldsIsServedAndWhatComesLaterComesToTheNewOne() throws Exception {
+  void predecessorServesItsRequestsAndLaterOnesReachTheSuccessor() throws Exception {
     startNewer();
     send(client, 1, "balance-check", null, "held");
     await(() -> oldRuntime.startsOf("held") == 1);
@@ -176,7 +159,7 @@
    * Guards keyed requests, whose tries reach either process: one runs, the others get its bytes.
    */
   @Test
-  void aKeyRunsInOneProcessAlone() throws Exception {
+  void idempotencyKeyRunsInOneProcessOnly() throws Exception {
     startNewer();
     try (RespClient a = clientOf(older);
         RespClient b = clientOf(newer)) {
@@ -210,7 +193,7 @@
    * the node may.
    */
   @Test
-  void bothTogetherKeepToTheLimitsOfOne() throws Exception {
+  void bothProcessesTogetherStayWithinTheNodesLimits() throws Exception {
     startNewer();
     PolicySettings whole = TestSite.config(0, 0, 0, 2_000, 500).settings().policy();
     try (RespClient a = clientOf(older);
@@ -219,15 +202,17 @@
         send(a, tag, "balance-check", null, "x");
         send(b, tag, "balance-check", null, "x");
       }
-      await(() -> on(older, older::limits).memoryKb() < 0.6 * whole.memoryKb());
-      double sum = on(older, older::limits).memoryKb() + on(newer, newer::limits).memoryKb();
+      await(() -> onLoop(older, older::limits).memoryKb() < 0.6 * whole.memoryKb());
+      double sum =
+          onLoop(older, older::limits).memoryKb() + onLoop(newer, newer::limits).memoryKb();
       assertTrue(sum < 1.1 * whole.memoryKb(), sum + " of " + whole.memoryKb());
       double calls =
-          on(older, older::limits).concurrentCalls() + on(newer, newer::limits).concurrentCalls();
+          onLoop(older, older::limits).concurrentCalls()
+              + onLoop(newer, newer::limits).concurrentCalls();
       assertTrue(calls < 1.1 * whole.concurrentCalls(), calls + " of " + whole.concurrentCalls());
     }
     older.close();
-    await(() -> on(newer, newer::limits).memoryKb() == whole.memoryKb());
+    await(() -> onLoop(newer, newer::limits).memoryKb() == whole.memoryKb());
   }
 
   /**
@@ -235,7 +220,7 @@
    * it were alone.
    */
   @Test
-  void whenTheNewOneIsGoneTheOldOneDrains() throws Exception {
+  void predecessorDrainsWhenItsSuccessorEnds() throws Exception {
     newRuntime.readyAfterMs = 60_000;
     newer = node(newRuntime, older.port());
     older.beginShutdown(() -> {});
@@ -247,7 +232,7 @@
   }
 
   @Test
-  void whatOperatorsSayIsKnownToBoth() throws Exception {
+  void drainByOperatorsReachesBothProcesses() throws Exception {
     startNewer();
     Counters counters = new Counters();
     try (RespClient a = clientOf(older);
--- a/src/test/java/rosecleat/node/UwsgiFrontTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -32,7 +32,7 @@
 import rosecleat.fakes.UwsgiClient.Reply;
 
 /** The second front from request to answer, over loopback: each status, and what each proves. */
-class UwsgiFrontTest {
+class UwsgiFrontendTest {
   @TempDir Path folder;
   private NodeHarness rig;
 
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aReadIsServedWithItsParametersAndDescribedType() throws IOException {
+  void readIsServedWithItsParametersAndDescribedType() throws IOException {
     Reply reply = get("/cards/77/balance", "QUERY_STRING", "unit=cent%73&card=1");
     assertEquals(200, reply.status());
     assertEquals(FakeRuntime.result("{\"unit\":\"cents\",\"card\":\"77\"}"), reply.body());
@@ -74,7 +74,7 @@
    * other names.
    */
   @Test
-  void contractsGoOnUnderNewSettings() throws IOException {
+  void contractsStayValidAfterAReload() throws IOException {
     assertEquals(200, get("/files/a").status());
     String file =
         TestSite.config(rig.runtime.port(), 0, 0, 3_000, 1_500)
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void anyCutOfTheBytesIsTheSameRequest() throws Exception {
+  void requestSplitAtAnyByteIsTheSameRequest() throws Exception {
     byte[] bytes =
         packet(vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", "cut"), "amount=5");
     Random random = new Random(11);
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void whatTheCallerGotWrongIsNamed() throws IOException {
+  void invalidRequestIsRejectedWithItsError() throws IOException {
     assertEquals(404, get("/cards/77").status());
     assertEquals(404, get("/elsewhere/1/balance").status());
     Reply method = exchange(rig.uwsgiPort, packet(vars("DELETE", "/files/a", "till"), ""));
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void aPingIsAnswered() throws IOException {
+  void pingGetsAResponse() throws IOException {
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(new byte[] {100, 0, 0, 0});
       assertTrue(Arrays.equals(new byte[] {100, 0, 0, 1}, socket.getInputStream().readAllBytes()));
@@ -150,7 +150,7 @@
   }
 
   @Test
-  void whatIsNotDoneInTimeIsAGatewayTimeout() throws IOException {
+  void requestNotDoneInTimeIsAGatewayTimeout() throws IOException {
     rig.backend.mood = Mood.SLOW;
     long start = System.nanoTime();
     Reply reply = get("/files/a", "HTTP_X_DEADLINE_MS", "300");
@@ -161,7 +161,7 @@
   }
 
   @Test
-  void theContractsDeadlineHoldsWhereTheCallerNamesNone() throws IOException {
+  void contractsDeadlineAppliesWhereTheCallerNamesNone() throws IOException {
     rig.backend.mood = Mood.SLOW;
     long start = System.nanoTime();
     assertEquals(504, get("/files/a").status());
@@ -169,7 +169,7 @@
   }
 
   @Test
-  void whatIsTurnedAwayIsToldWhenToComeBack() throws Exception {
+  void rejectedRequestIsToldWhenToRetry() throws Exception {
     byte[] bytes = packet(vars("GET", "/cards/late/balance", "till"), "");
     rig.node.beginShutdown(() -> {});
     assertEquals(200, get("/cards/2/balance").status(), "within the grace work is still done");
@@ -191,7 +191,7 @@
   }
 
   @Test
-  void aBackendThatIsNotThereProvesThatNothingRan() throws IOException {
+  void unreachableBackendProvesThatNothingRan() throws IOException {
     int before = rig.backend.requests.get();
     rig.backend.close();
     Reply reply = put("k1");
@@ -204,7 +204,7 @@
   }
 
   @Test
-  void aBreakAfterTheRequestWasSentProvesNothing() throws IOException {
+  void connectionBrokenAfterTheRequestProvesNothing() throws IOException {
     rig.backend.mood = Mood.BREAKS;
     Reply reply = put("k2");
     assertEquals(502, reply.status());
@@ -216,7 +216,7 @@
   }
 
   @Test
-  void aServicesOwnAnswerReachesTheCallerUnchanged() throws IOException {
+  void responseOfAServiceReachesTheCallerUnchanged() throws IOException {
     rig.backend.script =
         "HTTP/1.1 100 Continue\r\n\r\n"
             + "HTTP/1.1 404 Nope\r\n"
@@ -250,7 +250,7 @@
   }
 
   @Test
-  void whatIsKeptForAKeyIsTheWholeAnswer() throws IOException {
+  void retryWithTheSameKeyGetsTheWholeResponse() throws IOException {
     rig.backend.script = "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
     Reply first = put("k7");
     assertEquals(409, first.status());
@@ -260,7 +260,7 @@
   }
 
   @Test
-  void anAnswerThatCouldForgeAnotherIsABadGateway() throws IOException {
+  void responseThatCouldForgeAnotherIsABadGateway() throws IOException {
     for (String bad :
         List.of(
             "HTTP/1.1 200 OK\r\nX-A: b\rSet-Cookie: c\r\nContent-Length: 0\r\n\r\n",
@@ -276,7 +276,7 @@
   }
 
   @Test
-  void headIsAnsweredLikeGetAndOptionsByTheBroker() throws IOException {
+  void headIsServedLikeGetAndOptionsByTheBroker() throws IOException {
     Reply head =
         UwsgiClient.exchange(
             rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("HEAD", "/files/a", "till"), ""));
@@ -300,7 +300,7 @@
   }
 
   @Test
-  void aBackendIsAskedInItsOwnProtocol() throws IOException {
+  void backendGetsARequestInItsOwnProtocol() throws IOException {
     assertEquals("x".repeat(10), get("/files/a", "HTTP_X_OTHER", "kept").body());
     for (String var :
         List.of(
@@ -314,7 +314,7 @@
   }
 
   @Test
-  void aBrokerNeedsNoRuntime() throws IOException {
+  void brokerWithoutRuntimeServesItsBackends() throws IOException {
     rig.close();
     rig = new NodeHarness(20, 3_000, 1_500, folder, false);
     for (int i = 0; i < 30; i++) {
@@ -328,7 +328,7 @@
   }
 
   @Test
-  void aCallerThatClosesHasGone() throws IOException {
+  void closedConnectionCancelsItsRequest() throws IOException {
     rig.backend.mood = Mood.SLOW;
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
@@ -342,7 +342,7 @@
   }
 
   @Test
-  void aCallerThatNeverFinishesIsCutOff() throws IOException {
+  void callerThatNeverFinishesItsRequestIsDisconnected() throws IOException {
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/cards/1/balance", "till"), ""), 0, 9);
       assertEquals(-1, socket.getInputStream().read());
@@ -351,7 +351,7 @@
   }
 
   @Test
-  void aCallerThatTricklesIsCutOffToo() throws Exception {
+  void callerThatReadsTooSlowlyIsDisconnected() throws Exception {
     rig.backend.bytes = 6_000_000;
     try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
@@ -375,7 +375,7 @@
   }
 
   @Test
-  void oneLoadRunsOnceAcrossBothFronts() throws IOException {
+  void idempotencyKeyRunsOnceAcrossBothFronts() throws IOException {
     String key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     assertEquals(FakeRuntime.result("load 5"), load(key, "load 5").body());
     try (RespClient resp = new RespClient(rig.node.port(), null)) {
@@ -408,7 +408,7 @@
    * closed in time.
    */
   @Test
-  void aCallerThatStopsReadingHarmsNobody() throws Exception {
+  void callerThatStopsReadingDelaysNobodyElse() throws Exception {
     rig.backend.bytes = 6_000_000;
     Map<Integer, Socket> stuck = new HashMap<>();
     // two responses fit into the bound on buffered bytes; the other callers get a 502
--- a/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
+++ b/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
@@ -25,7 +25,7 @@
    * are counted.
    */
   @Test
-  void whatAProcessTookCountsOnAsItLeavesTheSpan() throws IOException {
+  void callsOfAnEndedProcessCountUntilTheirSpanIsOver() throws IOException {
     PeerLoadReports old = new PeerLoadReports(folder, 1);
     PeerLoadReports fresh = new PeerLoadReports(folder, 2);
     fresh.read(1, 1);
@@ -54,7 +54,7 @@
    * whole.
    */
   @Property(tries = 200, seed = "20261203")
-  void theSumStaysWithinTheWhole(
+  void sumOfAllGrantsStaysWithinTheLimits(
       @ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps,
       @ForAll @IntRange(max = 10) int had)
       throws IOException {
--- a/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
+++ b/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
@@ -24,8 +24,8 @@
   private final Log log = new Log(System.err);
   private ProcessMarkers first;
   private ProcessMarkers second;
-  private SymlinkClaims a;
-  private SymlinkClaims b;
+  private SymlinkClaims firstClaims;
+  private SymlinkClaims secondClaims;
 
   @TempDir Path folder;
 
@@ -33,8 +33,8 @@
   void start() throws IOException {
     first = new ProcessMarkers(folder);
     second = new ProcessMarkers(folder);
-    a = new SymlinkClaims(folder.resolve("keys"), first, new Counters(), log);
-    b = new SymlinkClaims(folder.resolve("keys"), second, new Counters(), log);
+    firstClaims = new SymlinkClaims(folder.resolve("keys"), first, new Counters(), log);
+    secondClaims = new SymlinkClaims(folder.resolve("keys"), second, new Counters(), log);
   }
 
   @AfterEach
@@ -45,24 +45,25 @@
   }
 
   @Test
-  void oneClaimsAndTheOtherGetsTheResultByteForByte() {
-    assertInstanceOf(IdempotencyClaims.Owned.class, a.claim("k", BODY, 10));
+  void claimedKeyGivesThePeerItsResultByteForByte() {
+    assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.claim("k", BODY, 10));
     IdempotencyClaims.OwnedByPeer others =
-        assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.claim("k", BODY, 20));
+        assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, secondClaims.claim("k", BODY, 20));
     assertArrayEquals(BODY, others.digest());
     assertEquals(10, others.untilUs());
-    assertInstanceOf(IdempotencyClaims.Owned.class, a.status("k"));
-    assertEquals(new IdempotencyClaims.Pending(), b.peerRun("k"));
-    a.completed("k", new byte[0]); // an empty result is one
+    assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.status("k"));
+    assertEquals(new IdempotencyClaims.Pending(), secondClaims.peerRun("k"));
+    firstClaims.completed("k", new byte[0]); // an empty result is one
     assertArrayEquals(
-        new byte[0], assertInstanceOf(IdempotencyClaims.Completed.class, b.peerRun("k")).result());
-    a.claim("k2", BODY, 10);
-    a.endedWithoutResult("k2");
-    assertEquals(new IdempotencyClaims.NoResult(), b.peerRun("k2"));
-    a.claim("k3", BODY, 10);
-    a.neverRan("k3");
-    assertEquals(new IdempotencyClaims.NeverRan(), b.peerRun("k3"));
-    assertInstanceOf(IdempotencyClaims.Owned.class, b.claim("k3", BODY, 10));
+        new byte[0],
+        assertInstanceOf(IdempotencyClaims.Completed.class, secondClaims.peerRun("k")).result());
+    firstClaims.claim("k2", BODY, 10);
+    firstClaims.endedWithoutResult("k2");
+    assertEquals(new IdempotencyClaims.NoResult(), secondClaims.peerRun("k2"));
+    firstClaims.claim("k3", BODY, 10);
+    firstClaims.neverRan("k3");
+    assertEquals(new IdempotencyClaims.NeverRan(), secondClaims.peerRun("k3"));
+    assertInstanceOf(IdempotencyClaims.Owned.class, secondClaims.claim("k3", BODY, 10));
   }
 
   /**
@@ -70,59 +71,62 @@
    * ever.
    */
   @Test
-  void aDeadOwnersRunStaysItsOwnAndHasNoResult() throws IOException {
-    a.claim("k", BODY, 10);
+  void claimOfADeadOwnerStaysAndHasNoResult() throws IOException {
+    firstClaims.claim("k", BODY, 10);
     first.close();
-    assertEquals(new IdempotencyClaims.NoResult(), b.peerRun("k"));
-    assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.claim("k", BODY, 20));
+    assertEquals(new IdempotencyClaims.NoResult(), secondClaims.peerRun("k"));
+    assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, secondClaims.claim("k", BODY, 20));
   }
 
   /**
    * Guards the node's memory, which files take part of: what has lapsed goes, a dead owner's too.
    */
   @Test
-  void lapsedClaimsGoAndAnewOnesStay() throws IOException {
-    a.setRetentionUs(5);
-    b.setRetentionUs(5);
-    a.claim("old", BODY, 10);
-    a.completed("old", new byte[] {7});
-    a.claim("anew", BODY, 10);
-    a.claim("anew", BODY, 30); // the next window of one key
-    a.claim("dead", BODY, 10);
-    a.expire(16, true);
-    assertInstanceOf(IdempotencyClaims.Unclaimed.class, b.status("old"));
+  void expiredClaimsAreRemovedAndRenewedOnesStay() throws IOException {
+    firstClaims.setRetentionUs(5);
+    secondClaims.setRetentionUs(5);
+    firstClaims.claim("old", BODY, 10);
+    firstClaims.completed("old", new byte[] {7});
+    firstClaims.claim("anew", BODY, 10);
+    firstClaims.claim("anew", BODY, 30); // the next window of one key
+    firstClaims.claim("dead", BODY, 10);
+    firstClaims.expire(16, true);
+    assertInstanceOf(IdempotencyClaims.Unclaimed.class, secondClaims.status("old"));
     assertEquals(
-        30, assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.status("anew")).untilUs());
+        30,
+        assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, secondClaims.status("anew"))
+            .untilUs());
     first.close();
-    b.expire(34, false); // an older process may live: not this one's to delete
-    assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, b.status("anew"));
-    b.expire(36, true);
-    assertInstanceOf(IdempotencyClaims.Unclaimed.class, b.status("anew"));
+    secondClaims.expire(34, false); // an older process may live: not this one's to delete
+    assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, secondClaims.status("anew"));
+    secondClaims.expire(36, true);
+    assertInstanceOf(IdempotencyClaims.Unclaimed.class, secondClaims.status("anew"));
     try (Stream<Path> files = Files.list(folder.resolve("keys"))) {
       assertEquals(0, files.count());
     }
   }
 
   @Test
-  void claimsAreBoundedAndQuick() {
+  void claimsAreBoundedAndFast() {
     long start = System.nanoTime();
     for (int i = 0; i < 8_192; i++) {
-      assertInstanceOf(IdempotencyClaims.Owned.class, a.claim("k" + i, BODY, i));
+      assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.claim("k" + i, BODY, i));
       if (i % 4 == 0) {
-        a.completed("k" + i, BODY);
+        firstClaims.completed("k" + i, BODY);
       }
     }
-    assertInstanceOf(IdempotencyClaims.Unclaimed.class, a.claim("more", BODY, 10));
+    assertInstanceOf(IdempotencyClaims.Unclaimed.class, firstClaims.claim("more", BODY, 10));
     assertArrayEquals(
-        BODY, assertInstanceOf(IdempotencyClaims.Completed.class, b.peerRun("k4")).result());
-    assertEquals(new IdempotencyClaims.Pending(), b.peerRun("k5"), "its run goes on");
+        BODY,
+        assertInstanceOf(IdempotencyClaims.Completed.class, secondClaims.peerRun("k4")).result());
+    assertEquals(new IdempotencyClaims.Pending(), secondClaims.peerRun("k5"), "its run goes on");
     assertTrue(System.nanoTime() - start < 8_192 * 1_000_000L, "a claim takes over a millisecond");
-    a.expire(10_000_000, true);
-    assertInstanceOf(IdempotencyClaims.Owned.class, a.claim("more", BODY, 10));
+    firstClaims.expire(10_000_000, true);
+    assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.claim("more", BODY, 10));
   }
 
   @Test
-  void aMarkTellsWhoLives() throws IOException {
+  void markerShowsWhichProcessIsAlive() throws IOException {
     assertTrue(first.isAlive(second.ownNumber()) && second.isAlive(first.ownNumber()));
     assertTrue(!first.isServing(second.ownNumber()));
     second.markServing();
