--- a/src/test/java/rosecleat/policy/AdmissionGateTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionGateTest.java
@@ -173,19 +173,7 @@
   @Test
   void tenantsOverAllQuotasInEqualPartsAreRejectedAlike() {
     List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(10));
-    SimulatedHost host =
-        busy(
-            new SimulatedHost(
-                TestSettings.with(
-                    CancelMode.DROP,
-                    LoadAdviceMode.WEIGHT,
-                    DownstreamMode.OFF,
-                    0,
-                    100_000,
-                    false,
-                    tenants,
-                    List.of(LONG)),
-                3));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
     for (int i = 0; i < 80; i++) { // each at four times its quota a server, in equal parts
       host.arrive(0, i % 2, 0, 0, 0);
     }
@@ -206,19 +194,7 @@
   @Test
   void aTenantWithoutAQuotaIsOverItsQuota() {
     List<TenantQuota> tenants = List.of(new TenantQuota(0), new TenantQuota(100));
-    SimulatedHost host =
-        busy(
-            new SimulatedHost(
-                TestSettings.with(
-                    CancelMode.DROP,
-                    LoadAdviceMode.WEIGHT,
-                    DownstreamMode.OFF,
-                    0,
-                    100_000,
-                    false,
-                    tenants,
-                    List.of(LONG)),
-                3));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
     rejectsEveryDraw(host);
     assertEquals("", host.arrive(0, 1, 0, 0, 0).answer);
     assertEquals("reject", host.requests.get(5L).answer);
@@ -238,19 +214,7 @@
   @Test
   void aTenantFarOverItsQuotaIsRejectedFirst() {
     List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(100));
-    SimulatedHost host =
-        busy(
-            new SimulatedHost(
-                TestSettings.with(
-                    CancelMode.DROP,
-                    LoadAdviceMode.WEIGHT,
-                    DownstreamMode.OFF,
-                    0,
-                    100_000,
-                    false,
-                    tenants,
-                    List.of(LONG)),
-                3));
+    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
     for (int i = 0; i < 80; i++) {
       host.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
     }
--- a/src/test/java/rosecleat/policy/ColdNodeRamp.java
+++ b/src/test/java/rosecleat/policy/ColdNodeRamp.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import java.util.List;
 import java.util.SplittableRandom;
 
 /** A cold node that warms up under callers who send as much as its credit allows. */
@@ -18,15 +17,8 @@
     random = new SplittableRandom(seed);
     host =
         new SimulatedHost(
-            TestSettings.with(
-                CancelMode.OFF,
-                LoadAdviceMode.CREDIT,
-                DownstreamMode.OFF,
-                0,
-                100_000,
-                true,
-                List.of(),
-                List.of(TestSettings.SAFE)),
+            TestSettings.withoutDownstream(
+                CancelMode.OFF, LoadAdviceMode.CREDIT, 100_000, true, TestSettings.SAFE),
             seed);
   }
 
--- a/src/test/java/rosecleat/policy/DeadlineTest.java
+++ b/src/test/java/rosecleat/policy/DeadlineTest.java
@@ -50,18 +50,7 @@
   void aRequestThatWaitsForACallIsFailedBeforeItsDeadline() {
     PriorityClass calling =
         new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
-    SimulatedHost host =
-        new SimulatedHost(
-            TestSettings.with(
-                CancelMode.DROP,
-                LoadAdviceMode.OFF,
-                DownstreamMode.SHARED,
-                1,
-                100_000,
-                false,
-                List.of(),
-                List.of(calling)),
-            1);
+    SimulatedHost host = new SimulatedHost(TestSettings.sharedDownstream(1, calling), 1);
     for (int i = 0; i < 4; i++) {
       host.needCall(host.arrive(0));
     }
--- a/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The quota of calls (one call in the mean of 5 s; calls linger 200 ms), and their limit. */
@@ -13,18 +12,7 @@
   private static final long LINGER_US = 200_000;
 
   private final PolicyContext context =
-      new PolicyContext(
-          TestSettings.with(
-              CancelMode.DROP,
-              LoadAdviceMode.OFF,
-              DownstreamMode.SHARED,
-              1,
-              100_000,
-              false,
-              List.of(),
-              List.of(TestSettings.SAFE)),
-          1,
-          null);
+      new PolicyContext(TestSettings.sharedDownstream(1, TestSettings.SAFE), 1, null);
   private final DownstreamCallLimiter limiter = new DownstreamCallLimiter(context);
   private final TrackedRequest tracked =
       new TrackedRequest(
--- a/src/test/java/rosecleat/policy/DownstreamCallTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallTest.java
@@ -227,16 +227,7 @@
     for (int seed = 1; seed <= 8; seed++) {
       SimulatedHost host =
           new SimulatedHost(
-              TestSettings.with(
-                  CancelMode.DROP,
-                  LoadAdviceMode.OFF,
-                  DownstreamMode.SHARED,
-                  0.02,
-                  100_000,
-                  false,
-                  List.of(),
-                  List.of(Scenarios.NOTHING_WITHOUT_CALL)),
-              seed);
+              TestSettings.sharedDownstream(0.02, Scenarios.NOTHING_WITHOUT_CALL), seed);
       int made = 0;
       for (int step = 0;
           step < 200;
--- a/src/test/java/rosecleat/policy/IdempotencyTest.java
+++ b/src/test/java/rosecleat/policy/IdempotencyTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Effects run at most once. */
@@ -60,15 +59,13 @@
   void aKeyedRequestIsRejectedWhereKeysHaveNoMemoryLeft() {
     SimulatedHost host =
         new SimulatedHost(
-            TestSettings.with(
+            TestSettings.withoutDownstream(
                 CancelMode.DROP,
                 LoadAdviceMode.OFF,
-                DownstreamMode.OFF,
-                0,
                 300,
                 false,
-                List.of(),
-                List.of(TestSettings.SAFE, TestSettings.KEYED)),
+                TestSettings.SAFE,
+                TestSettings.KEYED),
             1);
     int refused = 0;
     for (int i = 0; i < 30; i++) {
@@ -94,18 +91,7 @@
   void anUnsafeCallIsRetriedOnlyWhereItProvablyNeverRan() {
     PriorityClass calling =
         new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
-    SimulatedHost host =
-        new SimulatedHost(
-            TestSettings.with(
-                CancelMode.DROP,
-                LoadAdviceMode.OFF,
-                DownstreamMode.SHARED,
-                4,
-                100_000,
-                false,
-                List.of(),
-                List.of(calling)),
-            1);
+    SimulatedHost host = new SimulatedHost(TestSettings.sharedDownstream(4, calling), 1);
     SimulatedHost.HostedRequest a = host.arrive(0);
     host.needCall(a);
     host.endCall(a, Outcome.REJECTED);
--- a/src/test/java/rosecleat/policy/OverloadLimitTest.java
+++ b/src/test/java/rosecleat/policy/OverloadLimitTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Memory and concurrency stay within what the server survives. */
@@ -11,15 +10,8 @@
   void memoryStaysWithinItsLimit() {
     SimulatedHost host =
         new SimulatedHost(
-            TestSettings.with(
-                CancelMode.OFF,
-                LoadAdviceMode.OFF,
-                DownstreamMode.OFF,
-                0,
-                400,
-                false,
-                List.of(),
-                List.of(TestSettings.SAFE)),
+            TestSettings.withoutDownstream(
+                CancelMode.OFF, LoadAdviceMode.OFF, 400, false, TestSettings.SAFE),
             1);
     host.gauges.coreUtilisation = 0.3;
     for (int i = 0; i < 200; i++) {
@@ -35,15 +27,8 @@
   void aColdServerKeepsToItsSmallerOverloadLimit() {
     SimulatedHost host =
         new SimulatedHost(
-            TestSettings.with(
-                CancelMode.OFF,
-                LoadAdviceMode.OFF,
-                DownstreamMode.OFF,
-                0,
-                100_000,
-                true,
-                List.of(),
-                List.of(TestSettings.SAFE)),
+            TestSettings.withoutDownstream(
+                CancelMode.OFF, LoadAdviceMode.OFF, 100_000, true, TestSettings.SAFE),
             1);
     host.gauges.coreUtilisation = 0.3;
     for (int i = 0; i < 100; i++) {
@@ -69,15 +54,8 @@
   void pausedRequestsKeepTheirMemoryCounted() {
     SimulatedHost host =
         new SimulatedHost(
-            TestSettings.with(
-                CancelMode.PAUSE,
-                LoadAdviceMode.LEVEL,
-                DownstreamMode.OFF,
-                0,
-                400,
-                false,
-                List.of(),
-                List.of(TestSettings.SAFE)),
+            TestSettings.withoutDownstream(
+                CancelMode.PAUSE, LoadAdviceMode.LEVEL, 400, false, TestSettings.SAFE),
             1);
     for (int i = 0; i < 4; i++) {
       host.end(host.arrive(0), Outcome.CANCELLED, 1000);
--- a/src/test/java/rosecleat/policy/ServiceTimeTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -76,15 +75,8 @@
   void cancelledLongRunsStillRaiseTheExpectedRunTime() {
     SimulatedHost host =
         new SimulatedHost(
-            TestSettings.with(
-                CancelMode.PAUSE,
-                LoadAdviceMode.LEVEL,
-                DownstreamMode.OFF,
-                0,
-                100_000,
-                false,
-                List.of(),
-                List.of(TestSettings.SAFE)),
+            TestSettings.withoutDownstream(
+                CancelMode.PAUSE, LoadAdviceMode.LEVEL, 100_000, false, TestSettings.SAFE),
             1);
     for (int i = 0;
         i < 60;
--- a/src/test/java/rosecleat/policy/TestSettings.java
+++ b/src/test/java/rosecleat/policy/TestSettings.java
@@ -82,6 +82,50 @@
         tenants);
   }
 
+  /** A server whose requests call a shared dependency, with a quota of concurrent calls. */
+  static PolicySettings sharedDownstream(double concurrentCalls, PriorityClass... classes) {
+    return with(
+        CancelMode.DROP,
+        LoadAdviceMode.OFF,
+        DownstreamMode.SHARED,
+        concurrentCalls,
+        100_000,
+        false,
+        List.of(),
+        List.of(classes));
+  }
+
+  /** A server whose requests call nothing. */
+  static PolicySettings withoutDownstream(
+      CancelMode cancelMode,
+      LoadAdviceMode loadAdviceMode,
+      double memoryKb,
+      boolean coldStart,
+      PriorityClass... classes) {
+    return with(
+        cancelMode,
+        loadAdviceMode,
+        DownstreamMode.OFF,
+        0,
+        memoryKb,
+        coldStart,
+        List.of(),
+        List.of(classes));
+  }
+
+  /** A server with tenants, whose callers are given weights. */
+  static PolicySettings withTenants(List<TenantQuota> tenants, PriorityClass... classes) {
+    return with(
+        CancelMode.DROP,
+        LoadAdviceMode.WEIGHT,
+        DownstreamMode.OFF,
+        0,
+        100_000,
+        false,
+        tenants,
+        List.of(classes));
+  }
+
   static PolicySettings crowded(LoadAdviceMode loadAdviceMode, int callers) {
     return with(
         CancelMode.DROP,
--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -144,9 +144,7 @@
     assertArrayEquals(new byte[8], serve(new Recorder(), frame(5, "")));
   }
 
-  @Test
-  void everyEventReachesTheModuleWithItsFields() throws IOException {
-    Recorder rec = new Recorder();
+  private static byte[] batchOfAllEvents() {
     byte[] unknown = record(1777, 3);
     byte[] settled = hex("fc03 0300 c4913a5dbd9d0e00 fa 44480000");
     byte[] called = hex("1004 0300 0900000000000000 fe 01000000");
@@ -158,26 +156,30 @@
             "f203 0300 c4913a5dbd9d0e00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c441"
                 + " 0000203f0700 11000000 3a070000 192b6f0e54f20100");
     byte[] timer = hex("2e04 0300 4d00000000000000 04 52b81e3f 00004040 85ebd13e 0000f042");
-    serve(
-        rec,
-        join(
-            first(),
-            frame(
-                2000,
-                "",
-                unknown,
-                accept,
-                settled,
-                needs,
-                called,
-                drain,
-                gone,
-                timer,
-                record(1080, 3),
-                gone,
-                record(1060, 9))));
-    assertEquals("make 77", rec.calls.get(0));
-    assertEquals("start 1000", rec.calls.get(1));
+    return join(
+        first(),
+        frame(
+            2000,
+            "",
+            unknown,
+            accept,
+            settled,
+            needs,
+            called,
+            drain,
+            gone,
+            timer,
+            record(1080, 3),
+            gone,
+            record(1060, 9)));
+  }
+
+  @Test
+  void everyEventReachesThePolicyWithItsFields() throws IOException {
+    Recorder recorder = new Recorder();
+    serve(recorder, batchOfAllEvents());
+    assertEquals("make 77", recorder.calls.get(0));
+    assertEquals("start 1000", recorder.calls.get(1));
     assertEquals(
         "arrived 2000 PolicyRequest[id="
             + 0x0e9dbd5d3a91c4L
@@ -187,45 +189,46 @@
             + " write=true, callerId=17, ageUs=1850, originalId="
             + 0x0001f2540e6f2b19L
             + "]",
-        rec.calls.get(2));
-    assertEquals("ended 2000 " + 0x0e9dbd5d3a91c4L + " CANCELLED 18500", rec.calls.get(3));
-    assertEquals("callNeeded 2000 9", rec.calls.get(4));
-    assertEquals("callEnded 2000 9 REJECTED 1", rec.calls.get(5));
-    assertEquals("draining 2000 1000000", rec.calls.get(6));
-    assertEquals("cancelled 2000 9", rec.calls.get(7));
-    assertTrue(rec.calls.get(8).startsWith("timerFired 2000 77 [0.6"));
-    assertTrue(rec.calls.get(8).endsWith(" 3.0 -1.0 120.0]"));
-    assertEquals(9, rec.calls.size()); // nothing after the stop, nothing for a server never started
+        recorder.calls.get(2));
+    assertEquals("ended 2000 " + 0x0e9dbd5d3a91c4L + " CANCELLED 18500", recorder.calls.get(3));
+    assertEquals("callNeeded 2000 9", recorder.calls.get(4));
+    assertEquals("callEnded 2000 9 REJECTED 1", recorder.calls.get(5));
+    assertEquals("draining 2000 1000000", recorder.calls.get(6));
+    assertEquals("cancelled 2000 9", recorder.calls.get(7));
+    assertTrue(recorder.calls.get(8).startsWith("timerFired 2000 77 [0.6"));
+    assertTrue(recorder.calls.get(8).endsWith(" 3.0 -1.0 120.0]"));
+    assertEquals(
+        9, recorder.calls.size()); // nothing after the stop, nothing for a server never started
   }
 
   @Test
-  void settingsAreReadAndUnknownKeysSkipped() throws IOException {
-    Recorder rec = new Recorder();
-    serve(rec, first());
-    PolicySettings s = rec.settings;
+  void settingsAreReadAndUnknownKeysIgnored() throws IOException {
+    Recorder recorder = new Recorder();
+    serve(recorder, first());
+    PolicySettings settings = recorder.settings;
     assertEquals(
         new PriorityClass(
             2.5, 0.1, 800_000, 1.5, 3_000_000, Idempotency.KEYED, 7_000_000, true, 0.5),
-        s.classes().get(0));
-    assertEquals(Idempotency.UNSAFE, s.classes().get(1).idempotency());
-    assertEquals(30, s.tenants().get(0).quotaPerS());
-    assertEquals(CancelMode.PAUSE, s.cancelMode());
-    assertEquals(LoadAdviceMode.CREDIT, s.loadAdviceMode());
-    assertEquals(DownstreamMode.SHARED, s.downstreamMode());
-    assertEquals(0.7, s.concurrentCalls());
-    assertEquals(900_000, s.maxRetryAfterUs());
-    assertEquals(1_500_000, s.graceUs());
+        settings.classes().get(0));
+    assertEquals(Idempotency.UNSAFE, settings.classes().get(1).idempotency());
+    assertEquals(30, settings.tenants().get(0).quotaPerS());
+    assertEquals(CancelMode.PAUSE, settings.cancelMode());
+    assertEquals(LoadAdviceMode.CREDIT, settings.loadAdviceMode());
+    assertEquals(DownstreamMode.SHARED, settings.downstreamMode());
+    assertEquals(0.7, settings.concurrentCalls());
+    assertEquals(900_000, settings.maxRetryAfterUs());
+    assertEquals(1_500_000, settings.graceUs());
     assertTrue(
-        s.coldStart()
-            && s.weightByWork()
-            && s.propagatesDeadline()
-            && s.marksRetries()
-            && s.deepChecks());
+        settings.coldStart()
+            && settings.weightByWork()
+            && settings.propagatesDeadline()
+            && settings.marksRetries()
+            && settings.deepChecks());
   }
 
   @Test
-  void whatSettingsMayLeaveOutIsReadAsNone() throws IOException {
-    Recorder rec = new Recorder();
+  void absentSettingsAreReadAsNone() throws IOException {
+    Recorder recorder = new Recorder();
     String bare =
         SETTINGS
             .replaceAll("\"parties\": \\[[^\\]]*\\],", "")
@@ -233,99 +236,102 @@
             .replaceAll("\"class-calls\": \\[[^\\]]*\\]", "\"class-calls\": []")
             .replaceAll("\"clients-total\": 5,", "")
             .replaceAll("\"calls-out\": 0.7", "\"calls-out\": 0");
-    serve(rec, settings(bare));
-    PolicySettings s = rec.settings;
-    assertTrue(s.tenants().isEmpty());
-    assertEquals(0, s.callers());
-    assertEquals(0, s.concurrentCalls());
-    assertEquals(0, s.classes().get(2).weightWithoutCall());
-    assertFalse(s.classes().get(0).callsDownstream());
+    serve(recorder, settings(bare));
+    PolicySettings settings = recorder.settings;
+    assertTrue(settings.tenants().isEmpty());
+    assertEquals(0, settings.callers());
+    assertEquals(0, settings.concurrentCalls());
+    assertEquals(0, settings.classes().get(2).weightWithoutCall());
+    assertFalse(settings.classes().get(0).callsDownstream());
     new SimulatorAdapter(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream())
         .serve(); // the module takes them
   }
 
+  private static void actEachWay(PolicyActions actions) {
+    actions.run(1);
+    actions.reject(2, 250_000, true);
+    actions.fail(3);
+    actions.cancel(4);
+    actions.call(5, 123_456);
+    actions.skipCall(6);
+    actions.rememberKey(7, 10);
+    actions.forgetKey(8);
+    actions.replayResult(9);
+    actions.setHealth(true, true);
+    actions.setLoadAdvice(0.25);
+    actions.setIdleTimeout(20);
+    actions.startTimer(500_000, 0x4d);
+    actions.log("two servers known");
+  }
+
+  /** One record of each action, in the order of {@link #actEachWay}, and the tail. */
+  private static final String REPLY_OF_ALL_ACTIONS =
+      "61010000"
+          + "0e000000"
+          + "e8030300"
+          + "0100000000000000"
+          + "000000000000000000000000"
+          + "f2030300"
+          + "0200000000000000"
+          + "90d00300"
+          + "01"
+          + "00000000000000"
+          + "fc030300"
+          + "0300000000000000"
+          + "000000000000000000000000"
+          + "06040300"
+          + "0400000000000000"
+          + "000000000000000000000000"
+          + "10040300"
+          + "0500000000000000"
+          + "40e2010000000000"
+          + "00000000"
+          + "1a040300"
+          + "0600000000000000"
+          + "000000000000000000000000"
+          + "24040300"
+          + "0700000000000000"
+          + "0a000000"
+          + "0000000000000000"
+          + "2e040300"
+          + "0800000000000000"
+          + "000000000000000000000000"
+          + "38040300"
+          + "0900000000000000"
+          + "000000000000000000000000"
+          + "42040300"
+          + "0101"
+          + "000000000000000000000000000000000000"
+          + "4c040300"
+          + "0000803e"
+          + "00000000000000000000000000000000"
+          + "56040300"
+          + "14000000"
+          + "00000000000000000000000000000000"
+          + "60040300"
+          + "20a10700"
+          + "4d00000000000000"
+          + "0000000000000000"
+          + "6a040300"
+          + "00000000"
+          + "11000000"
+          + "000000000000000000000000"
+          + HexFormat.of().formatHex("two servers known".getBytes(StandardCharsets.UTF_8));
+
   @Test
   void everyActionIsWrittenAsTheWireSays() throws IOException {
-    Recorder rec = new Recorder();
-    rec.onArrival =
-        a -> {
-          a.run(1);
-          a.reject(2, 250_000, true);
-          a.fail(3);
-          a.cancel(4);
-          a.call(5, 123_456);
-          a.skipCall(6);
-          a.rememberKey(7, 10);
-          a.forgetKey(8);
-          a.replayResult(9);
-          a.setHealth(true, true);
-          a.setLoadAdvice(0.25);
-          a.setIdleTimeout(20);
-          a.startTimer(500_000, 0x4d);
-          a.log("two servers known");
-        };
-    byte[] out = serve(rec, join(first(), frame(2000, "", record(1010, 3))));
+    Recorder recorder = new Recorder();
+    recorder.onArrival = SimulatorAdapterTest::actEachWay;
+    byte[] out = serve(recorder, join(first(), frame(2000, "", record(1010, 3))));
     String got = HexFormat.of().formatHex(out, 8, out.length);
-    String want =
-        "61010000"
-            + "0e000000"
-            + "e8030300"
-            + "0100000000000000"
-            + "000000000000000000000000"
-            + "f2030300"
-            + "0200000000000000"
-            + "90d00300"
-            + "01"
-            + "00000000000000"
-            + "fc030300"
-            + "0300000000000000"
-            + "000000000000000000000000"
-            + "06040300"
-            + "0400000000000000"
-            + "000000000000000000000000"
-            + "10040300"
-            + "0500000000000000"
-            + "40e2010000000000"
-            + "00000000"
-            + "1a040300"
-            + "0600000000000000"
-            + "000000000000000000000000"
-            + "24040300"
-            + "0700000000000000"
-            + "0a000000"
-            + "0000000000000000"
-            + "2e040300"
-            + "0800000000000000"
-            + "000000000000000000000000"
-            + "38040300"
-            + "0900000000000000"
-            + "000000000000000000000000"
-            + "42040300"
-            + "0101"
-            + "000000000000000000000000000000000000"
-            + "4c040300"
-            + "0000803e"
-            + "00000000000000000000000000000000"
-            + "56040300"
-            + "14000000"
-            + "00000000000000000000000000000000"
-            + "60040300"
-            + "20a10700"
-            + "4d00000000000000"
-            + "0000000000000000"
-            + "6a040300"
-            + "00000000"
-            + "11000000"
-            + "000000000000000000000000"
-            + HexFormat.of().formatHex("two servers known".getBytes(StandardCharsets.UTF_8));
-    assertEquals(want, got);
+    assertEquals(REPLY_OF_ALL_ACTIONS, got);
   }
 
   @Test
   void aReplyGrowsAndTheNextOneIsClean() throws IOException {
-    Recorder rec = new Recorder();
+    Recorder recorder = new Recorder();
     int[] left = {3000};
-    rec.onArrival =
+    recorder.onArrival =
         a -> {
           for (int i = 0; i < left[0]; i++) {
             a.rememberKey(5, 6);
@@ -334,7 +340,8 @@
           left[0] = 1;
         };
     byte[] out =
-        serve(rec, join(first(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
+        serve(
+            recorder, join(first(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
     assertEquals(8 + 8 + 6000 * 24 + 8 + 48, out.length);
     assertEquals(
         "24040300"
@@ -348,13 +355,13 @@
   }
 
   @Test
-  void anExceptionInTheModuleIsReported() throws IOException {
-    Recorder rec = new Recorder();
-    rec.onArrival =
+  void anExceptionInThePolicyIsReported() throws IOException {
+    Recorder recorder = new Recorder();
+    recorder.onArrival =
         a -> {
           throw new IllegalStateException("boom");
         };
-    byte[] out = serve(rec, join(first(), frame(1, "", record(1010, 3))));
+    byte[] out = serve(recorder, join(first(), frame(1, "", record(1010, 3))));
     assertEquals(1140, out[16] & 0xff | (out[17] & 0xff) << 8);
     assertTrue(new String(out, StandardCharsets.UTF_8).contains("boom"));
   }
@@ -369,7 +376,7 @@
   }
 
   @Test
-  void badInputIsNamed() {
+  void badInputIsReportedWithItsCause() {
     bad("input ends inside a frame header", new byte[7]);
     bad("input ends inside a frame", java.util.Arrays.copyOf(first(), 40));
     byte[] tooLong = new byte[16];
