--- a/src/main/java/rosecleat/fleet/DatagramSender.java
+++ b/src/main/java/rosecleat/fleet/DatagramSender.java
@@ -37,8 +37,8 @@
             .setPing(
                 Ping.newBuilder().setSequence(sequence).setTarget(WireCodec.encode(target.id)));
     if (target.state != MemberState.ALIVE) {
-      MemberState told = target.state == MemberState.LEFT ? MemberState.DEAD : target.state;
-      datagram.addMembers(WireCodec.encode(target, told, context.self().hash));
+      MemberState reported = target.state == MemberState.LEFT ? MemberState.DEAD : target.state;
+      datagram.addMembers(WireCodec.encode(target, reported, context.self().hash));
     }
     send(target.endpoint, datagram);
   }
--- /dev/null
+++ b/src/test/java/rosecleat/fleet/LocalHealthTest.java
@@ -0,0 +1,28 @@
+package rosecleat.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** The bounds of the score, and what it makes of a timeout. */
+class LocalHealthTest {
+  @Test
+  void theScoreStaysWithinItsBounds() {
+    LocalHealth health = new LocalHealth(new Tuning(1_000, true));
+    health.adjust(-1);
+    assertEquals(0, health.score());
+    health.adjust(100);
+    assertEquals(Tuning.MAX_LOCAL_HEALTH, health.score());
+  }
+
+  @Test
+  void aTimeoutIsTwiceAsLongAfterItsStepsUnlessLocalHealthIsOff() {
+    LocalHealth on = new LocalHealth(new Tuning(1_000, true));
+    on.adjust(4);
+    assertEquals(2, on.timeoutFactor(4));
+    assertEquals(3, on.timeoutFactor(2));
+    LocalHealth off = new LocalHealth(new Tuning(1_000, false));
+    off.adjust(4);
+    assertEquals(1, off.timeoutFactor(4));
+  }
+}
--- a/src/test/java/rosecleat/routes/RouteStoreTest.java
+++ b/src/test/java/rosecleat/routes/RouteStoreTest.java
@@ -6,169 +6,184 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Random;
+import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
+import org.junit.jupiter.api.Test;
 import rosecleat.fleet.wire.MemberUpdateMessage;
 
-/** Books of routes against plain maps: any order, any loss, any author. */
+/** Route stores against plain maps: any order, any loss, any author. */
 class RouteStoreTest {
   private static final MemberUpdateMessage SELF = MemberUpdateMessage.getDefaultInstance();
 
-  private static RouteEntry entry(long c) {
-    long what = Math.floorMod(c / 64, 5);
-    Instance instance =
-        what == 0 ? null : new Instance("10.0.0." + what, 9000, "z", 1, Instance.State.ON, 0);
+  /** More frames than an exchange has: it is complete. */
+  private static final int ALL_FRAMES = 9;
+
+  /** An entry of few keys, times and authors, so that many conflict; some are tombstones. */
+  private static RouteEntry entryOf(long choice) {
+    long content = Math.floorMod(choice / 64, 5);
+    Instance instance = content == 0 ? null : instance("10.0.0." + content, 9_000, "z");
     return new RouteEntry(
-        new RouteEntry.Key("s" + Math.floorMod(c, 2), "i" + Math.floorMod(c / 2, 8)),
+        new RouteEntry.Key("s" + Math.floorMod(choice, 2), "i" + Math.floorMod(choice / 2, 8)),
         instance,
-        1 + Math.floorMod(c / 16, 4),
-        "a" + Math.floorMod(c / 400, 2));
+        1 + Math.floorMod(choice / 16, 4),
+        "a" + Math.floorMod(choice / 400, 2));
+  }
+
+  private static Instance instance(String host, int port, String zone) {
+    return new Instance(host, port, zone, 1, Instance.State.ON, 0);
   }
 
-  private static RouteStore of(List<RouteEntry> entries) {
-    RouteStore book = new RouteStore();
-    entries.forEach(e -> book.merge(List.of(e)));
-    return book;
+  private static RouteStore storeOf(List<RouteEntry> entries) {
+    RouteStore store = new RouteStore();
+    entries.forEach(entry -> store.merge(List.of(entry)));
+    return store;
   }
 
-  /** Plays an exchange; {@code frames} of it arrive, then the connection breaks. */
-  private static void meet(RouteStore one, RouteStore other, int frames) {
-    RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
-    RouteSyncSession answers =
-        new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
+  private static RouteSyncSession session(RouteStore store, boolean opener) {
+    return new RouteSyncSession(store, opener, "c", () -> SELF, () -> {}, () -> {});
+  }
+
+  /** Plays an exchange; so many of its frames arrive, then the connection breaks. */
+  private static void synchronize(RouteStore one, RouteStore other, int frames) {
+    RouteSyncSession opener = session(one, true);
+    RouteSyncSession responder = session(other, false);
     byte[] frame = opener.nextFrame(null, 0);
     for (int i = 0; frame != null && i < frames; i++) {
-      frame = (i % 2 == 0 ? answers : opener).nextFrame(frame, 0);
+      frame = (i % 2 == 0 ? responder : opener).nextFrame(frame, 0);
     }
   }
 
   @Property(tries = 500)
-  void anyOrderEndsTheSameAndExchangesMakeSidesEqual(
+  void anyOrderEndsTheSameAndExchangesMakeStoresEqual(
       @ForAll @Size(max = 40) List<Long> mine,
       @ForAll @Size(max = 40) List<Long> theirs,
       @ForAll long seed) {
-    List<RouteEntry> a = mine.stream().map(RouteStoreTest::entry).toList();
-    List<RouteEntry> b = theirs.stream().map(RouteStoreTest::entry).toList();
-    List<RouteEntry> all = new ArrayList<>(a);
-    all.addAll(b);
+    List<RouteEntry> myEntries = mine.stream().map(RouteStoreTest::entryOf).toList();
+    List<RouteEntry> theirEntries = theirs.stream().map(RouteStoreTest::entryOf).toList();
+    List<RouteEntry> all = new ArrayList<>(myEntries);
+    all.addAll(theirEntries);
     Collections.shuffle(all, new Random(seed));
-    all.addAll(a); // some come twice
-    RouteStore one = of(a);
-    RouteStore other = of(b);
-    meet(one, other, Math.floorMod(seed, 3)); // torn: changes nothing that matters
-    meet(one, other, 9);
-    meet(
-        one, other,
-        9); // what the answering side lacked and the opener could not know is found the other way
-    meet(other, one, 9);
-    assertEquals(of(all).stateDigest(), one.stateDigest());
+    all.addAll(myEntries); // some come twice
+    RouteStore one = storeOf(myEntries);
+    RouteStore other = storeOf(theirEntries);
+    synchronize(one, other, Math.floorMod(seed, 3)); // broken off: changes nothing that matters
+    synchronize(one, other, ALL_FRAMES);
+    synchronize(one, other, ALL_FRAMES);
+    // what the responder lacked and the opener could not know is found the other way
+    synchronize(other, one, ALL_FRAMES);
+    assertEquals(storeOf(all).stateDigest(), one.stateDigest());
     assertEquals(one.stateDigest(), other.stateDigest());
     assertEquals(one.table().digest(), other.table().digest());
-    assertEquals(of(all).table().services(), one.table().services());
+    assertEquals(storeOf(all).table().services(), one.table().services());
   }
 
   @Property(tries = 500)
-  void aDiffIsTheFewestStepsAndGoesBothWays(
+  void aDiffHasTheFewestChangesAndIsInvertible(
       @ForAll @Size(max = 60) List<Long> first, @ForAll @Size(max = 20) List<Long> then) {
-    RouteStore book = of(first.stream().map(RouteStoreTest::entry).toList());
-    RouteTable before = book.table();
-    then.forEach(c -> book.merge(List.of(entry(c + 16 * 3))));
-    RouteTable after = book.table();
-    Map<RouteEntry.Key, Instance> a = flat(before);
-    Map<RouteEntry.Key, Instance> b = flat(after);
-    List<RouteTable.RouteChange> steps = before.diff(after);
-    java.util.Set<RouteEntry.Key> keys = new java.util.HashSet<>(a.keySet());
-    keys.addAll(b.keySet());
-    keys.removeIf(k -> java.util.Objects.equals(a.get(k), b.get(k)));
-    assertEquals(keys.size(), steps.size()); // no step can do for two keys
-    Map<RouteEntry.Key, Instance> played = new HashMap<>(a);
-    for (RouteTable.RouteChange step : steps) {
-      assertEquals(played.get(step.key()), step.before());
-      if (step.after() == null) {
-        played.remove(step.key());
+    RouteStore store = storeOf(first.stream().map(RouteStoreTest::entryOf).toList());
+    RouteTable before = store.table();
+    then.forEach(choice -> store.merge(List.of(entryOf(choice + 16 * 3))));
+    RouteTable after = store.table();
+    Map<RouteEntry.Key, Instance> instancesBefore = flat(before);
+    Map<RouteEntry.Key, Instance> instancesAfter = flat(after);
+    List<RouteTable.RouteChange> changes = before.diff(after);
+    assertEquals(differingKeys(instancesBefore, instancesAfter).size(), changes.size());
+    assertEquals(instancesAfter, applied(changes, instancesBefore));
+    for (RouteTable.RouteChange change : after.diff(before)) {
+      assertTrue(changes.contains(change.inverse()));
+    }
+    assertEquals(instancesBefore.equals(instancesAfter), before.digest() == after.digest());
+  }
+
+  private static Set<RouteEntry.Key> differingKeys(
+      Map<RouteEntry.Key, Instance> before, Map<RouteEntry.Key, Instance> after) {
+    Set<RouteEntry.Key> keys = new HashSet<>(before.keySet());
+    keys.addAll(after.keySet());
+    keys.removeIf(key -> Objects.equals(before.get(key), after.get(key)));
+    return keys;
+  }
+
+  private static Map<RouteEntry.Key, Instance> applied(
+      List<RouteTable.RouteChange> changes, Map<RouteEntry.Key, Instance> before) {
+    Map<RouteEntry.Key, Instance> result = new HashMap<>(before);
+    for (RouteTable.RouteChange change : changes) {
+      assertEquals(result.get(change.key()), change.before());
+      if (change.after() == null) {
+        result.remove(change.key());
       } else {
-        played.put(step.key(), step.after());
+        result.put(change.key(), change.after());
       }
     }
-    assertEquals(b, played);
-    for (RouteTable.RouteChange step : after.diff(before)) {
-      assertTrue(steps.contains(step.inverse()));
-    }
-    assertEquals(a.equals(b), before.digest() == after.digest());
+    return result;
   }
 
   private static Map<RouteEntry.Key, Instance> flat(RouteTable table) {
     Map<RouteEntry.Key, Instance> flat = new HashMap<>();
     table
         .services()
-        .forEach((s, all) -> all.forEach((n, i) -> flat.put(new RouteEntry.Key(s, n), i)));
+        .forEach(
+            (service, instances) ->
+                instances.forEach(
+                    (name, instance) -> flat.put(new RouteEntry.Key(service, name), instance)));
     return flat;
   }
 
-  /**
-   * Authors by their files: what another wrote since stays, a removal does not come back, equal
-   * content is one table.
-   */
+  /** Equal content is one table whoever wrote it, and a removal is not undone by an old copy. */
   @Property(tries = 50)
-  void authorsFollowTheRuleByEntry(@ForAll long seed) {
+  void theLaterOrElseTheGreaterAuthorsEntryStays(@ForAll long seed) {
     Random random = new Random(seed);
     RouteStore one = new RouteStore();
     RouteStore other = new RouteStore();
     Map<RouteEntry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < 40; i++) {
-      file.put(
-          new RouteEntry.Key("s", "i" + i),
-          new Instance("10.0.0.1", 1 + random.nextInt(50), "", 1, Instance.State.ON, 0));
+      Instance instance = instance("10.0.0.1", 1 + random.nextInt(50), "");
+      file.put(new RouteEntry.Key("s", "i" + i), instance);
     }
     one.publish("a", file);
-    other.publish("b", file); // the same by another author: the same table, known by what it holds
+    other.publish("b", file);
     assertEquals(one.table().digest(), other.table().digest());
-    meet(one, other, 9);
-    RouteEntry.Key gone = new RouteEntry.Key("s", "i" + random.nextInt(40));
-    Map<RouteEntry.Key, Instance> less = new HashMap<>(file);
-    less.remove(gone);
-    String owner = "b"; // of equal times the greater author's entry holds
-    meet(other, one, 9);
-    assertTrue(one.publish(owner, less));
-    meet(other, one, 9);
+    synchronize(one, other, ALL_FRAMES);
+    RouteEntry.Key removed = new RouteEntry.Key("s", "i" + random.nextInt(40));
+    Map<RouteEntry.Key, Instance> smallerFile = new HashMap<>(file);
+    smallerFile.remove(removed);
+    synchronize(other, one, ALL_FRAMES);
+    assertTrue(one.publish("b", smallerFile)); // of equal times the greater author's entry stays
+    synchronize(other, one, ALL_FRAMES);
     assertEquals(39, flat(other.table()).size());
-    meet(of(List.of(new RouteEntry(gone, file.get(gone), 1, "b"))), other, 9); // an old rumour
+    RouteEntry oldCopy = new RouteEntry(removed, file.get(removed), 1, "b");
+    synchronize(storeOf(List.of(oldCopy)), other, ALL_FRAMES);
     assertEquals(39, flat(other.table()).size());
   }
 
-  /**
-   * A change of few in many costs by the change: the far side of 20,000 entries is not looked at.
-   */
-  @org.junit.jupiter.api.Test
-  void aFollowerOfAKnownStateIsToldTheChangeAlone() {
+  /** A few changes in a large table cost by the changes, not by the table. */
+  @Test
+  void aFollowerWithAKnownStateReceivesTheChangesAlone() {
     RouteStore author = new RouteStore();
     Map<RouteEntry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < 20_000; i++) {
-      file.put(
-          new RouteEntry.Key("s" + i % 50, "i" + i),
-          new Instance("10.0.0.1", 1 + i % 60_000, "", 1, Instance.State.ON, 0));
+      Instance instance = instance("10.0.0.1", 1 + i % 60_000, "");
+      file.put(new RouteEntry.Key("s" + i % 50, "i" + i), instance);
     }
     author.publish("a", file);
     RouteStore follower = new RouteStore();
-    meet(follower, author, 9);
+    synchronize(follower, author, ALL_FRAMES);
     assertEquals(author.stateDigest(), follower.stateDigest());
+    Instance draining = new Instance("10.0.0.2", 7, "", 1, Instance.State.DRAIN, 0);
     for (int i = 0; i < 10; i++) {
-      file.put(
-          new RouteEntry.Key("s" + i, "i" + i),
-          new Instance("10.0.0.2", 7, "", 1, Instance.State.DRAIN, 0));
+      file.put(new RouteEntry.Key("s" + i, "i" + i), draining);
     }
     author.publish("a", file);
-    RouteSyncSession opener =
-        new RouteSyncSession(follower, true, "c", () -> SELF, () -> {}, () -> {});
-    RouteSyncSession answers =
-        new RouteSyncSession(author, false, "c", () -> SELF, () -> {}, () -> {});
-    byte[] told = answers.nextFrame(opener.nextFrame(null, 0), 0);
-    assertTrue(told.length < 1_500, "told " + told.length + " bytes");
-    opener.nextFrame(told, 0);
+    RouteSyncSession opener = session(follower, true);
+    byte[] answer = session(author, false).nextFrame(opener.nextFrame(null, 0), 0);
+    assertTrue(answer.length < 1_500, "an answer of " + answer.length + " bytes");
+    opener.nextFrame(answer, 0);
     assertEquals(author.stateDigest(), follower.stateDigest());
   }
 }
