--- a/src/main/java/rosecleat/front/uwsgi/AskOnce.java
+++ b/src/main/java/rosecleat/front/uwsgi/AskOnce.java
@@ -66,7 +66,9 @@
     try (Socket socket = new Socket()) {
       socket.connect(address, TIMEOUT_MS);
       socket.setSoTimeout(TIMEOUT_MS);
-      socket.getOutputStream().write(packet.array());
+      byte[] request = new byte[packet.remaining()];
+      packet.get(request);
+      socket.getOutputStream().write(request);
       ByteArrayOutputStream response = new ByteArrayOutputStream();
       socket.getInputStream().transferTo(response);
       return response.toString(StandardCharsets.UTF_8);
