--- a/src/main/java/rosecleat/core/DownstreamCalls.java
+++ b/src/main/java/rosecleat/core/DownstreamCalls.java
@@ -31,7 +31,7 @@
     }
     counters.add("wants");
     request.requestCall(callNumber, body);
-    policy.accept(new PolicyEvent.NeedsCall(request.sequence()));
+    policy.accept(new PolicyEvent.CallNeeded(request.sequence()));
   }
 
   /** Makes the call that a run is paused for, unless nobody waits for the response any longer. */
@@ -66,7 +66,7 @@
     } else {
       request.callFailed();
     }
-    policy.accept(new PolicyEvent.Called(request.sequence(), outcome(result), durationUs));
+    policy.accept(new PolicyEvent.CallEnded(request.sequence(), outcome(result), durationUs));
   }
 
   private static CallOutcome outcome(CallResult result) {
--- a/src/main/java/rosecleat/policy/PolicyEngine.java
+++ b/src/main/java/rosecleat/policy/PolicyEngine.java
@@ -108,10 +108,10 @@
       policy.arrived(nowUs, request(arrived));
     } else if (event instanceof PolicyEvent.Ended ended) {
       policy.ended(nowUs, ended.id(), ended.outcome().outcome(), ended.tookUs());
-    } else if (event instanceof PolicyEvent.NeedsCall needsCall) {
-      policy.callNeeded(nowUs, needsCall.id());
-    } else if (event instanceof PolicyEvent.Called called) {
-      policy.callEnded(nowUs, called.id(), called.outcome().outcome(), called.tookUs());
+    } else if (event instanceof PolicyEvent.CallNeeded callNeeded) {
+      policy.callNeeded(nowUs, callNeeded.id());
+    } else if (event instanceof PolicyEvent.CallEnded callEnded) {
+      policy.callEnded(nowUs, callEnded.id(), callEnded.outcome().outcome(), callEnded.tookUs());
     } else if (event instanceof PolicyEvent.Cancelled cancelled) {
       policy.cancelled(nowUs, cancelled.id());
     } else if (event instanceof PolicyEvent.Draining draining) {
--- a/src/main/java/rosecleat/policy/PolicyEvent.java
+++ b/src/main/java/rosecleat/policy/PolicyEvent.java
@@ -22,10 +22,10 @@
   record Ended(long id, RunOutcome outcome, long tookUs) implements PolicyEvent {}
 
   /** A run waits for its downstream call. */
-  record NeedsCall(long id) implements PolicyEvent {}
+  record CallNeeded(long id) implements PolicyEvent {}
 
   /** A downstream call has ended. */
-  record Called(long id, CallOutcome outcome, long tookUs) implements PolicyEvent {}
+  record CallEnded(long id, CallOutcome outcome, long tookUs) implements PolicyEvent {}
 
   /** The caller has cancelled the request or disconnected. */
   record Cancelled(long id) implements PolicyEvent {}
