--- a/Makefile
+++ b/Makefile
@@ -42,7 +42,6 @@
 
 measure-store: measure-classes
 	$(MEASURE) rosecleat.measure.StoreSpeed target/measure
-	$(MEASURE) rosecleat.measure.StateSaveSpeed
 
 # The view of a fleet: FLEET_SEEDS plays of each row on virtual time, then FLEET_PROCESSES real ones.
 FLEET_SEEDS = 64
