--- a/src/main/java/rosecleat/cli/NodeOptions.java
+++ b/src/main/java/rosecleat/cli/NodeOptions.java
@@ -14,8 +14,6 @@
 
 /** The options that name a node's configuration, shared by {@code serve} and {@code check}. */
 final class NodeOptions {
-  private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
-
   @Parameter(names = "--broker", description = "the file that turns on the uwsgi front")
   private String brokerFile;
 
@@ -38,7 +36,7 @@
   }
 
   private NodeConfig readNodeConfig(Map<String, String> environment) {
-    String platformFile = environment.get(CONFIG_VARIABLE);
+    String platformFile = environment.get(NodeConfigReader.CONFIG_VARIABLE);
     boolean standsAlone = brokerFile != null && (platformFile == null || platformFile.isBlank());
     return standsAlone
         ? StandaloneConfig.read(Path.of(brokerFile))
--- a/src/main/java/rosecleat/config/BrokerConfigReader.java
+++ b/src/main/java/rosecleat/config/BrokerConfigReader.java
@@ -8,7 +8,6 @@
 
 /** Reads a {@link BrokerConfig} from a broker file and the files that it names. */
 public final class BrokerConfigReader {
-  private static final String DEFAULT_NAME = "broker";
   private static final int DEFAULT_MAX_CONNECTIONS = 128;
 
   private static final int DEFAULT_SAVE_INTERVAL_MS = 1_000;
@@ -40,7 +39,7 @@
   private BrokerConfig read() {
     JsonNode uwsgi = root.path("uwsgi");
     InetSocketAddress listenAddress = listenAddress(uwsgi);
-    FleetConfig fleet = FleetConfig.read(root, root.path("name").asText(DEFAULT_NAME));
+    FleetConfig fleet = FleetConfig.read(root, root.path("name").asText(BrokerFile.DEFAULT_NAME));
     OperationsReader operationsReader =
         new OperationsReader(
             DescriptionsReader.read(root.path("descriptions"), folder),
--- a/src/main/java/rosecleat/config/BrokerFile.java
+++ b/src/main/java/rosecleat/config/BrokerFile.java
@@ -6,6 +6,9 @@
 
 /** Reads the text of broker files, and their values. */
 final class BrokerFile {
+  /** The name of a node whose file gives none. */
+  static final String DEFAULT_NAME = "broker";
+
   private static final String DOCUMENT = "the broker's file";
 
   private BrokerFile() {}
--- a/src/main/java/rosecleat/config/ContractTerms.java
+++ b/src/main/java/rosecleat/config/ContractTerms.java
@@ -53,14 +53,8 @@
   }
 
   private static Idempotency effect(String subject, String word, PriorityClass nodeClass) {
-    Idempotency effect =
-        switch (word) {
-          case "pure" -> Idempotency.SAFE;
-          case "token" -> Idempotency.KEYED;
-          case "side_effect" -> Idempotency.UNSAFE;
-          case "" -> nodeClass == null ? null : nodeClass.idempotency();
-          default -> null;
-        };
+    boolean fromClass = word.isEmpty() && nodeClass != null;
+    Idempotency effect = fromClass ? nodeClass.idempotency() : SettingsReader.EFFECTS.get(word);
     if (effect == null) {
       throw ConfigException.invalid(subject, "has no known effect (pure, token or side_effect)");
     }
--- a/src/main/java/rosecleat/config/NodeConfigReader.java
+++ b/src/main/java/rosecleat/config/NodeConfigReader.java
@@ -13,7 +13,9 @@
 
 /** Reads the configuration that a platform gives a node: a JSON file and the environment. */
 public final class NodeConfigReader {
-  private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
+  /** The environment variable that names the configuration file. */
+  public static final String CONFIG_VARIABLE = "PROXY_CONFIG";
+
   private static final String NAME_VARIABLE = "PROXY_NAME";
   private static final String LISTEN_VARIABLE = "PROXY_LISTEN";
   private static final String ADMIN_VARIABLE = "PROXY_MGMT";
--- a/src/main/java/rosecleat/config/SettingsReader.java
+++ b/src/main/java/rosecleat/config/SettingsReader.java
@@ -24,9 +24,11 @@
 
   private static final double DEFAULT_OVER_QUOTA_WEIGHT = 1;
 
-  private static final Map<String, Idempotency> EFFECTS =
+  /** The words of the settings and contracts for what a second execution does. */
+  static final Map<String, Idempotency> EFFECTS =
       Map.of(
           "pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
+
   private static final Map<String, CancelMode> CANCEL_MODES =
       Map.of("off", CancelMode.OFF, "drop", CancelMode.DROP, "pause", CancelMode.PAUSE);
   private static final Map<String, LoadAdviceMode> LOAD_ADVICE_MODES =
--- a/src/main/java/rosecleat/config/StandaloneConfig.java
+++ b/src/main/java/rosecleat/config/StandaloneConfig.java
@@ -19,7 +19,6 @@
   /** Requests executed at once where the file does not say: so many for each service. */
   static final int CORES_PER_SERVICE = 4;
 
-  private static final String DEFAULT_NAME = "broker";
   private static final long DEFAULT_MEMORY_MB = 256;
   private static final int DEFAULT_MAX_SOCKETS = 1024;
   private static final long DEFAULT_STOP_TIMEOUT_MS = 5_000;
@@ -57,7 +56,7 @@
   public static NodeConfig read(Path file) {
     JsonNode root = BrokerFile.read(file);
     JsonNode limits = root.path("limits");
-    String fleetName = root.path("fleet").path("name").asText(DEFAULT_NAME);
+    String fleetName = root.path("fleet").path("name").asText(BrokerFile.DEFAULT_NAME);
     String name = root.path("name").asText(fleetName);
     InetSocketAddress adminAddress =
         AddressParser.parse(root.path("operators").path("listen").asText(""), "operators.listen");
