--- a/src/main/java/rosecleat/config/Backend.java
+++ b/src/main/java/rosecleat/config/Backend.java
@@ -2,8 +2,11 @@
 
 import java.net.InetSocketAddress;
 
-/** What executes the operations of a service, where it is not the machine's runtime. */
+/** What executes the operations of a service. */
 public sealed interface Backend {
+  /** The machine's runtime, which knows operations by their class. */
+  record MachineRuntime() implements Backend {}
+
   /**
    * One uwsgi service.
    *
--- a/src/main/java/rosecleat/config/OperationsReader.java
+++ b/src/main/java/rosecleat/config/OperationsReader.java
@@ -102,12 +102,12 @@
         tenantIndexByTeam(service, serviceSection.path("budget")));
   }
 
-  /** What executes the operations of a service; null for the machine's runtime. */
+  /** What executes the operations of a service. */
   private Backend backend(String service, JsonNode serviceSection, DescribedOperation description) {
     String subject = "backend of " + service;
     String text = serviceSection.path("backend").asText(RUNTIME_BACKEND);
     return switch (text) {
-      case RUNTIME_BACKEND -> null;
+      case RUNTIME_BACKEND -> new Backend.MachineRuntime();
       case SAMPLE_BACKEND ->
           new Backend.Sample(
               description.contentType(),
@@ -131,7 +131,7 @@
    */
   private int classIndex(String subject, String className, JsonNode contract, Backend backend) {
     PriorityClass nodeClass = classes.find(className);
-    if (nodeClass == null && backend == null) {
+    if (nodeClass == null && backend instanceof Backend.MachineRuntime) {
       throw ConfigException.invalid(subject, "has a class the runtime does not know: " + className);
     }
     ContractTerms terms = ContractTerms.read(subject, contract, nodeClass);
--- a/src/main/java/rosecleat/config/ServiceOperation.java
+++ b/src/main/java/rosecleat/config/ServiceOperation.java
@@ -19,7 +19,7 @@
  * @param deadlineUs the time within which a response is worth anything, in microseconds
  * @param memoryKb the memory that one of its requests is taken to need, in kilobytes
  * @param rank its place among the requests of its class, from 0 to below 1
- * @param backend what executes it; null for the machine's runtime
+ * @param backend what executes it
  * @param tenantIndexByTeam the index of the tenant of each team that has a budget
  */
 public record ServiceOperation(
@@ -38,6 +38,11 @@
     Backend backend,
     Map<String, Integer> tenantIndexByTeam) {
 
+  /** Whether the machine's runtime executes the operation, rather than a service. */
+  public boolean usesMachineRuntime() {
+    return backend instanceof Backend.MachineRuntime;
+  }
+
   /** The same operation with other indexes for its class and its tenants. */
   ServiceOperation withIndexes(List<Integer> classIndexes, List<Integer> tenantIndexes) {
     Map<String, Integer> reindexedTenants = new HashMap<>();
--- a/src/main/java/rosecleat/front/uwsgi/RequestTranslator.java
+++ b/src/main/java/rosecleat/front/uwsgi/RequestTranslator.java
@@ -94,7 +94,7 @@
       return invalid.get();
     }
     byte[] body = packet.body();
-    if (operation.backend() == null) {
+    if (operation.usesMachineRuntime()) {
       Optional<byte[]> payload = payloads.create(body, match.parameters(), target.query());
       if (payload.isEmpty()) {
         return new TranslationResult.Invalid(RequestError.Kind.MALFORMED_QUERY);
@@ -152,7 +152,7 @@
         operation.idempotent() ? packet.var(names.idempotencyKey()) : null,
         0,
         body,
-        operation.backend() == null ? Map.of() : attributes(packet, operation, nowUs),
+        operation.usesMachineRuntime() ? Map.of() : attributes(packet, operation, nowUs),
         runner(operation),
         responder);
   }
@@ -166,7 +166,7 @@
   }
 
   private Runner runner(ServiceOperation operation) {
-    if (operation.backend() == null) {
+    if (operation.usesMachineRuntime()) {
       return runtime;
     }
     return operation.backend() instanceof Backend.Sample ? samples : backends;
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiConnection.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiConnection.java
@@ -191,7 +191,7 @@
   /** A result is a service's response, or a body alone from the machine's runtime. */
   private void respondWithResult(byte[] result) {
     Optional<ServiceResponse> serviceResponse =
-        operation.backend() == null ? Optional.empty() : ServiceResponseCodec.decode(result);
+        operation.usesMachineRuntime() ? Optional.empty() : ServiceResponseCodec.decode(result);
     byte[] body = serviceResponse.map(ServiceResponse::body).orElse(result);
     if (!reserve(body.length)) {
       counters.add("uwsgi.noroom");
--- a/src/test/java/rosecleat/front/uwsgi/OperationRouterTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/OperationRouterTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import rosecleat.config.Backend;
 import rosecleat.config.ServiceOperation;
 
 class OperationRouterTest {
@@ -19,7 +20,20 @@
 
   private static ServiceOperation operation(String id, String method, String path) {
     return new ServiceOperation(
-        "cards", id, method, path, "text/plain", "read", 0, false, 0, 1, 1, 0, null, Map.of());
+        "cards",
+        id,
+        method,
+        path,
+        "text/plain",
+        "read",
+        0,
+        false,
+        0,
+        1,
+        1,
+        0,
+        new Backend.MachineRuntime(),
+        Map.of());
   }
 
   private RouteResult.Matched match(String method, String path) {
