--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -84,66 +84,76 @@
     }
   }
 
-  private synchronized void command(Socket socket, JsonNode c) throws IOException {
-    String id = c.path("job").asText();
+  private synchronized void command(Socket socket, JsonNode command) throws IOException {
+    String type = command.path("type").asText();
+    String id = command.path("job").asText();
     if (swallow > 0 && !id.isEmpty()) {
       swallow--;
       return;
     }
-    commands.add(c.path("type").asText() + " " + id);
-    switch (c.path("type").asText()) {
-      case "sync" -> {
-        link = socket;
-        int n = c.path("n").asInt();
-        work.schedule(() -> ready(n), readyAfterMs, TimeUnit.MILLISECONDS);
-      }
-      case "start" -> {
-        if (nackStarts) {
-          send(json.createObjectNode().put("type", "nack").put("state", "start").put("job", id));
-        } else if (!jobs.containsKey(id)) {
-          byte[] body = Base64.getDecoder().decode(c.path("data").asText());
-          Job job = new Job(id, c.path("kind").asText(), body);
-          starts.add(id + " " + job.kind + " " + new String(body, StandardCharsets.UTF_8));
-          jobs.put(id, job);
-          queue.add(job);
-          next();
-          if (!spoil.isEmpty()) {
-            link.getOutputStream().write(spoil.getBytes(StandardCharsets.UTF_8));
-            spoil = "";
-          }
-        }
-      }
-      case "stop" -> {
-        Job job = jobs.remove(id);
-        if (job != null) {
-          queue.remove(job);
-          end(job, "halted", null);
-        }
-      }
-      case "give" -> {
-        gives.add(
-            "call for "
-                + id
-                + " -> "
-                + new String(
-                    Base64.getDecoder().decode(c.path("data").asText()), StandardCharsets.UTF_8));
-        finish(id, 1);
-      }
+    commands.add(type + " " + id);
+    switch (type) {
+      case "sync" -> synchronize(socket, command.path("n").asInt());
+      case "start" -> start(id, command);
+      case "stop" -> stop(id);
+      case "give" -> give(id, decode(command));
       case "omit" -> finish(id, 1);
-      case "gauges" -> {
-        ObjectNode load =
-            json.createObjectNode().put("type", "load").put("ref", c.path("ref").asText());
-        load.putArray("gauges")
-            .add(Math.min(1, busy / (double) TestSite.CORES))
-            .add(busy + queue.size())
-            .add(0.1)
-            .add(3);
-        send(load);
-      }
-      default -> throw new IOException("no such command: " + c);
+      case "gauges" -> sendGauges(command.path("ref").asText());
+      default -> throw new IOException("no such command: " + command);
     }
   }
 
+  private static byte[] decode(JsonNode command) {
+    return Base64.getDecoder().decode(command.path("data").asText());
+  }
+
+  private void synchronize(Socket socket, int lastRead) {
+    link = socket;
+    work.schedule(() -> ready(lastRead), readyAfterMs, TimeUnit.MILLISECONDS);
+  }
+
+  private void start(String id, JsonNode command) throws IOException {
+    if (nackStarts) {
+      send(json.createObjectNode().put("type", "nack").put("state", "start").put("job", id));
+      return;
+    }
+    if (jobs.containsKey(id)) {
+      return;
+    }
+    Job job = new Job(id, command.path("kind").asText(), decode(command));
+    starts.add(id + " " + job.kind + " " + new String(job.body, StandardCharsets.UTF_8));
+    jobs.put(id, job);
+    queue.add(job);
+    next();
+    if (!spoil.isEmpty()) {
+      link.getOutputStream().write(spoil.getBytes(StandardCharsets.UTF_8));
+      spoil = "";
+    }
+  }
+
+  private void stop(String id) {
+    Job job = jobs.remove(id);
+    if (job != null) {
+      queue.remove(job);
+      end(job, "halted", null);
+    }
+  }
+
+  private void give(String id, byte[] reply) {
+    gives.add("call for " + id + " -> " + new String(reply, StandardCharsets.UTF_8));
+    finish(id, 1);
+  }
+
+  private void sendGauges(String reference) {
+    ObjectNode load = json.createObjectNode().put("type", "load").put("ref", reference);
+    load.putArray("gauges")
+        .add(Math.min(1, busy / (double) TestSite.CORES))
+        .add(busy + queue.size())
+        .add(0.1)
+        .add(3);
+    send(load);
+  }
+
   private synchronized void ready(int n) {
     send(json.createObjectNode().put("type", "ready").put("state", "warm").put("took", 100_000));
     notices.subList(n, notices.size()).forEach(this::send);
--- a/src/test/java/rosecleat/fakes/FakeUwsgiService.java
+++ b/src/test/java/rosecleat/fakes/FakeUwsgiService.java
@@ -10,6 +10,8 @@
 
 /** A team's uwsgi service: reads a request, then does what the test says. */
 public final class FakeUwsgiService extends FakeServer {
+  private static final String IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY";
+
   /** What it does with a request. */
   public enum Mood {
     GOOD,
@@ -32,45 +34,55 @@
 
   @Override
   protected void serve(Socket socket) throws IOException {
-    DataInputStream in = new DataInputStream(socket.getInputStream());
-    in.readByte();
-    int size = in.readUnsignedByte() | in.readUnsignedByte() << 8;
-    in.readByte();
-    byte[] block = new byte[size];
-    in.readFully(block);
-    String lastPacket = new String(block, StandardCharsets.ISO_8859_1);
-    this.lastPacket = lastPacket;
-    int at = lastPacket.indexOf("CONTENT_LENGTH") + 16; // behind the name come two bytes of length
-    in.readFully(
-        new byte[Integer.parseInt(lastPacket.substring(at, at + lastPacket.charAt(at - 2)))]);
+    DataInputStream input = new DataInputStream(socket.getInputStream());
+    String vars = readVars(input);
+    lastPacket = vars;
+    input.readFully(new byte[Integer.parseInt(valueOf("CONTENT_LENGTH", vars))]);
     requests.incrementAndGet();
-    int key = lastPacket.indexOf("HTTP_IDEMPOTENCY_KEY") + 22; // the same
-    if (key > 22) {
-      runs.merge(lastPacket.substring(key, key + lastPacket.charAt(key - 2)), 1, Integer::sum);
+    if (vars.contains(IDEMPOTENCY_KEY)) {
+      runs.merge(valueOf(IDEMPOTENCY_KEY, vars), 1, Integer::sum);
     }
     if (!script.isEmpty()) {
       socket.getOutputStream().write(script.getBytes(StandardCharsets.ISO_8859_1));
       return;
     }
+    respond(socket, input);
+  }
+
+  private static String readVars(DataInputStream input) throws IOException {
+    input.readByte();
+    int size = input.readUnsignedByte() | (input.readUnsignedByte() << 8);
+    input.readByte();
+    byte[] vars = new byte[size];
+    input.readFully(vars);
+    return new String(vars, StandardCharsets.ISO_8859_1);
+  }
+
+  /** The value of a var of under 256 bytes: behind the name stand two bytes of its length. */
+  private static String valueOf(String name, String vars) {
+    int start = vars.indexOf(name) + name.length() + 2;
+    return vars.substring(start, start + vars.charAt(start - 2));
+  }
+
+  private void respond(Socket socket, DataInputStream input) throws IOException {
     switch (mood) {
-      case GOOD -> {
-        socket
-            .getOutputStream()
-            .write(
-                ("HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes))
-                    .getBytes(StandardCharsets.UTF_8));
-      }
-      case ERROR ->
-          socket
-              .getOutputStream()
-              .write("HTTP/1.1 500 Oops\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-      case BREAKS -> {} // closes without a word
+      case GOOD ->
+          write(
+              socket,
+              "HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
+      case ERROR -> write(socket, "HTTP/1.1 500 Oops\r\n\r\n");
+      case BREAKS -> {} // closes without a response
       case SLOW -> {
-        while (in.read() >= 0) {
+        while (input.read() >= 0) {
           Thread.onSpinWait();
         }
         closedOnUs.incrementAndGet();
       }
+      default -> throw new IllegalStateException(mood.name());
     }
   }
+
+  private static void write(Socket socket, String response) throws IOException {
+    socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
+  }
 }
--- a/src/test/java/rosecleat/fakes/RespClient.java
+++ b/src/test/java/rosecleat/fakes/RespClient.java
@@ -15,7 +15,7 @@
 /** A balancer's connection: RESP arrays out, whole answers in. */
 public final class RespClient implements AutoCloseable {
   private final Socket socket;
-  private final DataInputStream in;
+  private final DataInputStream input;
   private final Random pieces;
   public int byes;
 
@@ -24,7 +24,7 @@
     socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setTcpNoDelay(true);
     socket.setSoTimeout(10_000);
-    in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+    input = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
     this.pieces = pieces;
   }
 
@@ -79,23 +79,23 @@
 
   /** The next array as words, null at the end of the connection. */
   public List<String> read() throws IOException {
-    String head = line(in);
+    String head = line(input);
     if (head == null) {
       return null;
     }
     List<String> words = new ArrayList<>();
     for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
-      byte[] word = new byte[Integer.parseInt(line(in).substring(1))];
-      in.readFully(word);
-      in.skipBytes(2);
+      byte[] word = new byte[Integer.parseInt(line(input).substring(1))];
+      input.readFully(word);
+      input.skipBytes(2);
       words.add(new String(word, StandardCharsets.UTF_8));
     }
     return words;
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String line(InputStream input) throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int c = in.read(); c != '\n'; c = in.read()) {
+    for (int c = input.read(); c != '\n'; c = input.read()) {
       if (c < 0) {
         return null;
       }
