--- a/src/test/java/rosecleat/node/DeploymentSizesTest.java
+++ b/src/test/java/rosecleat/node/DeploymentSizesTest.java
@@ -8,11 +8,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rosecleat.config.NodeConfig;
 import rosecleat.config.NodeConfigReader;
+import rosecleat.core.Core;
 import rosecleat.fakes.FakeIndex;
 import rosecleat.fakes.FakeRuntime;
 import rosecleat.fakes.RespClient;
@@ -26,6 +26,8 @@
 class DeploymentSizesTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
+  private int tag;
+
   private static NodeConfig config(
       int runtime,
       int index,
@@ -66,10 +68,10 @@
     return NodeConfigReader.parse(root.toString(), Map.of());
   }
 
-  private static String name(int klass) {
-    return klass == 0
+  private static String name(int classIndex) {
+    return classIndex == 0
         ? "card-refresh"
-        : "class-" + klass; // the stand-in's runs of this name call below
+        : "class-" + classIndex; // the fake runtime's runs of this name call below
   }
 
   @ParameterizedTest
@@ -93,36 +95,33 @@
       assertTrue(JitWarmup.play(config) > 0);
       try (Node node = new Node(ProcessConfig.of(config), NodeEnvironment.standalone(log))) {
         node.start();
-        CompletableFuture<Boolean> ready = new CompletableFuture<>();
-        for (int wait = 0; wait < 1_000 && !ready.getNow(false); wait++) {
-          Thread.sleep(5);
-          ready = new CompletableFuture<>();
-          CompletableFuture<Boolean> asked = ready;
-          node.onLoop(() -> asked.complete(node.core().ready()));
-          ready.join();
-        }
+        NodeProbe.await(() -> NodeProbe.ask(node, Core::ready));
         try (RespClient client = new RespClient(node.port(), null)) {
-          int tag = 0;
-          for (String tenant : List.of("tenant-0", "tenant-" + (tenants - 1))) {
-            for (int c = 0; c < classes; c += Math.max(1, classes / 20)) {
-              tag++;
-              String once = c % 2 == 1 ? ",once=" + "%032x".formatted(tag) : "";
-              client.send(
-                  RespClient.array(
-                      "DO",
-                      String.valueOf(tag),
-                      name(c),
-                      "id=%016x,at=%d,from=%d,tenant=%s,"
-                              .formatted(tag, System.currentTimeMillis(), callers, tenant)
-                          + "wait=2900,kb=2,rank=0.5"
-                          + once,
-                      "b"));
-              List<String> answer = client.answer();
-              assertEquals("OK", answer.get(1), "class " + c + " of " + tenant + ": " + answer);
-            }
-          }
+          serveEachClass(client, classes, "tenant-0", callers);
+          serveEachClass(client, classes, "tenant-" + (tenants - 1), callers);
         }
       }
     }
   }
+
+  /** Sends a request of each class, or of some twenty where there are more. */
+  private void serveEachClass(RespClient client, int classes, String tenant, int callers)
+      throws Exception {
+    for (int index = 0; index < classes; index += Math.max(1, classes / 20)) {
+      tag++;
+      String key = index % 2 == 1 ? ",once=" + "%032x".formatted(tag) : "";
+      client.send(
+          RespClient.array(
+              "DO",
+              String.valueOf(tag),
+              name(index),
+              "id=%016x,at=%d,from=%d,tenant=%s,"
+                      .formatted(tag, System.currentTimeMillis(), callers, tenant)
+                  + "wait=2900,kb=2,rank=0.5"
+                  + key,
+              "b"));
+      List<String> answer = client.answer();
+      assertEquals("OK", answer.get(1), "class " + index + " of " + tenant + ": " + answer);
+    }
+  }
 }
--- a/src/test/java/rosecleat/node/DescriptorLimitTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -38,12 +38,12 @@
    * What the platform starts, but with classes from where the tests have them, and as few open
    * jars.
    */
-  private Process process(int descriptors, int runtime, int index, int roster, int listen)
+  private Process process(int descriptors, int runtime, int index, int registry, int listen)
       throws IOException {
     Path config = folder.resolve("config.json");
     Files.writeString(
         config,
-        TestSite.config(runtime, index, roster, 2_000, 500)
+        TestSite.config(runtime, index, registry, 2_000, 500)
             .source()
             .toString()
             .replace("127.0.0.1:0\"", "127.0.0.1:" + listen + "\"")
@@ -103,31 +103,23 @@
     int listen = freePort();
     try (FakeRuntime runtime = new FakeRuntime(5);
         FakeIndex index = new FakeIndex();
-        FakeRegistry roster = new FakeRegistry()) {
-      int rosterPort = roster.port();
-      roster.down(); // discovery is away from before the start
-      process = process(descriptors, runtime.port(), index.port(), rosterPort, listen);
+        FakeRegistry registry = new FakeRegistry()) {
+      int registryPort = registry.port();
+      registry.down(); // discovery is away from before the start
+      process = process(descriptors, runtime.port(), index.port(), registryPort, listen);
       await(
           "it does not listen",
           () -> log().contains("listens on") && log().contains("the runtime is up"));
-      for (int i = 0;
-          i < 2 * descriptors;
-          i++) { // as many as can be, twice; they never close, whatever they are told
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), listen);
-        idle.add(socket);
-        if (i % 2 == 0) {
-          socket.getOutputStream().write(RespClient.array("PING", 1, ""));
-        }
-      }
+      openIdleConnections(2 * descriptors, listen);
       try (RespClient balancer = new RespClient(listen, null)) {
         assertEquals("OK", answer(balancer, "balance-check"));
         assertEquals("OK", answer(balancer, "card-refresh"));
         assertEquals(1, index.lines.size(), "its call was made");
         runtime.cut();
         assertEquals("OK", answer(balancer, "balance-check"));
-        roster.up();
+        registry.up();
         long backNs = System.nanoTime();
-        await("not listed again", () -> !roster.reports.isEmpty());
+        await("not listed again", () -> !registry.reports.isEmpty());
         assertTrue(
             System.nanoTime() - backNs < 1_000_000_000L, "listed again after more than a second");
         assertEquals("OK", answer(balancer, "card-refresh"));
@@ -143,6 +135,17 @@
     }
   }
 
+  /** Opens connections of clients that never close them, whatever they are told. */
+  private void openIdleConnections(int count, int port) throws IOException {
+    for (int i = 0; i < count; i++) {
+      Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+      idle.add(socket);
+      if (i % 2 == 0) {
+        socket.getOutputStream().write(RespClient.array("PING", 1, ""));
+      }
+    }
+  }
+
   private static int freePort() throws IOException {
     try (java.net.ServerSocket server =
         new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
@@ -117,7 +117,7 @@
       }
     }
 
-    void send(Sent sent, String klass, String key) {
+    void send(Sent sent, String className, String key) {
       if (leaving || !places.tryAcquire()) {
         return;
       }
@@ -129,7 +129,7 @@
             RespClient.array(
                 "DO",
                 tag,
-                klass,
+                className,
                 RespClient.fields(String.format("%016x", ids++), "small", WAIT_MS, key),
                 sent.body));
       } catch (IOException e) {
@@ -159,15 +159,7 @@
         one(i, balancers, false);
         assertEquals(Map.of(), book.broken, "after request " + i);
       }
-      int askedResp = book.asked.get("resp");
-      int askedUwsgi = book.asked.get("uwsgi");
-      double resp = (double) book.served.getOrDefault("resp", 0) / askedResp;
-      double uwsgi = (double) book.served.getOrDefault("uwsgi", 0) / askedUwsgi;
-      assertTrue(resp > 0.25 && uwsgi > 0.25, "served: resp " + resp + ", uwsgi " + uwsgi);
-      assertTrue(resp < 0.95 && uwsgi < 0.95, "no overload: resp " + resp + ", uwsgi " + uwsgi);
-      assertTrue(
-          Math.max(resp, uwsgi) < 2 * Math.min(resp, uwsgi),
-          "served: resp " + resp + ", uwsgi " + uwsgi);
+      checkServedParts();
 
       Semaphore left = new Semaphore(0);
       long notice = System.nanoTime();
@@ -178,18 +170,35 @@
         assertEquals(Map.of(), book.broken, "after request " + i + " of the drain");
       }
       assertTrue(left.tryAcquire(STOP_MS, TimeUnit.MILLISECONDS), "it does not leave in time");
-      pool.shutdown();
-      assertTrue(pool.awaitTermination(10, TimeUnit.SECONDS));
-      all.stream()
-          .filter(sent -> !book.answers.containsKey(sent))
-          .forEach(sent -> book.breach("lost", sent));
-      assertEquals(Map.of(), book.broken);
+      checkNothingIsLost();
     } finally {
       pool.shutdownNow();
       rig.close();
     }
   }
 
+  /** Both protocols are overloaded, and neither takes much more than its part. */
+  private void checkServedParts() {
+    int askedResp = book.asked.get("resp");
+    int askedUwsgi = book.asked.get("uwsgi");
+    double resp = (double) book.served.getOrDefault("resp", 0) / askedResp;
+    double uwsgi = (double) book.served.getOrDefault("uwsgi", 0) / askedUwsgi;
+    assertTrue(resp > 0.25 && uwsgi > 0.25, "served: resp " + resp + ", uwsgi " + uwsgi);
+    assertTrue(resp < 0.95 && uwsgi < 0.95, "no overload: resp " + resp + ", uwsgi " + uwsgi);
+    assertTrue(
+        Math.max(resp, uwsgi) < 2 * Math.min(resp, uwsgi),
+        "served: resp " + resp + ", uwsgi " + uwsgi);
+  }
+
+  private void checkNothingIsLost() throws InterruptedException {
+    pool.shutdown();
+    assertTrue(pool.awaitTermination(10, TimeUnit.SECONDS));
+    all.stream()
+        .filter(sent -> !book.answers.containsKey(sent))
+        .forEach(sent -> book.breach("lost", sent));
+    assertEquals(Map.of(), book.broken);
+  }
+
   private static void pace(long until) throws InterruptedException {
     long ns = until - System.nanoTime();
     if (ns > 0) {
