--- a/src/test/java/rosecleat/core/CoreHarness.java
+++ b/src/test/java/rosecleat/core/CoreHarness.java
@@ -120,6 +120,11 @@
         }
       };
 
+  /** How many requests the test has sent. */
+  int requestsSent() {
+    return lastId;
+  }
+
   private CoreHarness(long maxResultBytes, IdempotencyClaims claims) {
     NodeConfig config = TestSite.config(0, 0, 0, 3_000, 1_500);
     core =
--- a/src/test/java/rosecleat/core/RunsTest.java
+++ b/src/test/java/rosecleat/core/RunsTest.java
@@ -32,6 +32,7 @@
     Attempt queued = harness.send(BALANCE_CHECK, null, "z");
     while (first.responses.isEmpty()) { // no run ends: the policy abandons them by itself
       harness.pass(20_000);
+      assertTrue(harness.requestsSent() < 10, "the policy abandons runs without further requests");
       assertTrue(harness.nowUs < START_US + 2_000_000, "no response");
     }
     assertEquals(Progress.MAY_HAVE_RUN, first.failureProgress());
