--- a/src/main/java/rosecleat/store/Directory.java
+++ b/src/main/java/rosecleat/store/Directory.java
@@ -14,6 +14,13 @@
   /** Returns the names of all regular files. */
   Set<String> list() throws IOException;
 
+  /** Returns the length of a file (bytes). */
+  default long fileSize(String name) throws IOException {
+    try (Input input = openInput(name)) {
+      return input.size();
+    }
+  }
+
   /** Opens a file for reading. */
   Input openInput(String name) throws IOException;
 
--- a/src/main/java/rosecleat/store/LogChainVerifier.java
+++ b/src/main/java/rosecleat/store/LogChainVerifier.java
@@ -76,7 +76,8 @@
       broken = true;
     } else if (header.previousNumber() != lastNumber) {
       findings.addCorruptFile(
-          RecoveryIssue.previousSegmentMissing(name, size(name), header.previousNumber()));
+          RecoveryIssue.previousSegmentMissing(
+              name, directory.fileSize(name), header.previousNumber()));
       broken = true;
     } else {
       broken = !verifyRecords(name, number, next);
@@ -118,12 +119,6 @@
   }
 
   private RecoveryIssue wholeFile(Cause cause, String name) throws IOException {
-    return RecoveryIssue.of(cause, name, 0, size(name));
-  }
-
-  private long size(String name) throws IOException {
-    try (Directory.Input input = directory.openInput(name)) {
-      return input.size();
-    }
+    return RecoveryIssue.of(cause, name, 0, directory.fileSize(name));
   }
 }
--- a/src/main/java/rosecleat/store/ManifestFile.java
+++ b/src/main/java/rosecleat/store/ManifestFile.java
@@ -1,6 +1,5 @@
 package rosecleat.store;
 
-import com.google.protobuf.InvalidProtocolBufferException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.Optional;
@@ -35,7 +34,11 @@
     directory.sync();
   }
 
-  /** Reads the manifest; empty where it is corrupt. */
+  /**
+   * Reads the manifest; empty where it is corrupt. Throws {@link
+   * com.google.protobuf.InvalidProtocolBufferException} where the checksum matches, but the payload
+   * is not a manifest.
+   */
   static Optional<Manifest> read(FileWindow file) throws IOException, UnsupportedFormatException {
     Optional<FileHeader> header = FileVerifier.readHeader(FileNames.MANIFEST, file);
     if (header.isEmpty() || header.get().fileType() != FileHeader.MANIFEST) {
@@ -46,10 +49,6 @@
     if (decoded.isEmpty() || decoded.get().record().type() != RecordFormat.TYPE_MANIFEST) {
       return Optional.empty();
     }
-    try {
-      return Optional.of(Manifest.parseFrom(decoded.get().record().payload()));
-    } catch (InvalidProtocolBufferException e) {
-      return Optional.empty();
-    }
+    return Optional.of(Manifest.parseFrom(decoded.get().record().payload()));
   }
 }
--- a/src/main/java/rosecleat/store/Quarantine.java
+++ b/src/main/java/rosecleat/store/Quarantine.java
@@ -47,7 +47,7 @@
     long bytes = 0;
     for (int i = oldestFirst.size() - 1; i >= 0; i--) {
       String name = oldestFirst.get(i);
-      long size = size(name);
+      long size = directory.fileSize(name);
       if (oldestFirst.size() - i > MAX_FILES || bytes + size > maxBytes) {
         directory.delete(name);
       } else {
@@ -56,10 +56,4 @@
     }
     return bytes;
   }
-
-  private long size(String name) throws IOException {
-    try (Directory.Input input = directory.openInput(name)) {
-      return input.size();
-    }
-  }
 }
--- a/src/main/java/rosecleat/store/Recovery.java
+++ b/src/main/java/rosecleat/store/Recovery.java
@@ -1,5 +1,6 @@
 package rosecleat.store;
 
+import com.google.protobuf.InvalidProtocolBufferException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -57,9 +58,7 @@
     long bytes = 0;
     for (String name : files) {
       if (FileNames.isStoreFile(name)) {
-        try (Directory.Input input = directory.openInput(name)) {
-          bytes += input.size();
-        }
+        bytes += directory.fileSize(name);
       }
     }
     return bytes;
@@ -114,6 +113,9 @@
         findings.addCorruptFile(RecoveryIssue.of(Cause.MANIFEST_UNREADABLE, name, 0, file.size()));
       }
       return manifest;
+    } catch (InvalidProtocolBufferException e) {
+      findings.addCorruptFile(RecoveryIssue.of(Cause.MANIFEST_UNREADABLE, name, 0, 0));
+      return Optional.empty();
     }
   }
 
--- a/src/main/java/rosecleat/store/RetainedSnapshots.java
+++ b/src/main/java/rosecleat/store/RetainedSnapshots.java
@@ -18,16 +18,10 @@
   RetainedSnapshots(Directory directory, long current, long older) throws IOException {
     this.directory = directory;
     this.current = current;
-    currentBytes = current > 0 ? size(current) : 0;
+    currentBytes = current > 0 ? directory.fileSize(FileNames.snapshot(current)) : 0;
     if (older > 0 && directory.list().contains(FileNames.snapshot(older))) {
       this.older = older;
-      olderBytes = size(older);
-    }
-  }
-
-  private long size(long number) throws IOException {
-    try (Directory.Input input = directory.openInput(FileNames.snapshot(number))) {
-      return input.size();
+      olderBytes = directory.fileSize(FileNames.snapshot(older));
     }
   }
 
