--- a/src/main/java/rosecleat/cli/state/ShowCommand.java
+++ b/src/main/java/rosecleat/cli/state/ShowCommand.java
@@ -18,7 +18,6 @@
 @Parameters(commandDescription = "list the facts that count, with age and weight")
 final class ShowCommand extends FolderCommand {
   private static final double MICROSECONDS_PER_SECOND = 1e6;
-  private static final String ROW_FORMAT = "%-12s %-12s %-28s %12s %8s %10s";
 
   @Override
   CommandResult run(Path path, Directory folder, long nowUs) throws IOException {
@@ -76,7 +75,8 @@
 
   private static String row(
       String node, String kind, String subject, String value, String weight, String age) {
-    return String.format(Locale.ROOT, ROW_FORMAT, node, kind, subject, value, weight, age);
+    return String.format(
+        Locale.ROOT, "%-12s %-12s %-28s %12s %8s %10s", node, kind, subject, value, weight, age);
   }
 
   private static double ageSeconds(Fact fact, long nowUs) {
