--- a/src/test/java/rosecleat/node/DescriptorLimitTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -88,10 +88,10 @@
     }
   }
 
-  private String answer(RespClient client, String klass) throws IOException {
+  private String answer(RespClient client, String className) throws IOException {
     String id = String.format("%016x", ++tag);
     client.send(
-        RespClient.array("DO", tag, klass, RespClient.fields(id, "small", 1_100, null), "b"));
+        RespClient.array("DO", tag, className, RespClient.fields(id, "small", 1_100, null), "b"));
     List<String> words = client.answer();
     return words == null ? "closed" : words.get(1);
   }
--- a/src/test/java/rosecleat/node/NodeLinksHarness.java
+++ b/src/test/java/rosecleat/node/NodeLinksHarness.java
@@ -64,16 +64,16 @@
     NodeProbe.await(condition);
   }
 
-  String send(String klass, String once) throws IOException {
+  String send(String className, String once) throws IOException {
     String id = String.format("%016x", ++tag);
     client.send(
         RespClient.array(
-            "DO", tag, klass, RespClient.fields(id, "small", 1_100, once), "body " + tag));
+            "DO", tag, className, RespClient.fields(id, "small", 1_100, once), "body " + tag));
     return id;
   }
 
-  List<String> answer(String klass) throws IOException {
-    send(klass, null);
+  List<String> answer(String className) throws IOException {
+    send(className, null);
     return client.answer();
   }
 
--- a/src/test/java/rosecleat/node/NodeRuntimeTest.java
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -127,9 +127,9 @@
     assertEquals(1, count("runtime.silent"));
   }
 
-  private String answered(String klass) {
+  private String answered(String className) {
     try {
-      return answer(klass).get(1);
+      return answer(className).get(1);
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
--- a/src/test/java/rosecleat/node/TakeoverTest.java
+++ b/src/test/java/rosecleat/node/TakeoverTest.java
@@ -95,13 +95,13 @@
     log.close();
   }
 
-  private void send(RespClient to, int tag, String klass, String once, String body)
+  private void send(RespClient to, int tag, String className, String once, String body)
       throws IOException {
     to.send(
         RespClient.array(
             "DO",
             tag,
-            klass,
+            className,
             RespClient.fields(String.format("%016x", ++ids), "small", 1_100, once),
             body));
   }
