--- a/src/main/java/rosecleat/core/IdempotentAttempts.java
+++ b/src/main/java/rosecleat/core/IdempotentAttempts.java
@@ -89,7 +89,7 @@
       return false;
     }
     long original = table.originalSequence(request);
-    return request.mayHaveRun() || original != 0 && original != request.sequence();
+    return request.mayHaveRun() || (original != 0 && original != request.sequence());
   }
 
   /**
--- a/src/main/java/rosecleat/fleet/Endpoint.java
+++ b/src/main/java/rosecleat/fleet/Endpoint.java
@@ -16,8 +16,8 @@
 
   /** The characters of literal addresses; a percent sign begins a scope. */
   private static boolean isLiteral(int character) {
-    return character >= '0' && character <= '9'
-        || character >= 'a' && character <= 'f'
+    return (character >= '0' && character <= '9')
+        || (character >= 'a' && character <= 'f')
         || character == '.'
         || character == ':'
         || character == '%';
--- a/src/main/java/rosecleat/fleet/FleetRecord.java
+++ b/src/main/java/rosecleat/fleet/FleetRecord.java
@@ -19,7 +19,9 @@
   }
 
   boolean newerThan(FleetRecord other) {
-    return other == null || epoch > other.epoch || epoch == other.epoch && version > other.version;
+    return other == null
+        || epoch > other.epoch
+        || (epoch == other.epoch && version > other.version);
   }
 
   /** This record as it is reported once it has expired. */
--- a/src/main/java/rosecleat/fleet/MemberReaper.java
+++ b/src/main/java/rosecleat/fleet/MemberReaper.java
@@ -39,7 +39,7 @@
       return periods > Tuning.LEFT_RETENTION_PERIODS;
     }
     boolean replaced = !context.members().isLatestStart(member);
-    return replaced && periods > Tuning.LEFT_RETENTION_PERIODS
-        || periods > Tuning.DEAD_RETENTION_PERIODS && !partitions.isPartitionSuspected();
+    return (replaced && periods > Tuning.LEFT_RETENTION_PERIODS)
+        || (periods > Tuning.DEAD_RETENTION_PERIODS && !partitions.isPartitionSuspected());
   }
 }
--- a/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
@@ -71,7 +71,7 @@
 
   private void onSuspect(Member member, MemberUpdate update, long nowUs) {
     if (update.incarnation() > member.incarnation
-        || update.incarnation() == member.incarnation && member.state.isActive()) {
+        || (update.incarnation() == member.incarnation && member.state.isActive())) {
       suspicions.suspect(member, update.incarnation(), update.witness(), nowUs);
     }
   }
@@ -83,7 +83,7 @@
         && member.state == MemberState.ALIVE
         && (source == MemberUpdate.Source.SYNC || wasHeardRecently(member, nowUs))) {
       verifyDeath(member, nowUs);
-    } else if (newer && member.state != MemberState.LEFT || same && member.state.isActive()) {
+    } else if ((newer && member.state != MemberState.LEFT) || (same && member.state.isActive())) {
       markGone(member, MemberState.DEAD, update.incarnation(), nowUs);
     }
   }
@@ -94,7 +94,7 @@
 
   private void onLeft(Member member, MemberUpdate update, long nowUs) {
     if (update.incarnation() > member.incarnation
-        || update.incarnation() == member.incarnation && member.state != MemberState.LEFT) {
+        || (update.incarnation() == member.incarnation && member.state != MemberState.LEFT)) {
       markGone(member, MemberState.LEFT, update.incarnation(), nowUs);
     }
   }
--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -182,7 +182,7 @@
     if (state != State.CLOSING
         || !writeQueue.isEmpty()
         || readCompleted
-        || handler != null && handler.hasPendingResponses()) {
+        || (handler != null && handler.hasPendingResponses())) {
       return;
     }
     state = State.HALF_CLOSED;
@@ -229,9 +229,9 @@
     }
 
     @Override
-    public void completed(Integer count, Void attachment) {
+    public void completed(Integer count, Void unused) {
       readCompleted = true;
-      super.completed(count, attachment);
+      super.completed(count, null);
     }
   }
 
--- a/src/main/java/rosecleat/net/Listener.java
+++ b/src/main/java/rosecleat/net/Listener.java
@@ -220,9 +220,9 @@
     }
 
     @Override
-    public void completed(AsynchronousSocketChannel channel, Void attachment) {
+    public void completed(AsynchronousSocketChannel channel, Void unused) {
       acceptCompleted = true;
-      super.completed(channel, attachment);
+      super.completed(channel, null);
     }
   }
 
--- a/src/main/java/rosecleat/net/TextSyntax.java
+++ b/src/main/java/rosecleat/net/TextSyntax.java
@@ -92,8 +92,8 @@
 
   private static boolean isNameCharacter(char character) {
     return isDigit(character)
-        || character >= 'a' && character <= 'z'
-        || character >= 'A' && character <= 'Z'
+        || (character >= 'a' && character <= 'z')
+        || (character >= 'A' && character <= 'Z')
         || character == '-'
         || character == '_';
   }
--- a/src/main/java/rosecleat/policy/AdmissionController.java
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -53,8 +53,8 @@
         || availability.isStalled()
         || memory.isFull()
         || forecast.isHopeless(tracked)
-        || tracked.isKeyed() && !memory.hasCapacityForKey()
-        || isDrawn(rejectionChance) && !replaceLighter(weight)) {
+        || (tracked.isKeyed() && !memory.hasCapacityForKey())
+        || (isDrawn(rejectionChance) && !replaceLighter(weight))) {
       responses.reject(tracked);
     } else if (tracked.isKeyed()) {
       idempotency.rememberEffect(tracked);
--- a/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
@@ -118,7 +118,7 @@
     long now = context.nowUs();
     long lingerUs = ended ? 0 : context.settings().callLingerUs();
     call.occupiedUntilUs = Math.min(call.occupiedUntilUs, now + lingerUs);
-    double tookUs = Math.min(now - call.startedUs, TIMEOUT_LENGTHS * typicalLengthUs);
+    double tookUs = Math.min((double) (now - call.startedUs), TIMEOUT_LENGTHS * typicalLengthUs);
     pausedUntilUs = now + (limit >= 1 ? 0 : (long) (tookUs * (1 / limit - 1)));
     tracked.activeCall = null;
   }
@@ -176,7 +176,7 @@
       double few = Math.max(SLOW_LENGTHS * typicalLengthUs, availableUs / 2);
       end = Math.min(end, now + Math.min(longest, few));
     }
-    return (long) Math.max(now + 1, end);
+    return (long) Math.max((double) (now + 1), end);
   }
 
   /**
@@ -206,14 +206,15 @@
         settings.concurrentCalls() <= 0
             ? 0
             : 2.0 * settings.callLingerUs() / settings.concurrentCalls();
-    return Math.max(settings.callWindowUs(), longer);
+    return Math.max((double) settings.callWindowUs(), longer);
   }
 
   /** The time at calls in a window that ends at a time, where no further call is made (us). */
   double occupiedUs(long endUs, double windowUs) {
     double occupied = 0;
     for (DownstreamCall call : recentCalls) {
-      occupied += Math.max(0, call.occupiedUntilUs - Math.max(call.startedUs, endUs - windowUs));
+      occupied +=
+          Math.max(0, call.occupiedUntilUs - Math.max((double) call.startedUs, endUs - windowUs));
     }
     return occupied;
   }
--- a/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
@@ -104,7 +104,7 @@
     double shortCallUs = SHORT_CALL_PART * serviceTimes.expectedRunTime(tracked);
     double endUs = Math.max(usefulUntil(tracked), now + shortCallUs);
     long untilUs = limiter.timeoutAt(endUs, isOptional(tracked), availableUs);
-    if (isOptional(tracked) && isTooLate(untilUs) || untilUs - now > availableUs) {
+    if ((isOptional(tracked) && isTooLate((double) untilUs)) || untilUs - now > availableUs) {
       return false;
     }
     waiting.remove(tracked);
--- a/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
+++ b/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
@@ -53,7 +53,7 @@
     long now = context.nowUs();
     double benefitUs =
         Math.min(
-            context.settings().maxIdleUs(),
+            (double) context.settings().maxIdleUs(),
             NEW_CONNECTION_US / Math.max(averageUtilisation, MIN_UTILISATION));
     Iterator<Long> times = lastArrivals.values().iterator(); // the oldest come first
     while (times.hasNext() && now - times.next() >= benefitUs) {
@@ -82,7 +82,7 @@
     double moved = timeoutUs * (keepConnections ? INCREASE : DECREASE);
     timeoutUs = Math.min(maxUs, Math.max(MIN_TIMEOUT_US, moved));
     if (Math.abs(timeoutUs - announcedUs) > NOTABLE_CHANGE * announcedUs
-        || timeoutUs >= maxUs && timeoutUs > announcedUs) {
+        || (timeoutUs >= maxUs && timeoutUs > announcedUs)) {
       announcedUs = timeoutUs;
       context.actions.setIdleTimeout((long) timeoutUs);
     }
--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -180,7 +180,7 @@
     }
     boolean wasRun = tracked.state != RequestState.ATTACHED;
     recordRunTime(tracked, outcome, tookUs);
-    if (wasRun && outcome == Outcome.OK || outcome == Outcome.FAILED) {
+    if ((wasRun && outcome == Outcome.OK) || outcome == Outcome.FAILED) {
       recordCompletion(now, tracked, outcome);
     }
     if (wasRun) {
--- a/src/main/java/rosecleat/policy/TrackedRequest.java
+++ b/src/main/java/rosecleat/policy/TrackedRequest.java
@@ -75,6 +75,7 @@
   /** Whether it is true that no attempt of it ran, or that it does not matter. */
   boolean mayBeRejected() {
     return isSafe()
-        || !executed && (execution == null ? state != RequestState.ATTACHED : !execution.executed);
+        || (!executed
+            && (execution == null ? state != RequestState.ATTACHED : !execution.executed));
   }
 }
--- a/src/main/java/rosecleat/routes/RouteCodec.java
+++ b/src/main/java/rosecleat/routes/RouteCodec.java
@@ -62,7 +62,7 @@
         || message.getTime() <= 0
         || message.getTime() > MAX_TIME
         || !isText(message.getAuthor())
-        || !message.getRemoved() && !hasValidInstance(message)) {
+        || (!message.getRemoved() && !hasValidInstance(message))) {
       return Optional.empty();
     }
     RouteEntry.Key key = new RouteEntry.Key(message.getService(), message.getName());
--- a/src/main/java/rosecleat/routes/RouteTrie.java
+++ b/src/main/java/rosecleat/routes/RouteTrie.java
@@ -207,7 +207,7 @@
 
   private static void compare(
       RouteTrie one, RouteTrie other, int shift, BiConsumer<RouteEntry, RouteEntry> report) {
-    if (one == other || one != null && other != null && one.hasSameEntries(other)) {
+    if (one == other || (one != null && other != null && one.hasSameEntries(other))) {
       return;
     }
     if (one == null || one.size == 0 || other == null || other.size == 0) {
--- a/src/main/java/rosecleat/takeover/ProcessMarkers.java
+++ b/src/main/java/rosecleat/takeover/ProcessMarkers.java
@@ -43,7 +43,7 @@
             FileChannel.open(
                 processFile(candidate), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
       } catch (FileAlreadyExistsException e) {
-        continue; // another process has just taken this number
+        // another process has just taken this number: the next one is tried
       }
     }
     ownNumber = candidate;
--- a/src/test/java/rosecleat/fakes/UwsgiClient.java
+++ b/src/test/java/rosecleat/fakes/UwsgiClient.java
@@ -7,6 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
+import java.util.Locale;
 import java.util.Map;
 
 /** A web server's side of the uwsgi protocol, written from its public description. */
@@ -15,7 +16,7 @@
   public record Reply(int status, String head, String body) {
     public String header(String name) {
       for (String line : head.split("\r\n")) {
-        if (line.toLowerCase().startsWith(name.toLowerCase() + ":")) {
+        if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
           return line.substring(name.length() + 1).trim();
         }
       }
--- a/src/test/java/rosecleat/fleet/SimulatedCluster.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -229,7 +229,7 @@
     Peer receiver = byEndpoint.get(destination);
     if (receiver == null
         || !link.test(from.index, receiver.index)
-        || loss > 0 && random.nextDouble() < loss) {
+        || (loss > 0 && random.nextDouble() < loss)) {
       return;
     }
     int copies = duplication > 0 && random.nextDouble() < duplication ? 2 : 1;
--- a/src/test/java/rosecleat/front/resp/RespConnectionModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespConnectionModelTest.java
@@ -128,7 +128,7 @@
     boolean starts = step <= 2;
     boolean ends = step >= 3 && step <= 6;
     // the model knows no queue, so no more requests are sent than there are cores
-    if (starts && running.size() >= TestSite.CORES || ends && running.isEmpty()) {
+    if ((starts && running.size() >= TestSite.CORES) || (ends && running.isEmpty())) {
       return;
     }
     long tag = running.isEmpty() ? 0 : running.get(random.nextInt(running.size()));
--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -1,5 +1,6 @@
 package rosecleat.harness;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -154,7 +155,7 @@
           String file = Files.readSymbolicLink(descriptor).toString();
           files.add(file.replaceAll("socket:\\[(.*)]", "$1"));
         } catch (NoSuchFileException e) {
-          continue; // closed meanwhile
+          // closed meanwhile
         }
       }
     }
@@ -202,6 +203,6 @@
     } finally {
       System.setErr(err);
     }
-    return told.toString();
+    return told.toString(UTF_8);
   }
 }
--- a/src/test/java/rosecleat/harness/Site.java
+++ b/src/test/java/rosecleat/harness/Site.java
@@ -246,7 +246,7 @@
       }
       if (!view.path("settled").asBoolean()
           || alive != which.length
-          || digest != null && !digest.equals(view.path("digest").asText())) {
+          || (digest != null && !digest.equals(view.path("digest").asText()))) {
         return false;
       }
       digest = view.path("digest").asText();
--- a/src/test/java/rosecleat/log/LogTest.java
+++ b/src/test/java/rosecleat/log/LogTest.java
@@ -1,5 +1,6 @@
 package rosecleat.log;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -61,6 +62,6 @@
     Log log = new Log(new PrintStream(out, true));
     log.warn("a\nb");
     log.close();
-    assertEquals(1, out.toString().lines().count());
+    assertEquals(1, out.toString(UTF_8).lines().count());
   }
 }
--- a/src/test/java/rosecleat/measure/StateSaveSpeed.java
+++ b/src/test/java/rosecleat/measure/StateSaveSpeed.java
@@ -15,6 +15,7 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 import rosecleat.policy.ClassAndTenantNames;
+import rosecleat.policy.PolicyCommand;
 import rosecleat.policy.PolicyEngine;
 import rosecleat.policy.PolicyEvent;
 import rosecleat.state.StateStore;
@@ -118,8 +119,9 @@
         nowUs,
         new PolicyEvent.Arrived(
             round, 0, round % tenants, 0, 1_000_000, 8, 0.5, false, false, 1, 0, 0));
-    while (policy.nextCommand() != null) {
-      continue;
+    PolicyCommand command = policy.nextCommand();
+    while (command != null) {
+      command = policy.nextCommand();
     }
   }
 }
--- a/src/test/java/rosecleat/measure/StoreSpeed.java
+++ b/src/test/java/rosecleat/measure/StoreSpeed.java
@@ -54,7 +54,7 @@
 
     @Override
     public void writeSnapshot(Consumer<StoredRecord> output) {
-      return; // a snapshot of it is empty
+      // a snapshot of it is empty
     }
   }
 
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -1,5 +1,6 @@
 package rosecleat.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -152,11 +153,11 @@
       gate.settle();
       closeGracefully();
       gate.run(() -> {});
-      peer.getOutputStream().write("late".getBytes());
+      peer.getOutputStream().write("late".getBytes(UTF_8));
       gate.settle();
       gate.run(() -> {});
       peer.getOutputStream()
-          .write("later".getBytes()); // a reset would fail this write, or the reading
+          .write("later".getBytes(UTF_8)); // a reset would fail this write, or the reading
       assertEquals('z', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
       assertFalse(ended.isDone(), "it lingers until its peer closes");
--- a/src/test/java/rosecleat/node/StatePersistenceTest.java
+++ b/src/test/java/rosecleat/node/StatePersistenceTest.java
@@ -1,5 +1,6 @@
 package rosecleat.node;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -121,7 +122,7 @@
             Map.of(),
             new ByteArrayInputStream(new byte[0]),
             out));
-    return new ObjectMapper().readTree(out.toString()).path("facts");
+    return new ObjectMapper().readTree(out.toString(UTF_8)).path("facts");
   }
 
   private boolean knows(String kind) {
--- a/src/test/java/rosecleat/policy/DownstreamCallTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallTest.java
@@ -99,10 +99,10 @@
 
   private static void advanceRequest(
       SimulatedHost host, SimulatedHost.HostedRequest hosted, SplittableRandom random, int slow) {
-    if (hosted.cancelling && hosted.state == RequestState.RUNNING
-        || hosted.state != RequestState.COMPLETED
+    if ((hosted.cancelling && hosted.state == RequestState.RUNNING)
+        || (hosted.state != RequestState.COMPLETED
             && !hosted.awaitingResponse
-            && hosted.state != RequestState.RUNNING) {
+            && hosted.state != RequestState.RUNNING)) {
       host.end(hosted, Outcome.CANCELLED, 1);
     } else if (hosted.state == RequestState.RUNNING && random.nextInt(6) == 0) {
       if (random.nextInt(2) == 0) {
--- a/src/test/java/rosecleat/policy/EventSequenceTest.java
+++ b/src/test/java/rosecleat/policy/EventSequenceTest.java
@@ -90,8 +90,8 @@
     if (hosted.state == RequestState.COMPLETED) {
       return;
     }
-    if (hosted.cancelling && hosted.state == RequestState.RUNNING
-        || hosted.state == RequestState.NEEDS_CALL && !hosted.awaitingResponse) {
+    if ((hosted.cancelling && hosted.state == RequestState.RUNNING)
+        || (hosted.state == RequestState.NEEDS_CALL && !hosted.awaitingResponse)) {
       host.end(hosted, Outcome.CANCELLED, 1);
     } else if (random.nextInt(12) == 0) {
       switch (hosted.state) {
--- a/src/test/java/rosecleat/policy/SimulatedHost.java
+++ b/src/test/java/rosecleat/policy/SimulatedHost.java
@@ -202,7 +202,7 @@
     for (HostedRequest hosted : requests.values()) {
       if (hosted.state != RequestState.COMPLETED) {
         boolean small =
-            hosted.state == RequestState.QUEUED && !hosted.paused
+            (hosted.state == RequestState.QUEUED && !hosted.paused)
                 || hosted.state == RequestState.ATTACHED;
         kb += hosted.request.queuedKb() * (small ? 1 : settings.runMemoryFactor());
       }
--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -362,7 +362,7 @@
           throw new IllegalStateException("boom");
         };
     byte[] out = serve(recorder, join(first(), frame(1, "", record(1010, 3))));
-    assertEquals(1140, out[16] & 0xff | (out[17] & 0xff) << 8);
+    assertEquals(1140, (out[16] & 0xff) | (out[17] & 0xff) << 8);
     assertTrue(new String(out, StandardCharsets.UTF_8).contains("boom"));
   }
 
