--- a/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
@@ -9,22 +9,22 @@
  */
 final class DownstreamCallLimiter {
   /** Usual lengths of a call after which it is given up; chosen here. */
-  private static final double TIMEOUT_LENGTHS = 8;
+  private static final double TIMEOUT_FACTOR = 8;
 
   /** Usual lengths of a call from which fewer are outstanding; chosen here. */
-  private static final double SLOW_LENGTHS = 3;
+  private static final double SLOW_FACTOR = 3;
 
   /** So many calls may be outstanding in any case (calls); chosen here. */
-  private static final double MIN_LIMIT = 2;
+  private static final double MIN_LIMIT_CALLS = 2;
 
-  /** Or this part of the server's quota, if that is fewer; chosen here. */
-  private static final double MIN_LIMIT_QUOTA_PART = 0.4;
+  /** Or this share of the server's quota, if that is fewer; chosen here. */
+  private static final double MIN_LIMIT_QUOTA_SHARE = 0.4;
 
   /** One step down of the limit (factor); chosen here. */
   private static final double DECREASE = 0.7;
 
   /** Least rise of the usual length a step while calls are slow (factor); chosen here. */
-  private static final double TYPICAL_LENGTH_DRIFT = 1.05;
+  private static final double TYPICAL_DURATION_GROWTH = 1.05;
 
   /** Weight of the newest call in the recent length; chosen here. */
   private static final double RECENT_WEIGHT = 0.1;
@@ -33,12 +33,12 @@
   private static final double MIN_TYPICAL_WEIGHT = 0.002;
 
   /** A quota of so many lingering times is halved among calls; chosen here. */
-  private static final double LARGE_QUOTA_LINGERS = 4;
+  private static final double LARGE_QUOTA_LINGER_TIMES = 4;
 
   private final PolicyContext context;
   private final List<DownstreamCall> recentCalls = new ArrayList<>();
-  private double recentLengthUs;
-  private double typicalLengthUs;
+  private double recentDurationUs;
+  private double typicalDurationUs;
   private int callsEnded;
   private boolean rejectedSinceStep;
   private long noCallBeforeUs;
@@ -61,13 +61,13 @@
   }
 
   /** Length of recent calls, smoothed, with those that were given up (us). */
-  double recentLengthUs() {
-    return recentLengthUs;
+  double recentDurationUs() {
+    return recentDurationUs;
   }
 
   /** The same over many more calls (us). */
-  double typicalLengthUs() {
-    return typicalLengthUs;
+  double typicalDurationUs() {
+    return typicalDurationUs;
   }
 
   /** Calls whose length is known. */
@@ -86,11 +86,11 @@
   }
 
   /** Counts a call that ended after some time, or was given up. */
-  void recordLength(long tookUs) {
-    recentLengthUs += (tookUs - recentLengthUs) * (recentLengthUs == 0 ? 1 : RECENT_WEIGHT);
+  void recordDuration(long tookUs) {
+    recentDurationUs += (tookUs - recentDurationUs) * (recentDurationUs == 0 ? 1 : RECENT_WEIGHT);
     callsEnded++;
-    typicalLengthUs +=
-        (recentLengthUs - typicalLengthUs) * Math.max(MIN_TYPICAL_WEIGHT, 1.0 / callsEnded);
+    typicalDurationUs +=
+        (recentDurationUs - typicalDurationUs) * Math.max(MIN_TYPICAL_WEIGHT, 1.0 / callsEnded);
   }
 
   /** Counts a call that the dependency rejected. */
@@ -118,13 +118,13 @@
     long now = context.nowUs();
     long lingerUs = ended ? 0 : context.settings().callLingerUs();
     call.occupiedUntilUs = Math.min(call.occupiedUntilUs, now + lingerUs);
-    double tookUs = Math.min((double) (now - call.startedUs), TIMEOUT_LENGTHS * typicalLengthUs);
+    double tookUs = Math.min((double) (now - call.startedUs), TIMEOUT_FACTOR * typicalDurationUs);
     pausedUntilUs = now + (limit >= 1 ? 0 : (long) (tookUs * (1 / limit - 1)));
     tracked.activeCall = null;
   }
 
   /** Forgets the calls that are no longer in the window. */
-  void forgetOldCalls() {
+  void removeExpiredCalls() {
     recentCalls.removeIf(call -> call.occupiedUntilUs <= context.nowUs() - windowUs());
   }
 
@@ -135,17 +135,17 @@
    */
   void adjust(int outstanding) {
     PolicySettings settings = context.settings();
-    // the smaller the server's part of all calls, the less the length of calls is its doing
-    double part =
+    // the smaller the server's share of all calls, the less the length of calls is its doing
+    double share =
         settings.downstreamMode() == DownstreamMode.SHARED
-            ? Math.min(1, MIN_LIMIT_QUOTA_PART * settings.concurrentCalls() / MIN_LIMIT)
+            ? Math.min(1, MIN_LIMIT_QUOTA_SHARE * settings.concurrentCalls() / MIN_LIMIT_CALLS)
             : 1;
-    double minLimit = MIN_LIMIT * part;
-    if (rejectedSinceStep || recentLengthUs > SLOW_LENGTHS * typicalLengthUs) {
+    double minLimit = MIN_LIMIT_CALLS * share;
+    if (rejectedSinceStep || recentDurationUs > SLOW_FACTOR * typicalDurationUs) {
       limit = Math.max(minLimit, DECREASE * Math.min(limit, outstanding));
-      typicalLengthUs *= limit > minLimit ? 1 : Math.pow(TYPICAL_LENGTH_DRIFT, part);
+      typicalDurationUs *= limit > minLimit ? 1 : Math.pow(TYPICAL_DURATION_GROWTH, share);
     } else if (outstanding >= limit || isPaused()) {
-      limit += ConcurrencyLimiter.INCREASE * part;
+      limit += ConcurrencyLimiter.INCREASE * share;
     }
     rejectedSinceStep = false;
   }
@@ -166,15 +166,15 @@
     PolicySettings settings = context.settings();
     long now = context.nowUs();
     double end = endUs;
-    if (optional && recentLengthUs > 0) {
-      end = Math.min(end, now + TIMEOUT_LENGTHS * recentLengthUs);
+    if (optional && recentDurationUs > 0) {
+      end = Math.min(end, now + TIMEOUT_FACTOR * recentDurationUs);
     }
     if (settings.downstreamMode() == DownstreamMode.SHARED) {
       double quotaUs = settings.concurrentCalls() * windowUs();
-      boolean large = quotaUs >= LARGE_QUOTA_LINGERS * settings.callLingerUs();
-      double longest = (large ? quotaUs / 2 : quotaUs) - settings.callLingerUs();
-      double few = Math.max(SLOW_LENGTHS * typicalLengthUs, availableUs / 2);
-      end = Math.min(end, now + Math.min(longest, few));
+      boolean large = quotaUs >= LARGE_QUOTA_LINGER_TIMES * settings.callLingerUs();
+      double maxByQuotaUs = (large ? quotaUs / 2 : quotaUs) - settings.callLingerUs();
+      double maxByCapacityUs = Math.max(SLOW_FACTOR * typicalDurationUs, availableUs / 2);
+      end = Math.min(end, now + Math.min(maxByQuotaUs, maxByCapacityUs));
     }
     return (long) Math.max((double) (now + 1), end);
   }
@@ -202,11 +202,11 @@
    */
   private double windowUs() {
     PolicySettings settings = context.settings();
-    double longer =
+    double minWindowUs =
         settings.concurrentCalls() <= 0
             ? 0
             : 2.0 * settings.callLingerUs() / settings.concurrentCalls();
-    return Math.max((double) settings.callWindowUs(), longer);
+    return Math.max((double) settings.callWindowUs(), minWindowUs);
   }
 
   /** The time at calls in a window that ends at a time, where no further call is made (us). */
@@ -220,13 +220,13 @@
   }
 
   /** Takes in what was learned elsewhere, where nothing was seen here. */
-  void restore(double learnedLengthUs, double learnedLimit) {
-    if (callsEnded == 0 && recentLengthUs == 0) {
-      recentLengthUs = learnedLengthUs;
+  void restore(double learnedDurationUs, double learnedLimit) {
+    if (callsEnded == 0 && recentDurationUs == 0) {
+      recentDurationUs = learnedDurationUs;
     }
-    typicalLengthUs = recentLengthUs;
+    typicalDurationUs = recentDurationUs;
     if (learnedLimit > 0) {
-      limit = Math.min(limit, Math.max(MIN_LIMIT, learnedLimit));
+      limit = Math.min(limit, Math.max(MIN_LIMIT_CALLS, learnedLimit));
     }
   }
 }
--- a/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
@@ -6,7 +6,7 @@
 /** Makes the downstream calls of running requests, the most valuable first. */
 final class DownstreamCallScheduler {
   /** A call much shorter than the run is always made (part of the expected run); chosen here. */
-  private static final double SHORT_CALL_PART = 0.1;
+  private static final double SHORT_CALL_RUN_SHARE = 0.1;
 
   /** Calls for one need, where repeating is allowed; chosen here. */
   private static final int MAX_ATTEMPTS = 2;
@@ -56,7 +56,7 @@
       limiter.recordRejection();
     }
     if (!neverRan) { // how soon a call was rejected says nothing of how long calls take
-      limiter.recordLength(tookUs);
+      limiter.recordDuration(tookUs);
     }
     if (outcome == Outcome.OK) {
       tracked.callAttempts = 0;
@@ -82,7 +82,7 @@
    * its capacity is far over all quotas.
    */
   void makeCalls() {
-    limiter.forgetOldCalls();
+    limiter.removeExpiredCalls();
     while (!limiter.isPaused()) {
       TrackedRequest best = mostValuable();
       if (best == null || outstanding() >= limiter.limit() || !makeCall(best)) {
@@ -101,7 +101,7 @@
   private boolean makeCall(TrackedRequest tracked) {
     long now = context.nowUs();
     double availableUs = limiter.availableUs();
-    double shortCallUs = SHORT_CALL_PART * serviceTimes.expectedRunTime(tracked);
+    double shortCallUs = SHORT_CALL_RUN_SHARE * serviceTimes.expectedRunTime(tracked);
     double endUs = Math.max(usefulUntil(tracked), now + shortCallUs);
     long untilUs = limiter.timeoutAt(endUs, isOptional(tracked), availableUs);
     if ((isOptional(tracked) && isTooLate((double) untilUs)) || untilUs - now > availableUs) {
@@ -152,7 +152,7 @@
 
   /** Whether a call of the usual length that is made now ends after a time. */
   private boolean isTooLate(double untilUs) {
-    return context.nowUs() + limiter.recentLengthUs() >= untilUs;
+    return context.nowUs() + limiter.recentDurationUs() >= untilUs;
   }
 
   /**
--- a/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
+++ b/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
@@ -10,7 +10,7 @@
  */
 final class IdleConnectionTimeout {
   /** Busy cores keep a connection so long for a new one (us); chosen here. */
-  private static final double NEW_CONNECTION_US = 6e6;
+  private static final double CONNECTION_SETUP_BENEFIT_US = 6e6;
 
   /** The shortest timeout (us); chosen here. */
   private static final long MIN_TIMEOUT_US = 50_000;
@@ -22,7 +22,7 @@
   private static final double DECREASE = 0.98;
 
   /** The host is told when the timeout has moved by this part; chosen here. */
-  private static final double NOTABLE_CHANGE = 0.25;
+  private static final double MIN_REPORTED_CHANGE = 0.25;
 
   /** Memory of the saving (arrivals); chosen here. */
   private static final double SAMPLE_ARRIVALS = 128;
@@ -36,10 +36,10 @@
   private final Map<Long, Long> lastArrivals = new LinkedHashMap<>();
 
   private double timeoutUs = MIN_TIMEOUT_US;
-  private double announcedUs;
+  private double reportedUs;
 
   /** What keeping connections saves less what it costs (us an arrival). */
-  private double savingUs;
+  private double netBenefitUs;
 
   IdleConnectionTimeout(PolicyContext context) {
     this.context = context;
@@ -54,7 +54,7 @@
     double benefitUs =
         Math.min(
             (double) context.settings().maxIdleUs(),
-            NEW_CONNECTION_US / Math.max(averageUtilisation, MIN_UTILISATION));
+            CONNECTION_SETUP_BENEFIT_US / Math.max(averageUtilisation, MIN_UTILISATION));
     Iterator<Long> times = lastArrivals.values().iterator(); // the oldest come first
     while (times.hasNext() && now - times.next() >= benefitUs) {
       times.remove();
@@ -62,12 +62,12 @@
     Long before = lastArrivals.remove(callerId);
     lastArrivals.put(callerId, now);
     double gainUs = before == null ? -benefitUs : benefitUs - (now - before);
-    savingUs += (gainUs - savingUs) / SAMPLE_ARRIVALS;
+    netBenefitUs += (gainUs - netBenefitUs) / SAMPLE_ARRIVALS;
   }
 
   /** Whether kept connections are used again soon enough. */
-  boolean keepingPays() {
-    return savingUs > 0;
+  boolean isKeepAliveBeneficial() {
+    return netBenefitUs > 0;
   }
 
   /**
@@ -81,9 +81,9 @@
     double maxUs = context.settings().maxIdleUs();
     double moved = timeoutUs * (keepConnections ? INCREASE : DECREASE);
     timeoutUs = Math.min(maxUs, Math.max(MIN_TIMEOUT_US, moved));
-    if (Math.abs(timeoutUs - announcedUs) > NOTABLE_CHANGE * announcedUs
-        || (timeoutUs >= maxUs && timeoutUs > announcedUs)) {
-      announcedUs = timeoutUs;
+    if (Math.abs(timeoutUs - reportedUs) > MIN_REPORTED_CHANGE * reportedUs
+        || (timeoutUs >= maxUs && timeoutUs > reportedUs)) {
+      reportedUs = timeoutUs;
       context.actions.setIdleTimeout((long) timeoutUs);
     }
   }
--- a/src/main/java/rosecleat/policy/LoadAdvisor.java
+++ b/src/main/java/rosecleat/policy/LoadAdvisor.java
@@ -12,16 +12,16 @@
   private static final double MAX_LEVEL = 0.98;
 
   /** What all callers together may have outstanding here (concurrency limits); chosen here. */
-  private static final double CREDIT_LIMITS = 64;
+  private static final double CREDIT_CONCURRENCY_LIMITS = 64;
 
   /** Run time over its base from which a server has no credit to spare; chosen here. */
-  private static final double NO_SPARE_CREDIT_SLOWNESS = 3.5;
+  private static final double REDUCED_CREDIT_SLOWNESS = 3.5;
 
   /** Run time over its base from which the weight falls; chosen here. */
   private static final double REDUCED_WEIGHT_SLOWNESS = 1.7;
 
   /** The host is told when the value has moved by so much; chosen here. */
-  private static final double NOTABLE_CHANGE = 0.01;
+  private static final double MIN_REPORTED_CHANGE = 0.01;
 
   private final PolicyContext context;
   private final ServerAvailability availability;
@@ -29,7 +29,7 @@
   private final ServiceTimeEstimator serviceTimes;
   private final ConcurrencyLimiter concurrency;
   private double level;
-  private double announced = Double.NaN;
+  private double reported = Double.NaN;
   private boolean healthy = true;
 
   LoadAdvisor(
@@ -62,7 +62,7 @@
   }
 
   /** Tells the host what has changed. */
-  void announce() {
+  void reportChanges() {
     boolean closed = availability.isClosed();
     if (healthy == closed) {
       healthy = !closed;
@@ -79,8 +79,8 @@
           case WEIGHT -> closed ? 0 : weight();
           default -> Double.NaN;
         };
-    if (!(Math.abs(value - announced) < NOTABLE_CHANGE)) {
-      announced = value;
+    if (!(Math.abs(value - reported) < MIN_REPORTED_CHANGE)) {
+      reported = value;
       context.actions.setLoadAdvice(value);
     }
   }
@@ -90,9 +90,10 @@
    * by weight. Harm: more reads, so a server far slower than it was has none to spare.
    */
   private double credit() {
-    double limits = serviceTimes.slowness() > NO_SPARE_CREDIT_SLOWNESS ? 1 : CREDIT_LIMITS;
-    double each = limits * concurrency.limit() / Math.max(1, context.settings().callers());
-    return (1 - overload.rejectionRate()) * Math.max(overload.rejectsSeldom() ? 1 : 0, each);
+    double limits =
+        serviceTimes.slowness() > REDUCED_CREDIT_SLOWNESS ? 1 : CREDIT_CONCURRENCY_LIMITS;
+    double perCaller = limits * concurrency.limit() / Math.max(1, context.settings().callers());
+    return (1 - overload.rejectionRate()) * Math.max(overload.rejectsSeldom() ? 1 : 0, perCaller);
   }
 
   private double weight() {
--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -10,7 +10,7 @@
  */
 public final class Policy implements PolicyEvents {
   /** Reading and connections that take more than this swamp the cores (share); chosen here. */
-  private static final double SWAMPED_READ_SHARE = 0.7;
+  private static final double READ_OVERLOAD_SHARE = 0.7;
 
   private static final double US_PER_S = 1e6;
 
@@ -65,7 +65,7 @@
     stallGuard = new StallGuard(context, requests, load, serviceTimes, availability);
     advisor = new LoadAdvisor(context, availability, overload, serviceTimes, concurrency);
     idleTimeout = new IdleConnectionTimeout(context);
-    use(settings);
+    applySettings(settings);
   }
 
   private AdmissionController newAdmissionController(CompletionForecast forecast) {
@@ -97,7 +97,7 @@
   }
 
   /** Goes by these settings from now on; what was learned stays with its class and tenant index. */
-  private void use(PolicySettings settings) {
+  private void applySettings(PolicySettings settings) {
     context.settings(settings);
     serviceTimes.resize(settings.classes().size());
     fairness.reconfigure();
@@ -119,7 +119,7 @@
   @Override
   public void reconfigured(long now, PolicySettings settings, List<Integer> reassignedClasses) {
     context.nowUs(now);
-    use(settings);
+    applySettings(settings);
     reassignedClasses.forEach(serviceTimes::forget);
   }
 
@@ -256,7 +256,7 @@
     double demand = load.update(gauges, gapUs, requests.running());
     if (stallGuard.tick(gapUs, demand)) {
       List.copyOf(requests.queue()).forEach(responses::answer);
-      advisor.announce();
+      advisor.reportChanges();
     }
     deadlines.check();
     calls.makeCalls();
@@ -275,10 +275,10 @@
     }
     advisor.adjustLevel(seconds);
     idleTimeout.adjust(
-        idleTimeout.keepingPays()
+        idleTimeout.isKeepAliveBeneficial()
             || overload.hasBacklog()
-            || load.readShare() > SWAMPED_READ_SHARE);
-    advisor.announce();
+            || load.readShare() > READ_OVERLOAD_SHARE);
+    advisor.reportChanges();
   }
 
   @Override
@@ -289,7 +289,7 @@
       tracked.deadlineUs = Math.min(tracked.deadlineUs, availability.stopUs());
     }
     context.actions.log("draining, stopped in " + remainingUs / 1000 + " ms");
-    advisor.announce();
+    advisor.reportChanges();
   }
 
   /** What was learned here and holds beyond the moment. */
@@ -297,7 +297,7 @@
     return new LearnedEstimates(
         serviceTimes.learnedRunTimes(),
         serviceTimes.learnedRunCounts(),
-        callLimiter.typicalLengthUs(),
+        callLimiter.typicalDurationUs(),
         callLimiter.callsEnded(),
         concurrency.limit(),
         callLimiter.limit(),
--- a/src/main/java/rosecleat/policy/ResponseSender.java
+++ b/src/main/java/rosecleat/policy/ResponseSender.java
@@ -53,13 +53,13 @@
     }
     tracked.awaitingResponse = false;
     boolean closed = availability.isClosed();
-    long retryAfterUs = (long) (retryAfterPart(closed) * context.settings().maxRetryAfterUs());
+    long retryAfterUs = (long) (retryAfterShare(closed) * context.settings().maxRetryAfterUs());
     context.actions.reject(tracked.id(), retryAfterUs, !closed && !mayTryElsewhere(tracked));
     release(tracked);
   }
 
   /** The part of the longest Retry-After that a caller is advised. */
-  private double retryAfterPart(boolean closed) {
+  private double retryAfterShare(boolean closed) {
     if (closed) {
       return 1;
     }
--- a/src/main/java/rosecleat/policy/TenantFairness.java
+++ b/src/main/java/rosecleat/policy/TenantFairness.java
@@ -8,13 +8,13 @@
   private static final double SAMPLE_ARRIVALS = 128;
 
   /** A tenant served so many quotas gains little by more; chosen here. */
-  private static final double SERVED_ENOUGH = 1.5;
+  private static final double SERVED_QUOTA_FACTOR = 1.5;
 
   private final PolicyContext context;
   private final RequestRates rates;
   private double[] arrivalShares = {};
   private double[] servedRuns = {};
-  private double allQuotasPerS;
+  private double totalQuotaPerS;
 
   TenantFairness(PolicyContext context, RequestRates rates) {
     this.context = context;
@@ -27,17 +27,17 @@
     int known = arrivalShares.length;
     arrivalShares = Arrays.copyOf(arrivalShares, settings.tenants().size());
     servedRuns = Arrays.copyOf(servedRuns, arrivalShares.length);
-    allQuotasPerS = settings.tenants().stream().mapToDouble(TenantQuota::quotaPerS).sum();
+    totalQuotaPerS = settings.tenants().stream().mapToDouble(TenantQuota::quotaPerS).sum();
     for (int tenant = known; tenant < arrivalShares.length; tenant++) {
       double quotaPerS = settings.tenants().get(tenant).quotaPerS();
-      arrivalShares[tenant] = allQuotasPerS > 0 ? quotaPerS / allQuotasPerS : 0;
+      arrivalShares[tenant] = totalQuotaPerS > 0 ? quotaPerS / totalQuotaPerS : 0;
     }
   }
 
   void countArrival(int tenantIndex) {
     for (int tenant = 0; tenant < arrivalShares.length; tenant++) {
-      int here = tenant == tenantIndex ? 1 : 0;
-      arrivalShares[tenant] += (here - arrivalShares[tenant]) / SAMPLE_ARRIVALS;
+      int sample = tenant == tenantIndex ? 1 : 0;
+      arrivalShares[tenant] += (sample - arrivalShares[tenant]) / SAMPLE_ARRIVALS;
     }
   }
 
@@ -67,20 +67,22 @@
     if (tenantIndex >= arrivalShares.length
         || settings.overQuotaWeight() >= 1
         || settings.servers() == 0
-        || allQuotasPerS <= 0) {
+        || totalQuotaPerS <= 0) {
       return 1;
     }
     double quotaPerS = settings.tenants().get(tenantIndex).quotaPerS();
-    double share = quotaPerS / allQuotasPerS;
+    double share = quotaPerS / totalQuotaPerS;
     if (share <= 0) {
       return settings.overQuotaWeight();
     }
-    double rate = RequestRates.perSecond(rates.arrivals()) * settings.servers() / allQuotasPerS;
+    double rate = RequestRates.perSecond(rates.arrivals()) * settings.servers() / totalQuotaPerS;
     double demand = arrivalShares[tenantIndex] / share * Math.min(1, rate);
     double sampleError = Math.sqrt((1 - share) / share / (2 * SAMPLE_ARRIVALS));
     double served =
         RequestRates.perSecond(servedRuns[tenantIndex]) * settings.servers() / quotaPerS;
-    return demand <= 1 + sampleError || served < SERVED_ENOUGH ? 1 : settings.overQuotaWeight();
+    return demand <= 1 + sampleError || served < SERVED_QUOTA_FACTOR
+        ? 1
+        : settings.overQuotaWeight();
   }
 
   /** Each tenant's share of the recent arrivals. */
@@ -90,10 +92,10 @@
 
   /** Takes in shares learned elsewhere, as far as they rest on enough arrivals. */
   void restore(double[] learnedShares, double arrivals) {
-    double trust = Math.min(1, arrivals / SAMPLE_ARRIVALS);
+    double learnedWeight = Math.min(1, arrivals / SAMPLE_ARRIVALS);
     for (int tenant = 0; tenant < arrivalShares.length; tenant++) {
       arrivalShares[tenant] =
-          arrivalShares[tenant] + trust * (learnedShares[tenant] - arrivalShares[tenant]);
+          arrivalShares[tenant] + learnedWeight * (learnedShares[tenant] - arrivalShares[tenant]);
     }
   }
 }
--- a/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
@@ -23,14 +23,14 @@
           3_000_000);
 
   @Test
-  void anOutstandingCallReservesItsTimeAndItsLingering() {
+  void outstandingCallReservesItsTimeoutAndLingerTime() {
     assertEquals(WINDOW_US - LINGER_US, limiter.availableUs());
     limiter.acquire(tracked, 1_000_000);
     assertEquals(WINDOW_US - 1_000_000 - 2 * LINGER_US, limiter.availableUs());
   }
 
   @Test
-  void aCallThatEndedOccupiesOnlyTheTimeThatItTook() {
+  void endedCallOccupiesOnlyItsDuration() {
     limiter.acquire(tracked, 1_000_000);
     context.nowUs(100_000);
     limiter.release(tracked, true);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aCallThatWasGivenUpLingers() {
+  void abandonedCallOccupiesItsLingerTimeToo() {
     limiter.acquire(tracked, 1_000_000);
     context.nowUs(100_000);
     limiter.release(tracked, false);
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aRejectionLowersTheLimitToLessThanWhatWasOutstanding() {
+  void rejectionLowersLimitBelowOutstandingCalls() {
     limiter.recordRejection();
     limiter.adjust(10);
     assertEquals(7, limiter.limit(), 1e-9);
@@ -56,12 +56,12 @@
   }
 
   @Test
-  void aRestoredLengthCountsOnlyWhereNoCallWasSeen() {
+  void restoredDurationIsUsedOnlyBeforeFirstCall() {
     limiter.restore(30_000, 5);
-    assertEquals(30_000, limiter.typicalLengthUs());
+    assertEquals(30_000, limiter.typicalDurationUs());
     assertEquals(5, limiter.limit());
-    limiter.recordLength(30_000);
+    limiter.recordDuration(30_000);
     limiter.restore(90_000, 0);
-    assertEquals(30_000, limiter.typicalLengthUs(), 1e-6);
+    assertEquals(30_000, limiter.typicalDurationUs(), 1e-6);
   }
 }
--- a/src/test/java/rosecleat/policy/DownstreamCallTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallTest.java
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void aCallWhoseRequestEndsFirstIsReleased() {
+  void callIsReleasedWhenItsRequestEndsFirst() {
     SimulatedHost host = Scenarios.withDownstreamQuota(1, false, Scenarios.OPTIONAL_CALL);
     for (int i = 0; i < 9; i++) { // each caller leaves while its call is out: no outcome ever comes
       SimulatedHost.HostedRequest hosted = host.arrive(0);
@@ -68,12 +68,12 @@
   }
 
   @Test
-  void noWindowHoldsMoreCallsThanTheQuota() {
-    for (double share : new double[] {0, 0.3, 1, 3}) {
+  void noWindowExceedsCallQuota() {
+    for (double quota : new double[] {0, 0.3, 1, 3}) {
       SplittableRandom random = new SplittableRandom(9);
       SimulatedHost host =
           Scenarios.withDownstreamQuota(
-              share,
+              quota,
               false,
               Scenarios.OPTIONAL_CALL,
               new PriorityClass(9, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, true, 0.6));
@@ -92,8 +92,8 @@
         }
         host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
       }
-      assertTrue(host.maxMeanCalls() <= share, share + " " + host.maxMeanCalls());
-      assertTrue(share == 0 || host.allCalls.size() > 20, "calls " + host.allCalls.size());
+      assertTrue(host.maxMeanCalls() <= quota, quota + " " + host.maxMeanCalls());
+      assertTrue(quota == 0 || host.allCalls.size() > 20, "calls " + host.allCalls.size());
     }
   }
 
@@ -119,25 +119,25 @@
 
   /**
    * Guards a class that is worth nothing without its call: booked until its deadline such a call
-   * was more than the whole share where servers are many, so it was never made, and being the
+   * was more than the whole quota where servers are many, so it was never made, and being the
    * dearest kept all others back.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 0.91, 5, 500})
-  void callsAreMadeHoweverSmallTheQuotaIs(double share) {
+  void callsAreMadeWithAnyNonZeroQuota(double quota) {
     for (int first = 0; first < 2; first++) {
       SimulatedHost host =
           Scenarios.withDownstreamQuota(
-              share, false, Scenarios.LESS_WITHOUT_CALL, Scenarios.NOTHING_WITHOUT_CALL);
+              quota, false, Scenarios.LESS_WITHOUT_CALL, Scenarios.NOTHING_WITHOUT_CALL);
       double[] made = callsMade(host, 400_000, 40_000, first);
-      assertTrue(made[0] > 0.95 && made[1] > 0.95, share + ": " + made[0] + " " + made[1]);
-      assertTrue(host.maxMeanCalls() <= share);
+      assertTrue(made[0] > 0.95 && made[1] > 0.95, quota + ": " + made[0] + " " + made[1]);
+      assertTrue(host.maxMeanCalls() <= quota);
     }
   }
 
-  /** Guards against a slow time after which the usual patience is more than the share, for good. */
+  /** Guards against a slow time after which the usual patience is more than the quota, for good. */
   @Test
-  void withASmallQuotaCallsAreMadeAgainAfterASlowDependency() {
+  void callsResumeAfterSlowDependencyWithSmallQuota() {
     SimulatedHost host =
         Scenarios.withDownstreamQuota(
             0.91, false, Scenarios.LESS_WITHOUT_CALL, Scenarios.NOTHING_WITHOUT_CALL);
@@ -149,11 +149,11 @@
   }
 
   /**
-   * Guards against a stall that uses up the share: calls are short again, and there is room for
+   * Guards against a stall that uses up the quota: calls are short again, and there is room for
    * many of them.
    */
   @Test
-  void afterAStallOfTheDependencyShortCallsFitIntoTheSameWindow() {
+  void shortCallsFitIntoSameWindowAfterDependencyStall() {
     SimulatedHost host =
         Scenarios.withDownstreamQuota(
             0.91, false, Scenarios.LESS_WITHOUT_CALL, Scenarios.NOTHING_WITHOUT_CALL);
@@ -176,10 +176,10 @@
    * Guards a dependency against one call from each of a hundred servers: together they are a jam.
    */
   @Test
-  void withASmallQuotaSlowCallsAreMadeWithPausesBetweenThem() {
+  void slowCallsAreSpacedOutWithSmallQuota() {
     SimulatedHost host = Scenarios.withDownstreamQuota(0.91, false, Scenarios.LESS_WITHOUT_CALL);
     Set<SimulatedHost.HostedRequest> asked = new HashSet<>();
-    long[] out = new long[3];
+    long[] occupiedPercent = new long[3];
     for (int phase = 0;
         phase < 3;
         phase++) { // as fast as usual; five times as slow, until that is seen; and then
@@ -202,7 +202,7 @@
         host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
         host.advance(20_000);
       }
-      out[phase] =
+      occupiedPercent[phase] =
           host.allCalls.subList(before, host.allCalls.size()).stream()
                   .mapToLong(o -> Math.min(o.untilUs, host.nowUs) - o.startedUs)
                   .sum()
@@ -210,19 +210,20 @@
               / (host.nowUs - began);
     }
     assertTrue(
-        out[0] > 15,
-        "fast, hundredths of a call out: " + out[0]); // one each 80 ms, of 20 ms or a little more
+        occupiedPercent[0] > 15,
+        "fast, hundredths of a call out: "
+            + occupiedPercent[0]); // one each 80 ms, of 20 ms or a little more
     assertTrue(
-        out[2] > 10 && out[2] < 60,
-        "slow, hundredths of a call out: " + out[2]); // that many would be 125
+        occupiedPercent[2] > 10 && occupiedPercent[2] < 60,
+        "slow, hundredths of a call out: " + occupiedPercent[2]); // that many would be 125
   }
 
   /**
-   * Where not even one short call fits into the share of a span, some are made all the same: one in
+   * Where not even one short call fits into the quota of a span, some are made all the same: one in
    * many spans.
    */
   @Test
-  void aQuotaThatNoCallFitsIntoIsUsedOverALongerWindow() {
+  void quotaTooSmallForOneCallIsAppliedOverLongerWindow() {
     Set<Long> firsts = new HashSet<>();
     for (int seed = 1; seed <= 8; seed++) {
       SimulatedHost host =
@@ -252,7 +253,7 @@
   }
 
   @Test
-  void anOptionalCallIsGivenUpWhileAnAnswerWithoutItIsInTime() {
+  void optionalCallTimesOutInTimeForResponseWithoutIt() {
     SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
     for (int i = 0; i < 20; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
@@ -272,14 +273,14 @@
 
   /** Guards a shared dependency that gets less done the more it holds. */
   @Test
-  void theCallLimitFallsWhileCallsAreSlowAndRisesAfterwards() {
+  void callLimitFallsWhileCallsAreSlowAndRisesAfterwards() {
     SimulatedHost host = Scenarios.withDownstreamQuota(40, false, Scenarios.OPTIONAL_CALL);
     host.gauges.coreUtilisation = 0.5;
     Set<SimulatedHost.HostedRequest> called = new HashSet<>();
-    int most = 0;
+    int maxOutstanding = 0;
     for (int step = 0; step < 900; step++) {
       long length = step >= 300 && step < 600 ? 400_000 : 20_000;
-      most = step == 360 || step == 550 ? 0 : most;
+      maxOutstanding = step == 360 || step == 550 ? 0 : maxOutstanding;
       host.arrive(0);
       for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
         if (hosted.state == RequestState.RUNNING && called.add(hosted)) {
@@ -295,12 +296,13 @@
         }
       }
       host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
-      most = Math.max(most, host.outstandingCalls);
+      maxOutstanding = Math.max(maxOutstanding, host.outstandingCalls);
       if (step == 380) {
         assertTrue(
-            most <= 4, "a slow dependency held " + most); // 50 a second that take 0.4 s would be 20
+            maxOutstanding <= 4,
+            "a slow dependency held " + maxOutstanding); // 50 a second that take 0.4 s would be 20
       } else if (step == 599) {
-        assertTrue(most >= 8, "slow however few were out, it held " + most);
+        assertTrue(maxOutstanding >= 8, "slow however few were out, it held " + maxOutstanding);
       }
       host.advance(20_000);
     }
@@ -308,7 +310,7 @@
   }
 
   private static void assertFourCallsAreMadeForEightArrivals(SimulatedHost host) {
-    int freed = host.actions.size();
+    int actionsBefore = host.actions.size();
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
     }
@@ -316,7 +318,7 @@
     host.advance(400_000); // one more each step
     assertEquals(
         4,
-        host.actions.subList(freed, host.actions.size()).stream()
+        host.actions.subList(actionsBefore, host.actions.size()).stream()
             .filter(a -> a.startsWith("call"))
             .count());
   }
@@ -326,7 +328,7 @@
    * moment.
    */
   @Test
-  void rejectedCallsLowerTheLimitAndAreNotCountedAsShort() {
+  void rejectedCallsLowerLimitButNotTypicalDuration() {
     SimulatedHost host = Scenarios.withDownstreamQuota(40, false, Scenarios.OPTIONAL_CALL);
     for (int i = 0; i < 60; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
@@ -356,7 +358,7 @@
   }
 
   @Test
-  void aShortFirstCallDoesNotLimitTheOthers() {
+  void shortFirstCallDoesNotLowerLimit() {
     SimulatedHost host = Scenarios.withDownstreamQuota(40, false, Scenarios.OPTIONAL_CALL);
     for (int i = 0; i < 60; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
@@ -373,21 +375,21 @@
   }
 
   @Test
-  void withNoQuotaEveryCallIsSkippedAndEveryRequestIsAnswered() {
+  void everyCallIsSkippedAndEveryRequestAnsweredWithZeroQuota() {
     SimulatedHost host =
         Scenarios.withDownstreamQuota(
             0,
             false,
             Scenarios.OPTIONAL_CALL,
             new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, true, 0));
-    SimulatedHost.HostedRequest can = host.arrive(0);
-    SimulatedHost.HostedRequest cannot = host.arrive(1);
-    host.needCall(can);
-    host.needCall(cannot);
+    SimulatedHost.HostedRequest optional = host.arrive(0);
+    SimulatedHost.HostedRequest mandatory = host.arrive(1);
+    host.needCall(optional);
+    host.needCall(mandatory);
     host.advance(1_000_000);
-    assertEquals(RequestState.RUNNING, can.state);
+    assertEquals(RequestState.RUNNING, optional.state);
     host.advance(2_000_000);
-    assertFalse(cannot.awaitingResponse);
+    assertFalse(mandatory.awaitingResponse);
     assertTrue(host.allCalls.isEmpty());
   }
 }
--- a/src/test/java/rosecleat/policy/DrainTest.java
+++ b/src/test/java/rosecleat/policy/DrainTest.java
@@ -9,7 +9,7 @@
 /** A drain answers everything before the stop. */
 class DrainTest {
   @Test
-  void afterTheGraceArrivalsAreRejectedAndAllIsAnsweredBeforeTheStop() {
+  void arrivalsAfterGracePeriodAreRejectedAndAllAreAnsweredBeforeStop() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 12; i++) {
       host.arrive(i % 3);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aDrainShorterThanTheWorkStillAnswersAll() {
+  void drainShorterThanRunsAnswersAllRequests() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 12; i++) {
       host.arrive(i % 3);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aDrainWhileAllWaitForCallsAnswersAllBeforeTheStop() {
+  void drainAnswersRequestsWaitingForCallsBeforeStop() {
     SimulatedHost host = Scenarios.allWaitingForCalls(20, false);
     host.drain(600_000);
     host.advance(580_000);
--- a/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
+++ b/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
@@ -132,7 +132,7 @@
   // README example ends
 
   @Test
-  void theExampleServesARequest() {
+  void exampleServesRequest() {
     Server server = new Server(settings(), 42);
     server.policy.start(0);
     server.receive(
--- a/src/test/java/rosecleat/policy/EventSequenceTest.java
+++ b/src/test/java/rosecleat/policy/EventSequenceTest.java
@@ -37,9 +37,9 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7})
-  void randomLegalEventsBreakNoRule(long seed) {
+  void randomLegalEventsViolateNoInvariant(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    SimulatedHost host = hostOfAllKinds(seed);
+    SimulatedHost host = hostWithAllClasses(seed);
     for (int step = 0; step < 4000; step++) {
       host.gauges.coreUtilisation = random.nextDouble();
       host.gauges.runnable = host.running().size();
@@ -65,7 +65,7 @@
     assertTrue(host.actions.stream().filter(a -> a.startsWith("run")).count() > 500);
   }
 
-  private static SimulatedHost hostOfAllKinds(long seed) {
+  private static SimulatedHost hostWithAllClasses(long seed) {
     PriorityClass safe =
         new PriorityClass(1, 0.2, 800_000, 0, 2_500_000, Idempotency.SAFE, 0, true, 0.4);
     PriorityClass keyed =
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void theSameEventsGiveTheSameActions() {
+  void sameEventsProduceSameActions() {
     List<String> first = null;
     for (int pass = 0; pass < 2; pass++) {
       SimulatedHost host = Scenarios.warmedUp();
--- a/src/test/java/rosecleat/policy/IdempotencyTest.java
+++ b/src/test/java/rosecleat/policy/IdempotencyTest.java
@@ -9,7 +9,7 @@
 /** Effects run at most once. */
 class IdempotencyTest {
   @Test
-  void aRetryOfAKeyedRequestAttachesWhileItIsQueuedRunningOrCompleted() {
+  void retryOfKeyedRequestAttachesWhileOriginalIsQueuedRunningOrCompleted() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     SimulatedHost.HostedRequest a = host.arrive(1);
     SimulatedHost.HostedRequest running = host.arrive(1, 0, 0, 0, a.request.id());
@@ -20,13 +20,13 @@
     for (int i = 0; i < 4; i++) {
       host.arrive(0);
     }
-    SimulatedHost.HostedRequest held = host.arrive(1);
-    assertEquals(RequestState.QUEUED, held.state);
-    assertEquals(RequestState.ATTACHED, host.arrive(1, 0, 0, 0, held.request.id()).state);
+    SimulatedHost.HostedRequest queued = host.arrive(1);
+    assertEquals(RequestState.QUEUED, queued.state);
+    assertEquals(RequestState.ATTACHED, host.arrive(1, 0, 0, 0, queued.request.id()).state);
   }
 
   @Test
-  void aRetryOfARequestCancelledWhileQueuedRunsOnce() {
+  void retryOfRequestCancelledWhileQueuedRunsOnce() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 4; i++) {
       host.arrive(0);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aRetryOfAFailedOrUnknownEffectNeverRuns() {
+  void retryOfFailedOrUnknownExecutionNeverRuns() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     SimulatedHost.HostedRequest a = host.arrive(1);
     host.end(a, Outcome.FAILED, 1000);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aKeyedRequestIsRejectedWhereKeysHaveNoMemoryLeft() {
+  void keyedRequestIsRejectedWhenMemoryForKeysIsFull() {
     SimulatedHost host =
         new SimulatedHost(
             TestSettings.withoutDownstream(
@@ -67,19 +67,19 @@
                 TestSettings.SAFE,
                 TestSettings.KEYED),
             1);
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 30; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(1);
-      refused += hosted.answer.equals("reject") ? 1 : 0;
+      rejected += hosted.answer.equals("reject") ? 1 : 0;
       if (hosted.state == RequestState.RUNNING) {
         host.end(hosted, Outcome.OK, 1000);
       }
     }
-    assertTrue(refused > 10);
+    assertTrue(rejected > 10);
   }
 
   @Test
-  void anEffectWhoseRunWasDroppedIsFailedAndNotRunAgain() {
+  void unsafeRequestWhoseRunWasDroppedFailsAndIsNotRunAgain() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     SimulatedHost.HostedRequest a = host.arrive(2);
     host.end(a, Outcome.CANCELLED, 1000);
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void anUnsafeCallIsRetriedOnlyWhereItProvablyNeverRan() {
+  void callOfUnsafeRequestIsRetriedOnlyIfItNeverRan() {
     PriorityClass calling =
         new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
     SimulatedHost host = new SimulatedHost(TestSettings.sharedDownstream(4, calling), 1);
--- a/src/test/java/rosecleat/policy/IdleConnectionTimeoutTest.java
+++ b/src/test/java/rosecleat/policy/IdleConnectionTimeoutTest.java
@@ -8,7 +8,7 @@
 /** When idle connections are closed. */
 class IdleConnectionTimeoutTest {
   @Test
-  void theTimeoutIsShortWhereCallersHardlyReturnAndLongWhereTheyDo() {
+  void timeoutIsShortForRareCallersAndLongForFrequentCallers() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 400; i++) {
       host.callerId = i % 300; // thirty seconds apart
@@ -28,7 +28,7 @@
    * Guards the table against strangers from the first one on: connections that asked once and stay.
    */
   @Test
-  void callersSeenOnceKeepTheTimeoutShortBesideAFewThatReturn() {
+  void oneTimeCallersKeepTimeoutShortDespiteOneReturningCaller() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 100; i++) {
       host.callerId = i % 4 == 0 ? 1 : 1_000 + i;
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void theTimeoutIsLongWhileReadingSwampsTheCores() {
+  void timeoutIsLongWhileReadsOverloadCores() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     host.gauges.runnable = 40;
     host.advance(5_000_000);
--- a/src/test/java/rosecleat/policy/LoadAdviceTest.java
+++ b/src/test/java/rosecleat/policy/LoadAdviceTest.java
@@ -10,14 +10,14 @@
 /** What callers are advised: level, credit, Retry-After. */
 class LoadAdviceTest {
   @Test
-  void creditIsFiniteWhereTheCallersAreNotKnown() {
-    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 0), 1);
+  void creditIsFiniteWithUnknownNumberOfCallers() {
+    SimulatedHost host = new SimulatedHost(TestSettings.withCallers(LoadAdviceMode.CREDIT, 0), 1);
     host.advance(200_000);
     assertTrue(host.loadAdvice >= 1 && Double.isFinite(host.loadAdvice), "said " + host.loadAdvice);
   }
 
   @Test
-  void requestsReadLateRaiseTheLevelAndTheRetryAfter() {
+  void requestsReadLateRaiseLevelAndRetryAfter() {
     SimulatedHost host = Scenarios.warmedUp();
     assertTrue(host.loadAdvice < 0.05);
     for (int i = 0; i < 80; i++) {
@@ -35,8 +35,8 @@
    * the rest.
    */
   @Test
-  void eachOfAFewCallersIsGivenCreditForAllThatTheServerRuns() {
-    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 32), 1);
+  void eachOfFewCallersGetsCreditForWholeServer() {
+    SimulatedHost host = new SimulatedHost(TestSettings.withCallers(LoadAdviceMode.CREDIT, 32), 1);
     host.advance(200_000);
     assertTrue(
         host.loadAdvice >= 4,
@@ -48,8 +48,8 @@
    * on.
    */
   @Test
-  void aServerFarSlowerThanBeforeHasNoCreditToSpare() {
-    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 8), 1);
+  void muchSlowerServerReducesCredit() {
+    SimulatedHost host = new SimulatedHost(TestSettings.withCallers(LoadAdviceMode.CREDIT, 8), 1);
     for (int i = 0; i < 120; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       host.advance(i < 60 ? 50_000 : 400_000);
@@ -63,8 +63,9 @@
   }
 
   @Test
-  void eachOfManyCallersIsGivenLessThanOneCreditWhileTheServerRejects() {
-    SimulatedHost host = new SimulatedHost(TestSettings.crowded(LoadAdviceMode.CREDIT, 1280), 1);
+  void eachOfManyCallersGetsLessThanOneCreditWhileServerRejects() {
+    SimulatedHost host =
+        new SimulatedHost(TestSettings.withCallers(LoadAdviceMode.CREDIT, 1280), 1);
     host.advance(200_000);
     assertEquals(1, host.loadAdvice, 1e-9);
     host.gauges.coreUtilisation = 1;
@@ -92,8 +93,8 @@
   }
 
   @Test
-  void aFirstAttemptMayTryElsewhereWhereTheServerRejectsSeldom() {
-    SimulatedHost host = new SimulatedHost(TestSettings.marked(), 1);
+  void firstAttemptMayTryAnotherServerWhenRejectionsAreRare() {
+    SimulatedHost host = new SimulatedHost(TestSettings.withMarkedRetries(), 1);
     host.arrive(0, 0, 2_000_000, 0, 0); // read too late to be of use
     host.arrive(0);
     host.arrive(0, 0, 2_900_000, 0, 0);
--- a/src/test/java/rosecleat/policy/Scenarios.java
+++ b/src/test/java/rosecleat/policy/Scenarios.java
@@ -17,13 +17,13 @@
   private Scenarios() {}
 
   static SimulatedHost withDownstreamQuota(
-      double callsOut, boolean cold, PriorityClass... classes) {
+      double concurrentCalls, boolean cold, PriorityClass... classes) {
     return new SimulatedHost(
         TestSettings.with(
             CancelMode.PAUSE,
             LoadAdviceMode.LEVEL,
             DownstreamMode.SHARED,
-            callsOut,
+            concurrentCalls,
             100_000,
             cold,
             List.of(),
@@ -47,10 +47,10 @@
     return warmedUp(100_000);
   }
 
-  static SimulatedHost warmedUp(long took) {
+  static SimulatedHost warmedUp(long runTimeUs) {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 30; i++) {
-      host.end(host.arrive(i % 3), Outcome.OK, took);
+      host.end(host.arrive(i % 3), Outcome.OK, runTimeUs);
       host.advance(100_000);
     }
     return host;
--- a/src/test/java/rosecleat/policy/SimulatedHost.java
+++ b/src/test/java/rosecleat/policy/SimulatedHost.java
@@ -133,17 +133,17 @@
     check();
   }
 
-  private void releaseCall(HostedRequest hosted, long lingers) {
+  private void releaseCall(HostedRequest hosted, long lingerUs) {
     if (hosted.call != null) {
       outstandingCalls--;
-      hosted.call.untilUs = Math.min(nowUs, hosted.callUntilUs) + lingers;
+      hosted.call.untilUs = Math.min(nowUs, hosted.callUntilUs) + lingerUs;
       hosted.call = null;
     }
   }
 
   /** The largest mean of calls out over the settings' span, at any time until nowUs. */
   double maxMeanCalls() {
-    double most = 0;
+    double maxMean = 0;
     for (OutstandingCall last : allCalls) {
       for (long end :
           new long[] {
@@ -156,10 +156,10 @@
                   0,
                   Math.min(end, o.untilUs) - Math.max(o.startedUs, end - settings.callWindowUs()));
         }
-        most = Math.max(most, sum / settings.callWindowUs());
+        maxMean = Math.max(maxMean, sum / settings.callWindowUs());
       }
     }
-    return most;
+    return maxMean;
   }
 
   void callerCancels(HostedRequest hosted) {
@@ -201,10 +201,10 @@
     double kb = 0;
     for (HostedRequest hosted : requests.values()) {
       if (hosted.state != RequestState.COMPLETED) {
-        boolean small =
+        boolean unstarted =
             (hosted.state == RequestState.QUEUED && !hosted.paused)
                 || hosted.state == RequestState.ATTACHED;
-        kb += hosted.request.queuedKb() * (small ? 1 : settings.runMemoryFactor());
+        kb += hosted.request.queuedKb() * (unstarted ? 1 : settings.runMemoryFactor());
       }
     }
     for (long until : keysUntilUs.values()) {
@@ -262,7 +262,7 @@
   }
 
   @Override
-  public void reject(long id, long holdOffUs, boolean last) {
+  public void reject(long id, long retryAfterUs, boolean noRetry) {
     actions.add("reject " + id);
     HostedRequest hosted = find(id);
     if (idempotency(hosted) != Idempotency.SAFE) {
@@ -271,8 +271,8 @@
         assertFalse(requests.get(o).executed, "repeat refused after the effect ran");
       }
     }
-    lastRetryAfterUs = holdOffUs;
-    lastNoRetry = last;
+    lastRetryAfterUs = retryAfterUs;
+    lastNoRetry = noRetry;
     answer(hosted, "reject");
   }
 
@@ -348,8 +348,8 @@
   }
 
   @Override
-  public void setHealth(boolean isGood, boolean fromStore) {
-    healthy = isGood;
+  public void setHealth(boolean isHealthy, boolean shallow) {
+    healthy = isHealthy;
   }
 
   @Override
--- a/src/test/java/rosecleat/policy/TestSettings.java
+++ b/src/test/java/rosecleat/policy/TestSettings.java
@@ -126,7 +126,7 @@
         List.of(classes));
   }
 
-  static PolicySettings crowded(LoadAdviceMode loadAdviceMode, int callers) {
+  static PolicySettings withCallers(LoadAdviceMode loadAdviceMode, int callers) {
     return with(
         CancelMode.DROP,
         loadAdviceMode,
@@ -140,7 +140,7 @@
         List.of(SAFE));
   }
 
-  static PolicySettings marked() {
+  static PolicySettings withMarkedRetries() {
     return with(
         CancelMode.DROP,
         LoadAdviceMode.LEVEL,
