--- a/src/main/java/rosecleat/policy/CallOutcome.java
+++ b/src/main/java/rosecleat/policy/CallOutcome.java
@@ -1,18 +1,18 @@
 package rosecleat.policy;
 
-/** How a downstream call ended, as a host of {@link PolicyEngine} reports it. */
+/** The outcome of a downstream call, as a host of {@link PolicyEngine} reports it. */
 public enum CallOutcome {
-  /** It succeeded. */
+  /** The call succeeded. */
   OK(Outcome.OK),
-  /** It failed; it may have taken effect. */
+  /** The call failed; it may have taken effect. */
   FAILED(Outcome.FAILED),
-  /** The dependency rejected it before it ran. */
+  /** The dependency rejected the call before running it. */
   REJECTED(Outcome.REJECTED),
-  /** It was given up after a time; it may have taken effect. */
+  /** The call timed out; it may have taken effect. */
   TIMEOUT(Outcome.TIMEOUT),
-  /** The dependency was not reached. */
+  /** The dependency could not be reached, so the call took no effect. */
   UNREACHABLE(Outcome.UNREACHABLE),
-  /** The connection was lost; it may have taken effect. */
+  /** The connection was lost during the call; the call may have taken effect. */
   RESET(Outcome.RESET);
 
   private final Outcome outcome;
@@ -21,7 +21,7 @@
     this.outcome = outcome;
   }
 
-  /** The same for the policy, which uses one set of outcomes for runs and calls. */
+  /** Returns the corresponding {@link Outcome}, which the policy uses for runs and calls alike. */
   Outcome outcome() {
     return outcome;
   }
--- a/src/main/java/rosecleat/policy/CancelMode.java
+++ b/src/main/java/rosecleat/policy/CancelMode.java
@@ -1,11 +1,11 @@
 package rosecleat.policy;
 
-/** What the server can do to a running request. */
+/** How the server can stop a running request. */
 public enum CancelMode {
-  /** Nothing: a run goes on to its end. */
+  /** A run cannot be stopped and continues to its end. */
   OFF,
-  /** Its work is lost; a request that still needs an answer is queued again. */
+  /** The run is discarded; a request that still needs an answer is queued again. */
   DROP,
-  /** Its work is paused; a request that still needs an answer is queued again. */
+  /** The run is paused; a request that still needs an answer is queued again. */
   PAUSE
 }
--- a/src/main/java/rosecleat/policy/ClassAndTenantNames.java
+++ b/src/main/java/rosecleat/policy/ClassAndTenantNames.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The names that class and tenant indexes stand for.
+ * The names of the classes and tenants, by index.
  *
  * @param classes the name of each class, null where the index is not in use
  * @param tenants the name of each tenant, null where the index is not in use
--- a/src/main/java/rosecleat/policy/CommandCollector.java
+++ b/src/main/java/rosecleat/policy/CommandCollector.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayDeque;
 
-/** Turns the policy's actions into commands, in their order. */
+/** Queues the policy's actions as commands, in the order in which they are called. */
 abstract class CommandCollector implements PolicyActions {
   private final ArrayDeque<PolicyCommand> commands = new ArrayDeque<>();
 
-  /** Removes the next command and returns it; null where there is none. */
+  /** Removes and returns the next command, or null if there is none. */
   PolicyCommand poll() {
     return commands.poll();
   }
--- a/src/main/java/rosecleat/policy/DownstreamCall.java
+++ b/src/main/java/rosecleat/policy/DownstreamCall.java
@@ -1,10 +1,13 @@
 package rosecleat.policy;
 
-/** The time that one call occupies the dependency. */
+/** The time span in which one downstream call occupies the dependency. */
 final class DownstreamCall {
   final long startedUs;
 
-  /** When it stops to occupy the dependency, or the latest time of that while it is outstanding. */
+  /**
+   * When the call stops occupying the dependency; while the call is outstanding, the latest such
+   * time.
+   */
   long occupiedUntilUs;
 
   DownstreamCall(long startedUs, long occupiedUntilUs) {
--- a/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
@@ -4,35 +4,41 @@
 import java.util.List;
 
 /**
- * Limits the downstream calls: their number at a time by how long calls take, and the time they
- * occupy a shared dependency by this server's quota.
+ * Limits downstream calls in two ways: the number of concurrent calls adapts to the call duration,
+ * and the time that calls occupy a shared dependency stays within this server's quota.
  */
 final class DownstreamCallLimiter {
-  /** Usual lengths of a call after which it is given up; chosen here. */
+  /** Multiple of the recent call duration after which an optional call times out. */
   private static final double TIMEOUT_FACTOR = 8;
 
-  /** Usual lengths of a call from which fewer are outstanding; chosen here. */
+  /** Multiple of the typical call duration above which the limit decreases. */
   private static final double SLOW_FACTOR = 3;
 
-  /** So many calls may be outstanding in any case (calls); chosen here. */
+  /** Lower bound of the limit on concurrent calls. */
   private static final double MIN_LIMIT_CALLS = 2;
 
-  /** Or this share of the server's quota, if that is fewer; chosen here. */
+  /** Lower bound of the limit as a share of this server's quota, if that is fewer calls. */
   private static final double MIN_LIMIT_QUOTA_SHARE = 0.4;
 
-  /** One step down of the limit (factor); chosen here. */
+  /** Factor by which one step decreases the limit. */
   private static final double DECREASE = 0.7;
 
-  /** Least rise of the usual length a step while calls are slow (factor); chosen here. */
+  /**
+   * Factor by which a step raises the typical call duration while calls are slow or rejected and
+   * the limit is at its lower bound.
+   */
   private static final double TYPICAL_DURATION_GROWTH = 1.05;
 
-  /** Weight of the newest call in the recent length; chosen here. */
+  /** Weight of the newest call in the recent call duration. */
   private static final double RECENT_WEIGHT = 0.1;
 
-  /** Least weight of the newest call in the usual length; chosen here. */
+  /** Minimum weight of the newest sample in the typical call duration. */
   private static final double MIN_TYPICAL_WEIGHT = 0.002;
 
-  /** A quota of so many lingering times is halved among calls; chosen here. */
+  /**
+   * Size of the quota, as a multiple of the linger time, from which one call may reserve at most
+   * half of the quota.
+   */
   private static final double LARGE_QUOTA_LINGER_TIMES = 4;
 
   private final PolicyContext context;
@@ -50,8 +56,9 @@
   }
 
   /**
-   * Draws when the first call may be made: servers that start together and may call seldom must not
-   * call at the same time.
+   * Sets the earliest time of the first call. If the quota is so small that the window is extended,
+   * the time is random within the window, so that servers that start together do not call at the
+   * same time.
    */
   void start(long nowUs) {
     noCallBeforeUs =
@@ -60,32 +67,35 @@
             : nowUs;
   }
 
-  /** Length of recent calls, smoothed, with those that were given up (us). */
+  /** Returns the smoothed duration of recent calls, including calls that timed out (us). */
   double recentDurationUs() {
     return recentDurationUs;
   }
 
-  /** The same over many more calls (us). */
+  /** Returns the call duration smoothed over many more calls than the recent one (us). */
   double typicalDurationUs() {
     return typicalDurationUs;
   }
 
-  /** Calls whose length is known. */
+  /** Returns the number of calls whose duration was recorded. */
   int callsEnded() {
     return callsEnded;
   }
 
-  /** The limit on concurrent calls; below 1 it holds in the mean, by pauses between calls. */
+  /**
+   * Returns the limit on concurrent calls. A limit below 1 is met on average, by pauses between
+   * calls.
+   */
   double limit() {
     return limit;
   }
 
-  /** Whether the pause after the last call still lasts. */
+  /** Returns whether the pause after the last call is still in progress. */
   boolean isPaused() {
     return context.nowUs() < pausedUntilUs;
   }
 
-  /** Counts a call that ended after some time, or was given up. */
+  /** Records the duration of a call that ended or timed out. */
   void recordDuration(long tookUs) {
     recentDurationUs += (tookUs - recentDurationUs) * (recentDurationUs == 0 ? 1 : RECENT_WEIGHT);
     callsEnded++;
@@ -93,12 +103,12 @@
         (recentDurationUs - typicalDurationUs) * Math.max(MIN_TYPICAL_WEIGHT, 1.0 / callsEnded);
   }
 
-  /** Counts a call that the dependency rejected. */
+  /** Records that the dependency rejected a call. */
   void recordRejection() {
     rejectedSinceStep = true;
   }
 
-  /** Notes a call that is made now and given up at {@code untilUs} at the latest. */
+  /** Reserves time for a call that starts now and times out at {@code untilUs} at the latest. */
   void acquire(TrackedRequest tracked, long untilUs) {
     tracked.activeCall =
         new DownstreamCall(context.nowUs(), untilUs + context.settings().callLingerUs());
@@ -106,9 +116,10 @@
   }
 
   /**
-   * Notes that a request's call is over, if one is outstanding.
+   * Releases the outstanding call of a request, if there is one.
    *
-   * @param ended whether it came to an end; otherwise it may still linger at the dependency
+   * @param ended whether the call itself ended; if not, it still occupies the dependency for the
+   *     linger time
    */
   void release(TrackedRequest tracked, boolean ended) {
     DownstreamCall call = tracked.activeCall;
@@ -123,19 +134,21 @@
     tracked.activeCall = null;
   }
 
-  /** Forgets the calls that are no longer in the window. */
+  /** Removes the calls that no longer overlap the window. */
   void removeExpiredCalls() {
     recentCalls.removeIf(call -> call.occupiedUntilUs <= context.nowUs() - windowUs());
   }
 
   /**
-   * Moves the limit by one step, led by the length of calls. Guards a dependency that does less the
-   * more it holds: all servers' calls jam it, and where servers are many one call from each is a
-   * jam. Harm: where it is slow for another cause, calls wait that it could have taken.
+   * Adjusts the limit by one step, according to the call duration and to rejections. Protects a
+   * dependency whose throughput falls as its concurrency rises: the calls of all servers together
+   * can overload it, and with many servers one call from each suffices. Trade-off: if the
+   * dependency is slow for another reason, calls wait that it could have handled.
    */
   void adjust(int outstanding) {
     PolicySettings settings = context.settings();
-    // the smaller the server's share of all calls, the less the length of calls is its doing
+    // the smaller this server's share of all calls, the less its own calls influence the call
+    // duration, so the lower bound and the upward steps shrink with the quota
     double share =
         settings.downstreamMode() == DownstreamMode.SHARED
             ? Math.min(1, MIN_LIMIT_QUOTA_SHARE * settings.concurrentCalls() / MIN_LIMIT_CALLS)
@@ -151,16 +164,19 @@
   }
 
   /**
-   * The latest time at which a call that all depends on {@code endUs} is given up. None is awaited
-   * many times its usual length, unless the answer is worth nothing without it. None reserves more
-   * than half of the capacity there is, unless that is a few usual lengths only, nor more than half
-   * of the whole quota: one that reserved more than there is could never be made, kept all behind
-   * it back, and a slow moment left no capacity for as long as the window. Harm: where many servers
-   * share and calls take long, those that would end after that are given up.
+   * Returns the time at which a call that starts now times out.
    *
-   * @param endUs the latest useful end
-   * @param optional whether an answer without the call is worth something
-   * @param availableUs the capacity, of {@link #availableUs}
+   * <p>An optional call times out after a multiple of the recent call duration. With a shared
+   * dependency, a call reserves at most half of the available capacity or a few typical call
+   * durations, whichever is more, and at most half of the whole quota, or all of a small quota.
+   * Otherwise a call that reserved more than the available capacity could never be made and would
+   * block all calls behind it, and a short slowdown would leave no capacity for a whole window.
+   * Trade-off: where many servers share the dependency and calls take long, calls that would end
+   * after this time are abandoned.
+   *
+   * @param endUs the latest useful end of the call
+   * @param optional whether an answer without the call has any weight
+   * @param availableUs the available capacity, from {@link #availableUs}
    */
   long timeoutAt(double endUs, boolean optional, double availableUs) {
     PolicySettings settings = context.settings();
@@ -180,8 +196,9 @@
   }
 
   /**
-   * How long one more call may take (us) within this server's quota: that bounds the time at calls
-   * in the window that ends now, with all that may still follow, so any later window too.
+   * Returns how long one more call may take within this server's quota (us). The quota bounds the
+   * call time in the window that ends now plus all time that outstanding calls reserve after now,
+   * so no later window exceeds the quota either.
    */
   double availableUs() {
     PolicySettings settings = context.settings();
@@ -196,9 +213,10 @@
   }
 
   /**
-   * The window over which calls are counted (us): the settings', or a longer one where not even a
-   * short call and its lingering fit into the quota of that. Guards servers so many that none could
-   * call. Harm: calls of several servers may meet.
+   * Returns the window over which call time is counted (us): the configured window, or a longer one
+   * if not even a short call and its linger time fit into the quota of the configured window. With
+   * very many servers, no server could call otherwise. Trade-off: calls of several servers may
+   * coincide.
    */
   private double windowUs() {
     PolicySettings settings = context.settings();
@@ -209,7 +227,10 @@
     return Math.max((double) settings.callWindowUs(), minWindowUs);
   }
 
-  /** The time at calls in a window that ends at a time, where no further call is made (us). */
+  /**
+   * Returns the time that calls occupy the dependency from the start of the window that ends at
+   * {@code endUs}, including time reserved after its end, if no further call is made (us).
+   */
   double occupiedUs(long endUs, double windowUs) {
     double occupied = 0;
     for (DownstreamCall call : recentCalls) {
@@ -219,7 +240,10 @@
     return occupied;
   }
 
-  /** Takes in what was learned elsewhere, where nothing was seen here. */
+  /**
+   * Applies values learned by another process: the call duration if no call was seen here, and the
+   * limit if it is lower than the current one, but at least its lower bound.
+   */
   void restore(double learnedDurationUs, double learnedLimit) {
     if (callsEnded == 0 && recentDurationUs == 0) {
       recentDurationUs = learnedDurationUs;
--- a/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
@@ -3,12 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes the downstream calls of running requests, the most valuable first. */
+/** Starts the downstream calls of running requests, in order of weight. */
 final class DownstreamCallScheduler {
-  /** A call much shorter than the run is always made (part of the expected run); chosen here. */
+  /**
+   * Time that a call gets at least, as a share of the expected run time: a call much shorter than
+   * its run is made even when little time is left.
+   */
   private static final double SHORT_CALL_RUN_SHARE = 0.1;
 
-  /** Calls for one need, where repeating is allowed; chosen here. */
+  /** Maximum number of attempts at one call, where retries are allowed. */
   private static final int MAX_ATTEMPTS = 2;
 
   private final PolicyContext context;
@@ -18,7 +21,7 @@
   private final RequestWeights weights;
   private final ResponseSender responses;
 
-  /** Requests whose call is not made yet, in order of their need. */
+  /** Requests whose call has not been made yet, in the order in which they asked for it. */
   private final List<TrackedRequest> waiting = new ArrayList<>();
 
   DownstreamCallScheduler(
@@ -36,18 +39,18 @@
     this.responses = responses;
   }
 
-  /** A run waits for its call: makes it as soon as possible. */
+  /** Makes the call that a run waits for, as soon as the limits allow. */
   void request(TrackedRequest tracked) {
     requests.setState(tracked, RequestState.NEEDS_CALL);
     if (tracked.awaitingResponse) {
       waiting.add(tracked);
       makeCalls();
     } else {
-      context.actions.fail(tracked.id()); // answered or cancelled: the call would be of no use
+      context.actions.fail(tracked.id()); // already answered or cancelled
     }
   }
 
-  /** A call has ended: resumes its run, or tries again where that is allowed. */
+  /** Handles the end of a call: resumes its run, or retries the call where that is allowed. */
   void ended(TrackedRequest tracked, Outcome outcome, long tookUs) {
     boolean neverRan = outcome == Outcome.REJECTED || outcome == Outcome.UNREACHABLE;
     boolean ended = outcome == Outcome.OK || outcome == Outcome.FAILED || neverRan;
@@ -55,7 +58,7 @@
     if (outcome == Outcome.REJECTED) {
       limiter.recordRejection();
     }
-    if (!neverRan) { // how soon a call was rejected says nothing of how long calls take
+    if (!neverRan) { // the time to a rejection says nothing about the call duration
       limiter.recordDuration(tookUs);
     }
     if (outcome == Outcome.OK) {
@@ -71,15 +74,16 @@
     }
   }
 
-  /** Calls that are outstanding. */
+  /** Returns the number of outstanding calls. */
   int outstanding() {
     return requests.atCall() - waiting.size();
   }
 
   /**
-   * Makes the calls that fit into this server's quota, the most valuable first; what must wait too
-   * long goes on without. Guards against a dependency that is slow, crowded or dead. Harm: where
-   * its capacity is far over all quotas.
+   * Makes the calls that fit into this server's quota and limit, in order of weight. Requests whose
+   * optional call can no longer end in time continue without it. Protects requests from a
+   * dependency that is slow, overloaded or unreachable. Trade-off: if the capacity of the
+   * dependency far exceeds all quotas, calls wait without need.
    */
   void makeCalls() {
     limiter.removeExpiredCalls();
@@ -97,7 +101,7 @@
     }
   }
 
-  /** Makes one call, unless it would end too late or take more than there is. */
+  /** Makes one call, unless it would end too late or exceed the available capacity. */
   private boolean makeCall(TrackedRequest tracked) {
     long now = context.nowUs();
     double availableUs = limiter.availableUs();
@@ -115,7 +119,10 @@
     return true;
   }
 
-  /** The waiting request that loses most without its call; null where none waits. */
+  /**
+   * Returns the waiting request whose answer loses most weight without its call, or null if none
+   * waits.
+   */
   private TrackedRequest mostValuable() {
     waiting.removeIf(tracked -> tracked.state != RequestState.NEEDS_CALL);
     TrackedRequest best = null;
@@ -145,19 +152,19 @@
     return tracked.priorityClass.weightWithoutCall() > 0;
   }
 
-  /** What the answer loses without the call. */
+  /** Returns the weight that the answer loses without the call. */
   private double callWeight(TrackedRequest tracked) {
     return weights.weight(tracked) * (1 - tracked.priorityClass.weightWithoutCall());
   }
 
-  /** Whether a call of the usual length that is made now ends after a time. */
+  /** Returns whether a call of the recent duration that starts now would end too late. */
   private boolean isTooLate(double untilUs) {
     return context.nowUs() + limiter.recentDurationUs() >= untilUs;
   }
 
   /**
-   * Until when a call is useful: where an answer without it is worth something, it must leave time
-   * for the rest of the run.
+   * Returns the time until which a call is useful. An optional call must leave time for the rest of
+   * the run before the latency objective.
    */
   private double usefulUntil(TrackedRequest tracked) {
     long lastAnswerUs = tracked.deadlineUs - PolicyTiming.DEADLINE_MARGIN_US;
--- a/src/main/java/rosecleat/policy/DownstreamMode.java
+++ b/src/main/java/rosecleat/policy/DownstreamMode.java
@@ -1,11 +1,11 @@
 package rosecleat.policy;
 
-/** What this server's requests call. */
+/** The kind of dependency that this server's requests call. */
 public enum DownstreamMode {
-  /** Nothing. */
+  /** Requests make no downstream calls. */
   OFF,
-  /** A dependency that all servers share, each with a quota of concurrent calls. */
+  /** All servers share one dependency, and each server has a quota of concurrent calls. */
   SHARED,
-  /** Another tier of servers that limit what they accept themselves. */
+  /** Requests call another tier of servers, which limit the calls that they accept themselves. */
   TIER
 }
--- a/src/main/java/rosecleat/policy/Idempotency.java
+++ b/src/main/java/rosecleat/policy/Idempotency.java
@@ -1,17 +1,17 @@
 package rosecleat.policy;
 
-/** What happens when a class's requests run twice. */
+/** The effect of running a request of a class more than once. */
 public enum Idempotency {
-  /** Nothing: the requests only read. */
+  /** The requests only read, so running one again has no effect. */
   SAFE,
-  /** They have an effect; an idempotency key tells a repeated attempt from a new request. */
+  /** The requests have an effect, and an idempotency key identifies repeated attempts. */
   KEYED,
-  /** They have an effect, and nothing tells a repeated attempt from a new request. */
+  /** The requests have an effect, and repeated attempts cannot be identified. */
   UNSAFE;
 
   /**
-   * Whether a request may be executed again where it is unknown whether it was executed before. A
-   * key does not make it so: it lets attempts share one execution.
+   * Returns whether a request may be executed again if it is unknown whether it was executed
+   * before. An idempotency key does not allow this: it only lets attempts share one execution.
    */
   public boolean repeatable() {
     return this == SAFE;
--- a/src/main/java/rosecleat/policy/IdempotencyRecords.java
+++ b/src/main/java/rosecleat/policy/IdempotencyRecords.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** The requests that others may repeat: effects with an idempotency key, and shared reads. */
+/** The requests whose result later attempts may share: keyed requests and shareable reads. */
 final class IdempotencyRecords {
   private record RememberedKey(long untilUs, long id, boolean hasExecution, double memoryKb) {}
 
@@ -24,10 +24,10 @@
   }
 
   /**
-   * Decides what to do with a request whose original the host has found.
+   * Decides how to handle a request for which the host found an original request.
    *
-   * @param afterGrace whether it arrived after the grace of a drain
-   * @param stalled whether the server stands still
+   * @param afterGrace whether the request arrived after the grace period of a drain
+   * @param stalled whether the server has stalled
    */
   RepeatDecision classify(TrackedRequest tracked, boolean afterGrace, boolean stalled) {
     if (tracked.isSafe()) {
@@ -40,7 +40,7 @@
     IdempotentExecution execution = executions.get(tracked.request.originalId());
     tracked.execution = execution;
     if (execution != null && !execution.executed && !hasQueuedLeader(execution)) {
-      return RepeatDecision.RUN; // no attempt ever ran
+      return RepeatDecision.RUN; // no attempt ever ran and none is queued
     }
     return afterGrace ? RepeatDecision.ANSWER : RepeatDecision.ATTACH;
   }
@@ -49,13 +49,13 @@
     return execution.leader != null && execution.leader.state == RequestState.QUEUED;
   }
 
-  /** Answers a queued request with the result of the request that it repeats. */
+  /** Attaches a queued request to the request that it repeats, to share its result. */
   void attach(TrackedRequest tracked) {
     requests.attach(tracked);
     context.actions.replayResult(tracked.id());
   }
 
-  /** Remembers an admitted request with an idempotency key, for its retry window. */
+  /** Stores the idempotency key of an admitted request for its retry window. */
   void rememberEffect(TrackedRequest tracked) {
     if (tracked.execution == null) {
       tracked.execution = new IdempotentExecution();
@@ -67,14 +67,14 @@
     remember(tracked, Math.max(1, untilUs - context.nowUs()));
   }
 
-  /** Remembers a read that starts, until its deadline, where there is memory to spare. */
+  /** Stores the key of a read that starts, until its deadline, if there is memory to spare. */
   void rememberRunningRead(TrackedRequest tracked) {
     if (isShareableRead(tracked) && memory.canSpareKey()) {
       remember(tracked, Math.max(1, tracked.deadlineUs - context.nowUs()));
     }
   }
 
-  /** Remembers the result of a read that succeeded. */
+  /** Stores the key of a read that succeeded, so that other reads can share its result. */
   void rememberReadResult(TrackedRequest tracked) {
     if (isShareableRead(tracked)) {
       remember(tracked, context.settings().readSharingUs());
@@ -95,7 +95,7 @@
     expiries.add(new RememberedKey(context.nowUs() + forUs, tracked.id(), hasExecution, keyKb));
   }
 
-  /** Forgets the keys whose time is over. */
+  /** Releases the memory of expired keys and removes their executions. */
   void expire() {
     while (!expiries.isEmpty() && expiries.peek().untilUs < context.nowUs()) {
       RememberedKey expired = expiries.poll();
--- a/src/main/java/rosecleat/policy/IdempotentExecution.java
+++ b/src/main/java/rosecleat/policy/IdempotentExecution.java
@@ -1,10 +1,10 @@
 package rosecleat.policy;
 
-/** What became of one effect with an idempotency key, for all attempts at it. */
+/** The execution state that all attempts with the same idempotency key share. */
 final class IdempotentExecution {
-  /** Whether any attempt was started. */
+  /** Whether a run of any attempt was started. */
   boolean executed;
 
-  /** The attempt that runs or is to run it; null where that attempt was rejected. */
+  /** The attempt that is to run or was run; null if that attempt was rejected. */
   TrackedRequest leader;
 }
--- a/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
+++ b/src/main/java/rosecleat/policy/IdleConnectionTimeout.java
@@ -5,40 +5,40 @@
 import java.util.Map;
 
 /**
- * The time after which idle connections close: long where callers return soon enough for their kept
- * connections to be worth their part of the cores.
+ * Adjusts the time after which idle connections close. The timeout is long if callers return soon
+ * enough for the saved connection setups to outweigh the cost of idle connections.
  */
 final class IdleConnectionTimeout {
-  /** Busy cores keep a connection so long for a new one (us); chosen here. */
+  /** Idle time that one avoided connection setup is worth when all cores are busy. */
   private static final double CONNECTION_SETUP_BENEFIT_US = 6e6;
 
-  /** The shortest timeout (us); chosen here. */
+  /** Minimum timeout. */
   private static final long MIN_TIMEOUT_US = 50_000;
 
-  /** Rise of the timeout a step (factor); chosen here. */
+  /** Factor by which one step increases the timeout. */
   private static final double INCREASE = 1.5;
 
-  /** Fall of the timeout a step (factor); chosen here. */
+  /** Factor by which one step decreases the timeout. */
   private static final double DECREASE = 0.98;
 
-  /** The host is told when the timeout has moved by this part; chosen here. */
+  /** Relative change from which a new timeout is reported to the host. */
   private static final double MIN_REPORTED_CHANGE = 0.25;
 
-  /** Memory of the saving (arrivals); chosen here. */
+  /** Number of arrivals over which the net benefit is averaged. */
   private static final double SAMPLE_ARRIVALS = 128;
 
-  /** Least utilisation that a connection's cost is reckoned with (share of the cores). */
+  /** Lower bound of the utilisation that the benefit is computed with (share of the cores). */
   private static final double MIN_UTILISATION = 0.01;
 
   private final PolicyContext context;
 
-  /** When each caller last came (us), in order of that. */
+  /** Last arrival time of each caller (us), oldest first. */
   private final Map<Long, Long> lastArrivals = new LinkedHashMap<>();
 
   private double timeoutUs = MIN_TIMEOUT_US;
   private double reportedUs;
 
-  /** What keeping connections saves less what it costs (us an arrival). */
+  /** Smoothed benefit of keeping connections open less its cost (us per arrival). */
   private double netBenefitUs;
 
   IdleConnectionTimeout(PolicyContext context) {
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Counts an arrival of a caller. Guards against a table full of connections whose callers hardly
-   * return. Harm: few frequent callers among many pay for new connections.
+   * Records an arrival of a caller. Prevents rarely active clients from filling the connection
+   * table. Trade-off: if few clients of many are active, these reconnect more often.
    */
   void countArrival(long callerId, double averageUtilisation) {
     long now = context.nowUs();
@@ -55,7 +55,7 @@
         Math.min(
             (double) context.settings().maxIdleUs(),
             CONNECTION_SETUP_BENEFIT_US / Math.max(averageUtilisation, MIN_UTILISATION));
-    Iterator<Long> times = lastArrivals.values().iterator(); // the oldest come first
+    Iterator<Long> times = lastArrivals.values().iterator(); // oldest first
     while (times.hasNext() && now - times.next() >= benefitUs) {
       times.remove();
     }
@@ -65,17 +65,21 @@
     netBenefitUs += (gainUs - netBenefitUs) / SAMPLE_ARRIVALS;
   }
 
-  /** Whether kept connections are used again soon enough. */
+  /** Returns whether connections are reused soon enough to be kept open. */
   boolean isKeepAliveBeneficial() {
     return netBenefitUs > 0;
   }
 
   /**
-   * Moves the timeout by one step and tells the host when it has moved by a quarter. It rises also
-   * while reading and new connections swamp the cores: a full connection table turns callers away
-   * at no cost, also while the timeout falls slowly. Guards against storms of new connections, of
-   * any cause. Harm: the full table is blind to weights and taxes the cores, and outlasts the storm
-   * by some seconds.
+   * Adjusts the timeout by one step and reports it to the host when it has changed by a quarter.
+   *
+   * <p>The timeout also rises while reads and new connections overload the cores: a full connection
+   * table then turns callers away at no cost, and still does so while the timeout falls slowly.
+   * This protects against connection storms of any cause. Trade-off: a full table turns callers
+   * away regardless of their weight, its connections cost core time, and it stays full for some
+   * seconds after the storm.
+   *
+   * @param keepConnections whether the timeout rises in this step; otherwise it falls
    */
   void adjust(boolean keepConnections) {
     double maxUs = context.settings().maxIdleUs();
--- a/src/main/java/rosecleat/policy/LoadAdviceMode.java
+++ b/src/main/java/rosecleat/policy/LoadAdviceMode.java
@@ -1,13 +1,13 @@
 package rosecleat.policy;
 
-/** How callers understand the value that goes with each answer. */
+/** The meaning of the load advice value that accompanies each answer. */
 public enum LoadAdviceMode {
-  /** No value goes with answers. */
+  /** Answers carry no value. */
   OFF,
-  /** The rank from 0 to 1 below which requests should not be sent here. */
+  /** The rank from 0 to 1 below which callers should not send requests to this server. */
   LEVEL,
-  /** How many requests each caller may have outstanding here. */
+  /** The number of requests that each caller may have outstanding at this server. */
   CREDIT,
-  /** The server's weight from 0 to 1 in the callers' choice among servers. */
+  /** The weight of this server from 0 to 1 when callers choose among servers. */
   WEIGHT
 }
--- a/src/main/java/rosecleat/policy/LoadAdvisor.java
+++ b/src/main/java/rosecleat/policy/LoadAdvisor.java
@@ -1,26 +1,26 @@
 package rosecleat.policy;
 
-/** Tells health checks and callers how much the server can take. */
+/** Reports the server's health to health checks and load advice to callers. */
 final class LoadAdvisor {
-  /** Rise of the level at full excess (rank a second); chosen here. */
+  /** Increase of the level at full excess (rank per second). */
   private static final double LEVEL_RISE = 0.25;
 
-  /** Decay of the level (rank a second); chosen here. */
+  /** Constant decrease of the level (rank per second). */
   private static final double LEVEL_DECAY = 0.05;
 
-  /** The level goes no higher while work is done (rank); chosen here. */
+  /** Maximum level while the server accepts requests (rank). */
   private static final double MAX_LEVEL = 0.98;
 
-  /** What all callers together may have outstanding here (concurrency limits); chosen here. */
+  /** Credit of all callers together, as a multiple of the concurrency limit. */
   private static final double CREDIT_CONCURRENCY_LIMITS = 64;
 
-  /** Run time over its base from which a server has no credit to spare; chosen here. */
+  /** Slowness from which the credit of all callers together is one concurrency limit. */
   private static final double REDUCED_CREDIT_SLOWNESS = 3.5;
 
-  /** Run time over its base from which the weight falls; chosen here. */
+  /** Slowness from which the weight falls. */
   private static final double REDUCED_WEIGHT_SLOWNESS = 1.7;
 
-  /** The host is told when the value has moved by so much; chosen here. */
+  /** Absolute change from which a new value is reported to the host. */
   private static final double MIN_REPORTED_CHANGE = 0.01;
 
   private final PolicyContext context;
@@ -45,23 +45,26 @@
     this.concurrency = concurrency;
   }
 
-  /** The server has started: checks that do real work would take it from requests. */
+  /**
+   * Reports a healthy server. Health checks stay shallow, since checks that do real work would take
+   * capacity from requests.
+   */
   void start() {
     context.actions.setHealth(true, true);
   }
 
-  /** The rank below which callers are advised not to send requests here, from 0 to 1. */
+  /** Returns the rank from 0 to 1 below which callers are advised not to send requests here. */
   double level() {
     return level;
   }
 
-  /** Moves the level, after so many seconds. */
+  /** Adjusts the level for the time since the last adjustment. */
   void adjustLevel(double seconds) {
     double moved = level + seconds * (LEVEL_RISE * overload.excess() - LEVEL_DECAY);
     level = Math.max(0, Math.min(MAX_LEVEL, moved));
   }
 
-  /** Tells the host what has changed. */
+  /** Reports changes of health and load advice to the host. */
   void reportChanges() {
     boolean closed = availability.isClosed();
     if (healthy == closed) {
@@ -86,8 +89,10 @@
   }
 
   /**
-   * Credit is for many concurrency limits: callers with none left reject blindly, the queue picks
-   * by weight. Harm: more reads, so a server far slower than it was has none to spare.
+   * Returns the credit of each caller. All callers together get credit for many concurrency limits,
+   * since a caller without credit turns requests away regardless of their weight, whereas this
+   * server's queue selects by weight. Trade-off: this server reads more requests, so a server that
+   * is far slower than at its best gives credit for one concurrency limit only.
    */
   private double credit() {
     double limits =
--- a/src/main/java/rosecleat/policy/Outcome.java
+++ b/src/main/java/rosecleat/policy/Outcome.java
@@ -1,21 +1,21 @@
 package rosecleat.policy;
 
-/** How a run or a downstream call ended. */
+/** The outcome of a run or of a downstream call. */
 public enum Outcome {
-  /** It succeeded. */
+  /** The run or call succeeded. */
   OK,
-  /** It failed; it may have taken effect. */
+  /** The run or call failed; it may have taken effect. */
   FAILED,
-  /** It was rejected before it ran, so it took no effect. */
+  /** The call was rejected before it ran, so it took no effect. */
   REJECTED,
-  /** It was given up after a time; it may have taken effect. */
+  /** The call timed out; it may have taken effect. */
   TIMEOUT,
-  /** Nothing was reached, so it took no effect. */
+  /** The dependency could not be reached, so the call took no effect. */
   UNREACHABLE,
-  /** The connection was lost; it may have taken effect. */
+  /** The connection was lost during the call; the call may have taken effect. */
   RESET,
-  /** The run was cancelled, or ended at a downstream call after its answer was given. */
+  /** The run was cancelled, or ended at a downstream call after its request was answered. */
   CANCELLED,
-  /** Nothing was started, because the request had completed already. */
+  /** The run was not started, because the request had already completed. */
   NOT_STARTED
 }
--- a/src/main/java/rosecleat/policy/RunOutcome.java
+++ b/src/main/java/rosecleat/policy/RunOutcome.java
@@ -1,14 +1,14 @@
 package rosecleat.policy;
 
-/** How a run ended, as a host of {@link PolicyEngine} reports it. */
+/** The outcome of a run, as a host of {@link PolicyEngine} reports it. */
 public enum RunOutcome {
-  /** It succeeded. */
+  /** The run succeeded. */
   OK(Outcome.OK),
-  /** It failed; it may have taken effect. */
+  /** The run failed; it may have taken effect. */
   FAILED(Outcome.FAILED),
-  /** It was cancelled, or ended at a downstream call after its answer was given. */
+  /** The run was cancelled, or ended at a downstream call after its request was answered. */
   CANCELLED(Outcome.CANCELLED),
-  /** It was not started, because the request had completed already. */
+  /** The run was not started, because the request had already completed. */
   NOT_STARTED(Outcome.NOT_STARTED);
 
   private final Outcome outcome;
@@ -17,7 +17,7 @@
     this.outcome = outcome;
   }
 
-  /** The same for the policy, which uses one set of outcomes for runs and calls. */
+  /** Returns the corresponding {@link Outcome}, which the policy uses for runs and calls alike. */
   Outcome outcome() {
     return outcome;
   }
