--- a/src/main/java/rosecleat/policy/IdempotentExecution.java
+++ b/src/main/java/rosecleat/policy/IdempotentExecution.java
@@ -5,6 +5,6 @@
   /** Whether a run of any attempt was started. */
   boolean executed;
 
-  /** The attempt that is to run or was run; null if that attempt was rejected. */
+  /** The attempt that executes the request; null if that attempt was rejected. */
   TrackedRequest leader;
 }
--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Decides for one server what it admits, runs and rejects. The ordinary path is Algorithm 1 of
- * Khojasteh and Mišić: a smoothed utilisation gate with random rejection, and a concurrency limit
- * led by latency. Each decision is a class of its own; this one passes the events on to them. Not
- * thread-safe; everything it knows comes from its own events.
+ * Decides which requests one server admits, runs and rejects. The normal path is Algorithm 1 of
+ * Khojasteh and Mišić: a gate on the smoothed utilisation with random rejection, and a concurrency
+ * limit that adapts to the run times. Each decision has a class of its own, to which this class
+ * passes the events. Not thread-safe; all of its state derives from the events that it receives.
  */
 public final class Policy implements PolicyEvents {
-  /** Reading and connections that take more than this swamp the cores (share); chosen here. */
+  /** Share of the cores above which reads and new connections overload the cores. */
   private static final double READ_OVERLOAD_SHARE = 0.7;
 
   private static final double US_PER_S = 1e6;
@@ -40,7 +40,12 @@
   private long lastAdjustmentUs;
   private long lastArrivalUs;
 
-  /** A server's policy with its settings, the seed of its random draws and its host's actions. */
+  /**
+   * Creates the policy of one server.
+   *
+   * @param seed the seed of all random numbers that the policy draws
+   * @param actions the host's implementation of the policy's decisions
+   */
   public Policy(PolicySettings settings, long seed, PolicyActions actions) {
     context = new PolicyContext(settings, seed, actions);
     memory = new MemoryBudget(context);
@@ -96,7 +101,7 @@
         responses);
   }
 
-  /** Goes by these settings from now on; what was learned stays with its class and tenant index. */
+  /** Applies settings; learned values stay with their class or tenant index. */
   private void applySettings(PolicySettings settings) {
     context.settings(settings);
     serviceTimes.resize(settings.classes().size());
@@ -175,7 +180,7 @@
       return;
     }
     if (outcome == Outcome.CANCELLED && tracked.awaitingResponse) {
-      requests.requeue(tracked); // dropped or paused without an answer
+      requests.requeue(tracked); // dropped or paused before it was answered
       return;
     }
     boolean wasRun = tracked.state != RequestState.ATTACHED;
@@ -194,7 +199,9 @@
   }
 
   private void recordRunTime(TrackedRequest tracked, Outcome outcome, long tookUs) {
-    long workedUs = Math.max(1, tookUs - tracked.waitedAtCallsUs); // time at calls is no slowness
+    long workedUs =
+        Math.max(
+            1, tookUs - tracked.waitedAtCallsUs); // waiting for calls does not count as run time
     if (outcome == Outcome.OK && tracked.state != RequestState.ATTACHED) {
       serviceTimes.recordEnd(tracked, workedUs);
     } else if (outcome == Outcome.CANCELLED && tracked.state == RequestState.RUNNING) {
@@ -288,11 +295,11 @@
     for (TrackedRequest tracked : requests.all()) {
       tracked.deadlineUs = Math.min(tracked.deadlineUs, availability.stopUs());
     }
-    context.actions.log("draining, stopped in " + remainingUs / 1000 + " ms");
+    context.actions.log("server is draining, process stops in " + remainingUs / 1000 + " ms");
     advisor.reportChanges();
   }
 
-  /** What was learned here and holds beyond the moment. */
+  /** Returns the learned values that another process can reuse. */
   LearnedEstimates learnedEstimates() {
     return new LearnedEstimates(
         serviceTimes.learnedRunTimes(),
@@ -305,7 +312,7 @@
         weights.arrivals());
   }
 
-  /** Takes in what was learned elsewhere, until enough is seen here. */
+  /** Applies values learned by another process, until enough has been observed here. */
   void restore(LearnedEstimates learned) {
     serviceTimes.restore(learned.runTimesUs(), learned.runCounts());
     callLimiter.restore(learned.callTimeUs(), learned.callLimit());
@@ -313,32 +320,35 @@
     fairness.restore(learned.tenantShares(), learned.arrivals());
   }
 
-  /** The time at calls in a window that ends at a time, where no further call is made (us). */
+  /**
+   * Returns the time that downstream calls occupy the dependency from the start of the window that
+   * ends at {@code endUs}, including time reserved after its end, if no further call is made (us).
+   */
   double timeAtCallsUs(long endUs, double windowUs) {
     return callLimiter.occupiedUs(endUs, windowUs);
   }
 
-  /** Memory of requests and remembered keys (KB). */
+  /** Returns the memory of requests and stored keys (KB). */
   double memoryKb() {
     return memory.usedKb();
   }
 
-  /** Requests that run or wait for a downstream call. */
+  /** Returns the number of requests that run or wait for a downstream call. */
   int concurrentRequests() {
     return requests.running() + requests.atCall();
   }
 
-  /** The limit on concurrent runs. */
+  /** Returns the limit on concurrent runs. */
   double concurrencyLimit() {
     return concurrency.limit();
   }
 
-  /** The admission gate, for tests. */
+  /** Returns the admission gate, for tests. */
   AdmissionGate gate() {
     return gate;
   }
 
-  /** The cores' load, for tests. */
+  /** Returns the load of the cores, for tests. */
   CoreLoad load() {
     return load;
   }
--- a/src/main/java/rosecleat/policy/PolicyContext.java
+++ b/src/main/java/rosecleat/policy/PolicyContext.java
@@ -2,12 +2,12 @@
 
 import java.util.SplittableRandom;
 
-/** What all parts of one server's policy share: settings, time, actions and random numbers. */
+/** The settings, time, actions and random numbers that all parts of one policy share. */
 final class PolicyContext {
   /** The host's actions. */
   final PolicyActions actions;
 
-  /** The one source of random numbers; the order of draws is part of the policy's behaviour. */
+  /** The only source of random numbers; the policy's behaviour depends on the order of draws. */
   final SplittableRandom random;
 
   private PolicySettings settings;
@@ -19,17 +19,17 @@
     random = new SplittableRandom(seed);
   }
 
-  /** The settings in force. */
+  /** Returns the current settings. */
   PolicySettings settings() {
     return settings;
   }
 
-  /** Other settings, from now on. */
+  /** Replaces the current settings. */
   void settings(PolicySettings newSettings) {
     settings = newSettings;
   }
 
-  /** The time of the event that is being handled (us). */
+  /** Returns the time of the event that is being handled (us). */
   long nowUs() {
     return nowUs;
   }
--- a/src/main/java/rosecleat/policy/PolicyEngine.java
+++ b/src/main/java/rosecleat/policy/PolicyEngine.java
@@ -5,14 +5,14 @@
 import java.util.function.Supplier;
 
 /**
- * The policy as its hosts use it: {@link #handle} takes an event, {@link #nextCommand} gives the
- * next command, and {@link #tick} fires the timers. Commands are values and come in the order in
- * which the policy gave them; nothing calls back. Not thread-safe.
+ * The interface between a host and its policy: {@link #handle} accepts an event, {@link
+ * #nextCommand} returns the next command, and {@link #tick} fires the timers. Commands are plain
+ * values in the order in which the policy issued them; there are no callbacks. Not thread-safe.
  */
 public final class PolicyEngine {
   private static final long US_PER_S = 1_000_000;
 
-  /** Windows of downstream calls are seconds long (s). */
+  /** Upper bound of the forecast of call usage (s); windows of calls are only seconds long. */
   private static final int MAX_WINDOW_S = 60;
 
   private record PendingRestore(ClassAndTenantNames names, Supplier<List<Estimate>> source) {}
@@ -35,7 +35,11 @@
   private boolean coldStart;
   private long nowUs;
 
-  /** An engine that is not started; the gauges are named in the order in which they will come. */
+  /**
+   * Creates an engine that is not started.
+   *
+   * @param gaugeNames the names of the gauges, in the order of {@link PolicyEvent.GaugesRead}
+   */
   public PolicyEngine(PolicySettings settings, List<String> gaugeNames, long seed) {
     this.settings = settings;
     this.gaugeNames = List.copyOf(gaugeNames);
@@ -43,9 +47,10 @@
   }
 
   /**
-   * Starts the policy as of a moment that may have passed: when its server's cores came up.
+   * Starts the policy.
    *
-   * @param cold whether they came up cold, and warm up
+   * @param sinceUs when the server's cores became available, which may be in the past
+   * @param cold whether the server started cold at that time and is warming up
    */
   public void start(long sinceUs, boolean cold) {
     nowUs = sinceUs;
@@ -59,20 +64,21 @@
     }
   }
 
-  /** Whether {@link #start} has been called. */
+  /** Returns whether {@link #start} has been called. */
   public boolean started() {
     return policy != null;
   }
 
-  /** What the policy has learned and another may use, by names; nothing before the start. */
+  /** Returns the learned estimates by name, for use by other processes; empty before the start. */
   public List<Estimate> estimates(ClassAndTenantNames names) {
     return policy == null ? new ArrayList<>() : estimates.estimates(names);
   }
 
   /**
-   * Has the policy take in what was learned elsewhere, now or as soon as it starts; the source is
-   * asked then. What is seen here overtakes it; limits count in part where they rest on few
-   * seconds, and never over the policy's ceilings. What names nothing here is left out.
+   * Applies estimates that another process learned, now or as soon as the policy starts; the source
+   * is read at that time. Observations of this process gradually replace them. Limits that are
+   * based on only a few seconds of use count in part or not at all, and no limit exceeds the
+   * ceilings of the policy. Estimates for unknown names are ignored.
    */
   public void restore(ClassAndTenantNames names, Supplier<List<Estimate>> source) {
     if (policy == null) {
@@ -84,9 +90,9 @@
   }
 
   /**
-   * Goes by other settings from now on. A class or tenant keeps its index.
+   * Applies new settings. Classes and tenants retain their indexes.
    *
-   * @param reassignedClasses the indexes that stand for another class than before
+   * @param reassignedClasses the indexes that now refer to another class than before
    */
   public void reconfigure(
       long eventUs,
@@ -101,7 +107,7 @@
     }
   }
 
-  /** Tells the policy what happened at a time; only after {@link #start}. */
+  /** Passes an event at a time to the policy. Must not be called before {@link #start}. */
   public void handle(long eventUs, PolicyEvent event) {
     advance(eventUs);
     if (event instanceof PolicyEvent.Arrived arrived) {
@@ -147,7 +153,7 @@
     }
   }
 
-  /** What the policy uses of its server's limits now; nothing before the start. */
+  /** Returns the current usage of the server's limits; zero before the start. */
   public LimitUsage usage(long atUs) {
     if (policy == null) {
       return new LimitUsage(meanCalls(atUs), 0, 0);
@@ -165,12 +171,12 @@
     return meanCalls;
   }
 
-  /** The next command, null where there is none. */
+  /** Removes and returns the next command, or null if there is none. */
   public PolicyCommand nextCommand() {
     return commands.poll();
   }
 
-  /** Fires the timers that are due and returns when the next one is (us). */
+  /** Fires the timers that are due and returns when the next one is due (us). */
   public long tick(long atUs) {
     advance(atUs);
     if (policy != null) {
--- a/src/main/java/rosecleat/policy/PolicyEvent.java
+++ b/src/main/java/rosecleat/policy/PolicyEvent.java
@@ -1,8 +1,8 @@
 package rosecleat.policy;
 
-/** Something that happened on a server and that its {@link PolicyEngine} handles. */
+/** An event on a server, for its {@link PolicyEngine}. */
 public sealed interface PolicyEvent {
-  /** A request was read and is queued; the components are those of {@link PolicyRequest}. */
+  /** A request was read and queued; see {@link PolicyRequest} for the components. */
   record Arrived(
       long id,
       int classIndex,
@@ -21,7 +21,7 @@
   /** A run, or the replay of a result, has ended. */
   record Ended(long id, RunOutcome outcome, long tookUs) implements PolicyEvent {}
 
-  /** A run waits for its downstream call. */
+  /** A run waits for a downstream call to be made. */
   record CallNeeded(long id) implements PolicyEvent {}
 
   /** A downstream call has ended. */
@@ -30,17 +30,17 @@
   /** The caller has cancelled the request or disconnected. */
   record Cancelled(long id) implements PolicyEvent {}
 
-  /** The server drains and is stopped after {@code remainingUs}. */
+  /** The server started to drain, and its process stops after {@code remainingUs}. */
   record Draining(long remainingUs) implements PolicyEvent {}
 
-  /** The gauges as last read, in the order of the settings. */
+  /** The gauges were read; the values are in the order of the gauge names. */
   record GaugesRead(double[] values) implements PolicyEvent {}
 
   /**
-   * The load as the host computes it, where nobody reads gauges.
+   * The host computed the load itself, because no gauges are available.
    *
-   * @param coreUtilisation share of the cores that is busy
-   * @param runnable requests that want a core right now
+   * @param coreUtilisation the share of the cores that is busy
+   * @param runnable the number of requests that run on a core or wait for one
    */
   record LoadMeasured(double coreUtilisation, double runnable) implements PolicyEvent {}
 }
--- a/src/main/java/rosecleat/policy/PolicyRequest.java
+++ b/src/main/java/rosecleat/policy/PolicyRequest.java
@@ -1,21 +1,21 @@
 package rosecleat.policy;
 
 /**
- * A request as it was read.
+ * A request that a server has read.
  *
- * @param id its number on this server
- * @param classIndex the index of its class in the settings
- * @param tenantIndex the index of its tenant in the settings
- * @param readKey equal for reads that may share one result, 0 where absent
- * @param timeoutUs time until its deadline (us), 0 where absent
- * @param runTimeHintUs the caller's estimate of its run time (us), 0 where absent
- * @param queuedKb memory that it takes while it is queued (KB)
- * @param rank its rank among all requests, from 0 to 1, for {@link LoadAdviceMode#LEVEL}
- * @param retry whether the caller marked it as a retry
- * @param write whether it is a write
- * @param callerId the number of the caller that sent it
- * @param ageUs time since it reached the machine (us)
- * @param originalId the request whose attempt it repeats, 0 where absent
+ * @param id the number of the request on this server
+ * @param classIndex the index of the request's class in the settings
+ * @param tenantIndex the index of the request's tenant in the settings
+ * @param readKey the key that reads with a shareable result have in common, 0 if absent
+ * @param timeoutUs the time until the deadline (us), 0 if absent
+ * @param runTimeHintUs the caller's estimate of the run time (us), 0 if absent
+ * @param queuedKb the memory of the request while it is queued (KB)
+ * @param rank the rank among all requests, from 0 to 1, for {@link LoadAdviceMode#LEVEL}
+ * @param retry whether the caller marked the request as a retry
+ * @param write whether the request is a write
+ * @param callerId the number of the caller that sent the request
+ * @param ageUs the time since the request reached the machine (us)
+ * @param originalId the id of the request that this attempt repeats, 0 if absent
  */
 public record PolicyRequest(
     long id,
--- a/src/main/java/rosecleat/policy/RepeatDecision.java
+++ b/src/main/java/rosecleat/policy/RepeatDecision.java
@@ -1,11 +1,11 @@
 package rosecleat.policy;
 
-/** What to do with a request that may repeat another. */
+/** How to handle a request that may repeat another request. */
 enum RepeatDecision {
-  /** It is new work. */
+  /** The request is handled as a new request. */
   RUN,
-  /** It waits for the result of the request that it repeats. */
+  /** The request waits for the result of the request that it repeats. */
   ATTACH,
-  /** It repeats another, but is answered at once. */
+  /** The request repeats another one, but is rejected or failed at once. */
   ANSWER
 }
--- a/src/main/java/rosecleat/policy/ResponseSender.java
+++ b/src/main/java/rosecleat/policy/ResponseSender.java
@@ -2,9 +2,12 @@
 
 import java.util.List;
 
-/** Gives final answers: rejections where it is true that nothing ran, failures otherwise. */
+/** Sends final answers: a rejection if no run can have taken effect, otherwise a failure. */
 final class ResponseSender {
-  /** Longest Retry-After per share of the cores that reads take; chosen here. */
+  /**
+   * Upper bound of the random Retry-After, as a share of the longest one, if reads take all cores;
+   * proportionally lower if reads take less.
+   */
   private static final double RETRY_AFTER_PER_READ_SHARE = 0.3;
 
   private final PolicyContext context;
@@ -26,7 +29,7 @@
     this.availability = availability;
   }
 
-  /** Answers a request that is owed an answer: rejects it where that is true, else fails it. */
+  /** Answers a request if it still awaits an answer: rejects it if allowed, otherwise fails it. */
   void answer(TrackedRequest tracked) {
     if (!tracked.awaitingResponse) {
       return;
@@ -40,14 +43,14 @@
     release(tracked);
   }
 
-  /** Rejects a request, and the attached attempts that wait for it. */
+  /** Rejects a request, and answers the attached attempts that wait for its result. */
   void reject(TrackedRequest tracked) {
     IdempotentExecution execution = tracked.execution;
     if (execution != null && execution.leader == tracked) {
       execution.leader = null;
       for (TrackedRequest other : List.copyOf(requests.active())) {
         if (other.execution == execution && other.state == RequestState.ATTACHED) {
-          answer(other); // it never ran either
+          answer(other); // that attempt never ran either
         }
       }
     }
@@ -58,7 +61,7 @@
     release(tracked);
   }
 
-  /** The part of the longest Retry-After that a caller is advised. */
+  /** Returns the Retry-After for a caller, as a share of the longest one. */
   private double retryAfterShare(boolean closed) {
     if (closed) {
       return 1;
@@ -71,9 +74,9 @@
   }
 
   /**
-   * A first attempt may go on to another server once, where retries are marked and this server
-   * rejects seldom: then the fault is likely its own. Harm: where all servers are that full, each
-   * such attempt costs a read.
+   * Returns whether the caller may try another server. A first attempt may do so if retries are
+   * marked and this server rarely rejects, since the overload is then probably limited to this
+   * server. Trade-off: if all servers are equally loaded, each such attempt costs a read.
    */
   private boolean mayTryElsewhere(TrackedRequest tracked) {
     return context.settings().marksRetries()
@@ -82,7 +85,7 @@
         && !overload.hasBacklog();
   }
 
-  /** Nothing is owed for a request any more: drops what waits, stops what runs. */
+  /** Removes a waiting request, or cancels a running one, that needs no answer any more. */
   void release(TrackedRequest tracked) {
     if (tracked.state == RequestState.QUEUED || tracked.state == RequestState.ATTACHED) {
       requests.complete(tracked);
@@ -92,8 +95,8 @@
   }
 
   /**
-   * Frees the cores of work that nobody waits for; a run with an idempotency key goes on, as its
-   * result may answer a repeated attempt.
+   * Cancels a run that no caller waits for, to free the cores. A run with an idempotency key
+   * continues, since its result may answer a repeated attempt.
    */
   void cancelRun(TrackedRequest tracked) {
     if (context.settings().cancelMode() != CancelMode.OFF
--- a/src/main/java/rosecleat/policy/ServerGauges.java
+++ b/src/main/java/rosecleat/policy/ServerGauges.java
@@ -1,29 +1,32 @@
 package rosecleat.policy;
 
-/** The server's gauges as last read; one that is not offered is negative. Mutable, to be reused. */
+/**
+ * The last read gauges of a server. A gauge that the server does not offer is negative. Mutable, so
+ * that the host can reuse it.
+ */
 public final class ServerGauges {
   private static final double NOT_OFFERED = -1;
 
-  /** Share of the cores that was busy of late. */
+  /** Share of the cores that was recently busy. */
   public double coreUtilisation = NOT_OFFERED;
 
-  /** Number of threads or requests that want a core right now. */
+  /** Number of threads or requests that run on a core or wait for one. */
   public double runnable = NOT_OFFERED;
 
-  /** Share of the memory in use. */
+  /** Share of the memory that is in use. */
   public double memoryShare = NOT_OFFERED;
 
-  /** Open connections. */
+  /** Number of open connections. */
   public double connections = NOT_OFFERED;
 
-  /** Sets the gauge of a name, as the settings name it; other names are ignored. */
+  /** Sets the gauge with a name from the settings; unknown names are ignored. */
   public void set(String name, double value) {
     switch (name) {
       case "core_use" -> coreUtilisation = value;
       case "on_cores" -> runnable = value;
       case "heap_share" -> memoryShare = value;
       case "links" -> connections = value;
-      default -> {} // a gauge that the policy has no use for
+      default -> {} // the policy does not use this gauge
     }
   }
 
--- a/src/main/java/rosecleat/policy/TenantFairness.java
+++ b/src/main/java/rosecleat/policy/TenantFairness.java
@@ -2,12 +2,12 @@
 
 import java.util.Arrays;
 
-/** Quotas of tenants: what part of the arrivals each sends, and what it is served. */
+/** Lowers the weight of tenants over their quota, by their arrivals and their completed runs. */
 final class TenantFairness {
-  /** Memory of the tenants' shares of the arrivals (arrivals); chosen here. */
+  /** Number of arrivals over which the tenants' arrival shares are averaged. */
   private static final double SAMPLE_ARRIVALS = 128;
 
-  /** A tenant served so many quotas gains little by more; chosen here. */
+  /** Multiple of its quota up to which a tenant is served at full weight in any case. */
   private static final double SERVED_QUOTA_FACTOR = 1.5;
 
   private final PolicyContext context;
@@ -21,7 +21,7 @@
     this.rates = rates;
   }
 
-  /** Takes the tenants of the settings in force; a new one starts with its share of the quotas. */
+  /** Applies the tenants of the current settings; a new tenant starts with its quota share. */
   void reconfigure() {
     PolicySettings settings = context.settings();
     int known = arrivalShares.length;
@@ -41,14 +41,14 @@
     }
   }
 
-  /** Fades the runs served, by the factor of {@link RequestRates#fade}. */
+  /** Decays the count of served runs by the factor of {@link RequestRates#fade}. */
   void fade(double factor) {
     for (int tenant = 0; tenant < servedRuns.length; tenant++) {
       servedRuns[tenant] *= factor;
     }
   }
 
-  /** Counts a run that succeeded. */
+  /** Counts a successful run. */
   void countServed(int tenantIndex) {
     if (tenantIndex < servedRuns.length) {
       servedRuns[tenantIndex] += 1;
@@ -56,11 +56,14 @@
   }
 
   /**
-   * The weight of one more request of a tenant: little once it is served its quota. Over its quota
-   * is a tenant that sends more than its quota a server and more than its share of all quotas:
-   * retries and uneven load swell all rates alike, and a thin sample must not set those within
-   * their quotas against each other. Harm: where demand drifts, a newcomer is over its quota only
-   * after some tens of arrivals.
+   * Returns the weight factor of one more request of a tenant. The factor is low for a tenant that
+   * is over its quota and has been served well above it.
+   *
+   * <p>A tenant is over its quota if its arrivals exceed both this server's part of its quota and
+   * its share of all quotas. The rate alone would not do, since retries and uneven load raise the
+   * rates of all tenants alike. The share must exceed the sampling error as well, so that a small
+   * sample does not distinguish between tenants within their quotas. Trade-off: while demand
+   * shifts, a new heavy tenant counts as over its quota only after some tens of arrivals.
    */
   double weight(int tenantIndex) {
     PolicySettings settings = context.settings();
@@ -85,12 +88,15 @@
         : settings.overQuotaWeight();
   }
 
-  /** Each tenant's share of the recent arrivals. */
+  /** Returns each tenant's share of the recent arrivals. */
   double[] arrivalShares() {
     return arrivalShares;
   }
 
-  /** Takes in shares learned elsewhere, as far as they rest on enough arrivals. */
+  /**
+   * Merges arrival shares learned by other processes, weighted by the number of arrivals behind
+   * them.
+   */
   void restore(double[] learnedShares, double arrivals) {
     double learnedWeight = Math.min(1, arrivals / SAMPLE_ARRIVALS);
     for (int tenant = 0; tenant < arrivalShares.length; tenant++) {
--- a/src/main/java/rosecleat/policy/TenantQuota.java
+++ b/src/main/java/rosecleat/policy/TenantQuota.java
@@ -3,13 +3,13 @@
 /**
  * A tenant's quota.
  *
- * @param quotaPerS requests a second within its quota, over all servers
+ * @param quotaPerS the tenant's quota of requests per second, over all servers
  */
 public record TenantQuota(double quotaPerS) {
 
   /**
-   * The quota as text. Digests of it are stored beside estimates, so its form stays as it is: see
-   * {@link PriorityClass#digestText}.
+   * Returns the quota as text. Digests of this text are stored with estimates, so its form must not
+   * change; see {@link PriorityClass#digestText}.
    */
   public String digestText() {
     return "Tenant[quotaPerS=" + quotaPerS + "]";
