--- a/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallLimiter.java
@@ -8,7 +8,7 @@
  * and the time that calls occupy a shared dependency stays within this server's quota.
  */
 final class DownstreamCallLimiter {
-  /** Multiple of the recent call duration after which an optional call times out. */
+  /** Multiple of the usual call duration after which an optional call times out. */
   private static final double TIMEOUT_FACTOR = 8;
 
   /** Multiple of the typical call duration above which the limit decreases. */
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Returns the limit on concurrent calls. A limit below 1 is met on average, by pauses between
-   * calls.
+   * Returns the limit on concurrent calls. A limit below 1 applies to the average, by pauses
+   * between calls.
    */
   double limit() {
     return limit;
--- a/src/main/java/rosecleat/policy/IdempotencyRecords.java
+++ b/src/main/java/rosecleat/policy/IdempotencyRecords.java
@@ -40,7 +40,7 @@
     IdempotentExecution execution = executions.get(tracked.request.originalId());
     tracked.execution = execution;
     if (execution != null && !execution.executed && !hasQueuedLeader(execution)) {
-      return RepeatDecision.RUN; // no attempt ever ran and none is queued
+      return RepeatDecision.RUN; // no attempt has run
     }
     return afterGrace ? RepeatDecision.ANSWER : RepeatDecision.ATTACH;
   }
--- a/src/main/java/rosecleat/policy/LoadAdvisor.java
+++ b/src/main/java/rosecleat/policy/LoadAdvisor.java
@@ -14,10 +14,10 @@
   /** Credit of all callers together, as a multiple of the concurrency limit. */
   private static final double CREDIT_CONCURRENCY_LIMITS = 64;
 
-  /** Slowness from which the credit of all callers together is one concurrency limit. */
+  /** Slowness, as run time over its base, above which all credit is one concurrency limit. */
   private static final double REDUCED_CREDIT_SLOWNESS = 3.5;
 
-  /** Slowness from which the weight falls. */
+  /** Slowness, as run time over its base, above which the weight falls. */
   private static final double REDUCED_WEIGHT_SLOWNESS = 1.7;
 
   /** Absolute change from which a new value is reported to the host. */
--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -199,9 +199,8 @@
   }
 
   private void recordRunTime(TrackedRequest tracked, Outcome outcome, long tookUs) {
-    long workedUs =
-        Math.max(
-            1, tookUs - tracked.waitedAtCallsUs); // waiting for calls does not count as run time
+    // waiting for calls is not slowness of the cores
+    long workedUs = Math.max(1, tookUs - tracked.waitedAtCallsUs);
     if (outcome == Outcome.OK && tracked.state != RequestState.ATTACHED) {
       serviceTimes.recordEnd(tracked, workedUs);
     } else if (outcome == Outcome.CANCELLED && tracked.state == RequestState.RUNNING) {
--- a/src/main/java/rosecleat/policy/PolicyEngine.java
+++ b/src/main/java/rosecleat/policy/PolicyEngine.java
@@ -7,7 +7,8 @@
 /**
  * The interface between a host and its policy: {@link #handle} accepts an event, {@link
  * #nextCommand} returns the next command, and {@link #tick} fires the timers. Commands are plain
- * values in the order in which the policy issued them; there are no callbacks. Not thread-safe.
+ * values in the order in which the policy issued them; the engine calls nothing back. Not
+ * thread-safe.
  */
 public final class PolicyEngine {
   private static final long US_PER_S = 1_000_000;
--- a/src/main/java/rosecleat/policy/TenantFairness.java
+++ b/src/main/java/rosecleat/policy/TenantFairness.java
@@ -59,11 +59,11 @@
    * Returns the weight factor of one more request of a tenant. The factor is low for a tenant that
    * is over its quota and has been served well above it.
    *
-   * <p>A tenant is over its quota if its arrivals exceed both this server's part of its quota and
-   * its share of all quotas. The rate alone would not do, since retries and uneven load raise the
-   * rates of all tenants alike. The share must exceed the sampling error as well, so that a small
-   * sample does not distinguish between tenants within their quotas. Trade-off: while demand
-   * shifts, a new heavy tenant counts as over its quota only after some tens of arrivals.
+   * <p>A tenant is over its quota if its arrivals exceed both its quota per server and its share of
+   * all quotas. The rate alone is not enough, since retries and uneven load raise the rates of all
+   * tenants alike. The arrivals must also exceed the quota by more than the sampling error, so that
+   * a small sample does not favour one of several tenants within their quotas. Trade-off: while
+   * demand shifts, a new heavy tenant counts as over its quota only after some tens of arrivals.
    */
   double weight(int tenantIndex) {
     PolicySettings settings = context.settings();
--- a/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
@@ -6,7 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The quota of calls (one call in the mean of 5 s; calls linger 200 ms), and their limit. */
+/**
+ * Tests the quota of calls and the limit on concurrent calls. The quota is one call on average over
+ * 5 s, and an abandoned call occupies the dependency for another 200 ms.
+ */
 class DownstreamCallLimiterTest {
   private static final long WINDOW_US = 5_000_000;
   private static final long LINGER_US = 200_000;
@@ -52,7 +55,8 @@
     limiter.adjust(10);
     assertEquals(7, limiter.limit(), 1e-9);
     limiter.adjust(7);
-    assertTrue(limiter.limit() > 7, "it rises while it is used up: " + limiter.limit());
+    assertTrue(
+        limiter.limit() > 7, "limit does not rise while it is fully used: " + limiter.limit());
   }
 
   @Test
--- a/src/test/java/rosecleat/policy/DownstreamCallTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Downstream calls keep to the quota and follow the length of calls. */
+/** Tests that downstream calls stay within the quota and adapt to the call duration. */
 class DownstreamCallTest {
   /**
-   * Plays calls that take so long, until 30 s have passed; the parts of the two classes whose call
-   * was made.
+   * Simulates requests of two classes, alternately, whose calls take {@code callUs} each, for 30 s.
+   * Returns for each class the share of requests whose call was made and whose run continued.
    */
   private static double[] callsMade(SimulatedHost host, long everyUs, long callUs, int from) {
     return callsMade(host, everyUs, callUs, from, 30_000_000);
@@ -57,7 +57,8 @@
   @Test
   void callIsReleasedWhenItsRequestEndsFirst() {
     SimulatedHost host = Scenarios.withDownstreamQuota(1, false, Scenarios.OPTIONAL_CALL);
-    for (int i = 0; i < 9; i++) { // each caller leaves while its call is out: no outcome ever comes
+    // each caller cancels during the call, whose outcome is never reported
+    for (int i = 0; i < 9; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       host.needCall(hosted);
       assertEquals(RequestState.CALLING, hosted.state, "call " + i);
@@ -80,10 +81,8 @@
       host.gauges.coreUtilisation = 0.5;
       for (int step = 0; step < 3000; step++) {
         host.advance(10_000);
-        int slow =
-            step % 1200 < 400
-                ? 3
-                : step % 1200 < 800 ? 40 : 400; // lulls, crowds and a dead dependency
+        // fast, slow and unresponsive dependency
+        int slow = step % 1200 < 400 ? 3 : step % 1200 < 800 ? 40 : 400;
         if (random.nextInt(6) == 0) {
           host.arrive(random.nextInt(2));
         }
@@ -118,9 +117,9 @@
   }
 
   /**
-   * Guards a class that is worth nothing without its call: booked until its deadline such a call
-   * was more than the whole quota where servers are many, so it was never made, and being the
-   * dearest kept all others back.
+   * Guards against a mandatory call that is never made. With many servers, a call that reserved the
+   * time until its deadline exceeded the whole quota, and with the highest weight it blocked all
+   * other calls.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 0.91, 5, 500})
@@ -135,7 +134,10 @@
     }
   }
 
-  /** Guards against a slow time after which the usual patience is more than the quota, for good. */
+  /**
+   * Guards against a slow period after which the typical call duration, and with it the time that a
+   * call reserves, exceeds the quota permanently.
+   */
   @Test
   void callsResumeAfterSlowDependencyWithSmallQuota() {
     SimulatedHost host =
@@ -149,8 +151,8 @@
   }
 
   /**
-   * Guards against a stall that uses up the quota: calls are short again, and there is room for
-   * many of them.
+   * Guards against a stall of the dependency that uses up the quota of a window, although many
+   * short calls would fit into it after the stall.
    */
   @Test
   void shortCallsFitIntoSameWindowAfterDependencyStall() {
@@ -158,7 +160,7 @@
         Scenarios.withDownstreamQuota(
             0.91, false, Scenarios.LESS_WITHOUT_CALL, Scenarios.NOTHING_WITHOUT_CALL);
     callsMade(host, 400_000, 30_000, 0);
-    for (int i = 0; i < 4; i++) { // four calls stall until they are given up
+    for (int i = 0; i < 4; i++) { // four calls stall until they time out
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       host.needCall(hosted);
       assertEquals(RequestState.CALLING, hosted.state);
@@ -172,17 +174,14 @@
     assertTrue(host.maxMeanCalls() <= 0.91);
   }
 
-  /**
-   * Guards a dependency against one call from each of a hundred servers: together they are a jam.
-   */
+  /** Guards against an overload of the dependency by one call from each of a hundred servers. */
   @Test
   void slowCallsAreSpacedOutWithSmallQuota() {
     SimulatedHost host = Scenarios.withDownstreamQuota(0.91, false, Scenarios.LESS_WITHOUT_CALL);
     Set<SimulatedHost.HostedRequest> asked = new HashSet<>();
     long[] occupiedPercent = new long[3];
-    for (int phase = 0;
-        phase < 3;
-        phase++) { // as fast as usual; five times as slow, until that is seen; and then
+    // phases: calls of 20 ms, calls of 100 ms until the limiter reacts, further calls of 100 ms
+    for (int phase = 0; phase < 3; phase++) {
       int before = host.allCalls.size();
       long began = host.nowUs;
       for (int step = 0; step < (phase == 0 ? 600 : 75); step++) {
@@ -209,18 +208,19 @@
               * 100
               / (host.nowUs - began);
     }
+    // one call per 80 ms, each of 20 ms or slightly more
     assertTrue(
         occupiedPercent[0] > 15,
-        "fast, hundredths of a call out: "
-            + occupiedPercent[0]); // one each 80 ms, of 20 ms or a little more
+        "percent of the time with a call outstanding, fast calls: " + occupiedPercent[0]);
+    // the same number of slow calls would be 125
     assertTrue(
         occupiedPercent[2] > 10 && occupiedPercent[2] < 60,
-        "slow, hundredths of a call out: " + occupiedPercent[2]); // that many would be 125
+        "percent of the time with a call outstanding, slow calls: " + occupiedPercent[2]);
   }
 
   /**
-   * Where not even one short call fits into the quota of a span, some are made all the same: one in
-   * many spans.
+   * Guards against a quota so small that not even one short call fits into the quota of a window:
+   * one call per many windows must still be made, and not by all servers at the same time.
    */
   @Test
   void quotaTooSmallForOneCallIsAppliedOverLongerWindow() {
@@ -230,9 +230,8 @@
           new SimulatedHost(
               TestSettings.sharedDownstream(0.02, Scenarios.NOTHING_WITHOUT_CALL), seed);
       int made = 0;
-      for (int step = 0;
-          step < 200;
-          step++) { // 60 s: 1.2 s at calls, of which each books 0.4 s or more
+      // 60 s allow 1.2 s of call time, and each call reserves at least 0.4 s
+      for (int step = 0; step < 200; step++) {
         SimulatedHost.HostedRequest hosted = host.arrive(0);
         host.needCall(hosted);
         host.advance(40_000);
@@ -249,7 +248,7 @@
       }
       assertTrue(made >= 2 && made <= 30, "calls " + made);
     }
-    assertTrue(firsts.size() > 8, "servers call in step: " + firsts);
+    assertTrue(firsts.size() > 8, "servers make their calls at the same times: " + firsts);
   }
 
   @Test
@@ -271,7 +270,7 @@
     assertEquals(RequestState.RUNNING, hosted.state);
   }
 
-  /** Guards a shared dependency that gets less done the more it holds. */
+  /** Guards against an overload of a shared dependency whose throughput falls under concurrency. */
   @Test
   void callLimitFallsWhileCallsAreSlowAndRisesAfterwards() {
     SimulatedHost host = Scenarios.withDownstreamQuota(40, false, Scenarios.OPTIONAL_CALL);
@@ -298,11 +297,13 @@
       host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
       maxOutstanding = Math.max(maxOutstanding, host.outstandingCalls);
       if (step == 380) {
+        // without a limit, 50 calls per second of 0.4 s each would be 20 outstanding calls
         assertTrue(
-            maxOutstanding <= 4,
-            "a slow dependency held " + maxOutstanding); // 50 a second that take 0.4 s would be 20
+            maxOutstanding <= 4, "outstanding calls at a slow dependency: " + maxOutstanding);
       } else if (step == 599) {
-        assertTrue(maxOutstanding >= 8, "slow however few were out, it held " + maxOutstanding);
+        assertTrue(
+            maxOutstanding >= 8,
+            "outstanding calls at a dependency that is slow at any concurrency: " + maxOutstanding);
       }
       host.advance(20_000);
     }
@@ -315,7 +316,7 @@
       host.arrive(0);
     }
     host.running().forEach(host::needCall);
-    host.advance(400_000); // one more each step
+    host.advance(400_000); // the limit rises by one call per step
     assertEquals(
         4,
         host.actions.subList(actionsBefore, host.actions.size()).stream()
@@ -324,8 +325,8 @@
   }
 
   /**
-   * Guards a dependency whose places are taken by calls that crawl: it turns others away within a
-   * moment.
+   * Guards against fast rejections that count as short calls. A dependency whose slots are occupied
+   * by slow calls rejects further calls at once.
    */
   @Test
   void rejectedCallsLowerLimitButNotTypicalDuration() {
@@ -336,7 +337,8 @@
       host.needCall(hosted);
       host.advance(i < 30 ? 30_000 : 1_000);
       host.endCall(hosted, i < 30 ? Outcome.OK : Outcome.REJECTED);
-      if (hosted.state == RequestState.CALLING) { // once more, as it never ran
+      // the policy retries a rejected call once, as it never ran
+      if (hosted.state == RequestState.CALLING) {
         host.advance(1_000);
         host.endCall(hosted, Outcome.REJECTED);
       }
@@ -352,8 +354,8 @@
         host.requests.values().stream()
             .filter(hosted -> hosted.state == RequestState.CALLING)
             .allMatch(hosted -> hosted.callUntilUs - host.nowUs > 100_000),
-        "given up after the time of a refusal");
-    host.advance(250_000); // nothing is turned away any more: one more goes each step
+        "call times out after the duration of a rejection");
+    host.advance(250_000); // no more rejections, so the limit rises by one call per step
     assertEquals(4, host.outstandingCalls);
   }
 
--- a/src/test/java/rosecleat/policy/DrainTest.java
+++ b/src/test/java/rosecleat/policy/DrainTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A drain answers everything before the stop. */
+/** Tests that a drain answers all requests before the process stops. */
 class DrainTest {
   @Test
   void arrivalsAfterGracePeriodAreRejectedAndAllAreAnsweredBeforeStop() {
--- a/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
+++ b/src/test/java/rosecleat/policy/EmbeddingExampleTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The README's example of a host; kept here so that it compiles and runs with the tests. */
+/** Compiles and runs the example host of the README. */
 class EmbeddingExampleTest {
   // README example begins
   /** One server's host: owns the clock and the work, and runs everything on one thread. */
--- a/src/test/java/rosecleat/policy/EventSequenceTest.java
+++ b/src/test/java/rosecleat/policy/EventSequenceTest.java
@@ -11,15 +11,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Sequences of events, legal and not; {@link SimulatedHost} asserts the rules at each action. */
+/**
+ * Tests sequences of legal and unexpected events. {@link SimulatedHost} asserts the invariants at
+ * each action.
+ */
 class EventSequenceTest {
   @Test
   void unexpectedEventsAreIgnored() {
     SimulatedHost host = Scenarios.withDownstreamQuota(0.2, false, Scenarios.OPTIONAL_CALL);
     SimulatedHost.HostedRequest hosted = host.arrive(0);
-    host.policy.callEnded(host.nowUs, hosted.request.id(), Outcome.OK, 1); // no call is out
+    host.policy.callEnded(host.nowUs, hosted.request.id(), Outcome.OK, 1); // no call is outstanding
     host.needCall(hosted);
-    host.policy.callNeeded(host.nowUs, hosted.request.id()); // it stands at a call already
+    host.policy.callNeeded(host.nowUs, hosted.request.id()); // the request already waits for a call
     host.drain(400_000);
     host.advance(500_000);
     assertFalse(hosted.awaitingResponse);
@@ -30,7 +33,7 @@
     host.policy.ended(host.nowUs, hosted.request.id(), Outcome.NOT_STARTED, 1);
     host.policy.ended(host.nowUs, 12345, Outcome.OK, 1);
     SimulatedHost.HostedRequest stale =
-        host.arrive(0, 3, 9_000_000, 1, 0); // nothing left, and no tenant of that number
+        host.arrive(0, 3, 9_000_000, 1, 0); // 1 us until the deadline, and an unknown tenant
     host.advance(60_000);
     assertFalse(stale.awaitingResponse);
   }
--- a/src/test/java/rosecleat/policy/IdempotencyTest.java
+++ b/src/test/java/rosecleat/policy/IdempotencyTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Effects run at most once. */
+/** Tests that requests that are not safe to repeat run at most once. */
 class IdempotencyTest {
   @Test
   void retryOfKeyedRequestAttachesWhileOriginalIsQueuedRunningOrCompleted() {
--- a/src/test/java/rosecleat/policy/IdleConnectionTimeoutTest.java
+++ b/src/test/java/rosecleat/policy/IdleConnectionTimeoutTest.java
@@ -5,19 +5,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When idle connections are closed. */
+/** Tests the timeout of idle connections. */
 class IdleConnectionTimeoutTest {
   @Test
   void timeoutIsShortForRareCallersAndLongForFrequentCallers() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 400; i++) {
-      host.callerId = i % 300; // thirty seconds apart
+      host.callerId = i % 300; // each caller returns after 30 s
       host.end(host.arrive(0), Outcome.OK, 1000);
       host.advance(100_000);
     }
     assertTrue(host.idleTimeoutUs > 0 && host.idleTimeoutUs <= 100_000);
     for (int i = 0; i < 400; i++) {
-      host.callerId = i % 5; // half a second apart
+      host.callerId = i % 5; // each caller returns after 0.5 s
       host.end(host.arrive(0), Outcome.OK, 1000);
       host.advance(100_000);
     }
@@ -25,7 +25,8 @@
   }
 
   /**
-   * Guards the table against strangers from the first one on: connections that asked once and stay.
+   * Guards against a connection table that fills with idle connections of callers that sent one
+   * request only. The timeout must be short from the first of these callers on.
    */
   @Test
   void oneTimeCallersKeepTimeoutShortDespiteOneReturningCaller() {
@@ -34,7 +35,9 @@
       host.callerId = i % 4 == 0 ? 1 : 1_000 + i;
       host.end(host.arrive(0), Outcome.OK, 1000);
       host.advance(50_000);
-      assertTrue(host.idleTimeoutUs <= 100_000, "kept " + host.idleTimeoutUs + " after " + i);
+      assertTrue(
+          host.idleTimeoutUs <= 100_000,
+          "idle timeout " + host.idleTimeoutUs + " us after arrival " + i);
     }
   }
 
@@ -46,8 +49,8 @@
     assertEquals(host.settings.maxIdleUs(), host.idleTimeoutUs);
     host.gauges.runnable = 0;
     host.advance(5_000_000);
-    assertTrue(
-        host.idleTimeoutUs > 100_000); // it falls slowly: at once would let the storm back in
+    // an immediate fall would admit the connection storm again
+    assertTrue(host.idleTimeoutUs > 100_000);
     host.advance(60_000_000);
     assertTrue(host.idleTimeoutUs <= 100_000);
   }
--- a/src/test/java/rosecleat/policy/LoadAdviceTest.java
+++ b/src/test/java/rosecleat/policy/LoadAdviceTest.java
@@ -7,13 +7,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What callers are advised: level, credit, Retry-After. */
+/** Tests the load advice to callers: level, credit and Retry-After. */
 class LoadAdviceTest {
   @Test
   void creditIsFiniteWithUnknownNumberOfCallers() {
     SimulatedHost host = new SimulatedHost(TestSettings.withCallers(LoadAdviceMode.CREDIT, 0), 1);
     host.advance(200_000);
-    assertTrue(host.loadAdvice >= 1 && Double.isFinite(host.loadAdvice), "said " + host.loadAdvice);
+    assertTrue(
+        host.loadAdvice >= 1 && Double.isFinite(host.loadAdvice), "credit " + host.loadAdvice);
   }
 
   @Test
@@ -31,21 +32,20 @@
   }
 
   /**
-   * Callers without credit turn requests away blindly, those of tenants inside their shares with
-   * the rest.
+   * Guards against too little credit. Callers without credit turn requests away regardless of their
+   * weight, including those of tenants within their quotas.
    */
   @Test
   void eachOfFewCallersGetsCreditForWholeServer() {
     SimulatedHost host = new SimulatedHost(TestSettings.withCallers(LoadAdviceMode.CREDIT, 32), 1);
     host.advance(200_000);
-    assertTrue(
-        host.loadAdvice >= 4,
-        "said " + host.loadAdvice); // all four cores, while the others are quiet
+    // one caller may use all four cores while the others send nothing
+    assertTrue(host.loadAdvice >= 4, "credit " + host.loadAdvice);
   }
 
   /**
-   * Guards requests that other servers can serve: this one can't, and callers with credit here send
-   * on.
+   * Guards against requests that go to a slow server although other servers could serve them, since
+   * callers continue to send as long as they have credit.
    */
   @Test
   void muchSlowerServerReducesCredit() {
@@ -56,10 +56,10 @@
       host.end(hosted, Outcome.OK, host.nowUs - hosted.arrivedUs);
       host.advance(20_000);
       if (i == 59) {
-        assertTrue(host.loadAdvice >= 16, "said " + host.loadAdvice);
+        assertTrue(host.loadAdvice >= 16, "credit " + host.loadAdvice);
       }
     }
-    assertTrue(host.loadAdvice <= 1, "said " + host.loadAdvice);
+    assertTrue(host.loadAdvice <= 1, "credit " + host.loadAdvice);
   }
 
   @Test
@@ -75,9 +75,8 @@
       host.policy.gate().averageOfferedLoad = 3;
       host.advance(20_000);
     }
-    assertTrue(
-        host.loadAdvice < 0.3,
-        "said " + host.loadAdvice); // 256 requests in all for 1280 callers, less by the refusals
+    // 256 requests in total for 1280 callers, reduced by the rejection rate
+    assertTrue(host.loadAdvice < 0.3, "credit " + host.loadAdvice);
     for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
       if (hosted.state == RequestState.RUNNING) {
         host.end(hosted, hosted.awaitingResponse ? Outcome.OK : Outcome.CANCELLED, 100_000);
@@ -89,13 +88,13 @@
       host.end(host.arrive(0), Outcome.OK, 1000);
       host.advance(50_000);
     }
-    assertTrue(host.loadAdvice > 0.9, "said " + host.loadAdvice);
+    assertTrue(host.loadAdvice > 0.9, "credit " + host.loadAdvice);
   }
 
   @Test
   void firstAttemptMayTryAnotherServerWhenRejectionsAreRare() {
     SimulatedHost host = new SimulatedHost(TestSettings.withMarkedRetries(), 1);
-    host.arrive(0, 0, 2_000_000, 0, 0); // read too late to be of use
+    host.arrive(0, 0, 2_000_000, 0, 0); // read too late for a useful answer
     host.arrive(0);
     host.arrive(0, 0, 2_900_000, 0, 0);
     host.advance(40_000);
--- a/src/test/java/rosecleat/policy/Scenarios.java
+++ b/src/test/java/rosecleat/policy/Scenarios.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Hosts and classes that several tests begin with. */
+/** Hosts and request classes that several tests start from. */
 final class Scenarios {
-  /** Half the worth is left without the call. */
+  /** An answer without the call has half of the weight. */
   static final PriorityClass OPTIONAL_CALL =
       new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, true, 0.5);
 
@@ -31,7 +31,7 @@
         1);
   }
 
-  /** So many have come, and whatever ran stands at a call. */
+  /** Returns a host with {@code arrivals} requests, of which all started ones wait for a call. */
   static SimulatedHost allWaitingForCalls(int arrivals, boolean cold) {
     SimulatedHost host = withDownstreamQuota(40, cold, OPTIONAL_CALL);
     host.gauges.coreUtilisation = 0.3;
--- a/src/test/java/rosecleat/policy/SimulatedHost.java
+++ b/src/test/java/rosecleat/policy/SimulatedHost.java
@@ -11,8 +11,15 @@
 import java.util.Map;
 
 /**
- * A host for tests: passes events on, records actions, tracks the requests and asserts the four
- * rules at each action.
+ * A host for tests. It passes events to the policy, records the actions, tracks the requests and
+ * asserts four invariants, besides the preconditions of single actions:
+ *
+ * <ul>
+ *   <li>The memory of requests and keys stays within its limit.
+ *   <li>The number of running requests stays within the overload limit.
+ *   <li>Every request is answered by its deadline.
+ *   <li>No request runs, is retried or is rejected against its idempotency.
+ * </ul>
  */
 final class SimulatedHost implements PolicyActions {
   static final class HostedRequest {
@@ -31,7 +38,7 @@
     OutstandingCall call;
   }
 
-  /** The time a call is in the dependency's hands. */
+  /** The time span in which a call occupies the dependency. */
   static final class OutstandingCall {
     long startedUs;
     long untilUs = Long.MAX_VALUE;
@@ -141,7 +148,7 @@
     }
   }
 
-  /** The largest mean of calls out over the settings' span, at any time until nowUs. */
+  /** Returns the maximum average of outstanding calls over any window until {@code nowUs}. */
   double maxMeanCalls() {
     double maxMean = 0;
     for (OutstandingCall last : allCalls) {
@@ -180,7 +187,7 @@
     check();
   }
 
-  /** Lets time pass, with timers, but with nothing ending. */
+  /** Advances the time and fires timers; no run or call ends meanwhile. */
   void advance(long us) {
     long until = nowUs + us;
     while (timerAtUs <= until) {
@@ -214,17 +221,17 @@
   }
 
   private void check() {
-    assertTrue(memoryKb() <= settings.memoryKb(), "memory " + memoryKb());
+    assertTrue(memoryKb() <= settings.memoryKb(), "memory over its limit, KB: " + memoryKb());
     long onCores =
         requests.values().stream().filter(hosted -> hosted.state == RequestState.RUNNING).count();
     assertTrue(
         onCores
             <= settings.cores() * (1 + (settings.overloadMultiple() - 1) * settings.coldCapacity()),
-        "crowd");
+        "running requests over the overload limit: " + onCores);
     for (HostedRequest hosted : requests.values()) {
       assertFalse(
           hosted.awaitingResponse && nowUs > hosted.deadlineUs + settings.slackUs(),
-          "lost " + hosted.request.id());
+          "not answered by its deadline: request " + hosted.request.id());
     }
   }
 
@@ -242,19 +249,21 @@
   public void run(long id) {
     actions.add("run " + id);
     HostedRequest hosted = find(id);
-    assertTrue(hosted.state == RequestState.QUEUED, "run of what is not held");
-    assertFalse(hosted.executed && idempotency(hosted) != Idempotency.SAFE, "effect run twice");
+    assertTrue(hosted.state == RequestState.QUEUED, "run of a request that is not queued");
+    assertFalse(
+        hosted.executed && idempotency(hosted) != Idempotency.SAFE,
+        "non-idempotent request run twice");
     assertFalse(
         drainStartedUs >= 0 && hosted.arrivedUs > drainStartedUs + settings.graceUs(),
-        "run after the grace");
+        "run of a request that arrived after the grace period");
     if (idempotency(hosted) == Idempotency.KEYED) {
       assertTrue(
           keysUntilUs.getOrDefault(id, 0L)
               >= hosted.arrivedUs
                   + settings.classes().get(hosted.request.classIndex()).retryWindowUs(),
-          "keyed run without its entry");
+          "keyed request run without a stored key");
       for (long o = hosted.request.originalId(); o != 0; o = requests.get(o).request.originalId()) {
-        assertFalse(requests.get(o).executed, "keyed effect run again");
+        assertFalse(requests.get(o).executed, "keyed request run again");
       }
     }
     hosted.state = RequestState.RUNNING;
@@ -266,9 +275,9 @@
     actions.add("reject " + id);
     HostedRequest hosted = find(id);
     if (idempotency(hosted) != Idempotency.SAFE) {
-      assertFalse(hosted.executed, "effect refused after it ran");
+      assertFalse(hosted.executed, "request rejected after it ran");
       for (long o = hosted.request.originalId(); o != 0; o = requests.get(o).request.originalId()) {
-        assertFalse(requests.get(o).executed, "repeat refused after the effect ran");
+        assertFalse(requests.get(o).executed, "repeated attempt rejected after the original ran");
       }
     }
     lastRetryAfterUs = retryAfterUs;
@@ -296,7 +305,7 @@
   @Override
   public void cancel(long id) {
     actions.add("cancel " + id);
-    assertTrue(settings.cancelMode() != CancelMode.OFF, "cancel where there is none");
+    assertTrue(settings.cancelMode() != CancelMode.OFF, "cancel without a cancel mode");
     find(id).cancelling = true;
   }
 
@@ -307,14 +316,14 @@
     assertTrue(hosted.state == RequestState.NEEDS_CALL);
     assertTrue(
         idempotency(hosted) == Idempotency.SAFE || hosted.repeatable,
-        "call repeated that may have run");
+        "retry of a call that may have run");
     hosted.state = RequestState.CALLING;
     hosted.callUntilUs = untilUs;
-    assertTrue(untilUs >= nowUs, "call given up before it is made");
+    assertTrue(untilUs >= nowUs, "call times out before it is made");
     hosted.call = new OutstandingCall();
     hosted.call.startedUs = nowUs;
-    hosted.call.untilUs =
-        untilUs + settings.callLingerUs(); // it is given up then, whoever hears of it
+    // the call times out then, whether or not its outcome is reported
+    hosted.call.untilUs = untilUs + settings.callLingerUs();
     allCalls.add(hosted.call);
     outstandingCalls++;
   }
@@ -324,7 +333,7 @@
     actions.add("skip " + id);
     assertTrue(
         settings.classes().get(find(id).request.classIndex()).weightWithoutCall() > 0,
-        "skip that is a fault");
+        "skip of a mandatory call");
     find(id).state = RequestState.RUNNING;
   }
 
@@ -336,14 +345,14 @@
 
   @Override
   public void forgetKey(long id) {
-    assertFalse(find(id).executed, "forgotten what has run");
+    assertFalse(find(id).executed, "key of an executed request removed");
     keysUntilUs.remove(id);
   }
 
   @Override
   public void replayResult(long id) {
     actions.add("replay " + id);
-    assertTrue(find(id).request.originalId() != 0, "reuse of nothing");
+    assertTrue(find(id).request.originalId() != 0, "replay for a request that repeats none");
     find(id).state = RequestState.ATTACHED;
   }
 
--- a/src/test/java/rosecleat/policy/TestSettings.java
+++ b/src/test/java/rosecleat/policy/TestSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** PolicySettings for tests; their figures are made up. */
+/** Builds {@link PolicySettings} for tests, with arbitrary example values. */
 final class TestSettings {
   static final PriorityClass SAFE =
       new PriorityClass(1, 0, 1_000_000, 0, 3_000_000, Idempotency.SAFE, 0, false, 0);
@@ -82,7 +82,7 @@
         tenants);
   }
 
-  /** A server whose requests call a shared dependency, with a quota of concurrent calls. */
+  /** Returns settings of a server whose requests call a shared dependency, with a quota. */
   static PolicySettings sharedDownstream(double concurrentCalls, PriorityClass... classes) {
     return with(
         CancelMode.DROP,
@@ -95,7 +95,7 @@
         List.of(classes));
   }
 
-  /** A server whose requests call nothing. */
+  /** Returns settings of a server whose requests make no downstream calls. */
   static PolicySettings withoutDownstream(
       CancelMode cancelMode,
       LoadAdviceMode loadAdviceMode,
@@ -113,7 +113,7 @@
         List.of(classes));
   }
 
-  /** A server with tenants, whose callers are given weights. */
+  /** Returns settings of a server with tenants, whose load advice to callers is a weight. */
   static PolicySettings withTenants(List<TenantQuota> tenants, PriorityClass... classes) {
     return with(
         CancelMode.DROP,
