--- a/src/main/java/rosecleat/policy/Policy.java
+++ b/src/main/java/rosecleat/policy/Policy.java
@@ -199,7 +199,7 @@
   }
 
   private void recordRunTime(TrackedRequest tracked, Outcome outcome, long tookUs) {
-    // waiting for calls is not slowness of the cores
+    // time spent waiting for calls does not count as run time
     long workedUs = Math.max(1, tookUs - tracked.waitedAtCallsUs);
     if (outcome == Outcome.OK && tracked.state != RequestState.ATTACHED) {
       serviceTimes.recordEnd(tracked, workedUs);
--- a/src/test/java/rosecleat/policy/DownstreamCallTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallTest.java
@@ -174,13 +174,16 @@
     assertTrue(host.maxMeanCalls() <= 0.91);
   }
 
-  /** Guards against an overload of the dependency by one call from each of a hundred servers. */
+  /**
+   * Guards against an overload of the dependency by one call from each of a hundred servers. The
+   * phases are calls of 20 ms, calls of 100 ms until the limiter reacts, and further calls of 100
+   * ms.
+   */
   @Test
   void slowCallsAreSpacedOutWithSmallQuota() {
     SimulatedHost host = Scenarios.withDownstreamQuota(0.91, false, Scenarios.LESS_WITHOUT_CALL);
     Set<SimulatedHost.HostedRequest> asked = new HashSet<>();
     long[] occupiedPercent = new long[3];
-    // phases: calls of 20 ms, calls of 100 ms until the limiter reacts, further calls of 100 ms
     for (int phase = 0; phase < 3; phase++) {
       int before = host.allCalls.size();
       long began = host.nowUs;
