--- a/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
+++ b/src/test/java/rosecleat/policy/DownstreamCallLimiterTest.java
@@ -6,7 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The quota of calls (one call in the mean of 5 s; calls linger 200 ms), and their limit. */
+/**
+ * Tests the quota of calls and the limit on concurrent calls. The quota is one call on average over
+ * 5 s, and an abandoned call occupies the dependency for another 200 ms.
+ */
 class DownstreamCallLimiterTest {
   private static final long WINDOW_US = 5_000_000;
   private static final long LINGER_US = 200_000;
@@ -23,14 +26,14 @@
           3_000_000);
 
   @Test
-  void anOutstandingCallReservesItsTimeAndItsLingering() {
+  void outstandingCallReservesItsTimeoutAndLingerTime() {
     assertEquals(WINDOW_US - LINGER_US, limiter.availableUs());
     limiter.acquire(tracked, 1_000_000);
     assertEquals(WINDOW_US - 1_000_000 - 2 * LINGER_US, limiter.availableUs());
   }
 
   @Test
-  void aCallThatEndedOccupiesOnlyTheTimeThatItTook() {
+  void endedCallOccupiesOnlyItsDuration() {
     limiter.acquire(tracked, 1_000_000);
     context.nowUs(100_000);
     limiter.release(tracked, true);
@@ -39,7 +42,7 @@
   }
 
   @Test
-  void aCallThatWasGivenUpLingers() {
+  void abandonedCallOccupiesItsLingerTimeToo() {
     limiter.acquire(tracked, 1_000_000);
     context.nowUs(100_000);
     limiter.release(tracked, false);
@@ -47,21 +50,22 @@
   }
 
   @Test
-  void aRejectionLowersTheLimitToLessThanWhatWasOutstanding() {
+  void rejectionLowersLimitBelowOutstandingCalls() {
     limiter.recordRejection();
     limiter.adjust(10);
     assertEquals(7, limiter.limit(), 1e-9);
     limiter.adjust(7);
-    assertTrue(limiter.limit() > 7, "it rises while it is used up: " + limiter.limit());
+    assertTrue(
+        limiter.limit() > 7, "limit does not rise while it is fully used: " + limiter.limit());
   }
 
   @Test
-  void aRestoredLengthCountsOnlyWhereNoCallWasSeen() {
+  void restoredDurationIsUsedOnlyBeforeFirstCall() {
     limiter.restore(30_000, 5);
-    assertEquals(30_000, limiter.typicalLengthUs());
+    assertEquals(30_000, limiter.typicalDurationUs());
     assertEquals(5, limiter.limit());
-    limiter.recordLength(30_000);
+    limiter.recordDuration(30_000);
     limiter.restore(90_000, 0);
-    assertEquals(30_000, limiter.typicalLengthUs(), 1e-6);
+    assertEquals(30_000, limiter.typicalDurationUs(), 1e-6);
   }
 }
--- a/src/test/java/rosecleat/policy/EventSequenceTest.java
+++ b/src/test/java/rosecleat/policy/EventSequenceTest.java
@@ -11,15 +11,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Sequences of events, legal and not; {@link SimulatedHost} asserts the rules at each action. */
+/**
+ * Tests sequences of legal and unexpected events. {@link SimulatedHost} asserts the invariants at
+ * each action.
+ */
 class EventSequenceTest {
   @Test
   void unexpectedEventsAreIgnored() {
     SimulatedHost host = Scenarios.withDownstreamQuota(0.2, false, Scenarios.OPTIONAL_CALL);
     SimulatedHost.HostedRequest hosted = host.arrive(0);
-    host.policy.callEnded(host.nowUs, hosted.request.id(), Outcome.OK, 1); // no call is out
+    host.policy.callEnded(host.nowUs, hosted.request.id(), Outcome.OK, 1); // no call is outstanding
     host.needCall(hosted);
-    host.policy.callNeeded(host.nowUs, hosted.request.id()); // it stands at a call already
+    host.policy.callNeeded(host.nowUs, hosted.request.id()); // the request already waits for a call
     host.drain(400_000);
     host.advance(500_000);
     assertFalse(hosted.awaitingResponse);
@@ -30,16 +33,16 @@
     host.policy.ended(host.nowUs, hosted.request.id(), Outcome.NOT_STARTED, 1);
     host.policy.ended(host.nowUs, 12345, Outcome.OK, 1);
     SimulatedHost.HostedRequest stale =
-        host.arrive(0, 3, 9_000_000, 1, 0); // nothing left, and no tenant of that number
+        host.arrive(0, 3, 9_000_000, 1, 0); // 1 us until the deadline, and an unknown tenant
     host.advance(60_000);
     assertFalse(stale.awaitingResponse);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7})
-  void randomLegalEventsBreakNoRule(long seed) {
+  void randomLegalEventsViolateNoInvariant(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    SimulatedHost host = hostOfAllKinds(seed);
+    SimulatedHost host = hostWithAllClasses(seed);
     for (int step = 0; step < 4000; step++) {
       host.gauges.coreUtilisation = random.nextDouble();
       host.gauges.runnable = host.running().size();
@@ -65,7 +68,7 @@
     assertTrue(host.actions.stream().filter(a -> a.startsWith("run")).count() > 500);
   }
 
-  private static SimulatedHost hostOfAllKinds(long seed) {
+  private static SimulatedHost hostWithAllClasses(long seed) {
     PriorityClass safe =
         new PriorityClass(1, 0.2, 800_000, 0, 2_500_000, Idempotency.SAFE, 0, true, 0.4);
     PriorityClass keyed =
@@ -142,7 +145,7 @@
   }
 
   @Test
-  void theSameEventsGiveTheSameActions() {
+  void sameEventsProduceSameActions() {
     List<String> first = null;
     for (int pass = 0; pass < 2; pass++) {
       SimulatedHost host = Scenarios.warmedUp();
