--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -13,10 +13,10 @@
  */
 public final class Core {
   /** The longest time between two ticks (us). */
-  private static final long TICK_US = 20_000;
+  private static final long MAX_TICK_INTERVAL_US = 20_000;
 
   /** How often expired idempotency keys and lost runs are looked for (us). */
-  private static final long EXPIRE_EVERY_US = 1_000_000;
+  private static final long EXPIRY_INTERVAL_US = 1_000_000;
 
   private static final RequestHandle NOTHING_TO_CANCEL = () -> {};
 
@@ -378,18 +378,18 @@
   public long tick() {
     long now = clock.getAsLong();
     if (!policy.started()) {
-      return now + TICK_US;
+      return now + MAX_TICK_INTERVAL_US;
     }
     if (now >= nextExpiryUs) {
       attempts.expire(now);
       runs.expireLost(now);
-      nextExpiryUs = now + EXPIRE_EVERY_US;
+      nextExpiryUs = now + EXPIRY_INTERVAL_US;
     }
     attempts.pollPeerRuns();
     long nextUs = policy.tick(now);
     policyDriver.executeCommands();
     gaugeSource.ifPresentOrElse(Runner::requestGauges, () -> estimateLoad(now));
-    return Math.min(nextUs, now + TICK_US);
+    return Math.min(nextUs, now + MAX_TICK_INTERVAL_US);
   }
 
   private void estimateLoad(long nowUs) {
--- a/src/main/java/rosecleat/core/IdempotencyEntry.java
+++ b/src/main/java/rosecleat/core/IdempotencyEntry.java
@@ -50,7 +50,7 @@
   }
 
   /** Makes an attempt the one that is to run, unless another one was started before. */
-  void offer(InFlightRequest attempt) {
+  void makeOwnerUnlessStarted(InFlightRequest attempt) {
     if (!runStarted) {
       owner = attempt;
     }
@@ -62,7 +62,7 @@
   }
 
   /** Whether a run with this id was started here. */
-  boolean ranAs(String runId) {
+  boolean hasLocalRun(String runId) {
     return runStarted && owner != null && owner.id().equals(runId);
   }
 
@@ -119,17 +119,17 @@
   }
 
   /** Lets an attempt wait for the end of the run. */
-  void await(InFlightRequest attempt) {
+  void addWaiting(InFlightRequest attempt) {
     waiting.add(attempt);
   }
 
   /** Takes over the attempts that wait for another entry of the same key. */
-  void awaitWith(IdempotencyEntry replaced) {
+  void addWaitingFrom(IdempotencyEntry replaced) {
     waiting.addAll(replaced.waiting);
   }
 
   /** Whether any attempt waits for the end of the run. */
-  boolean awaited() {
+  boolean hasWaiting() {
     return !waiting.isEmpty();
   }
 
--- a/src/main/java/rosecleat/core/IdempotencyTable.java
+++ b/src/main/java/rosecleat/core/IdempotencyTable.java
@@ -75,7 +75,7 @@
       entry = new IdempotencyEntry(key, digest(request.request().body()), untilUs);
       entries.put(key, entry);
     }
-    entry.offer(request);
+    entry.makeOwnerUnlessStarted(request);
     entry.extend(untilUs);
   }
 
@@ -98,7 +98,7 @@
     IdempotencyEntry entry = IdempotencyEntry.ofPeer(IdempotencyKey.of(request), claim);
     IdempotencyEntry replaced = entries.put(entry.key, entry);
     if (replaced != null) {
-      entry.awaitWith(replaced);
+      entry.addWaitingFrom(replaced);
       evictResult(replaced);
     }
     return entry;
@@ -134,7 +134,7 @@
   /** The entry whose run was executed here, by this id, and has ended without a result. */
   Optional<IdempotencyEntry> endedWithoutResult(String runId) {
     return entries.values().stream()
-        .filter(entry -> entry.ranAs(runId) && entry.runEnded() && entry.result().isEmpty())
+        .filter(entry -> entry.hasLocalRun(runId) && entry.runEnded() && entry.result().isEmpty())
         .findAny();
   }
 
@@ -155,7 +155,7 @@
     Iterator<IdempotencyEntry> each = entries.values().iterator();
     while (each.hasNext()) {
       IdempotencyEntry entry = each.next();
-      if (nowUs > entry.expiresUs() + retentionUs && !entry.awaited()) {
+      if (nowUs > entry.expiresUs() + retentionUs && !entry.hasWaiting()) {
         each.remove();
         evictResult(entry);
       }
--- a/src/main/java/rosecleat/core/IdempotentAttempts.java
+++ b/src/main/java/rosecleat/core/IdempotentAttempts.java
@@ -30,7 +30,7 @@
    * Connections stay open so much longer (us) than the settings say, and an attempt may come on
    * them; keys stay in force at least as long.
    */
-  private static final long CONNECTION_SLACK_US = 50_000;
+  private static final long IDLE_CLOSE_DELAY_US = 50_000;
 
   private final IdempotencyTable table;
   private final IdempotencyClaims claims;
@@ -124,7 +124,7 @@
       return RunPermission.KEY_CONFLICT;
     }
     request.awaitPeerProcess(clock.getAsLong());
-    entry.await(request);
+    entry.addWaiting(request);
     return RunPermission.RUNS_ON_PEER_PROCESS;
   }
 
@@ -132,7 +132,7 @@
     return request.request().arrivedAtUs()
         + request.requestClass().idempotencyWindowUs()
         + deadlineSlackUs
-        + CONNECTION_SLACK_US;
+        + IDLE_CLOSE_DELAY_US;
   }
 
   /** Remembers the key of a request for some time from now, at least for its class's window. */
@@ -157,7 +157,7 @@
         request.idempotent() ? table.find(request) : Optional.empty();
     request.awaitResult(clock.getAsLong());
     if (entry.isPresent() && !entry.get().runEnded()) {
-      entry.get().await(request);
+      entry.get().addWaiting(request);
       pollPeerRuns();
     } else {
       replay(request, entry.flatMap(IdempotencyEntry::result));
@@ -167,7 +167,7 @@
   /** Asks for the end of each run of a peer process that a request here waits for. */
   void pollPeerRuns() {
     for (IdempotencyEntry entry : table.pendingPeerRuns()) {
-      if (entry.awaited()) {
+      if (entry.hasWaiting()) {
         pollPeerRun(entry);
       }
     }
@@ -245,7 +245,7 @@
     }
     counters.add(result.isPresent() ? "reused" : "reused.nothing");
     closer.respond(request, replayed(result));
-    closer.end(
+    closer.closeAndReportEnd(
         request,
         result.isPresent() ? RunOutcome.OK : RunOutcome.FAILED,
         clock.getAsLong() - request.startedUs());
--- a/src/main/java/rosecleat/core/InFlightRequest.java
+++ b/src/main/java/rosecleat/core/InFlightRequest.java
@@ -152,14 +152,14 @@
 
   /** The run starts. */
   void startRun(long nowUs) {
-    become(RequestState.RUNNING);
+    transitionTo(RequestState.RUNNING);
     mayHaveRun = true;
     startedUs = nowUs;
   }
 
   /** The request waits for the result of an earlier attempt with its idempotency key. */
   void awaitResult(long nowUs) {
-    become(RequestState.AWAITING_RESULT);
+    transitionTo(RequestState.AWAITING_RESULT);
     startedUs = nowUs;
   }
 
@@ -170,45 +170,45 @@
   }
 
   /** The peer process's run concerns this request no longer. */
-  void peerProcessDone() {
+  void stopAwaitingPeerProcess() {
     runsOnPeerProcess = false;
   }
 
   /** The run pauses for a downstream call. */
   void requestCall(long number, byte[] body) {
-    become(RequestState.CALL_REQUESTED);
+    transitionTo(RequestState.CALL_REQUESTED);
     callNumber = number;
     callBody = body;
   }
 
   /** The downstream call is made. */
   void startCall(long nowUs) {
-    become(RequestState.CALLING);
+    transitionTo(RequestState.CALLING);
     callStartedUs = nowUs;
   }
 
   /** The downstream call has no reply; the run stays paused. */
   void callFailed() {
-    become(RequestState.CALL_REQUESTED);
+    transitionTo(RequestState.CALL_REQUESTED);
   }
 
   /** The run is not paused any longer. */
   void resumeRun() {
-    become(RequestState.RUNNING);
+    transitionTo(RequestState.RUNNING);
   }
 
   /** The run was cancelled and may be started again. */
   void requeue() {
-    become(RequestState.QUEUED);
+    transitionTo(RequestState.QUEUED);
   }
 
   /** Nothing of the request is left here. May be repeated. */
   void close() {
-    become(RequestState.CLOSED);
+    transitionTo(RequestState.CLOSED);
   }
 
-  private void become(RequestState next) {
-    assert state.canBecome(next) : state + " to " + next;
+  private void transitionTo(RequestState next) {
+    assert state.canTransitionTo(next) : state + " to " + next;
     state = next;
   }
 
@@ -223,7 +223,7 @@
   }
 
   /** It is proven that no run of the request executed. */
-  void provenNotRun() {
+  void markNeverRan() {
     mayHaveRun = false;
   }
 
--- a/src/main/java/rosecleat/core/PolicyDriver.java
+++ b/src/main/java/rosecleat/core/PolicyDriver.java
@@ -102,23 +102,24 @@
 
   private void execute(PolicyCommand command) {
     if (command instanceof PolicyCommand.Run run) {
-      with(run.id(), this::start);
+      ifInFlight(run.id(), this::start);
     } else if (command instanceof PolicyCommand.Reject reject) {
-      with(reject.id(), request -> runs.reject(request, reject.retryAfterUs(), reject.noRetry()));
+      ifInFlight(
+          reject.id(), request -> runs.reject(request, reject.retryAfterUs(), reject.noRetry()));
     } else if (command instanceof PolicyCommand.Fail fail) {
-      with(fail.id(), runs::fail);
+      ifInFlight(fail.id(), runs::fail);
     } else if (command instanceof PolicyCommand.Cancel cancel) {
-      with(cancel.id(), runs::cancel);
+      ifInFlight(cancel.id(), runs::cancel);
     } else if (command instanceof PolicyCommand.Call call) {
-      with(call.id(), request -> calls.make(request, call.untilUs()));
+      ifInFlight(call.id(), request -> calls.make(request, call.untilUs()));
     } else if (command instanceof PolicyCommand.SkipCall skip) {
-      with(skip.id(), calls::skip);
+      ifInFlight(skip.id(), calls::skip);
     } else if (command instanceof PolicyCommand.RememberKey remember) {
-      with(remember.id(), request -> attempts.remember(request, remember.forUs()));
+      ifInFlight(remember.id(), request -> attempts.remember(request, remember.forUs()));
     } else if (command instanceof PolicyCommand.ForgetKey forget) {
-      with(forget.id(), attempts::forget);
+      ifInFlight(forget.id(), attempts::forget);
     } else if (command instanceof PolicyCommand.ReplayResult replay) {
-      with(replay.id(), attempts::replayResult);
+      ifInFlight(replay.id(), attempts::replayResult);
     } else {
       executeOnNode(command);
     }
@@ -141,7 +142,7 @@
   }
 
   /** Acts on a request; a command for one that is closed by now does nothing. */
-  private void with(long sequence, Consumer<InFlightRequest> action) {
+  private void ifInFlight(long sequence, Consumer<InFlightRequest> action) {
     requests.find(sequence).ifPresent(action);
   }
 }
--- a/src/main/java/rosecleat/core/RequestCloser.java
+++ b/src/main/java/rosecleat/core/RequestCloser.java
@@ -39,7 +39,7 @@
   }
 
   /** Closes a request and reports that its run has ended. */
-  void end(InFlightRequest request, RunOutcome outcome, long durationUs) {
+  void closeAndReportEnd(InFlightRequest request, RunOutcome outcome, long durationUs) {
     close(request);
     reportEnd(request, outcome, durationUs);
   }
@@ -50,7 +50,7 @@
    */
   void endWithoutRun(InFlightRequest request, Response response) {
     respond(request, response);
-    end(request, RunOutcome.NOT_STARTED, 0);
+    closeAndReportEnd(request, RunOutcome.NOT_STARTED, 0);
   }
 
   /** Removes a request; may be repeated. */
@@ -58,7 +58,7 @@
     request.close();
     requests.remove(request);
     if (request.runsOnPeerProcess()) { // the policy counts it as running until told otherwise
-      request.peerProcessDone();
+      request.stopAwaitingPeerProcess();
       reportEnd(request, RunOutcome.NOT_STARTED, 0);
     }
   }
--- a/src/main/java/rosecleat/core/RequestState.java
+++ b/src/main/java/rosecleat/core/RequestState.java
@@ -38,7 +38,7 @@
   CLOSED;
 
   /** Whether the table of transitions has one from this state to another. */
-  boolean canBecome(RequestState next) {
+  boolean canTransitionTo(RequestState next) {
     return next == CLOSED || successors().contains(next);
   }
 
--- a/src/main/java/rosecleat/core/Runs.java
+++ b/src/main/java/rosecleat/core/Runs.java
@@ -12,7 +12,7 @@
  */
 final class Runs {
   /** A run whose end is not reported so long (us) after its deadline is taken for lost. */
-  private static final long LOST_RUN_US = 30_000_000;
+  private static final long LOST_RUN_TIMEOUT_US = 30_000_000;
 
   private final InFlightRequests requests;
   private final RequestCloser closer;
@@ -153,32 +153,32 @@
 
   private void completed(InFlightRequest request, byte[] output, long durationUs) {
     closer.respond(request, new Response.Completed(output));
-    closer.end(request, RunOutcome.OK, durationUs);
+    closer.closeAndReportEnd(request, RunOutcome.OK, durationUs);
     attempts.runCompleted(request, output);
   }
 
   private void failed(
       InFlightRequest request, Progress progress, FailureReason reason, long durationUs) {
     closer.respond(request, Response.failed(progress, reason, FailureCause.BACKEND));
-    closer.end(request, RunOutcome.FAILED, durationUs);
+    closer.closeAndReportEnd(request, RunOutcome.FAILED, durationUs);
     attempts.runEndedWithoutResult(request);
   }
 
   private void notStarted(InFlightRequest request, long durationUs) {
     closer.respond(
         request, Response.failed(Progress.SENT, FailureReason.RUN_NOT_STARTED, FailureCause.TIME));
-    closer.end(request, RunOutcome.NOT_STARTED, durationUs);
+    closer.closeAndReportEnd(request, RunOutcome.NOT_STARTED, durationUs);
     attempts.runEndedWithoutResult(request);
   }
 
   /** Nothing ran, which is proven: an idempotent request may be sent again and run then. */
   private void runnerNotReached(InFlightRequest request, long durationUs) {
     List<InFlightRequest> waiting = attempts.runNeverExecuted(request);
-    request.provenNotRun();
+    request.markNeverRan();
     closer.respond(
         request,
         Response.failed(Progress.NOT_SENT, FailureReason.RUNNER_UNREACHABLE, FailureCause.BACKEND));
-    closer.end(request, RunOutcome.FAILED, durationUs);
+    closer.closeAndReportEnd(request, RunOutcome.FAILED, durationUs);
     attempts.replay(waiting, Optional.empty());
   }
 
@@ -189,7 +189,7 @@
       request.requeue();
       closer.reportEnd(request, RunOutcome.CANCELLED, durationUs);
     } else {
-      closer.end(request, RunOutcome.CANCELLED, durationUs);
+      closer.closeAndReportEnd(request, RunOutcome.CANCELLED, durationUs);
     }
     attempts.runEndedWithoutResult(request);
   }
@@ -200,7 +200,7 @@
    */
   void expireLost(long nowUs) {
     for (InFlightRequest request : requests.snapshot()) {
-      if (!request.awaitingResponse() && nowUs > request.deadlineUs() + LOST_RUN_US) {
+      if (!request.awaitingResponse() && nowUs > request.deadlineUs() + LOST_RUN_TIMEOUT_US) {
         counters.add("runs.lost");
         log.warn("a run has not ended long after its answer was due, and is forgotten");
         cancel(request);
--- a/src/test/java/rosecleat/core/RequestStateTest.java
+++ b/src/test/java/rosecleat/core/RequestStateTest.java
@@ -33,7 +33,8 @@
   void stateBecomesOnlyWhatTheTableHas() {
     for (RequestState from : RequestState.values()) {
       for (RequestState to : EnumSet.allOf(RequestState.class)) {
-        assertEquals(TRANSITIONS.get(from).contains(to), from.canBecome(to), from + " to " + to);
+        assertEquals(
+            TRANSITIONS.get(from).contains(to), from.canTransitionTo(to), from + " to " + to);
       }
     }
   }
