--- a/src/main/java/rosecleat/core/CallResult.java
+++ b/src/main/java/rosecleat/core/CallResult.java
@@ -6,13 +6,13 @@
   OK("hit"),
   /** The downstream service rejected the call without executing it. */
   REJECTED("shed"),
-  /** The call failed; it may have had its effect. */
+  /** The call failed; it may have taken effect. */
   FAILED("broken"),
-  /** The call ran out of time; it may have had its effect. */
+  /** The call timed out; it may have taken effect. */
   TIMED_OUT("slow"),
-  /** The downstream service was not reached, so nothing executed. */
+  /** The downstream service was not reached, so nothing was executed. */
   UNREACHABLE("unreached"),
-  /** The connection broke after the call had been sent; it may have had its effect. */
+  /** The connection broke after the call had been sent; the call may have taken effect. */
   INTERRUPTED("cut");
 
   private final String counterSuffix;
@@ -21,7 +21,7 @@
     this.counterSuffix = counterSuffix;
   }
 
-  /** The last part of the names of counters of this result, which operators' tools depend on. */
+  /** Returns the suffix of this result's counter names, which operators' tools depend on. */
   public String counterSuffix() {
     return counterSuffix;
   }
--- a/src/main/java/rosecleat/core/CoreSettings.java
+++ b/src/main/java/rosecleat/core/CoreSettings.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * The settings of a core. A class or tenant is known by its position in its list.
+ * The settings of a core. Classes and tenants are identified by their indices in these lists.
  *
- * @param cores the processor cores that runs share
- * @param classes the classes of requests
+ * @param cores number of processor cores that runs share
+ * @param classes the request classes
  * @param tenants the names of the tenants
- * @param deadlineSlackUs how long after its deadline a response may still be of use, in
- *     microseconds
- * @param gracePeriodUs how long after the start of a graceful shutdown requests that arrive are
+ * @param deadlineSlackUs how long after its deadline a response may still be useful to the caller,
+ *     in microseconds
+ * @param gracePeriodUs how long after the start of a graceful shutdown newly arriving requests are
  *     still run, in microseconds
- * @param idleTimeoutUs how long connections may stay unused, in microseconds
- * @param maxResultBytes how many bytes of results are cached for later attempts with the same
- *     idempotency keys
+ * @param idleTimeoutUs how long a connection may stay idle, in microseconds
+ * @param maxResultBytes upper bound on the total size of the results that are cached for later
+ *     attempts with the same idempotency keys, in bytes
  */
 public record CoreSettings(
     int cores,
@@ -24,7 +24,7 @@
     long gracePeriodUs,
     long idleTimeoutUs,
     long maxResultBytes) {
-  /** The longest timeout of any class, in microseconds; 0 without classes. */
+  /** Returns the longest timeout of any class, in microseconds; 0 if there are no classes. */
   long maxTimeoutUs() {
     return classes.stream().mapToLong(RequestClass::timeoutUs).max().orElse(0);
   }
--- a/src/main/java/rosecleat/core/Counters.java
+++ b/src/main/java/rosecleat/core/Counters.java
@@ -5,31 +5,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Named counters of what a process does, for operators. For the core's thread. */
+/** Named event counters of one process, for operators. For the core's thread. */
 public final class Counters {
   private static final String PREFIX = "counters";
 
   private final Map<String, long[]> counts = new TreeMap<>();
 
-  /** Adds one to a count. */
+  /** Adds one to a counter. */
   public void add(String name) {
     add(name, 1);
   }
 
-  /** Adds to a count. */
+  /** Adds to a counter. */
   public void add(String name, long more) {
     counts.computeIfAbsent(name, n -> new long[1])[0] += more;
   }
 
-  /** A count, 0 where nothing was counted. */
+  /** Returns the value of a counter; 0 if nothing was counted. */
   public long get(String name) {
     long[] count = counts.get(name);
     return count == null ? 0 : count[0];
   }
 
   /**
-   * All counts in order of their names, on as many lines as it takes to keep each within a length;
-   * a count that is longer than that by itself has a line of its own.
+   * Returns all counters, sorted by name, on as many lines as are needed so that no line exceeds
+   * {@code maxChars}. A counter that is too long even by itself has a line of its own.
    */
   public List<String> toLines(int maxChars) {
     List<String> lines = new ArrayList<>();
@@ -46,7 +46,7 @@
     return lines;
   }
 
-  /** All counts on one line, in order of their names. */
+  /** Returns all counters on one line, sorted by name. */
   @Override
   public String toString() {
     StringBuilder line = new StringBuilder(PREFIX);
--- a/src/main/java/rosecleat/core/DownstreamCalls.java
+++ b/src/main/java/rosecleat/core/DownstreamCalls.java
@@ -5,14 +5,14 @@
 import rosecleat.policy.CallOutcome;
 import rosecleat.policy.PolicyEvent;
 
-/** The downstream calls that runs pause for. For the core's thread. */
+/** Makes, skips and cancels the downstream calls for which runs pause. For the core's thread. */
 final class DownstreamCalls {
   private final DownstreamClient client;
   private final LongSupplier clock;
   private final Counters counters;
   private final Consumer<PolicyEvent> policy;
 
-  /** No call is in progress yet. */
+  /** Creates an instance without calls in progress. */
   DownstreamCalls(
       DownstreamClient client,
       LongSupplier clock,
@@ -24,7 +24,7 @@
     this.policy = policy;
   }
 
-  /** A run pauses until its call is made or skipped. */
+  /** Pauses a run until its downstream call is completed or skipped, and notifies the policy. */
   void requested(InFlightRequest request, long callNumber, byte[] body) {
     if (!request.is(RequestState.RUNNING)) {
       return;
@@ -34,7 +34,7 @@
     policy.accept(new PolicyEvent.CallNeeded(request.sequence()));
   }
 
-  /** Makes the call that a run is paused for, unless nobody waits for the response any longer. */
+  /** Makes the call for which a run is paused, unless its caller no longer waits for a response. */
   void make(InFlightRequest request, long untilUs) {
     if (!request.is(RequestState.CALL_REQUESTED) || !request.awaitingResponse()) {
       return;
@@ -44,7 +44,7 @@
     client.call(request.id(), untilUs, request.callBody());
   }
 
-  /** Resumes a run without its call. */
+  /** Resumes a paused run without its call. */
   void skip(InFlightRequest request) {
     if (request.is(RequestState.CALL_REQUESTED)) {
       request.resumeRun();
@@ -53,7 +53,10 @@
     }
   }
 
-  /** A call has ended; a reply resumes the run, and without one the policy decides again. */
+  /**
+   * Handles the end of a call. A reply resumes the run; without a reply, the policy decides whether
+   * to call again.
+   */
   void ended(InFlightRequest request, CallResult result, byte[] reply) {
     if (!request.is(RequestState.CALLING)) {
       return;
--- a/src/main/java/rosecleat/core/IdempotencyClaims.java
+++ b/src/main/java/rosecleat/core/IdempotencyClaims.java
@@ -1,15 +1,15 @@
 package rosecleat.core;
 
 /**
- * Claims on idempotency keys among the processes of one node: the process that claims a key first
- * runs the request, and the others reuse its result. Keys are arbitrary text; all times are
- * microseconds of the Unix clock. Not thread-safe.
+ * Claims on idempotency keys, shared by the processes of one node: the process that claims a key
+ * first runs the request, and the others reuse its result. Keys are arbitrary text; all times are
+ * in Unix microseconds. Not thread-safe.
  */
 public interface IdempotencyClaims {
-  /** Claims for a node's only process: every key belongs to it. */
+  /** Claims for a node with a single process, which owns every key. */
   IdempotencyClaims SINGLE_PROCESS = new SingleProcessClaims();
 
-  /** Who has claimed a key. */
+  /** Which process, if any, has claimed a key. */
   sealed interface ClaimStatus {}
 
   /** No process has claimed the key. */
@@ -27,21 +27,21 @@
   /** The peer's run has not ended. */
   record Pending() implements PeerRun {}
 
-  /** The peer's run completed with a result. */
+  /** The peer's run has completed with a result. */
   record Completed(byte[] result) implements PeerRun {}
 
-  /** The peer's run may have executed, and there will be no result. */
+  /** The peer's run may have executed, but no result will follow. */
   record NoResult() implements PeerRun {}
 
-  /** The peer's run never executed: the key is unclaimed again. */
+  /** The peer's run never executed, and the key is unclaimed again. */
   record NeverRan() implements PeerRun {}
 
-  /** Returns who has claimed a key. */
+  /** Returns which process, if any, has claimed a key. */
   ClaimStatus status(String key);
 
   /**
    * Claims a key for a run, which may start only if this returns {@link Owned}. {@link Unclaimed}
-   * means that no key can be claimed at present.
+   * means that the key can't be claimed at the moment.
    */
   ClaimStatus claim(String key, byte[] digest, long untilUs);
 
@@ -51,7 +51,7 @@
   /** Publishes that the run of a key that this process claimed has ended without a result. */
   void endedWithoutResult(String key);
 
-  /** Releases a key that this process claimed, as its run is proven not to have executed. */
+  /** Releases a key that this process claimed, because its run is known never to have executed. */
   void neverRan(String key);
 
   /** Returns the state of the run of a key that a peer process claimed. */
--- a/src/main/java/rosecleat/core/IdempotencyEntry.java
+++ b/src/main/java/rosecleat/core/IdempotencyEntry.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * What is known of one idempotency key: which attempt ran, what its result is, and which attempts
- * wait for it. Owned by {@link IdempotencyTable}.
+ * The state of one idempotency key: which attempt owns its run, the run's result, and which
+ * attempts wait for that result. Only {@link IdempotencyTable} creates and removes entries.
  */
 final class IdempotencyEntry {
   private static final long RUNS_ON_PEER_PROCESS = Long.MAX_VALUE;
@@ -20,60 +20,61 @@
   private byte[] result;
   private List<InFlightRequest> waiting = new ArrayList<>();
 
-  /** An entry that nobody owns yet. */
+  /** Creates an entry without an owner. */
   IdempotencyEntry(IdempotencyKey key, byte[] bodyDigest, long expiresUs) {
     this.key = key;
     this.bodyDigest = bodyDigest;
     this.expiresUs = expiresUs;
   }
 
-  /** An entry for a run that a peer process executes. */
+  /** Creates an entry for a run that a peer process executes. */
   static IdempotencyEntry ofPeer(IdempotencyKey key, IdempotencyClaims.OwnedByPeer claim) {
     IdempotencyEntry entry = new IdempotencyEntry(key, claim.digest(), claim.untilUs());
     entry.runStarted = true;
     return entry;
   }
 
-  /** Whether the key is in force for an attempt that arrived at a time. */
+  /** Returns whether the key is in force for an attempt that arrived at a time. */
   boolean inForceAt(long arrivedAtUs) {
     return arrivedAtUs <= expiresUs;
   }
 
-  /** When the key expires, in Unix microseconds. */
+  /** Returns when the key expires, in Unix microseconds. */
   long expiresUs() {
     return expiresUs;
   }
 
-  /** Keeps the key in force until a time at least. */
+  /** Keeps the key in force at least until a time, in Unix microseconds. */
   void extend(long untilUs) {
     expiresUs = Math.max(expiresUs, untilUs);
   }
 
-  /** Makes an attempt the one that is to run, unless another one was started before. */
+  /** Makes an attempt the owner of the run, unless the run of an earlier owner has started. */
   void makeOwnerUnlessStarted(InFlightRequest attempt) {
     if (!runStarted) {
       owner = attempt;
     }
   }
 
-  /** Whether an attempt is the one that runs, or is to run. */
+  /** Returns whether an attempt owns the run: it was started, or is to be started, for it. */
   boolean ownedBy(InFlightRequest attempt) {
     return owner == attempt;
   }
 
-  /** Whether a run with this id was started here. */
+  /** Returns whether this process started the run under this id. */
   boolean hasLocalRun(String runId) {
     return runStarted && owner != null && owner.id().equals(runId);
   }
 
-  /** Whether a peer process executes the run. */
+  /** Returns whether a peer process executes the run. */
   boolean runsOnPeerProcess() {
     return owner == null;
   }
 
   /**
-   * The policy's number of the attempt that later ones repeat; 0 where they are new requests.
-   * {@link #RUNS_ON_PEER_PROCESS}, which is no request's number, where a peer process runs it.
+   * Returns the sequence number of the attempt that later attempts repeat. Returns 0 if the owner
+   * left the queue without being started: later attempts are then new requests. Returns {@link
+   * #RUNS_ON_PEER_PROCESS}, which is never a sequence number, if a peer process executes the run.
    */
   long originalSequence() {
     if (owner == null) {
@@ -82,58 +83,60 @@
     return runStarted || owner.is(RequestState.QUEUED) ? owner.sequence() : 0;
   }
 
-  /** The owner's run is about to start. */
+  /** Marks the run as started. */
   void startRun() {
     runStarted = true;
   }
 
-  /** Whether a run was started. */
+  /** Returns whether the run was started. */
   boolean runStarted() {
     return runStarted;
   }
 
-  /** Whether the run has ended. */
+  /** Returns whether the run has ended. */
   boolean runEnded() {
     return runEnded;
   }
 
-  /** The run has ended, with or without a result. */
+  /** Marks the run as ended, with or without a result. */
   void endRun(Optional<byte[]> output) {
     runEnded = true;
     output.ifPresent(bytes -> result = bytes);
   }
 
-  /** The result; empty while there is none, or where there will be none. */
+  /**
+   * Returns the result; empty before the run has ended, without a result, or after its eviction.
+   */
   Optional<byte[]> result() {
     return Optional.ofNullable(result);
   }
 
-  /** How many bytes the result takes. */
+  /** Returns the size of the result in bytes; 0 without a result. */
   int resultBytes() {
     return result == null ? 0 : result.length;
   }
 
-  /** Drops the result; later attempts fail. */
+  /** Discards the result: later attempts fail rather than run again. */
   void dropResult() {
     result = null;
   }
 
-  /** Lets an attempt wait for the end of the run. */
+  /** Adds an attempt that waits for the end of the run. */
   void addWaiting(InFlightRequest attempt) {
     waiting.add(attempt);
   }
 
-  /** Takes over the attempts that wait for another entry of the same key. */
+  /** Adds the attempts that wait for the run of the entry that this one replaces. */
   void addWaitingFrom(IdempotencyEntry replaced) {
     waiting.addAll(replaced.waiting);
   }
 
-  /** Whether any attempt waits for the end of the run. */
+  /** Returns whether any attempt waits for the end of the run. */
   boolean hasWaiting() {
     return !waiting.isEmpty();
   }
 
-  /** Returns the attempts that wait for the end of the run; none wait from now on. */
+  /** Removes and returns the attempts that wait for the end of the run. */
   List<InFlightRequest> takeWaiting() {
     List<InFlightRequest> taken = waiting;
     waiting = new ArrayList<>();
--- a/src/main/java/rosecleat/core/IdempotencyKey.java
+++ b/src/main/java/rosecleat/core/IdempotencyKey.java
@@ -1,17 +1,17 @@
 package rosecleat.core;
 
 /**
- * Identifies all attempts of one idempotent request. Made of names, which stay valid when the
- * positions of classes and tenants change.
+ * Identifies all attempts of one idempotent request. Refers to its class and tenant by name,
+ * because their indices can change when the configuration is reloaded.
  */
 record IdempotencyKey(String className, String tenantName, String key) {
-  /** The key of an idempotent request. */
+  /** Returns the key of an idempotent request. */
   static IdempotencyKey of(InFlightRequest request) {
     return new IdempotencyKey(
         request.request().className(), request.tenantName(), request.request().idempotencyKey());
   }
 
-  /** The key as peer processes know it. */
+  /** Returns the text by which all processes of this node identify the key. */
   String name() {
     return className + '\0' + tenantName + '\0' + key;
   }
--- a/src/main/java/rosecleat/core/IdempotentAttempts.java
+++ b/src/main/java/rosecleat/core/IdempotentAttempts.java
@@ -9,26 +9,26 @@
 import rosecleat.policy.RunOutcome;
 
 /**
- * Makes sure that of all attempts with one idempotency key at most one runs, in any process of the
- * node, and that the others get its result. Requests without a key pass unchanged. For the core's
- * thread.
+ * Ensures that at most one of the attempts with the same idempotency key runs, across all processes
+ * of the node, and that the others get its result. Requests without a key are not affected. For the
+ * core's thread.
  */
 final class IdempotentAttempts {
-  /** Whether an attempt may start its run. */
+  /** The outcome of claiming an attempt's key before its run. */
   enum RunPermission {
     /** The run may start. */
     GRANTED,
-    /** A peer process executes the run, and the attempt waits for its result. */
+    /** A peer process executes the run; the attempt waits for its result. */
     RUNS_ON_PEER_PROCESS,
     /** A peer process has claimed the key for a different body. */
     KEY_CONFLICT,
-    /** The key can't be claimed at present. */
+    /** The key can't be claimed at the moment. */
     UNAVAILABLE
   }
 
   /**
-   * Connections stay open so much longer (us) than the settings say, and an attempt may come on
-   * them; keys stay in force at least as long.
+   * How long after their configured idle timeout connections may be closed (us). An attempt may
+   * still arrive on such a connection, so keys stay in force for this much longer.
    */
   private static final long IDLE_CLOSE_DELAY_US = 50_000;
 
@@ -39,7 +39,7 @@
   private final Counters counters;
   private long deadlineSlackUs;
 
-  /** No key is known yet. */
+  /** Creates an instance without any keys. */
   IdempotentAttempts(
       CoreSettings settings,
       IdempotencyClaims claims,
@@ -54,13 +54,16 @@
     reconfigure(settings);
   }
 
-  /** Applies other settings from now on; the bound on cached results stays. */
+  /** Applies updated settings. The bound on the size of cached results does not change. */
   void reconfigure(CoreSettings settings) {
     deadlineSlackUs = settings.deadlineSlackUs();
     table.retainExpired(settings.maxTimeoutUs());
   }
 
-  /** Whether the key of a request was used before with a different body, here or by a peer. */
+  /**
+   * Returns whether the key of a request was used before with a different body, in this process or
+   * a peer process.
+   */
   boolean conflicts(InFlightRequest request) {
     if (!request.idempotent()) {
       return false;
@@ -78,14 +81,14 @@
     return request.request().arrivedAtUs() <= claim.untilUs();
   }
 
-  /** The policy's number of the earlier attempt that a request repeats; 0 for none. */
+  /** Returns the sequence number of the earlier attempt that a request repeats; 0 for none. */
   long originalSequence(InFlightRequest request) {
     return request.idempotent() ? table.originalSequence(request) : 0;
   }
 
   /**
-   * Whether a run would be a second one of a request that must run once at most: this attempt, or
-   * an earlier one with the same key, may have run.
+   * Returns whether a run could be the second one of a request that must run at most once, because
+   * this attempt or an earlier one with the same key may have run.
    */
   boolean wouldRunTwice(InFlightRequest request) {
     if (request.deliveryGuarantee() == DeliveryGuarantee.AT_LEAST_ONCE) {
@@ -96,8 +99,8 @@
   }
 
   /**
-   * Claims the key of a request that is about to run. The key is remembered before the runner hears
-   * of the run.
+   * Claims the key of a request that is about to run. The key is recorded before the run is handed
+   * to the runner.
    */
   RunPermission claim(InFlightRequest request) {
     if (!request.idempotent()) {
@@ -115,7 +118,8 @@
     if (status instanceof OwnedByPeer peer && inForce(peer, request)) {
       return awaitPeerProcess(request, peer);
     }
-    return RunPermission.UNAVAILABLE; // expired at a peer and not free yet, or no room for claims
+    return RunPermission
+        .UNAVAILABLE; // the peer's expired claim still exists, or no claim could be made
   }
 
   private RunPermission awaitPeerProcess(InFlightRequest request, OwnedByPeer peer) {
@@ -135,14 +139,14 @@
         + IDLE_CLOSE_DELAY_US;
   }
 
-  /** Remembers the key of a request for some time from now, at least for its class's window. */
+  /** Keeps the key of a request in force for {@code forUs}, and at least for its class's window. */
   void remember(InFlightRequest request, long forUs) {
     if (request.idempotent()) {
       table.remember(request, Math.max(clock.getAsLong() + forUs, inForceUntilUs(request)));
     }
   }
 
-  /** Forgets the key of a request that was not started. */
+  /** Removes the key of a request whose run was not started. */
   void forget(InFlightRequest request) {
     if (request.idempotent()) {
       table.forget(request);
@@ -150,7 +154,8 @@
   }
 
   /**
-   * Responds to a request with the result of the attempt it repeats, now or when that has ended.
+   * Responds to a request with the result of the attempt that it repeats, as soon as that attempt
+   * has ended.
    */
   void replayResult(InFlightRequest request) {
     Optional<IdempotencyEntry> entry =
@@ -164,7 +169,7 @@
     }
   }
 
-  /** Asks for the end of each run of a peer process that a request here waits for. */
+  /** Checks whether the runs of peer processes that requests here wait for have ended. */
   void pollPeerRuns() {
     for (IdempotencyEntry entry : table.pendingPeerRuns()) {
       if (entry.hasWaiting()) {
@@ -191,7 +196,9 @@
         Optional.empty());
   }
 
-  /** The run of a request has a result, which the attempts that wait for it get too. */
+  /**
+   * Publishes the result of a request's run and responds with it to the attempts that wait for it.
+   */
   void runCompleted(InFlightRequest request, byte[] result) {
     if (request.idempotent()) {
       claims.completed(IdempotencyKey.of(request).name(), result);
@@ -199,7 +206,7 @@
     }
   }
 
-  /** The run of a request has ended without a result: the attempts that wait for one fail. */
+  /** Handles the end of a request's run without a result: the attempts that wait for it fail. */
   void runEndedWithoutResult(InFlightRequest request) {
     if (request.idempotent()) {
       claims.endedWithoutResult(IdempotencyKey.of(request).name());
@@ -208,20 +215,21 @@
   }
 
   /**
-   * A result has come of a run that was ended without one, as nothing proved that it would have
-   * any. The response to its request said that it may have run; later attempts get the result.
+   * Stores the result of a run that was closed without one, because it was unknown whether the run
+   * would complete. The response to its request stated that it may have run; later attempts get the
+   * result.
    */
   void resultAfterEnd(String runId, byte[] result) {
     Optional<IdempotencyEntry> entry = table.endedWithoutResult(runId);
     if (entry.isPresent()) {
       counters.add("runs.proven");
       claims.completed(entry.get().key.name(), result);
-      table.endRun(entry.get(), Optional.of(result)); // nobody waits for an ended run
+      table.endRun(entry.get(), Optional.of(result)); // no attempt waits for an ended run
     }
   }
 
   /**
-   * The run of a request is proven never to have executed: its key is free again.
+   * Releases the key of a request whose run is known never to have executed.
    *
    * @return the attempts that waited for the result
    */
@@ -234,14 +242,16 @@
     return waiting;
   }
 
-  /** Responds to attempts that waited for a run with its result, or with a failure without one. */
+  /**
+   * Responds to attempts that waited for a run with its result, or with a failure if it has none.
+   */
   void replay(List<InFlightRequest> waiting, Optional<byte[]> result) {
     waiting.forEach(request -> replay(request, result));
   }
 
   private void replay(InFlightRequest request, Optional<byte[]> result) {
     if (!request.is(RequestState.AWAITING_RESULT)) {
-      return; // it was given up on while it waited
+      return; // abandoned while it waited
     }
     counters.add(result.isPresent() ? "reused" : "reused.nothing");
     closer.respond(request, replayed(result));
@@ -259,7 +269,7 @@
         Progress.MAY_HAVE_RUN, FailureReason.EARLIER_ATTEMPT_HAS_NO_RESULT, FailureCause.BACKEND);
   }
 
-  /** Drops the keys that no attempt can need any longer. */
+  /** Removes the keys that no attempt can need any longer. */
   void expire(long nowUs) {
     table.expire(nowUs);
   }
--- a/src/main/java/rosecleat/core/Progress.java
+++ b/src/main/java/rosecleat/core/Progress.java
@@ -1,17 +1,17 @@
 package rosecleat.core;
 
-/** How far an attempt had come when it failed, which tells the caller whether a retry is safe. */
+/** How far an attempt had got when it failed, which determines whether a retry is safe. */
 public enum Progress {
-  /** Nothing left this process. */
+  /** Nothing was sent. */
   NOT_SENT,
-  /** It was sent, and it is proven that the other side executed nothing. */
+  /** The request was sent, and it is certain that the receiver executed nothing. */
   SENT,
-  /** It was sent, and nothing proves what became of it. */
+  /** The request was sent, and it is unknown whether it was executed. */
   MAY_HAVE_RUN,
-  /** It ran. */
+  /** The request was executed. */
   RAN;
 
-  /** Whether it is proven that nothing was executed. */
+  /** Returns whether it is certain that nothing was executed. */
   public boolean neverRan() {
     return this == NOT_SENT || this == SENT;
   }
--- a/src/main/java/rosecleat/core/RequestCloser.java
+++ b/src/main/java/rosecleat/core/RequestCloser.java
@@ -10,14 +10,14 @@
   private final Counters counters;
   private final Consumer<PolicyEvent> policy;
 
-  /** A closer that removes what it closes from {@code requests}. */
+  /** Creates a closer that removes closed requests from {@code requests}. */
   RequestCloser(InFlightRequests requests, Counters counters, Consumer<PolicyEvent> policy) {
     this.requests = requests;
     this.counters = counters;
     this.policy = policy;
   }
 
-  /** Sends the response, unless one was sent before or the caller is gone. */
+  /** Sends the response, unless one was sent before or the caller has cancelled the request. */
   void respond(InFlightRequest request, Response response) {
     if (!request.awaitingResponse()) {
       return;
@@ -33,31 +33,31 @@
     return response instanceof Response.Rejected ? "answers.refused" : "answers.failed";
   }
 
-  /** Reports that the run of a request has ended, which stays in flight. */
+  /** Reports to the policy that the run of a request has ended. Does not close the request. */
   void reportEnd(InFlightRequest request, RunOutcome outcome, long durationUs) {
     policy.accept(new PolicyEvent.Ended(request.sequence(), outcome, durationUs));
   }
 
-  /** Closes a request and reports that its run has ended. */
+  /** Closes a request and reports to the policy that its run has ended. */
   void closeAndReportEnd(InFlightRequest request, RunOutcome outcome, long durationUs) {
     close(request);
     reportEnd(request, outcome, durationUs);
   }
 
   /**
-   * Responds to a request whose run was not started here, although the policy has started it and
-   * counts it as running until told otherwise.
+   * Responds to and closes a request whose run the policy has started but this process has not. The
+   * policy counts the request as running until its end is reported.
    */
   void endWithoutRun(InFlightRequest request, Response response) {
     respond(request, response);
     closeAndReportEnd(request, RunOutcome.NOT_STARTED, 0);
   }
 
-  /** Removes a request; may be repeated. */
+  /** Closes a request and removes it from the requests in flight. Idempotent. */
   void close(InFlightRequest request) {
     request.close();
     requests.remove(request);
-    if (request.runsOnPeerProcess()) { // the policy counts it as running until told otherwise
+    if (request.runsOnPeerProcess()) { // the policy counts it as running until its end is reported
       request.stopAwaitingPeerProcess();
       reportEnd(request, RunOutcome.NOT_STARTED, 0);
     }
--- a/src/main/java/rosecleat/core/RequestState.java
+++ b/src/main/java/rosecleat/core/RequestState.java
@@ -11,33 +11,33 @@
  * from             to               method           when
  * ---------------  ---------------  ---------------  ---------------------------------------------
  * QUEUED           RUNNING          startRun         the policy starts the run
- * QUEUED           AWAITING_RESULT  awaitResult      the result of an earlier attempt will be reused
- * RUNNING          CALL_REQUESTED   requestCall      the run pauses for its downstream call
+ * QUEUED           AWAITING_RESULT  awaitResult      the result of an earlier attempt is awaited
+ * RUNNING          CALL_REQUESTED   requestCall      the run pauses for a downstream call
  * CALL_REQUESTED   CALLING          startCall        the policy makes the call
  * CALL_REQUESTED   RUNNING          resumeRun        the call is skipped, or the run is abandoned
- * CALLING          RUNNING          resumeRun        the call has a reply, or the run is abandoned
- * CALLING          CALL_REQUESTED   callFailed       the policy decides whether to call again
+ * CALLING          RUNNING          resumeRun        the reply has arrived, or the run is abandoned
+ * CALLING          CALL_REQUESTED   callFailed       the call failed; the policy may repeat it
  * RUNNING,         QUEUED           requeue          the run was cancelled while its response was
  * CALL_REQUESTED,                                    still awaited
  * CALLING
- * any              CLOSED           close            nothing of the request is left here
+ * any              CLOSED           close            the request is no longer in flight
  * </pre>
  */
 enum RequestState {
-  /** Accepted, and not running. */
+  /** Accepted and not running. */
   QUEUED,
   /** Waiting for the result of an earlier attempt with the same idempotency key. */
   AWAITING_RESULT,
-  /** Handed to its runner. */
+  /** The runner executes the run. */
   RUNNING,
   /** The run is paused until its downstream call is made or skipped. */
   CALL_REQUESTED,
   /** The run is paused and its downstream call is in progress. */
   CALLING,
-  /** Nothing of the request is left here. */
+  /** No longer in flight. */
   CLOSED;
 
-  /** Whether the table of transitions has one from this state to another. */
+  /** Returns whether a request may change from this state to another one. */
   boolean canTransitionTo(RequestState next) {
     return next == CLOSED || successors().contains(next);
   }
--- a/src/main/java/rosecleat/core/Response.java
+++ b/src/main/java/rosecleat/core/Response.java
@@ -1,9 +1,9 @@
 package rosecleat.core;
 
-/** The one final response to a request. */
+/** The response to a request. Each request gets at most one. */
 public sealed interface Response {
   /**
-   * The response to a malformed request.
+   * Returns the response to a malformed request.
    *
    * @param detail what is wrong with the request
    */
@@ -12,12 +12,12 @@
         new Failure(Progress.NOT_SENT, FailureReason.INVALID_REQUEST, detail), FailureCause.CALLER);
   }
 
-  /** The response to a request that failed. */
+  /** Returns the response to a request that failed. */
   static Response failed(Progress progress, FailureReason reason, FailureCause cause) {
     return new Failed(new Failure(progress, reason), cause);
   }
 
-  /** A rejection that does not advise the caller when to retry. */
+  /** Returns a rejection that does not advise the caller when to retry. */
   static Response rejected() {
     return new Rejected(0, false);
   }
@@ -28,12 +28,12 @@
   /**
    * The request was rejected and never ran.
    *
-   * @param retryAfterUs how long the caller is advised to wait before it retries, in microseconds;
-   *     0 for no advice
+   * @param retryAfterUs how long the caller is advised to wait before retrying, in microseconds; 0
+   *     for no advice
    * @param last whether the caller is advised not to retry at all
    */
   record Rejected(long retryAfterUs, boolean last) implements Response {}
 
-  /** The request failed; the failure says how far the attempt had come. */
+  /** The request failed; the failure states how far the attempt had got. */
   record Failed(Failure failure, FailureCause cause) implements Response {}
 }
--- a/src/main/java/rosecleat/core/RunResult.java
+++ b/src/main/java/rosecleat/core/RunResult.java
@@ -6,13 +6,13 @@
   OK("ok"),
   /** The run executed and failed. */
   FAILED("failed"),
-  /** The connection to the runner broke: the run may have executed, its outcome is unknown. */
+  /** The connection to the runner broke; the run may have executed, and its outcome is unknown. */
   INTERRUPTED("cut"),
   /** The run was cancelled. */
   CANCELLED("halted"),
-  /** The runner started nothing, as the request is closed. */
+  /** The runner did not start the run, because it considers the request closed. */
   NOT_STARTED("void"),
-  /** The runner was not reached, so nothing executed. */
+  /** The runner was not reached, so nothing was executed. */
   UNREACHABLE("unreached");
 
   private final String counterSuffix;
@@ -21,7 +21,7 @@
     this.counterSuffix = counterSuffix;
   }
 
-  /** The last part of the names of counters of this result, which operators' tools depend on. */
+  /** Returns the suffix of this result's counter names, which operators' tools depend on. */
   public String counterSuffix() {
     return counterSuffix;
   }
--- a/src/main/java/rosecleat/core/Runner.java
+++ b/src/main/java/rosecleat/core/Runner.java
@@ -1,26 +1,27 @@
 package rosecleat.core;
 
 /**
- * Executes requests. All methods return at once; the outcome is reported to {@link Core} later, on
- * the core's thread.
+ * Executes requests. No method blocks; outcomes are reported to {@link Core} later, on the core's
+ * thread.
  */
 public interface Runner {
   /**
-   * Starts the run of a request whose response is due at {@code deadlineUs}, a Unix time in
-   * microseconds. Its end is reported to {@link Core#runEnded}.
+   * Starts the run of a request. The end of the run is reported to {@link Core#runEnded}.
    *
-   * @param guarantee whether the start may be sent again where it is unknown whether it arrived
+   * @param guarantee whether the start command may be sent again if it is unknown whether it
+   *     arrived
+   * @param deadlineUs when the response is due, in Unix microseconds
    */
   void start(Request request, DeliveryGuarantee guarantee, long deadlineUs);
 
-  /** Cancels a run; its end is still reported. */
+  /** Cancels a run. The end of the run is still reported. */
   void cancel(String id);
 
   /** Delivers the reply to the downstream call that a paused run waits for. */
   void completeCall(String id, byte[] reply);
 
   /**
-   * Resumes a paused run without its downstream call.
+   * Resumes a paused run without the downstream call that it requested.
    *
    * @param id the request's id
    * @param callNumber the number of the call, as given to {@link Core#callRequested}
@@ -28,8 +29,8 @@
   void skipCall(String id, long callNumber);
 
   /**
-   * Requests the gauges, where this runner has any; they are reported to {@link
-   * Core#gaugesReceived}.
+   * Requests the current gauge values, which are reported to {@link Core#gaugesReceived}. Does
+   * nothing by default, for runners without gauges.
    */
   default void requestGauges() {}
 }
--- a/src/main/java/rosecleat/core/SingleProcessClaims.java
+++ b/src/main/java/rosecleat/core/SingleProcessClaims.java
@@ -1,6 +1,6 @@
 package rosecleat.core;
 
-/** Claims where no peer process exists: each key belongs to this process. */
+/** Claims for a node with a single process, which owns every key. */
 final class SingleProcessClaims implements IdempotencyClaims {
   @Override
   public ClaimStatus status(String key) {
