--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -7,15 +7,15 @@
 import rosecleat.policy.PolicyEvent;
 
 /**
- * Coordinates all requests of a process, whatever protocol they came by: reports what happens to
- * the policy, which decides, and has its commands executed. Each request gets exactly one response.
- * For one thread; nothing here blocks.
+ * Coordinates all requests of a process, independently of the protocol by which they arrived:
+ * reports events to the policy and has the policy's commands executed. Each request gets exactly
+ * one response, unless its caller cancels it first. For one thread; nothing here blocks.
  */
 public final class Core {
-  /** The longest time between two ticks (us). */
+  /** Maximum time between two ticks (us). */
   private static final long MAX_TICK_INTERVAL_US = 20_000;
 
-  /** How often expired idempotency keys and lost runs are looked for (us). */
+  /** Interval at which expired idempotency keys and lost runs are removed (us). */
   private static final long EXPIRY_INTERVAL_US = 1_000_000;
 
   private static final RequestHandle NOTHING_TO_CANCEL = () -> {};
@@ -38,7 +38,7 @@
   private long lastSequence;
   private long nextExpiryUs;
 
-  /** A core without requests, in the only process of its node. */
+  /** Creates a core without requests for a node with a single process. */
   public Core(
       CoreSettings settings,
       PolicyEngine policy,
@@ -50,14 +50,14 @@
   }
 
   /**
-   * A core without requests, beside other processes of its node.
+   * Creates a core without requests for a node that may have several processes.
    *
-   * @param settings the settings until {@link #reconfigure}
+   * @param settings the settings until {@link #reconfigure} is called
    * @param policy decides on requests; started by {@link #start}
-   * @param downstream makes the calls of runs
-   * @param claims the idempotency keys as the processes of this node share them
-   * @param clock the time in Unix microseconds; never goes back
-   * @param counters the counts that operators see
+   * @param downstream makes the downstream calls of runs
+   * @param claims the claims on idempotency keys that the processes of this node share
+   * @param clock the time in Unix microseconds; must be monotonic
+   * @param counters the counters that are shown to operators
    * @param log the log of this process
    */
   public Core(
@@ -85,69 +85,75 @@
     policyDriver.report(event);
   }
 
-  /** Whether the core has started and accepts requests. */
+  /** Returns whether the core has started and accepts requests. */
   public boolean ready() {
     return policy.started();
   }
 
-  /** Whether health checks should succeed; the policy or an operator may say that they fail. */
+  /** Returns whether health checks should succeed; the policy or an operator can make them fail. */
   public boolean healthy() {
     return policyDriver.healthy() && !drainedByOperator;
   }
 
-  /** The load advice that goes with responses; not a number while there is none. */
+  /** Returns the load advice to send with responses; NaN if there is none. */
   public double loadAdvice() {
     return policyDriver.loadAdvice();
   }
 
-  /** How long connections may stay unused, in microseconds. */
+  /** Returns how long a connection may stay idle, in microseconds. */
   public long idleTimeoutUs() {
     return policyDriver.idleTimeoutUs();
   }
 
-  /** The longest timeout of any class, in microseconds. */
+  /** Returns the longest timeout of any class, in microseconds. */
   public long maxTimeoutUs() {
     return settings.maxTimeoutUs();
   }
 
-  /** How many requests are in flight: their response is awaited, or their run has not ended. */
+  /**
+   * Returns the number of requests in flight: those whose response is awaited or whose run has not
+   * ended.
+   */
   public int inFlight() {
     return requests.size();
   }
 
-  /** How many requests' response is awaited. */
+  /** Returns the number of requests whose response is awaited. */
   public long awaitingResponse() {
     return requests.count(InFlightRequest::awaitingResponse);
   }
 
-  /** Whether the node has begun to shut down. */
+  /** Returns whether the node has begun to shut down. */
   public boolean draining() {
     return shutdown.begun();
   }
 
-  /** Whether the time is over within which requests that arrive during a shutdown still run. */
+  /**
+   * Returns whether the grace period has ended within which requests that arrive during a shutdown
+   * are still run.
+   */
   public boolean gracePeriodEnded() {
     return shutdown.gracePeriodEndedBefore(clock.getAsLong());
   }
 
-  /** Whether a request in flight has this position of a class. */
+  /** Returns whether a request in flight refers to this class index. */
   public boolean classInUse(int classIndex) {
     return requests.any(request -> request.request().classIndex() == classIndex);
   }
 
-  /** Whether a request in flight has this position of a tenant. */
+  /** Returns whether a request in flight refers to this tenant index. */
   public boolean tenantInUse(int tenantIndex) {
     return requests.any(request -> request.request().tenantIndex() == tenantIndex);
   }
 
-  /** The counts of this core. */
+  /** Returns the counters of this process. */
   public Counters counters() {
     return counters;
   }
 
   /**
-   * An operator drains this node, or takes it back into service. Only health checks follow:
-   * requests that still arrive are served as ever.
+   * Drains this node at an operator's request, or takes it back into service. This affects health
+   * checks only: requests that still arrive are served as usual.
    */
   public void setDrainedByOperator(boolean drained) {
     if (drained == drainedByOperator) {
@@ -157,11 +163,11 @@
     counters.add(drained ? "operators.drains" : "operators.activations");
     log.info(
         drained
-            ? "an operator sends clients away: health checks are answered as bad"
-            : "an operator takes clients again: health checks are answered as good");
+            ? "operator drained this node: health checks fail until an operator activates it"
+            : "operator activated this node: health checks succeed unless the node is unhealthy");
   }
 
-  /** Applies other settings from now on. Requests in flight keep the class they came with. */
+  /** Applies updated settings. Requests in flight keep the class that they were submitted with. */
   public void reconfigure(CoreSettings updated) {
     settings = updated;
     attempts.reconfigure(updated);
@@ -169,24 +175,24 @@
   }
 
   /**
-   * Starts the core where no runner has gauges: the load is estimated.
+   * Starts the core without gauges: the load is estimated from the number of runs. May be repeated.
    *
    * @param cold whether the runners have just started and are slow at first
-   * @param startedAgoUs how long ago the runners came up, in microseconds
+   * @param startedAgoUs how long ago the runners became ready, in microseconds
    */
   public void start(boolean cold, long startedAgoUs) {
     gaugeSource = Optional.empty();
     startPolicy(cold, startedAgoUs);
   }
 
-  /** Starts the core; {@code gauges} is asked for gauges at each tick. May be repeated. */
+  /** Starts the core with a runner whose gauges are requested at each tick. May be repeated. */
   public void start(Runner gauges, boolean cold, long startedAgoUs) {
     gaugeSource = Optional.of(gauges);
     startPolicy(cold, startedAgoUs);
   }
 
   private void startPolicy(boolean cold, long startedAgoUs) {
-    if (policy.started() || shutdown.begun()) { // notified before it started, it accepts nothing
+    if (policy.started() || shutdown.begun()) { // after a shutdown, the core never starts
       return;
     }
     policy.start(clock.getAsLong() - Math.max(0, startedAgoUs), cold);
@@ -194,9 +200,9 @@
   }
 
   /**
-   * Submits a request. Its response comes through its responder, perhaps before this returns.
+   * Submits a request. The response is sent to its responder, possibly before this method returns.
    *
-   * @return the handle to cancel the request with
+   * @return a handle that cancels the request
    */
   public RequestHandle submit(Request submitted) {
     counters.add("requests");
@@ -276,14 +282,14 @@
     }
   }
 
-  /** A run has ended without a result; ignored if the core knows of no such run. */
+  /** Handles the end of a run without a result. Ignored if no such run is in flight. */
   public void runEnded(String id, RunResult result, long durationUs) {
     runEnded(id, result, null, durationUs);
   }
 
   /**
-   * A run has ended. If the core knows of no such run, only a result counts, for later attempts
-   * with the same idempotency key.
+   * Handles the end of a run. If no such run is in flight, a result is only stored for later
+   * attempts with the same idempotency key, and any other outcome is ignored.
    *
    * @param id the request's id
    * @param result how the run ended
@@ -300,46 +306,53 @@
   }
 
   /**
-   * A run is paused until its downstream call is made or skipped.
+   * Handles a run's request for a downstream call. The run is paused until the call is completed or
+   * skipped.
    *
    * @param id the request's id
-   * @param callNumber the runner's number of the call, for {@link Runner#skipCall}
+   * @param callNumber the number that the runner gave the call, for {@link Runner#skipCall}
    * @param body the body of the call
    */
   public void callRequested(String id, long callNumber, byte[] body) {
     requests.find(id).ifPresent(request -> calls.requested(request, callNumber, body));
   }
 
-  /** A downstream call has ended without a reply. */
+  /** Handles the end of a downstream call without a reply. */
   public void callEnded(String id, CallResult result) {
     callEnded(id, result, null);
   }
 
-  /** A downstream call has ended; its reply is used with {@link CallResult#OK} only. */
+  /** Handles the end of a downstream call. The reply is used with {@link CallResult#OK} only. */
   public void callEnded(String id, CallResult result, byte[] reply) {
     requests.find(id).ifPresent(request -> calls.ended(request, result, reply));
   }
 
-  /** The gauges that were requested from the runner have been received. */
+  /** Handles the gauge values that the runner has reported on request. */
   public void gaugesReceived(double[] values) {
     if (policy.started()) {
       report(new PolicyEvent.GaugesRead(values));
     }
   }
 
-  /** A runner has rejected the start of a run, which therefore never executed. */
+  /** Handles a runner's rejection of the start of a run, which therefore never executed. */
   public void startRejected(String id) {
     counters.add("nacks");
     runEnded(id, RunResult.UNREACHABLE, 0);
   }
 
-  /** A runner has rejected what a paused run waits for: the run can't go on and is cancelled. */
+  /**
+   * Handles a runner's rejection of the message that resumes a paused run, or of the call that the
+   * run requested: the run can't continue and is cancelled.
+   */
   public void resumeRejected(String id) {
     counters.add("nacks");
     resumeUnproven(id);
   }
 
-  /** Nothing proves whether a paused run got what it waits for: it is cancelled. */
+  /**
+   * Cancels a run if it is unknown whether the message that resumes the paused run has reached its
+   * runner.
+   */
   public void resumeUnproven(String id) {
     requests.find(id).filter(request -> request.is(RequestState.RUNNING)).ifPresent(runs::cancel);
   }
@@ -347,8 +360,8 @@
   /**
    * Begins a graceful shutdown.
    *
-   * @param notifiedUs when the notice came, in Unix microseconds, if it is handled only now
-   * @param remainingUs how long until the process is stopped, in microseconds
+   * @param notifiedUs when this process was notified, in Unix microseconds; may be earlier than now
+   * @param remainingUs the time until the process is stopped, in microseconds
    */
   public void drain(long notifiedUs, long remainingUs) {
     if (shutdown.begun()) {
@@ -361,7 +374,10 @@
     }
   }
 
-  /** Responds to all requests whose response is awaited: the last step of a shutdown. */
+  /**
+   * Responds to all requests whose response is awaited, as the last step of a shutdown: fails those
+   * that may have run and rejects the others.
+   */
   public void respondToAll(FailureReason reason) {
     for (InFlightRequest request : requests.snapshot()) {
       closer.respond(
@@ -373,7 +389,9 @@
   }
 
   /**
-   * Does what is due by the clock. Returns when to call again at the latest, in Unix microseconds.
+   * Performs all work that is due.
+   *
+   * @return when this method must be called again at the latest, in Unix microseconds
    */
   public long tick() {
     long now = clock.getAsLong();
--- a/src/main/java/rosecleat/core/DownstreamClient.java
+++ b/src/main/java/rosecleat/core/DownstreamClient.java
@@ -1,7 +1,7 @@
 package rosecleat.core;
 
 /**
- * Makes the calls of paused runs to the downstream service that all nodes share. Results are
+ * Makes the calls of paused runs to the downstream service, which all nodes share. Results are
  * reported to {@link Core#callEnded} on the core's thread.
  */
 public interface DownstreamClient {
@@ -14,6 +14,6 @@
    */
   void call(String id, long untilUs, byte[] body);
 
-  /** Cancels the call of a request; no result is reported for it. */
+  /** Cancels the call of a request. No result is reported for a cancelled call. */
   void cancel(String id);
 }
--- a/src/main/java/rosecleat/core/Failure.java
+++ b/src/main/java/rosecleat/core/Failure.java
@@ -1,24 +1,24 @@
 package rosecleat.core;
 
 /**
- * An error as a value.
+ * A failure of an attempt.
  *
- * @param progress how far the attempt had come
- * @param reason why it went no further
- * @param detail particulars of this failure for logs and responses; empty for none
+ * @param progress how far the attempt had got
+ * @param reason why the attempt failed
+ * @param detail details of this failure for logs and responses; empty for none
  */
 public record Failure(Progress progress, FailureReason reason, String detail) {
-  /** An exception without a message gives no detail: its place shows {@code null}. */
+  /** Replaces a null detail, as from an exception without a message, by the text {@code null}. */
   public Failure {
     detail = String.valueOf(detail);
   }
 
-  /** A failure whose reason needs no particulars. */
+  /** Creates a failure without details. */
   public Failure(Progress progress, FailureReason reason) {
     this(progress, reason, "");
   }
 
-  /** The reason with its particulars, as logs and responses show it. */
+  /** Returns the reason and the details, as shown in logs and responses. */
   public String message() {
     return reason.message(detail);
   }
--- a/src/main/java/rosecleat/core/FailureCause.java
+++ b/src/main/java/rosecleat/core/FailureCause.java
@@ -4,7 +4,7 @@
 public enum FailureCause {
   /** The request is invalid or contradicts another one. */
   CALLER,
-  /** The request was abandoned here for lack of time. */
+  /** This process abandoned the request for lack of time. */
   TIME,
   /** The runner, or a service it depends on, failed. */
   BACKEND
--- a/src/main/java/rosecleat/core/IdempotencyTable.java
+++ b/src/main/java/rosecleat/core/IdempotencyTable.java
@@ -11,8 +11,9 @@
 import java.util.Optional;
 
 /**
- * The idempotency keys in force. Results are cached byte for byte, within a bound; where one was
- * evicted, later attempts fail rather than run again. For the core's thread.
+ * The idempotency keys in force, with the cached results of their runs. The total size of the
+ * results is bounded: if a result was evicted, later attempts fail rather than run again. For the
+ * core's thread.
  */
 final class IdempotencyTable {
   private final long maxResultBytes;
@@ -24,28 +25,31 @@
   private long resultBytes;
   private long retentionUs;
 
-  /** A table that caches so many bytes of results. */
+  /** Creates an empty table that caches at most {@code maxResultBytes} of results. */
   IdempotencyTable(long maxResultBytes) {
     this.maxResultBytes = maxResultBytes;
   }
 
-  /** Retains expired entries so much longer, for attempts that are read long after they arrived. */
+  /**
+   * Sets how long entries are retained after they expire, in microseconds. Attempts that arrived in
+   * time may be read long afterwards.
+   */
   void retainExpired(long durationUs) {
     retentionUs = durationUs;
   }
 
-  /** The entry that was in force when the request arrived at this machine. */
+  /** Returns the entry that was in force when the request arrived at this machine. */
   Optional<IdempotencyEntry> find(InFlightRequest request) {
     return Optional.ofNullable(entries.get(IdempotencyKey.of(request)))
         .filter(entry -> entry.inForceAt(request.request().arrivedAtUs()));
   }
 
-  /** The policy's number of the attempt that this one repeats; 0 for a new request. */
+  /** Returns the sequence number of the attempt that this one repeats; 0 for a new request. */
   long originalSequence(InFlightRequest request) {
     return find(request).map(IdempotencyEntry::originalSequence).orElse(0L);
   }
 
-  /** Whether an earlier attempt with the same key carried a different body. */
+  /** Returns whether an earlier attempt with the same key had a different body. */
   boolean conflicts(InFlightRequest request) {
     return find(request)
         .filter(entry -> !Arrays.equals(entry.bodyDigest, digest(request.request().body())))
@@ -53,18 +57,22 @@
   }
 
   /**
-   * The digest of a body. Cryptographic, so that a body that is crafted to look like another one is
-   * not served its result.
+   * Returns the digest of a body. It is cryptographic, so that a body can't be crafted to match the
+   * digest of another one and be given that one's result.
    */
   static byte[] digest(byte[] body) {
     try {
       return MessageDigest.getInstance("SHA-256").digest(body);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // each Java platform has it
+      throw new IllegalStateException(e); // every Java platform supports SHA-256
     }
   }
 
-  /** Enters an attempt, or extends its entry; an attempt that was started stays the owner. */
+  /**
+   * Keeps the key of an attempt in force at least until a time, in Unix microseconds. The attempt
+   * becomes the owner of the key, unless the run of an earlier owner has started. An entry that had
+   * expired before the attempt arrived is replaced.
+   */
   void remember(InFlightRequest request, long untilUs) {
     IdempotencyKey key = IdempotencyKey.of(request);
     IdempotencyEntry entry = entries.get(key);
@@ -79,13 +87,16 @@
     entry.extend(untilUs);
   }
 
-  /** An attempt is about to run: its key stays in force until a time at least. */
+  /**
+   * Marks the run of an attempt as started and keeps its key in force at least until a time, in
+   * Unix microseconds.
+   */
   void startRun(InFlightRequest request, long untilUs) {
     remember(request, untilUs);
     entries.get(IdempotencyKey.of(request)).startRun();
   }
 
-  /** Removes the entry of an attempt that was not started. */
+  /** Removes the entry that an attempt owns, unless its run was started. */
   void forget(InFlightRequest request) {
     IdempotencyEntry entry = entries.get(IdempotencyKey.of(request));
     if (entry != null && entry.ownedBy(request) && !entry.runStarted()) {
@@ -93,7 +104,10 @@
     }
   }
 
-  /** A peer process runs the request: attempts here wait for its result. */
+  /**
+   * Records that a peer process runs the request. Attempts that wait for the entry which this one
+   * replaces then wait for the peer's result.
+   */
   IdempotencyEntry rememberPeerRun(InFlightRequest request, IdempotencyClaims.OwnedByPeer claim) {
     IdempotencyEntry entry = IdempotencyEntry.ofPeer(IdempotencyKey.of(request), claim);
     IdempotencyEntry replaced = entries.put(entry.key, entry);
@@ -104,25 +118,37 @@
     return entry;
   }
 
-  /** The keys that peer processes run and whose end is not known here. */
+  /** Returns the entries of runs by peer processes that are not known to have ended. */
   List<IdempotencyEntry> pendingPeerRuns() {
     return entries.values().stream()
         .filter(entry -> entry.runsOnPeerProcess() && !entry.runEnded())
         .toList();
   }
 
-  /** The run of a peer process never executed. Returns the attempts that waited for it. */
+  /**
+   * Removes the entry of a peer process's run that never executed.
+   *
+   * @return the attempts that waited for the run
+   */
   List<InFlightRequest> removePeerRun(IdempotencyEntry entry) {
     entries.remove(entry.key);
     return endRun(entry, Optional.empty());
   }
 
-  /** The run of an attempt has ended. Returns the attempts that waited for it. */
+  /**
+   * Ends the run that an attempt owns.
+   *
+   * @return the attempts that waited for the run
+   */
   List<InFlightRequest> endRun(InFlightRequest request, Optional<byte[]> result) {
     return ownEntry(request).map(entry -> endRun(entry, result)).orElse(List.of());
   }
 
-  /** The run of an entry has ended. Returns the attempts that waited for it. */
+  /**
+   * Ends the run of an entry and caches its result, if any.
+   *
+   * @return the attempts that waited for the run
+   */
   List<InFlightRequest> endRun(IdempotencyEntry entry, Optional<byte[]> result) {
     entry.endRun(result);
     if (result.isPresent()) {
@@ -131,14 +157,20 @@
     return entry.takeWaiting();
   }
 
-  /** The entry whose run was executed here, by this id, and has ended without a result. */
+  /**
+   * Returns the entry whose run this process started under this id and that ended without a result.
+   */
   Optional<IdempotencyEntry> endedWithoutResult(String runId) {
     return entries.values().stream()
         .filter(entry -> entry.hasLocalRun(runId) && entry.runEnded() && entry.result().isEmpty())
         .findAny();
   }
 
-  /** The run of an attempt never executed. Returns the attempts that waited for it. */
+  /**
+   * Removes the entry that an attempt owns, because its run never executed.
+   *
+   * @return the attempts that waited for the run
+   */
   List<InFlightRequest> removeRun(InFlightRequest request) {
     Optional<IdempotencyEntry> own = ownEntry(request);
     own.ifPresent(entry -> entries.remove(entry.key));
--- a/src/main/java/rosecleat/core/IdempotentAttempts.java
+++ b/src/main/java/rosecleat/core/IdempotentAttempts.java
@@ -118,8 +118,8 @@
     if (status instanceof OwnedByPeer peer && inForce(peer, request)) {
       return awaitPeerProcess(request, peer);
     }
-    return RunPermission
-        .UNAVAILABLE; // the peer's expired claim still exists, or no claim could be made
+    // The expired claim of a peer process is not released yet, or no further claim can be made.
+    return RunPermission.UNAVAILABLE;
   }
 
   private RunPermission awaitPeerProcess(InFlightRequest request, OwnedByPeer peer) {
--- a/src/main/java/rosecleat/core/InFlightRequest.java
+++ b/src/main/java/rosecleat/core/InFlightRequest.java
@@ -1,8 +1,8 @@
 package rosecleat.core;
 
 /**
- * One request from its submission until nothing of it is left here: a state machine (see {@link
- * RequestState}) that sends exactly one response. For the core's thread.
+ * A request from its submission until it is closed: a state machine (see {@link RequestState}) that
+ * sends at most one response. For the core's thread.
  */
 final class InFlightRequest {
   private final long sequence;
@@ -21,13 +21,13 @@
   private long callStartedUs;
 
   /**
-   * A request that is queued.
+   * Creates a queued request.
    *
-   * @param sequence the number by which the policy knows the request
+   * @param sequence the number that identifies the request in the policy
    * @param request the request as submitted
-   * @param requestClass the class it was submitted with; later settings change nothing of it
-   * @param tenantName the name of its tenant, empty for none
-   * @param deadlineUs when its response is due, in Unix microseconds
+   * @param requestClass the class at the time of submission; later settings do not affect it
+   * @param tenantName the name of the tenant; empty for none
+   * @param deadlineUs when the response is due, in Unix microseconds
    */
   InFlightRequest(
       long sequence,
@@ -42,102 +42,102 @@
     this.deadlineUs = deadlineUs;
   }
 
-  /** The number by which the policy knows the request. */
+  /** Returns the number that identifies the request in the policy. */
   long sequence() {
     return sequence;
   }
 
-  /** The name by which the runner and the downstream client know the request. */
+  /** Returns the id that identifies the request to the runner and the downstream client. */
   String id() {
     return request.id();
   }
 
-  /** The request as submitted. */
+  /** Returns the request as submitted. */
   Request request() {
     return request;
   }
 
-  /** The class that the request was submitted with. */
+  /** Returns the class that the request was submitted with. */
   RequestClass requestClass() {
     return requestClass;
   }
 
-  /** How often the request may be delivered. */
+  /** Returns how often the request may be delivered. */
   DeliveryGuarantee deliveryGuarantee() {
     return requestClass.deliveryGuarantee();
   }
 
-  /** Whether the request carries an idempotency key. */
+  /** Returns whether the request carries an idempotency key. */
   boolean idempotent() {
     return requestClass.idempotent();
   }
 
-  /** The name of the request's tenant, empty for none. */
+  /** Returns the name of the request's tenant; empty for none. */
   String tenantName() {
     return tenantName;
   }
 
-  /** When the response is due, in Unix microseconds. */
+  /** Returns when the response is due, in Unix microseconds. */
   long deadlineUs() {
     return deadlineUs;
   }
 
-  /** Where the request stands. */
+  /** Returns the current state. */
   RequestState state() {
     return state;
   }
 
-  /** Whether the request is in a state. */
+  /** Returns whether the request is in a state. */
   boolean is(RequestState other) {
     return state == other;
   }
 
-  /** Whether its run is paused for a downstream call. */
+  /** Returns whether the run is paused for a downstream call. */
   boolean pausedForCall() {
     return state == RequestState.CALL_REQUESTED || state == RequestState.CALLING;
   }
 
-  /** Whether the caller still waits for the response. */
+  /** Returns whether the caller still waits for the response. */
   boolean awaitingResponse() {
     return awaitingResponse;
   }
 
-  /** Whether a run was started and is not proven never to have executed. */
+  /** Returns whether a run was started, unless it is known never to have executed. */
   boolean mayHaveRun() {
     return mayHaveRun;
   }
 
-  /** How far the attempt has come, as a failure now would report it. */
+  /** Returns the progress to report if the attempt fails now. */
   Progress progress() {
     return mayHaveRun ? Progress.MAY_HAVE_RUN : Progress.NOT_SENT;
   }
 
-  /** Whether a peer process executes the run that the policy has started here. */
+  /** Returns whether a peer process executes the run that the policy has started. */
   boolean runsOnPeerProcess() {
     return runsOnPeerProcess;
   }
 
-  /** When the run, or the wait for another attempt's result, began, in Unix microseconds. */
+  /** Returns when the run or the wait for another attempt's result began, in Unix microseconds. */
   long startedUs() {
     return startedUs;
   }
 
-  /** The runner's number of the downstream call that the run is paused for. */
+  /** Returns the runner's number of the downstream call for which the run is paused. */
   long callNumber() {
     return callNumber;
   }
 
-  /** The body of the downstream call that the run is paused for. */
+  /** Returns the body of the downstream call for which the run is paused. */
   byte[] callBody() {
     return callBody;
   }
 
-  /** When the downstream call was made, in Unix microseconds. */
+  /** Returns when the downstream call was made, in Unix microseconds. */
   long callStartedUs() {
     return callStartedUs;
   }
 
-  /** Whether a run is in progress whose cancellation has not been requested yet. */
+  /** Returns whether a run is in progress whose cancellation has not been requested yet. */
   boolean cancellable() {
     return mayHaveRun
         && !cancelRequested
@@ -145,64 +145,64 @@
         && state != RequestState.CLOSED;
   }
 
-  /** Whether the end of a run concerns this request. */
+  /** Returns whether a run was started and has not ended. */
   boolean runInProgress() {
     return mayHaveRun && state != RequestState.QUEUED;
   }
 
-  /** The run starts. */
+  /** Records the start of the run. */
   void startRun(long nowUs) {
     transitionTo(RequestState.RUNNING);
     mayHaveRun = true;
     startedUs = nowUs;
   }
 
-  /** The request waits for the result of an earlier attempt with its idempotency key. */
+  /** Makes the request wait for the result of an earlier attempt with the same idempotency key. */
   void awaitResult(long nowUs) {
     transitionTo(RequestState.AWAITING_RESULT);
     startedUs = nowUs;
   }
 
-  /** The run that the policy has started executes in a peer process, whose result is awaited. */
+  /** Makes the request wait for a peer process, which executes the run that the policy started. */
   void awaitPeerProcess(long nowUs) {
     awaitResult(nowUs);
     runsOnPeerProcess = true;
   }
 
-  /** The peer process's run concerns this request no longer. */
+  /** Marks the request as no longer waiting for a peer process. */
   void stopAwaitingPeerProcess() {
     runsOnPeerProcess = false;
   }
 
-  /** The run pauses for a downstream call. */
+  /** Pauses the run for a downstream call. */
   void requestCall(long number, byte[] body) {
     transitionTo(RequestState.CALL_REQUESTED);
     callNumber = number;
     callBody = body;
   }
 
-  /** The downstream call is made. */
+  /** Records that the downstream call is made. */
   void startCall(long nowUs) {
     transitionTo(RequestState.CALLING);
     callStartedUs = nowUs;
   }
 
-  /** The downstream call has no reply; the run stays paused. */
+  /** Records that the downstream call has ended without a reply. The run stays paused. */
   void callFailed() {
     transitionTo(RequestState.CALL_REQUESTED);
   }
 
-  /** The run is not paused any longer. */
+  /** Resumes the paused run. */
   void resumeRun() {
     transitionTo(RequestState.RUNNING);
   }
 
-  /** The run was cancelled and may be started again. */
+  /** Queues the request again after its run was cancelled. */
   void requeue() {
     transitionTo(RequestState.QUEUED);
   }
 
-  /** Nothing of the request is left here. May be repeated. */
+  /** Closes the request. Idempotent. */
   void close() {
     transitionTo(RequestState.CLOSED);
   }
@@ -212,27 +212,27 @@
     state = next;
   }
 
-  /** The runner is asked to cancel the run. */
+  /** Records that the runner was requested to cancel the run. */
   void requestCancel() {
     cancelRequested = true;
   }
 
-  /** The runner has cancelled the run. */
+  /** Records that the runner has cancelled the run. */
   void runCancelled() {
     cancelRequested = false;
   }
 
-  /** It is proven that no run of the request executed. */
+  /** Records that no run of the request has executed. */
   void markNeverRan() {
     mayHaveRun = false;
   }
 
-  /** The caller is gone: no response will be sent. */
+  /** Records that the caller has cancelled the request: no response will be sent. */
   void cancelledByCaller() {
     awaitingResponse = false;
   }
 
-  /** Sends the response. Call only while {@link #awaitingResponse}. */
+  /** Sends the response. Must only be called while {@link #awaitingResponse} returns true. */
   void respond(Response response) {
     awaitingResponse = false;
     request.responder().respond(response);
--- a/src/main/java/rosecleat/core/InFlightRequests.java
+++ b/src/main/java/rosecleat/core/InFlightRequests.java
@@ -7,8 +7,8 @@
 import java.util.function.Predicate;
 
 /**
- * The requests that are in flight: those whose response is awaited, and those whose run has not
- * ended. For the core's thread.
+ * The requests in flight: those whose response is awaited or whose run has not ended. For the
+ * core's thread.
  */
 final class InFlightRequests {
   private final Map<Long, InFlightRequest> bySequence = new HashMap<>();
@@ -26,37 +26,39 @@
     byId.remove(request.id(), request);
   }
 
-  /** The request that the policy knows by a number. */
+  /** Returns the request with this sequence number, which identifies it in the policy. */
   Optional<InFlightRequest> find(long sequence) {
     return Optional.ofNullable(bySequence.get(sequence));
   }
 
-  /** The request that the runner and the downstream client know by an id. */
+  /**
+   * Returns the request with this id, which identifies it to the runner and the downstream client.
+   */
   Optional<InFlightRequest> find(String id) {
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** Whether a request with this id is in flight. */
+  /** Returns whether a request with this id is in flight. */
   boolean contains(String id) {
     return byId.containsKey(id);
   }
 
-  /** A copy of all requests, for callers that close some of them on the way. */
+  /** Returns a copy of all requests, for callers that close requests while iterating. */
   List<InFlightRequest> snapshot() {
     return List.copyOf(bySequence.values());
   }
 
-  /** How many requests are in flight. */
+  /** Returns the number of requests in flight. */
   int size() {
     return bySequence.size();
   }
 
-  /** How many requests satisfy a condition. */
+  /** Returns the number of requests that satisfy a condition. */
   long count(Predicate<InFlightRequest> condition) {
     return bySequence.values().stream().filter(condition).count();
   }
 
-  /** Whether any request satisfies a condition. */
+  /** Returns whether any request satisfies a condition. */
   boolean any(Predicate<InFlightRequest> condition) {
     return bySequence.values().stream().anyMatch(condition);
   }
--- a/src/main/java/rosecleat/core/NameIndex.java
+++ b/src/main/java/rosecleat/core/NameIndex.java
@@ -10,11 +10,12 @@
 import java.util.function.IntPredicate;
 
 /**
- * Assigns indices to names, each with a value. A name keeps its index over any number of updates. A
- * removed name keeps it as long as the index is in use, and gets it back if it returns; only then
- * may another name have the index, so that endless updates do not grow the lists. Not thread-safe.
+ * Assigns indices to names and stores a value for each. A name keeps its index over any number of
+ * updates. A name that is removed and added again gets its old index back, unless that was
+ * reassigned in the meantime. The index of a removed name may be reassigned to another name once it
+ * is no longer in use, so that the lists do not grow with the number of updates. Not thread-safe.
  *
- * @param <T> what is stored for each name
+ * @param <T> the type of the values
  */
 public final class NameIndex<T> {
   private static final int UNKNOWN = -1;
@@ -28,8 +29,8 @@
    *
    * @param updatedNames the names, each once
    * @param updatedValues the value of each name, in the same order
-   * @param inUse whether an index is still in use and must keep its meaning
-   * @return the indices that belong to another name than before, new ones included
+   * @param inUse whether an index is still in use and must not be reassigned
+   * @return the indices that were assigned or reassigned to a name by this update
    */
   public List<Integer> update(
       List<String> updatedNames, List<T> updatedValues, IntPredicate inUse) {
@@ -65,12 +66,12 @@
     return names.size() - 1;
   }
 
-  /** The index of a current name. */
+  /** Returns the index of a current name. */
   public int indexOf(String name) {
     return names.indexOf(name);
   }
 
-  /** The names by index; null in place of each that is not current. */
+  /** Returns the names by index, with null for each removed name. */
   public List<String> names() {
     List<String> all = new ArrayList<>();
     for (int index = 0; index < names.size(); index++) {
@@ -79,7 +80,7 @@
     return Collections.unmodifiableList(all);
   }
 
-  /** The values by index; that of a removed name is its last. */
+  /** Returns the values by index. A removed name has its last value. */
   public List<T> values() {
     return List.copyOf(values);
   }
--- a/src/main/java/rosecleat/core/PolicyDriver.java
+++ b/src/main/java/rosecleat/core/PolicyDriver.java
@@ -8,8 +8,8 @@
 import rosecleat.policy.PolicyEvent;
 
 /**
- * Reports events to the policy and executes its commands: those on requests at once, those on the
- * node by keeping their values. For the core's thread.
+ * Reports events to the policy and executes its commands. Commands on requests are executed at
+ * once; the values of commands on the node are stored for later queries. For the core's thread.
  */
 final class PolicyDriver {
   private final PolicyEngine policy;
@@ -26,7 +26,7 @@
   private double loadAdvice = Double.NaN;
   private long idleTimeoutUs;
 
-  /** A driver of a policy that may not have started yet. */
+  /** Creates a driver of a policy, which may not have started yet. */
   PolicyDriver(
       CoreSettings settings,
       PolicyEngine policy,
@@ -49,40 +49,40 @@
     idleTimeoutUs = settings.idleTimeoutUs();
   }
 
-  /** Applies other settings from now on. */
+  /** Applies updated settings. */
   void reconfigure(CoreSettings updated) {
     settings = updated;
   }
 
-  /** Whether health checks should succeed, as the policy has it. */
+  /** Returns whether health checks should succeed according to the policy. */
   boolean healthy() {
     return healthy;
   }
 
-  /** The node stops: health checks fail until the policy says otherwise. */
+  /** Makes health checks fail until the policy sets them again, because the node is stopping. */
   void setUnhealthy() {
     healthy = false;
   }
 
-  /** The value that goes with responses; not a number while there is none. */
+  /** Returns the load advice to send with responses; NaN if there is none. */
   double loadAdvice() {
     return loadAdvice;
   }
 
-  /** How long connections may stay unused, in microseconds. */
+  /** Returns how long a connection may stay idle, in microseconds. */
   long idleTimeoutUs() {
     return idleTimeoutUs;
   }
 
-  /** Reports an event and executes the commands that follow. */
+  /** Reports an event and executes the commands that result from it. */
   void report(PolicyEvent event) {
     policy.handle(clock.getAsLong(), event);
     executeCommands();
   }
 
   /**
-   * Executes commands until there are none. Events on the way add commands, which are executed in
-   * their turn and not inside the command that caused them.
+   * Executes commands until there are none left. Events that occur meanwhile add further commands,
+   * which are executed after the current one rather than nested within it.
    */
   void executeCommands() {
     if (executing) {
@@ -141,7 +141,7 @@
     runs.start(request, shutdown.gracePeriodEndedBefore(request.request().arrivedAtUs()));
   }
 
-  /** Acts on a request; a command for one that is closed by now does nothing. */
+  /** Performs an action on a request, unless the request has been closed in the meantime. */
   private void ifInFlight(long sequence, Consumer<InFlightRequest> action) {
     requests.find(sequence).ifPresent(action);
   }
--- a/src/main/java/rosecleat/core/RequestHandle.java
+++ b/src/main/java/rosecleat/core/RequestHandle.java
@@ -1,7 +1,9 @@
 package rosecleat.core;
 
-/** Lets whoever submitted a request cancel it. */
+/** Cancels a submitted request. */
 public interface RequestHandle {
-  /** Cancels the request, as its caller is gone: no response will be sent. Idempotent. */
+  /**
+   * Cancels the request because its caller has disconnected. No response will be sent. Idempotent.
+   */
   void cancel();
 }
--- a/src/main/java/rosecleat/core/Runs.java
+++ b/src/main/java/rosecleat/core/Runs.java
@@ -7,11 +7,11 @@
 import rosecleat.policy.RunOutcome;
 
 /**
- * Starts, cancels and ends runs, and responds to the requests they belong to. For the core's
- * thread.
+ * Starts and cancels runs, handles their ends, and responds to the requests they belong to. For the
+ * core's thread.
  */
 final class Runs {
-  /** A run whose end is not reported so long (us) after its deadline is taken for lost. */
+  /** Time after its deadline from which on a run without a reported end is considered lost (us). */
   private static final long LOST_RUN_TIMEOUT_US = 30_000_000;
 
   private final InFlightRequests requests;
@@ -22,7 +22,7 @@
   private final Counters counters;
   private final Log log;
 
-  /** No run is in progress yet. */
+  /** Creates an instance without runs in progress. */
   Runs(
       InFlightRequests requests,
       RequestCloser closer,
@@ -43,16 +43,18 @@
   /**
    * Starts the run of a queued request.
    *
-   * @param afterGracePeriod whether the request arrived when the grace period of a shutdown was
-   *     over: it is rejected instead. The policy counts the grace period from when it handled the
-   *     notice, which is late where the loop is busy.
+   * @param afterGracePeriod whether the request arrived after the grace period of a shutdown, so
+   *     that it is rejected instead. The policy can't decide this: it counts the grace period from
+   *     when it handled the shutdown notice, which is too late if the event loop was busy.
    */
   void start(InFlightRequest request, boolean afterGracePeriod) {
     if (!request.is(RequestState.QUEUED) || !request.awaitingResponse()) {
       return;
     }
     if (attempts.wouldRunTwice(request)) {
-      log.warn("a run of a request that may have run already was not started");
+      log.warn(
+          "run not started: the request, or another attempt with its idempotency key, may have run"
+              + " already");
       closer.endWithoutRun(
           request,
           Response.failed(
@@ -89,8 +91,8 @@
   }
 
   /**
-   * Rejects a request. One that may have run fails instead: a rejection promises the caller that
-   * nothing ran.
+   * Rejects a request. A request that may have run fails instead, because a rejection guarantees
+   * the caller that nothing ran.
    */
   void reject(InFlightRequest request, long retryAfterUs, boolean last) {
     finish(
@@ -116,14 +118,14 @@
     }
   }
 
-  /** Cancels a run that is paused for a downstream call, and the call. */
+  /** Cancels a run that is paused for a downstream call, together with the call. */
   void abandonCall(InFlightRequest request) {
     calls.cancel(request);
-    request.resumeRun(); // a reply that is under way finds no run that waits for it
+    request.resumeRun(); // a reply that still arrives is ignored
     cancel(request);
   }
 
-  /** Asks the runner to cancel a run, once; its end is reported later. */
+  /** Requests the runner to cancel a run, at most once. The end of the run is reported later. */
   void cancel(InFlightRequest request) {
     if (request.cancellable()) {
       request.requestCancel();
@@ -132,7 +134,9 @@
     }
   }
 
-  /** A run has ended; {@code output} is its result, used only with {@link RunResult#OK}. */
+  /**
+   * Handles the end of a run. {@code output} is its result, used with {@link RunResult#OK} only.
+   */
   void ended(InFlightRequest request, RunResult result, byte[] output, long durationUs) {
     if (!request.runInProgress()) {
       return;
@@ -171,7 +175,9 @@
     attempts.runEndedWithoutResult(request);
   }
 
-  /** Nothing ran, which is proven: an idempotent request may be sent again and run then. */
+  /**
+   * Fails a request whose run never executed. Its idempotency key is released for later attempts.
+   */
   private void runnerNotReached(InFlightRequest request, long durationUs) {
     List<InFlightRequest> waiting = attempts.runNeverExecuted(request);
     request.markNeverRan();
@@ -182,7 +188,9 @@
     attempts.replay(waiting, Optional.empty());
   }
 
-  /** A request whose response is still awaited is queued again, its work so far being lost. */
+  /**
+   * Queues the request again if its response is still awaited. The cancelled run's work is lost.
+   */
   private void cancelled(InFlightRequest request, long durationUs) {
     request.runCancelled();
     if (request.awaitingResponse()) {
@@ -195,14 +203,17 @@
   }
 
   /**
-   * Closes the requests whose run's end was lost on a broken link: the policy would count them as
-   * running for ever, and start fewer and fewer others.
+   * Closes the requests whose run's end was lost with a broken connection. Otherwise the policy
+   * would count them as running forever and start fewer and fewer other runs.
    */
   void expireLost(long nowUs) {
     for (InFlightRequest request : requests.snapshot()) {
       if (!request.awaitingResponse() && nowUs > request.deadlineUs() + LOST_RUN_TIMEOUT_US) {
         counters.add("runs.lost");
-        log.warn("a run has not ended long after its answer was due, and is forgotten");
+        log.warn(
+            "run abandoned as lost: its end was not reported within "
+                + LOST_RUN_TIMEOUT_US / 1_000_000
+                + " s after its deadline");
         cancel(request);
         failed(
             request,
--- a/src/main/java/rosecleat/facts/Fact.java
+++ b/src/main/java/rosecleat/facts/Fact.java
@@ -1,14 +1,15 @@
 package rosecleat.facts;
 
 /**
- * A learned estimate. Immutable.
+ * An estimate that a node has learned. Immutable.
  *
  * @param kind what is estimated
- * @param subject the class or tenant it describes; empty for the node itself
+ * @param subject the class or tenant that the fact describes; empty for the node itself
  * @param value the estimate, in the kind's unit
- * @param weight how many samples it rests on, as of {@code learnedAtUs}
- * @param learnedAtUs when it was learned (Unix microseconds)
- * @param settingsDigest digest of the settings it was learned under; empty where unknown
+ * @param weight the number of samples behind the estimate, as of {@code learnedAtUs}
+ * @param learnedAtUs when the estimate was learned (Unix microseconds)
+ * @param settingsDigest digest of the settings under which the estimate was learned; empty if
+ *     unknown
  */
 public record Fact(
     FactKind kind,
@@ -26,8 +27,8 @@
   }
 
   /**
-   * Returns this fact as of a later time: its weight halves with each half-life. A time before the
-   * fact's own changes nothing.
+   * Returns this fact as of a later time: its weight halves with each half-life. Returns this fact
+   * unchanged if the time is before {@code learnedAtUs}.
    *
    * @param nowUs the later time (Unix microseconds)
    * @param halfLifeUs half-life of facts in general (us)
@@ -47,9 +48,9 @@
   }
 
   /**
-   * Merges two facts of the same key: the mean by weight, both decayed to the later of their times,
-   * so that many old samples do not outweigh few new ones. The weights add up to the kind's maximum
-   * at most.
+   * Merges two facts of the same key into their weighted mean. Both are first decayed to the later
+   * of their times, so that many old samples do not outweigh a few new ones. The resulting weight
+   * is the sum of the weights, bounded by the kind's maximum weight.
    */
   public Fact mergedWith(Fact other, double halfLifeUs) {
     long latestUs = Math.max(learnedAtUs, other.learnedAtUs);
--- a/src/main/java/rosecleat/facts/FactAggregator.java
+++ b/src/main/java/rosecleat/facts/FactAggregator.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * Collects the facts that hold under the current settings: checks each as it is added, and merges
- * facts of the same key. For one thread.
+ * Collects the facts that are valid under the current settings: checks each fact when it is added
+ * and merges facts of the same key. For one thread.
  */
 public final class FactAggregator {
   /** Tolerated difference between the clocks of two processes (us). */
@@ -18,7 +18,7 @@
   /** Weight below which a fact is discarded (samples). */
   private static final double MIN_WEIGHT = 0.1;
 
-  /** Factor on the weight of a fact whose settings are unknown. */
+  /** Factor by which the weight of a fact is reduced if its settings are unknown. */
   private static final double UNKNOWN_SETTINGS_FACTOR = 0.5;
 
   private final SettingsDigests settings;
@@ -30,14 +30,14 @@
    * Creates an aggregator without facts.
    *
    * @param settings the current settings
-   * @param halfLifeUs half-life of facts in general (us)
+   * @param halfLifeUs general half-life of facts (us), which kinds scale
    */
   public FactAggregator(SettingsDigests settings, double halfLifeUs) {
     this.settings = settings;
     this.halfLifeUs = halfLifeUs;
   }
 
-  /** Adds the facts of a node that are usable at a time, and counts those that are not. */
+  /** Adds the facts of a node that are usable at a time, and counts those that are rejected. */
   public void add(String node, Collection<Fact> added, long nowUs) {
     for (Fact fact : added) {
       Optional<RejectionReason> rejection = rejectionOf(node, fact, nowUs);
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Returns why a fact of a node is not usable at a time; empty where it is. */
+  /** Returns why a fact of a node is not usable at a time; empty if it is usable. */
   public Optional<RejectionReason> rejectionOf(String node, Fact fact, long nowUs) {
     if (!node.equals(settings.node())) {
       return Optional.of(RejectionReason.OTHER_NODE);
@@ -85,7 +85,7 @@
         && fact.value() <= settings.maxValues().getOrDefault(fact.key(), Double.MAX_VALUE);
   }
 
-  /** Bounds a fact's weight and time, marks it with the current settings and decays it. */
+  /** Bounds a fact's weight and time, assigns the current settings digest and decays the fact. */
   private Fact adjusted(Fact fact, long nowUs) {
     double weight =
         Math.min(fact.weight(), fact.kind().maxWeight())
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Returns the facts as of a time, in the order in which their keys were first added, without
-   * those that have decayed to almost nothing.
+   * Returns the facts as of a time, in the order in which their keys were first added. Omits facts
+   * whose weight has decayed below the minimum.
    */
   public List<Fact> factsAt(long nowUs) {
     return facts.values().stream()
@@ -111,7 +111,7 @@
         .toList();
   }
 
-  /** Returns how many facts were rejected, by reason. */
+  /** Returns the number of rejected facts by reason. */
   public Map<RejectionReason, Integer> rejections() {
     return Map.copyOf(rejections);
   }
--- a/src/main/java/rosecleat/facts/FactChangeFilter.java
+++ b/src/main/java/rosecleat/facts/FactChangeFilter.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * Selects the facts that are worth writing again: those whose value, weight or settings changed
- * since they were last persisted, and those whose persisted time has become old. Keeps one fact per
- * key; for one thread.
+ * Selects the facts that must be persisted again: those whose value, weight or settings have
+ * changed since they were last persisted, and those whose persisted time is too old. Stores one
+ * fact per key. For one thread.
  */
 public final class FactChangeFilter {
   /** Relative change of a value up to which it counts as unchanged. */
@@ -21,19 +21,20 @@
   private static final double WEIGHT_TOLERANCE = 0.25;
 
   /**
-   * Part of a fact's half-life after which it is written again although nothing changed: otherwise
-   * a reader would take it for older than it is.
+   * Age of a persisted fact from which on it is persisted again without any other change, as a
+   * fraction of its half-life. Otherwise a reader would consider the fact older than it is and
+   * decay it too much.
    */
   private static final double REFRESH_AFTER_HALF_LIVES = 0.05;
 
   private final Map<Fact.Key, Fact> persisted = new HashMap<>();
 
   /**
-   * Returns the facts among the current ones that have to be written, in their order. Facts that
-   * are no longer current are forgotten.
+   * Returns the current facts that must be persisted again, in the given order. Discards what was
+   * stored about facts that are no longer current.
    *
    * @param current all facts as of now
-   * @param halfLifeUs half-life of facts in general (us)
+   * @param halfLifeUs general half-life of facts (us), which kinds scale
    */
   public List<Fact> changed(Collection<Fact> current, double halfLifeUs) {
     List<Fact> changed = new ArrayList<>();
@@ -57,12 +58,12 @@
             > REFRESH_AFTER_HALF_LIVES * now.kind().halfLifeUs(halfLifeUs);
   }
 
-  /** Notes that these facts are on disk. */
+  /** Records that these facts have been persisted. */
   public void markPersisted(Collection<Fact> facts) {
     facts.forEach(fact -> persisted.put(fact.key(), fact));
   }
 
-  /** Forgets what was persisted, so that every fact counts as changed. */
+  /** Discards the record of persisted facts, so that every fact counts as changed. */
   public void reset() {
     persisted.clear();
   }
--- a/src/main/java/rosecleat/facts/FactKind.java
+++ b/src/main/java/rosecleat/facts/FactKind.java
@@ -4,25 +4,25 @@
 import java.util.Optional;
 
 /**
- * What a fact estimates, with its unit, its plausible range and how it ages. A value outside the
- * range was never learned by a working node.
+ * The quantity that a fact estimates, with its unit, plausible range, maximum weight and half-life.
+ * A working node never learns a value outside the plausible range.
  */
 public enum FactKind {
-  /** Run time of a class on otherwise idle cores (us); samples are runs. */
+  /** Run time of a request class on otherwise idle cores (us). A sample is one run. */
   RUN_TIME("run-time", SubjectType.CLASS, 1, Unit.HOUR_US, 32, 1),
-  /** Usual duration of a downstream call (us); samples are calls. */
+  /** Typical duration of a downstream call (us). A sample is one call. */
   CALL_TIME("call-time", SubjectType.NODE, 1, Unit.HOUR_US, 64, 1),
-  /** Concurrency limit on runs (runs); a sample is a second under it. */
+  /** Concurrency limit on runs (runs). A sample is one second of operation under this limit. */
   LIMIT("limit", SubjectType.NODE, 1, 1e5, 60, 0.5),
   /**
-   * Concurrency limit on downstream calls (calls); a sample is a second under it. Downstream load
-   * changes fast, so it ages fast.
+   * Concurrency limit on downstream calls (calls). A sample is one second of operation under this
+   * limit. The half-life is short because the load of the downstream service changes fast.
    */
   CALL_LIMIT("call-limit", SubjectType.NODE, 1, 1e5, 60, 0.1),
-  /** A tenant's share of the arrivals (0 to 1); samples are arrivals. */
+  /** A tenant's share of the arrivals (0 to 1). A sample is one arrival. */
   TENANT_PART("tenant-part", SubjectType.TENANT, 0, 1, 128, 0.5);
 
-  /** What a fact describes. */
+  /** The type of a fact's subject. */
   public enum SubjectType {
     /** A request class. */
     CLASS,
@@ -32,7 +32,7 @@
     NODE
   }
 
-  /** Holds constants that the kinds need before their own class is initialized. */
+  /** Constants for the constructor calls of the kinds, which run before static fields are set. */
   private static final class Unit {
     private static final double HOUR_US = 3_600e6;
   }
@@ -59,29 +59,29 @@
     this.halfLifeFactor = halfLifeFactor;
   }
 
-  /** Returns the kind of a stored name; empty where this program does not know it. */
+  /** Returns the kind with a stored name; empty if this version does not support the kind. */
   public static Optional<FactKind> fromWireName(String wireName) {
     return Arrays.stream(values()).filter(kind -> kind.wireName.equals(wireName)).findFirst();
   }
 
-  /** Returns the name that is stored and shown; it never changes. */
+  /** Returns the name that is stored and displayed. It must never change. */
   public String wireName() {
     return wireName;
   }
 
-  /** Returns what facts of this kind describe. */
+  /** Returns the type of the subjects of this kind. */
   public SubjectType subjectType() {
     return subjectType;
   }
 
-  /** Whether a working node can have learned such a value; false for NaN. */
+  /** Returns whether a working node can have learned this value; false for NaN. */
   public boolean isPlausible(double value) {
     return value >= minValue && value <= maxValue;
   }
 
   /**
-   * Returns the largest weight of a fact of this kind (samples), so that as many new samples
-   * outweigh it.
+   * Returns the maximum weight of a fact of this kind (samples). It bounds the number of new
+   * samples that are needed to outweigh the fact.
    */
   public double maxWeight() {
     return maxWeight;
@@ -90,7 +90,7 @@
   /**
    * Returns the half-life of this kind (us).
    *
-   * @param generalHalfLifeUs the configured half-life of facts in general (us)
+   * @param generalHalfLifeUs the configured general half-life of facts (us)
    */
   public double halfLifeUs(double generalHalfLifeUs) {
     return halfLifeFactor * generalHalfLifeUs;
--- a/src/main/java/rosecleat/facts/RejectionReason.java
+++ b/src/main/java/rosecleat/facts/RejectionReason.java
@@ -1,22 +1,22 @@
 package rosecleat.facts;
 
 /**
- * Why a fact is rejected. The names are part of the operators' interface: they appear in counters
- * and in the log.
+ * Why a fact is rejected. The names of the constants appear in counters and in the log, which
+ * operators' tools read, and must not change.
  */
 public enum RejectionReason {
-  /** Another node learned it. */
+  /** The fact was learned by another node. */
   OTHER_NODE,
-  /** Its class or tenant is no longer configured. */
+  /** The fact's class or tenant is no longer configured. */
   GONE,
-  /** It was learned under other settings of its class, tenant or server. */
+  /** The fact was learned under different settings of its class, tenant or server. */
   OTHER_TERMS,
-  /** Its time lies in the future, or before the epoch. */
+  /** The time at which the fact was learned is in the future or before the Unix epoch. */
   FUTURE,
-  /** Its value is out of range, or its weight is not positive. */
+  /** The value is out of range, or the weight is not positive. */
   RANGE,
-  /** Its value or weight is infinite or not a number. */
+  /** The value or the weight is infinite or NaN. */
   NOT_FINITE,
-  /** It is so old that almost none of its weight is left. */
+  /** The fact is so old that its weight has decayed below the minimum. */
   AGED
 }
--- a/src/main/java/rosecleat/facts/SettingsDigests.java
+++ b/src/main/java/rosecleat/facts/SettingsDigests.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * The settings in force, as far as facts depend on them. A fact that was learned under other
- * settings has another digest and is not used.
+ * Digests of the current settings on which facts depend. A fact that was learned under different
+ * settings has a different digest and is rejected.
  *
- * @param node the node's name
+ * @param node name of the node
  * @param server digest of the server's settings
- * @param classes digest of each class's settings, by name
- * @param tenants digest of each tenant's settings, by name
- * @param maxValues largest value of a fact that is possible under these settings, by key
+ * @param classes digests of the settings of the request classes, by class name
+ * @param tenants digests of the settings of the tenants, by tenant name
+ * @param maxValues largest values of facts that are possible under these settings, by key
  */
 public record SettingsDigests(
     String node,
@@ -19,7 +19,7 @@
     Map<String, String> classes,
     Map<String, String> tenants,
     Map<Fact.Key, Double> maxValues) {
-  /** Returns the digest that a fact has to carry; empty where its subject is not configured. */
+  /** Returns the digest that a valid fact carries; empty if its subject is not configured. */
   public Optional<String> digestOf(FactKind kind, String subject) {
     return switch (kind.subjectType()) {
       case CLASS -> Optional.ofNullable(classes.get(subject));
