--- a/src/test/java/rosecleat/core/CoreHarness.java
+++ b/src/test/java/rosecleat/core/CoreHarness.java
@@ -16,8 +16,8 @@
 import rosecleat.policy.PolicyEngine;
 
 /**
- * A core with the policy of {@link TestSite}, a clock that the test sets, and a runner and a
- * downstream client that record what they are asked for. No protocol, no thread, no waiting.
+ * A core with the policy of {@link TestSite}, a manually set clock, and a fake runner and
+ * downstream client that record the commands they receive. Uses no protocol, threads or real time.
  */
 final class CoreHarness implements AutoCloseable {
   static final long START_US = 1_800_000_000_000_000L;
@@ -39,7 +39,7 @@
   private static final long TICK_US = 20_000;
   private static final long RUN_US = 10_000;
 
-  /** One attempt as its caller sees it. */
+  /** An attempt as seen by its caller, with the responses received. */
   static final class Attempt implements Responder {
     final List<Response> responses = new ArrayList<>();
     final String id;
@@ -77,7 +77,7 @@
     }
   }
 
-  /** What the runner and the downstream client were asked for, in order. */
+  /** The commands that the runner and the downstream client have received, in order. */
   final List<String> commands = new ArrayList<>();
 
   final Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
@@ -121,7 +121,7 @@
         }
       };
 
-  /** How many requests the test has sent. */
+  /** Returns the number of requests that the test has sent. */
   int requestsSent() {
     return lastId;
   }
@@ -146,37 +146,37 @@
             log);
   }
 
-  /** A core that has not started. */
+  /** Returns a core that has not started. */
   static CoreHarness notStarted() {
     return new CoreHarness(MAX_RESULT_BYTES, IdempotencyClaims.SINGLE_PROCESS);
   }
 
-  /** A core that has started, in its node's only process. */
+  /** Returns a started core for a node with a single process. */
   static CoreHarness started() {
     return startedWith(MAX_RESULT_BYTES);
   }
 
-  /** A core that has started and caches so many bytes of results. */
+  /** Returns a started core that caches at most {@code maxResultBytes} of results. */
   static CoreHarness startedWith(long maxResultBytes) {
     CoreHarness harness = new CoreHarness(maxResultBytes, IdempotencyClaims.SINGLE_PROCESS);
     harness.core.start(false, 0);
     return harness;
   }
 
-  /** A core that has started, beside the processes that share these claims. */
+  /** Returns a started core that shares these claims with peer processes. */
   static CoreHarness startedWith(IdempotencyClaims claims) {
     CoreHarness harness = new CoreHarness(MAX_RESULT_BYTES, claims);
     harness.core.start(false, 0);
     return harness;
   }
 
-  /** Submits a request under a new id. */
+  /** Submits a request with a new id. */
   Attempt send(int classIndex, String idempotencyKey, String body) {
     lastId++;
     return sendWithLastId(classIndex, idempotencyKey, body, nowUs);
   }
 
-  /** Submits a request under the id of the last one. */
+  /** Submits a request with the id of the last one. */
   Attempt sendWithLastId(int classIndex, String idempotencyKey, String body, long arrivedAtUs) {
     Attempt attempt = new Attempt("id" + lastId);
     Request request =
@@ -201,12 +201,12 @@
     return attempt;
   }
 
-  /** Submits an idempotent request whose body follows from its key. */
+  /** Submits an idempotent request whose body is derived from its key. */
   Attempt sendLoad(String idempotencyKey) {
     return send(CARD_LOAD, idempotencyKey, "load " + idempotencyKey);
   }
 
-  /** Submits an idempotent request, as {@link #sendLoad}, that arrived earlier. */
+  /** Submits an idempotent request as {@link #sendLoad} does, but with an earlier arrival time. */
   Attempt sendLoadArrivedAt(String idempotencyKey, long arrivedAtUs) {
     lastId++;
     return sendWithLastId(CARD_LOAD, idempotencyKey, "load " + idempotencyKey, arrivedAtUs);
@@ -221,14 +221,14 @@
     core.runEnded(attempt.id, result, RUN_US);
   }
 
-  /** Lets time pass, in ticks. */
+  /** Advances the clock in steps of one tick and calls the core before each step. */
   void pass(long durationUs) {
     for (long endUs = nowUs + durationUs; nowUs < endUs; nowUs += TICK_US) {
       core.tick();
     }
   }
 
-  /** How many runs were started. */
+  /** Returns the number of runs that were started. */
   long starts() {
     return commands.stream().filter(command -> command.startsWith("start")).count();
   }
--- a/src/test/java/rosecleat/core/CountersTest.java
+++ b/src/test/java/rosecleat/core/CountersTest.java
@@ -7,14 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The counters that a node logs at its end were cut off in the middle: a busy node's line is longer
- * than the log writes. The soak saw it as a last count of {@code 11...}.
+ * Guards against truncated counters in the log: the counters that a busy node logs when it stops
+ * exceed the maximum length of a log line, and a line cut in the middle of a value shows a wrong
+ * count, such as {@code 11...}.
  */
 class CountersTest {
   private static final int MAX_CHARS = 60;
 
   @Test
-  void linesHoldEveryCountWithinTheirLength() {
+  void linesContainEveryCounterAndNeverExceedTheMaximumLength() {
     Counters counters = new Counters();
     for (int i = 0; i < 50; i++) {
       counters.add("counter." + i, i + 1);
@@ -30,7 +31,7 @@
   }
 
   @Test
-  void countThatIsTooLongHasALineOfItsOwn() {
+  void counterLongerThanTheMaximumHasItsOwnLine() {
     Counters counters = new Counters();
     counters.add("a", 1);
     counters.add("b".repeat(MAX_CHARS), 2);
@@ -40,7 +41,7 @@
   }
 
   @Test
-  void nothingCountedIsOneLine() {
+  void noCountersGiveOneLineWithThePrefixOnly() {
     assertEquals(List.of("counters"), new Counters().toLines(MAX_CHARS));
   }
 }
--- a/src/test/java/rosecleat/core/IdempotencyTest.java
+++ b/src/test/java/rosecleat/core/IdempotencyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.core.CoreHarness.Attempt;
 
-/** Attempts with the same idempotency key, in one process. */
+/** Tests attempts with the same idempotency key within one process. */
 class IdempotencyTest {
   private CoreHarness harness = CoreHarness.started();
 
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void laterAttemptsGetTheResultOfTheFirst() {
+  void laterAttemptsGetTheResultOfTheFirstAttempt() {
     Attempt first = harness.sendLoad("a");
     Attempt second = harness.sendLoad("a");
     assertEquals(1, harness.starts());
@@ -33,9 +33,9 @@
   }
 
   @Test
-  void attemptWithAnotherBodyFailsEvenIfItsHashCodeIsTheSame() {
+  void attemptWithDifferentBodyOfEqualHashCodeFails() {
     Attempt first = harness.send(CARD_LOAD, "k", "Aa");
-    Attempt queued = harness.send(CARD_LOAD, "k", "BB"); // of one hash code
+    Attempt queued = harness.send(CARD_LOAD, "k", "BB"); // "Aa" and "BB" have the same hash code
     assertEquals(Progress.NOT_SENT, queued.failureProgress());
     harness.complete(first, "done");
     assertEquals(Progress.NOT_SENT, harness.send(CARD_LOAD, "k", "BB").failureProgress());
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void failedRunIsNotRunAgain() {
+  void laterAttemptsOfFailedRunFailWithoutRunning() {
     Attempt first = harness.sendLoad("a");
     Attempt second = harness.sendLoad("a");
     harness.end(first, RunResult.FAILED);
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void cancelledAttemptRunsOnForALaterOne() {
+  void runOfCancelledAttemptContinuesForLaterAttempt() {
     Attempt first = harness.sendLoad("a");
     first.handle.cancel();
     Attempt second = harness.sendLoad("a");
@@ -66,29 +66,29 @@
   }
 
   @Test
-  void windowCountsFromTheArrivalOfTheAttemptThatRan() {
+  void windowStartsAtTheArrivalOfTheAttemptThatRan() {
     Attempt first = harness.sendLoad("a");
     harness.complete(first, "done");
     harness.pass(WINDOW_US - 100_000);
     assertEquals("done", harness.sendLoad("a").result());
     assertEquals(1, harness.starts());
     harness.pass(400_000);
-    harness.sendLoad("a"); // the window is over: a new request
+    harness.sendLoad("a"); // after the window: a new request
     assertEquals(2, harness.starts());
   }
 
   @Test
-  void attemptThatIsReadLateCountsByItsArrival() {
+  void attemptThatArrivedWithinTheWindowButIsReadLaterGetsTheResult() {
     harness.complete(harness.sendLoad("a"), "done");
     long arrivedAtUs = harness.nowUs + WINDOW_US;
-    harness.pass(WINDOW_US + 600_000); // the key has expired, but not when this attempt arrived
+    harness.pass(WINDOW_US + 600_000); // the key expires, but after the attempt's arrival
     Attempt late = harness.sendLoadArrivedAt("a", arrivedAtUs);
     assertEquals("done", late.result());
     assertEquals(1, harness.starts());
   }
 
   @Test
-  void attemptFailsRatherThanRunsAgainWhenTheResultWasEvicted() {
+  void attemptFailsWithoutRunningIfTheResultWasEvicted() {
     harness.close();
     harness = CoreHarness.startedWith(10);
     harness.complete(harness.sendLoad("a"), "12345678");
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void keyIsFreeAgainWhenTheRunnerWasNotReached() {
+  void keyIsReleasedIfTheRunnerWasNotReached() {
     Attempt first = harness.sendLoad("a");
     harness.end(first, RunResult.UNREACHABLE);
     assertEquals(Progress.NOT_SENT, first.failureProgress());
--- a/src/test/java/rosecleat/core/NameIndexTest.java
+++ b/src/test/java/rosecleat/core/NameIndexTest.java
@@ -13,15 +13,15 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The indices of names over many updates, against a model. */
+/** Tests the indices of names over random sequences of updates against a model. */
 class NameIndexTest {
   @Property(tries = 300, seed = "20261202")
-  void indexInUseKeepsItsNameAndListsDoNotGrow(
+  void indicesInUseAreNotReassignedAndListsStayBounded(
       @ForAll @Size(min = 1, max = 30)
           List<@Size(max = 4) Set<@IntRange(max = 40) Integer>> updates,
       @ForAll @Size(min = 30, max = 30) List<Boolean> staysInUse) {
     NameIndex<String> index = new NameIndex<>();
-    Map<Integer, String> inUse = new HashMap<>(); // index to the name its user came with
+    Map<Integer, String> inUse = new HashMap<>(); // index -> name that had it when its use began
     int maxInUse = 0;
     for (int round = 0; round < updates.size(); round++) {
       List<String> names = updates.get(round).stream().map(n -> "class-" + n).toList();
@@ -30,13 +30,13 @@
       Set<Integer> seen = new HashSet<>();
       for (String name : names) {
         int position = index.indexOf(name);
-        assertTrue(seen.add(position), "two names have one index");
+        assertTrue(seen.add(position), "two names have the same index");
         assertEquals(name, index.names().get(position));
         assertEquals(valueOf(name), index.values().get(position));
       }
       inUse.forEach(
           (position, name) -> {
-            assertTrue(!renamed.contains(position), "an index in use was given away");
+            assertTrue(!renamed.contains(position), "an index in use was reassigned");
             assertEquals(valueOf(name), index.values().get(position));
           });
       if (!staysInUse.get(round)) {
@@ -44,7 +44,8 @@
       }
       names.stream().limit(1).forEach(name -> inUse.put(index.indexOf(name), name));
       maxInUse = Math.max(maxInUse, inUse.size());
-      assertTrue(index.names().size() <= 4 + 4 + maxInUse, "lists grow: " + index.names());
+      assertTrue(
+          index.names().size() <= 4 + 4 + maxInUse, "lists exceed their bound: " + index.names());
     }
   }
 
--- a/src/test/java/rosecleat/core/PeerProcessTest.java
+++ b/src/test/java/rosecleat/core/PeerProcessTest.java
@@ -8,9 +8,12 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.core.CoreHarness.Attempt;
 
-/** Attempts whose idempotency key a peer process may have claimed. */
+/** Tests attempts whose idempotency key a peer process may have claimed. */
 class PeerProcessTest {
-  /** A peer that claims a key between this process's look at it and its own claim. */
+  /**
+   * Claims whose status and claim outcomes differ, as if a peer process claimed a key between this
+   * process's check and its own claim.
+   */
   private static final class PeerClaims implements IdempotencyClaims {
     ClaimStatus status = new Unclaimed();
     ClaimStatus claim = new Unclaimed();
@@ -57,7 +60,7 @@
   }
 
   @Test
-  void attemptGetsTheResultOfThePeerThatHadClaimedItsKey() {
+  void attemptGetsTheResultOfPeerThatClaimedItsKeyBefore() {
     claims.status = ownedByPeer("load a");
     Attempt attempt = harness.sendLoad("a");
     harness.pass(TICK_US);
@@ -69,7 +72,7 @@
   }
 
   @Test
-  void attemptGetsTheResultOfThePeerThatClaimsItsKeyMeanwhile() {
+  void attemptGetsTheResultOfPeerThatClaimsItsKeyBetweenCheckAndClaim() {
     claims.claim = ownedByPeer("load a");
     Attempt attempt = harness.sendLoad("a");
     claims.run = new IdempotencyClaims.Completed("done".getBytes(StandardCharsets.UTF_8));
@@ -80,7 +83,7 @@
   }
 
   @Test
-  void attemptFailsWhenThePeersRunHasNoResult() {
+  void attemptFailsIfThePeersRunHasNoResult() {
     claims.status = ownedByPeer("load a");
     Attempt attempt = harness.sendLoad("a");
     claims.run = new IdempotencyClaims.NoResult();
@@ -90,7 +93,7 @@
   }
 
   @Test
-  void attemptWithAnotherBodyThanThePeersFails() {
+  void attemptFailsIfThePeerClaimedItsKeyForDifferentBody() {
     claims.claim = ownedByPeer("load b");
     Attempt attempt = harness.sendLoad("a");
     assertEquals(FailureReason.IDEMPOTENCY_KEY_CONFLICT, attempt.failure().reason());
@@ -98,7 +101,7 @@
   }
 
   @Test
-  void attemptIsRejectedWhenItsKeyCannotBeClaimed() {
+  void attemptIsRejectedIfItsKeyCannotBeClaimed() {
     harness.sendLoad("a").assertRejected();
     assertEquals(0, harness.starts());
     assertEquals(0, harness.core.inFlight());
--- a/src/test/java/rosecleat/core/RequestStateTest.java
+++ b/src/test/java/rosecleat/core/RequestStateTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The table of transitions, written out a second time. */
+/** Compares the permitted state transitions with an independent copy of their table. */
 class RequestStateTest {
   private static final Map<RequestState, Set<RequestState>> TRANSITIONS =
       Map.of(
@@ -30,7 +30,7 @@
           Set.of(RequestState.CLOSED));
 
   @Test
-  void stateBecomesOnlyWhatTheTableHas() {
+  void exactlyTheListedTransitionsArePermitted() {
     for (RequestState from : RequestState.values()) {
       for (RequestState to : EnumSet.allOf(RequestState.class)) {
         assertEquals(
--- a/src/test/java/rosecleat/core/RunsTest.java
+++ b/src/test/java/rosecleat/core/RunsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.core.CoreHarness.Attempt;
 
-/** Runs that end, are cancelled, pause for calls or get lost. */
+/** Tests runs that end, are cancelled, pause for downstream calls or are lost. */
 class RunsTest {
   private static final byte[] CALL_BODY = "call".getBytes(StandardCharsets.UTF_8);
   private static final byte[] REPLY = "reply".getBytes(StandardCharsets.UTF_8);
@@ -26,33 +26,36 @@
   }
 
   @Test
-  void abandonedRequestFailsAtOnceAndIsNeverRejectedOnceItRan() {
+  void abandonedRequestThatMayHaveRunFailsAndIsNotRejected() {
     Attempt first = harness.send(BALANCE_CHECK, null, "x");
     Attempt second = harness.send(BALANCE_CHECK, null, "y");
     Attempt queued = harness.send(BALANCE_CHECK, null, "z");
-    while (first.responses.isEmpty()) { // no run ends: the policy abandons them by itself
+    while (first.responses.isEmpty()) { // no run ends, so the policy must abandon the requests
       harness.pass(20_000);
-      assertTrue(harness.requestsSent() < 10, "the policy abandons runs without further requests");
-      assertTrue(harness.nowUs < START_US + 2_000_000, "no response");
+      assertTrue(
+          harness.requestsSent() < 10, "the policy must abandon runs without further requests");
+      assertTrue(harness.nowUs < START_US + 2_000_000, "no response within 2 s");
     }
     assertEquals(Progress.MAY_HAVE_RUN, first.failureProgress());
     assertEquals(Progress.MAY_HAVE_RUN, second.failureProgress());
     assertTrue(
         harness.commands.containsAll(List.of("cancel run " + first.id, "cancel run " + second.id)),
         harness.commands.toString());
-    assertTrue(harness.nowUs <= START_US + TIMEOUT_US + 130_000, "late");
+    assertTrue(
+        harness.nowUs <= START_US + TIMEOUT_US + 130_000,
+        "response more than 130 ms after the deadline");
     harness.pass(1_500_000);
     queued.assertRejected(); // it never ran
   }
 
   @Test
-  void cancelledRequestCancelsItsCallAndItsRun() {
+  void cancellingRequestCancelsItsCallAndItsRun() {
     Attempt attempt = harness.send(CARD_REFRESH, null, "x");
     harness.core.callRequested(attempt.id, 7, CALL_BODY);
     assertEquals("call id1", harness.commands.get(1));
     attempt.handle.cancel();
     assertEquals(List.of("cancel call id1", "cancel run id1"), harness.commands.subList(2, 4));
-    harness.core.callEnded(attempt.id, CallResult.OK, REPLY); // under way meanwhile: ignored
+    harness.core.callEnded(attempt.id, CallResult.OK, REPLY); // after the cancellation: ignored
     harness.end(attempt, RunResult.CANCELLED);
     assertEquals(0, harness.core.inFlight());
     assertEquals(4, harness.commands.size());
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void replyResumesTheRunThatItsCallPaused() {
+  void replyToDownstreamCallResumesThePausedRun() {
     Attempt attempt = harness.send(CARD_REFRESH, null, "x");
     harness.core.callRequested(attempt.id, 7, CALL_BODY);
     harness.core.callEnded(attempt.id, CallResult.OK, REPLY);
@@ -72,7 +75,7 @@
   }
 
   @Test
-  void runWhoseResumeIsRejectedIsCancelled() {
+  void runIsCancelledIfTheRunnerRejectsItsResumption() {
     Attempt attempt = harness.send(CARD_REFRESH, null, "x");
     harness.core.callRequested(attempt.id, 7, CALL_BODY);
     harness.core.callEnded(attempt.id, CallResult.OK, REPLY);
@@ -82,7 +85,7 @@
   }
 
   @Test
-  void requestWhoseStartIsRejectedFailsAsNotSent() {
+  void requestFailsAsNotSentIfTheRunnerRejectsItsStart() {
     Attempt attempt = harness.send(BALANCE_CHECK, null, "x");
     harness.core.startRejected(attempt.id);
     assertEquals(Progress.NOT_SENT, attempt.failureProgress());
@@ -90,7 +93,7 @@
   }
 
   @Test
-  void runWhoseEndIsLostIsForgotten() {
+  void runWithoutReportedEndIsClosedAndFreesItsCore() {
     Attempt first = harness.sendLoad("a"); // idempotent: its run is not cancelled
     Attempt second = harness.sendLoad("b");
     harness.pass(1_500_000);
@@ -105,7 +108,7 @@
   }
 
   @Test
-  void requestWithAnIdInFlightFails() {
+  void requestWithIdOfAnotherRequestInFlightFails() {
     Attempt first = harness.send(BALANCE_CHECK, null, "x");
     Attempt duplicate = harness.sendWithLastId(BALANCE_CHECK, null, "x", harness.nowUs);
     assertEquals(Progress.NOT_SENT, duplicate.failureProgress());
--- a/src/test/java/rosecleat/core/ShutdownTest.java
+++ b/src/test/java/rosecleat/core/ShutdownTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.core.CoreHarness.Attempt;
 
-/** What still runs during a graceful shutdown. */
+/** Tests which requests still run during a graceful shutdown. */
 class ShutdownTest {
   private static final long REMAINING_US = 3_000_000;
 
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void nothingRunsIfTheShutdownBeginsBeforeTheStart() {
+  void nothingRunsIfShutdownBeginsBeforeTheStart() {
     harness.close();
     harness = CoreHarness.notStarted();
     assertTrue(harness.core.healthy());
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void requestsInFlightFinishAndThoseAfterTheGracePeriodAreRejected() {
+  void requestsInFlightCompleteAndRequestsAfterTheGracePeriodAreRejected() {
     Attempt running = harness.send(BALANCE_CHECK, null, "x");
     harness.core.drain(harness.nowUs, REMAINING_US);
     harness.complete(running, "done");
@@ -47,14 +47,18 @@
     assertEquals(1, harness.starts());
   }
 
-  /** A busy loop handles the notice late; the grace period counts from when it came. */
+  /**
+   * Guards against a grace period that starts too late: a busy event loop may handle the shutdown
+   * notice long after it arrived.
+   */
   @Test
-  void gracePeriodCountsFromTheNoticeThoughItIsHandledLate() {
+  void gracePeriodStartsAtTheNoticeEvenIfItIsHandledLate() {
     long notifiedUs = harness.nowUs;
-    harness.nowUs += 200_000; // the loop was busy
+    harness.nowUs += 200_000; // the event loop was busy
     harness.core.drain(notifiedUs, REMAINING_US);
     Attempt within = harness.send(BALANCE_CHECK, null, "a");
-    harness.nowUs = notifiedUs + GRACE_PERIOD_US + 100_000; // still within it for the policy
+    // The policy counts the grace period from when it handled the notice: it has not ended yet.
+    harness.nowUs = notifiedUs + GRACE_PERIOD_US + 100_000;
     Attempt late = harness.send(BALANCE_CHECK, null, "b");
     Attempt idempotent = harness.send(CARD_LOAD, "k", "c");
     assertEquals(List.of("start " + within.id), harness.commands);
@@ -64,7 +68,7 @@
   }
 
   @Test
-  void respondingToAllFailsWhatRunsAndRejectsWhatNeverRan() {
+  void respondToAllFailsRunningRequestsAndRejectsQueuedOnes() {
     Attempt first = harness.send(BALANCE_CHECK, null, "a");
     Attempt second = harness.send(BALANCE_CHECK, null, "b");
     Attempt queued = harness.send(BALANCE_CHECK, null, "c");
--- a/src/test/java/rosecleat/facts/FactAggregatorTest.java
+++ b/src/test/java/rosecleat/facts/FactAggregatorTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** How facts decay, which are rejected and how two are merged. */
+/** Tests the decay, rejection and merging of facts, and the selection of changed facts. */
 class FactAggregatorTest {
   private static final long NOW_US = 1_800_000_000_000_000L;
   private static final double HALF_LIFE_US = 600e6;
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aFactThatCantHoldUnderTheseSettingsIsRejected() {
+  void unusableFactIsRejectedWithItsReason() {
     assertEquals(
         Optional.empty(), aggregator.rejectionOf("n1", run(20_000, 8, NOW_US - 1), NOW_US));
     assertEquals(
@@ -49,14 +49,14 @@
         RejectionReason.OTHER_TERMS, new Fact(FactKind.TENANT_PART, "team", 0.5, 8, NOW_US, "t2"));
     assertRejected(
         RejectionReason.FUTURE,
-        run(20_000, 8, NOW_US + 3_600_000_000L)); // the clock stands an hour before the file
+        run(20_000, 8, NOW_US + 3_600_000_000L)); // this clock is an hour behind the fact's time
     assertRejected(RejectionReason.FUTURE, run(20_000, 8, -1));
     assertRejected(RejectionReason.AGED, run(20_000, 8, NOW_US - 3 * 86_400_000_000L));
     assertRejected(RejectionReason.RANGE, run(0, 8, NOW_US));
     assertRejected(RejectionReason.RANGE, run(-1, 8, NOW_US));
     assertRejected(RejectionReason.RANGE, run(1e18, 8, NOW_US));
     assertRejected(
-        RejectionReason.RANGE, run(3e6, 8, NOW_US)); // longer than a request of the class may take
+        RejectionReason.RANGE, run(3e6, 8, NOW_US)); // longer than a request of this class may take
     assertRejected(RejectionReason.RANGE, run(20_000, 0, NOW_US));
     assertRejected(RejectionReason.NOT_FINITE, run(Double.NaN, 8, NOW_US));
     assertRejected(RejectionReason.NOT_FINITE, run(Double.POSITIVE_INFINITY, 8, NOW_US));
@@ -73,16 +73,16 @@
   }
 
   @Test
-  void aFactLosesHalfItsWeightInAHalfLife() {
+  void weightOfFactHalvesWithEachHalfLife() {
     aggregator.add("n1", List.of(run(20_000, 8, NOW_US - 600_000_000)), NOW_US);
     assertEquals(4, aggregator.factsAt(NOW_US).get(0).weight(), 1e-9);
     assertEquals(1, aggregator.factsAt(NOW_US + 1_200_000_000).get(0).weight(), 1e-9);
     assertEquals(
-        List.of(), aggregator.factsAt(NOW_US + 86_400_000_000L), "nothing is left after a day");
+        List.of(), aggregator.factsAt(NOW_US + 86_400_000_000L), "a fact is discarded after a day");
   }
 
   @Test
-  void aFactOfUnknownSettingsCountsHalfAndWeightsAreBounded() {
+  void factOfUnknownSettingsHasHalfItsWeightAndWeightsAreBounded() {
     aggregator.add(
         "n1", List.of(new Fact(FactKind.RUN_TIME, "read", 20_000, 8, NOW_US, "")), NOW_US);
     assertEquals(4, aggregator.factsAt(NOW_US).get(0).weight(), 1e-9);
@@ -91,7 +91,7 @@
   }
 
   @Property(tries = 300, seed = "1")
-  void mergingIsByWeightAndTheSameInEitherOrder(
+  void mergingIsCommutativeAndStaysBetweenBothValues(
       @ForAll @DoubleRange(min = 1, max = 1e6) double a,
       @ForAll @DoubleRange(min = 1, max = 1e6) double b,
       @ForAll @DoubleRange(min = 0.5, max = 32) double weightA,
@@ -113,24 +113,29 @@
   }
 
   @Test
-  void onlyFactsThatChangedAreWrittenAgain() {
+  void onlyChangedFactsArePersistedAgain() {
     FactChangeFilter changes = new FactChangeFilter();
     List<Fact> first = List.of(run(20_000, 8, NOW_US));
     assertEquals(first, changes.changed(first, HALF_LIFE_US));
-    assertEquals(first, changes.changed(first, HALF_LIFE_US), "until it is written down");
+    assertEquals(
+        first,
+        changes.changed(first, HALF_LIFE_US),
+        "a fact is selected until it is marked as persisted");
     changes.markPersisted(first);
     assertEquals(
         List.of(), changes.changed(List.of(run(20_100, 9, NOW_US + 1_000_000)), HALF_LIFE_US));
     assertEquals(
-        1, changes.changed(List.of(run(21_000, 8, NOW_US)), HALF_LIFE_US).size(), "another value");
+        1,
+        changes.changed(List.of(run(21_000, 8, NOW_US)), HALF_LIFE_US).size(),
+        "a changed value is persisted again");
     assertEquals(
         1,
         changes.changed(List.of(run(20_000, 16, NOW_US)), HALF_LIFE_US).size(),
-        "another weight");
+        "a changed weight is persisted again");
     assertEquals(
         1,
         changes.changed(List.of(run(20_000, 8, NOW_US + 60_000_000)), HALF_LIFE_US).size(),
-        "it would look old");
+        "an old persisted time is persisted again");
     changes.reset();
     assertEquals(1, changes.changed(first, HALF_LIFE_US).size());
   }
