--- a/src/main/java/rosecleat/core/Core.java
+++ b/src/main/java/rosecleat/core/Core.java
@@ -8,8 +8,8 @@
 
 /**
  * Coordinates all requests of a process, independently of the protocol by which they arrived:
- * reports events to the policy and has the policy's commands executed. Each request gets exactly
- * one response, unless its caller cancels it first. For one thread; nothing here blocks.
+ * reports events to the policy, which decides, and has its commands executed. Each request gets one
+ * response, unless its caller cancels it first. For one thread; nothing here blocks.
  */
 public final class Core {
   /** Maximum time between two ticks (us). */
@@ -110,10 +110,7 @@
     return settings.maxTimeoutUs();
   }
 
-  /**
-   * Returns the number of requests in flight: those whose response is awaited or whose run has not
-   * ended.
-   */
+  /** Returns the number of requests whose response is awaited or whose run has not ended. */
   public int inFlight() {
     return requests.size();
   }
@@ -128,10 +125,7 @@
     return shutdown.begun();
   }
 
-  /**
-   * Returns whether the grace period has ended within which requests that arrive during a shutdown
-   * are still run.
-   */
+  /** Returns whether the grace period has ended, after which newly arriving requests never run. */
   public boolean gracePeriodEnded() {
     return shutdown.gracePeriodEndedBefore(clock.getAsLong());
   }
@@ -152,8 +146,8 @@
   }
 
   /**
-   * Drains this node at an operator's request, or takes it back into service. This affects health
-   * checks only: requests that still arrive are served as usual.
+   * Drains this node for an operator, or takes it back into service. This affects health checks
+   * only: requests that still arrive are served as usual.
    */
   public void setDrainedByOperator(boolean drained) {
     if (drained == drainedByOperator) {
@@ -306,8 +300,7 @@
   }
 
   /**
-   * Handles a run's request for a downstream call. The run is paused until the call is completed or
-   * skipped.
+   * Handles a run that is paused until its downstream call is completed or skipped.
    *
    * @param id the request's id
    * @param callNumber the number that the runner gave the call, for {@link Runner#skipCall}
@@ -340,19 +333,13 @@
     runEnded(id, RunResult.UNREACHABLE, 0);
   }
 
-  /**
-   * Handles a runner's rejection of the message that resumes a paused run, or of the call that the
-   * run requested: the run can't continue and is cancelled.
-   */
+  /** Cancels a paused run that can't resume, because its call or the reply to it was rejected. */
   public void resumeRejected(String id) {
     counters.add("nacks");
     resumeUnproven(id);
   }
 
-  /**
-   * Cancels a run if it is unknown whether the message that resumes the paused run has reached its
-   * runner.
-   */
+  /** Cancels a paused run if it is unknown whether its runner received the message to resume it. */
   public void resumeUnproven(String id) {
     requests.find(id).filter(request -> request.is(RequestState.RUNNING)).ifPresent(runs::cancel);
   }
@@ -374,10 +361,7 @@
     }
   }
 
-  /**
-   * Responds to all requests whose response is awaited, as the last step of a shutdown: fails those
-   * that may have run and rejects the others.
-   */
+  /** Fails awaited requests that may have run and rejects the others, as the last shutdown step. */
   public void respondToAll(FailureReason reason) {
     for (InFlightRequest request : requests.snapshot()) {
       closer.respond(
@@ -388,11 +372,7 @@
     }
   }
 
-  /**
-   * Performs all work that is due.
-   *
-   * @return when this method must be called again at the latest, in Unix microseconds
-   */
+  /** Performs work that is due. Returns the Unix time (us) by which to call this method again. */
   public long tick() {
     long now = clock.getAsLong();
     if (!policy.started()) {
--- a/src/main/java/rosecleat/core/IdempotencyTable.java
+++ b/src/main/java/rosecleat/core/IdempotencyTable.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * The idempotency keys in force, with the cached results of their runs. The total size of the
- * results is bounded: if a result was evicted, later attempts fail rather than run again. For the
- * core's thread.
+ * The idempotency keys in force, with the results of their runs. Results are cached byte for byte,
+ * and their total size is bounded: if a result was evicted, later attempts fail rather than run
+ * again. For the core's thread.
  */
 final class IdempotencyTable {
   private final long maxResultBytes;
