--- a/src/main/java/rosecleat/node/DrainPhase.java
+++ b/src/main/java/rosecleat/node/DrainPhase.java
@@ -8,7 +8,7 @@
  */
 final class DrainPhase extends ShutdownPhase {
   /** Once no connection has arrived for this long, none is expected any more (us). */
-  private static final long QUIET_US = 500_000;
+  private static final long QUIET_PERIOD_US = 500_000;
 
   DrainPhase(NodeParts parts, long killedAtUs) {
     super(parts, killedAtUs);
@@ -20,10 +20,10 @@
   }
 
   @Override
-  boolean closeWhatIsDone(boolean hurry) {
+  boolean closeCompleted(boolean hurry) {
     boolean closed =
         parts.core.gracePeriodEnded()
-            && parts.frontends.closeListenersWhenQuiet(hurry ? 0 : QUIET_US);
+            && parts.frontends.closeListenersWhenQuiet(hurry ? 0 : QUIET_PERIOD_US);
     return closed && parts.core.awaitingResponse() == 0 && parts.frontends.openConnections() == 0;
   }
 }
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -30,7 +30,8 @@
    * Results kept for retries of idempotent requests, all together (bytes): a part of the heap, in
    * which everything else must fit.
    */
-  private static final long RESULT_BYTES = Math.min(8 << 20, Runtime.getRuntime().maxMemory() / 5);
+  private static final long MAX_RETAINED_RESULT_BYTES =
+      Math.min(8 << 20, Runtime.getRuntime().maxMemory() / 5);
 
   /**
    * A class in force.
@@ -130,7 +131,7 @@
         settings.slackUs(),
         settings.graceUs(),
         settings.maxIdleUs(),
-        RESULT_BYTES);
+        MAX_RETAINED_RESULT_BYTES);
   }
 
   private static RequestClass requestClass(IndexedClass indexed) {
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -32,7 +32,7 @@
   private static final long START_US = 1_000_000_000_000_000L;
 
   private static final long RUN_TIME_US = 20_000;
-  private static final byte[] REPLY = new byte[200];
+  private static final byte[] PAYLOAD = new byte[200];
   private static final double[] GAUGES = {0.5, 3, 0.1, 4};
 
   private final ArrayDeque<Request> started = new ArrayDeque<>();
@@ -46,11 +46,11 @@
   private JitWarmup() {}
 
   /** Plays requests of a configuration; returns how many of them were served. */
-  static long play(NodeConfig config) {
-    return new JitWarmup().playRequests(config);
+  static long run(NodeConfig config) {
+    return new JitWarmup().serveRequests(config);
   }
 
-  private long playRequests(NodeConfig config) {
+  private long serveRequests(NodeConfig config) {
     long endNs = System.nanoTime() + MAX_DURATION_NS;
     IndexedSettings indexed = new IndexedSettings(ProcessConfig.of(config));
     settings = indexed.coreSettings();
@@ -79,9 +79,9 @@
         core.callRequested(request.id(), 1, body);
       }
       while (!calls.isEmpty()) {
-        core.callEnded(calls.remove(), CallResult.OK, REPLY);
+        core.callEnded(calls.remove(), CallResult.OK, PAYLOAD);
       }
-      byte[] result = messages.roundTrip("end", request.id(), REPLY);
+      byte[] result = messages.roundTrip("end", request.id(), PAYLOAD);
       core.runEnded(request.id(), RunResult.OK, result, RUN_TIME_US);
     }
   }
--- a/src/main/java/rosecleat/node/NodeProcess.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -22,7 +22,7 @@
   public static final int KEEPS_RUNNING = -1;
 
   /** The node is waited for until so long before the process would be killed (us). */
-  private static final long NODE_MARGIN_US = 150_000;
+  private static final long SHUTDOWN_MARGIN_US = 150_000;
 
   /** The virtual machine is ended so long before the process would be killed (us). */
   private static final long EXIT_MARGIN_US = 50_000;
@@ -93,7 +93,7 @@
     NodeEnvironment environment =
         new NodeEnvironment(loop, takeover, persistence, fleet, counters, log);
     if (config.node().runtimeAddress() != null) {
-      JitWarmup.play(config.node()); // meanwhile stored estimates are read
+      JitWarmup.run(config.node()); // meanwhile stored estimates are read
     }
     Optional<Node> node = process.build(() -> new Node(config, environment));
     if (node.isPresent()) {
@@ -150,7 +150,7 @@
   private void shutDown(Node built) throws InterruptedException {
     long timeUs = built.beginShutdown(completed::countDown);
     long exitDueNs = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(timeUs - EXIT_MARGIN_US);
-    if (!completed.await(timeUs - NODE_MARGIN_US, TimeUnit.MICROSECONDS)) {
+    if (!completed.await(timeUs - SHUTDOWN_MARGIN_US, TimeUnit.MICROSECONDS)) {
       log.warn("the time to leave ran out");
     }
     built.awaitStored(closeTimeoutMs(exitDueNs));
--- a/src/main/java/rosecleat/node/NodeTicker.java
+++ b/src/main/java/rosecleat/node/NodeTicker.java
@@ -8,10 +8,10 @@
  */
 final class NodeTicker {
   /** A tick that is this late delays responses and is logged (us). */
-  private static final long LATE_US = 200_000;
+  private static final long LATE_TICK_US = 200_000;
 
   /** The time from a tick that failed to the next (us). */
-  private static final long PERIOD_AFTER_FAILURE_US = 20_000;
+  private static final long RETRY_DELAY_US = 20_000;
 
   private final NodeParts parts;
   private final PeerMonitor peers;
@@ -26,7 +26,7 @@
 
   /** Ticks from now on for as long as the loop lives; an exception ends its own tick alone. */
   void start() {
-    long nextUs = parts.clock.getAsLong() + PERIOD_AFTER_FAILURE_US;
+    long nextUs = parts.clock.getAsLong() + RETRY_DELAY_US;
     try {
       nextUs = tick();
     } finally {
@@ -47,7 +47,7 @@
 
   private void warnIfLate(long nowUs) {
     long lateUs = nowUs - nextTickUs;
-    if (lateUs > LATE_US) {
+    if (lateUs > LATE_TICK_US) {
       parts.counters.add("beats.late");
       parts.log.warn(
           "the loop was "
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -34,7 +34,7 @@
    * @throws IOException where nothing can listen on loopback
    */
   public static boolean run(NodeConfig config) throws IOException {
-    JitWarmup.play(config);
+    JitWarmup.run(config);
     return new Rehearsal().serve(config);
   }
 
--- a/src/main/java/rosecleat/node/RouteReplication.java
+++ b/src/main/java/rosecleat/node/RouteReplication.java
@@ -32,7 +32,7 @@
   private static final String DIGESTS_RECORD = "routes";
 
   private static final String DIGEST_SEPARATOR = ":";
-  private static final int DIGESTS = 2;
+  private static final int DIGEST_COUNT = 2;
   private static final long DIGESTS_TTL_MS = 60_000;
 
   /**
@@ -89,7 +89,7 @@
       return;
     }
     String[] digests = text(record).split(DIGEST_SEPARATOR);
-    if (digests.length == DIGESTS) {
+    if (digests.length == DIGEST_COUNT) {
       tableDigests.put(record.owner(), digests[0]);
       storeDigests.put(record.owner(), digests[1]);
       if (!digests[1].equals(storeDigest())) {
--- a/src/main/java/rosecleat/node/ShutdownPhase.java
+++ b/src/main/java/rosecleat/node/ShutdownPhase.java
@@ -37,12 +37,12 @@
    * @param hurry whether the time is almost up
    * @return whether nothing is left to do
    */
-  abstract boolean closeWhatIsDone(boolean hurry);
+  abstract boolean closeCompleted(boolean hurry);
 
   /** Takes one step; returns whether the node has served what it can. */
   final boolean advance() {
     long nowUs = parts.clock.getAsLong();
-    boolean done = closeWhatIsDone(nowUs > killedAtUs - HURRY_MARGIN_US);
+    boolean done = closeCompleted(nowUs > killedAtUs - HURRY_MARGIN_US);
     if (nowUs > killedAtUs - RESPOND_MARGIN_US) {
       parts.core.respondToAll(FailureReason.NODE_STOPPED);
       parts.frontends.closeConnections(); // in order, while there is time for it to arrive
--- a/src/main/java/rosecleat/node/TakeoverPhase.java
+++ b/src/main/java/rosecleat/node/TakeoverPhase.java
@@ -8,7 +8,7 @@
  */
 final class TakeoverPhase extends ShutdownPhase {
   /** A uwsgi connection that has been silent for this long is not waited for (us). */
-  private static final long QUIET_US = 500_000;
+  private static final long QUIET_PERIOD_US = 500_000;
 
   private boolean listenersClosed;
   private boolean hurried;
@@ -38,13 +38,13 @@
    * successor may ask for their results.
    */
   @Override
-  boolean closeWhatIsDone(boolean hurry) {
+  boolean closeCompleted(boolean hurry) {
     hurried |= hurry;
     if (!listenersClosed && (parts.takeover.successorIsServing() || hurry)) {
       listenersClosed = parts.frontends.closeListenersWhenEmpty();
     }
     if (listenersClosed) {
-      parts.frontends.closeSilentConnections(QUIET_US);
+      parts.frontends.closeSilentConnections(QUIET_PERIOD_US);
     }
     return listenersClosed && parts.core.inFlight() == 0 && parts.frontends.openConnections() == 0;
   }
--- a/src/test/java/rosecleat/node/ConfigReloaderTest.java
+++ b/src/test/java/rosecleat/node/ConfigReloaderTest.java
@@ -19,17 +19,18 @@
 /** SIGHUP, as a process gets it: the virtual machine that runs this test would end on it. */
 class ConfigReloaderTest {
   @Test
-  void signalAdoptsAValidFileAndAnInvalidFileChangesNothing(@TempDir Path folder) throws Exception {
+  void signalAppliesAValidFileAndAnInvalidFileChangesNothing(@TempDir Path folder)
+      throws Exception {
     String good = Files.readString(Path.of("deploy/example.json"));
     Path file = Files.writeString(folder.resolve("config.json"), good);
     Map<String, String> env = Map.of("PROXY_CONFIG", file.toString());
-    BlockingQueue<ProcessConfig> taken = new LinkedBlockingQueue<>();
+    BlockingQueue<ProcessConfig> applied = new LinkedBlockingQueue<>();
     try (Log log = new Log(System.err)) {
       ConfigReloader reload = new ConfigReloader(read(env), () -> read(env), log);
       reload.install();
-      hangUp();
-      reload.setListener(taken::add); // the signal that came before is made up for, or comes now
-      assertEquals(4400, taken.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
+      sendHangupSignal();
+      reload.setListener(applied::add); // the signal that came before is made up for, or comes now
+      assertEquals(4400, applied.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
       for (String bad :
           List.of(
               "",
@@ -53,10 +54,10 @@
         Files.writeString(file, bad);
         reload.reload();
       }
-      assertTrue(taken.isEmpty(), "a configuration that can't be used was taken");
+      assertTrue(applied.isEmpty(), "a configuration that can't be used was applied");
       Files.writeString(file, good.replace("4400", "4401"));
-      hangUp();
-      assertEquals(4401, taken.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
+      sendHangupSignal();
+      assertEquals(4401, applied.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
     }
   }
 
@@ -64,7 +65,7 @@
     return ProcessConfig.of(NodeConfigReader.fromEnvironment(env));
   }
 
-  private static void hangUp() throws Exception {
+  private static void sendHangupSignal() throws Exception {
     String pid = Long.toString(ProcessHandle.current().pid());
     assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + pid).start().waitFor());
   }
--- a/src/test/java/rosecleat/node/DeploymentSizesTest.java
+++ b/src/test/java/rosecleat/node/DeploymentSizesTest.java
@@ -92,7 +92,7 @@
       NodeConfig config =
           config(
               runtime.port(), index.port(), classes, tenants, servers, callers, callsOut, sockets);
-      assertTrue(JitWarmup.play(config) > 0);
+      assertTrue(JitWarmup.run(config) > 0);
       try (Node node = new Node(ProcessConfig.of(config), NodeEnvironment.standalone(log))) {
         node.start();
         NodeProbe.await(() -> NodeProbe.ask(node, Core::ready));
--- a/src/test/java/rosecleat/node/DescriptorBudgetTest.java
+++ b/src/test/java/rosecleat/node/DescriptorBudgetTest.java
@@ -24,7 +24,7 @@
     "65536, 500, 64504, 1000",
     "1024, 1e12, 512, 480"
   })
-  void descriptorsAreDividedByLimitsAndSettings(
+  void descriptorsAreDividedAccordingToLimitAndExpectedCalls(
       int sockets, double callsOut, int balancers, int index) {
     assertEquals(
         new DescriptorBudget(balancers, index), DescriptorBudget.of(sockets, 0, callsOut, false));
--- a/src/test/java/rosecleat/node/DescriptorLimitTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -64,7 +64,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {64, 200})
-  void idleClientsLeaveDescriptorsForRuntimeIndexAndRegistry(int descriptors) throws Exception {
+  void idleClientsDoNotStarveRuntimeIndexAndRegistry(int descriptors) throws Exception {
     int listen = ServeProcess.freePort();
     try (FakeRuntime runtime = new FakeRuntime(5);
         FakeIndex index = new FakeIndex();
--- a/src/test/java/rosecleat/node/JitWarmupTest.java
+++ b/src/test/java/rosecleat/node/JitWarmupTest.java
@@ -8,8 +8,8 @@
 /** The lives played before a node listens are whole ones: read, run, called for and served. */
 class JitWarmupTest {
   @Test
-  void playedRequestsAreServed() {
-    long served = JitWarmup.play(TestSite.config(1, 0, 0, 2_000, 500));
+  void warmupRequestsAreServed() {
+    long served = JitWarmup.run(TestSite.config(1, 0, 0, 2_000, 500));
     assertTrue(served > 100, "served " + served);
   }
 }
--- a/src/test/java/rosecleat/node/MisbehavingClientsTest.java
+++ b/src/test/java/rosecleat/node/MisbehavingClientsTest.java
@@ -133,8 +133,8 @@
    * before the end.
    */
   @Test
-  void requestBeforeUnparsableBytesGetsItsResponse() throws IOException {
-    RespClient spoilt = connect();
+  void requestBeforeMalformedBytesGetsItsResponse() throws IOException {
+    RespClient malformed = connect();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(
         RespClient.array(
@@ -144,8 +144,8 @@
             RespClient.fields("00000000000000e3", "small", 1_100, null),
             "b"));
     all.writeBytes("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-    spoilt.send(all.toByteArray());
-    assertEquals(List.of("BYE", "OK"), answersUntilClosed(spoilt));
+    malformed.send(all.toByteArray());
+    assertEquals(List.of("BYE", "OK"), answersUntilClosed(malformed));
     assertTrue(served(3));
   }
 
--- a/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
@@ -35,47 +35,47 @@
 
   private static final int GRACE_MS = 600;
   private static final int STOP_MS = 3_000;
-  private static final int OPEN = 32;
+  private static final int MAX_OPEN_REQUESTS = 32;
 
   /** One request as sent, and the words that came back for it. */
   private record Sent(String body, boolean uwsgi, long dueMs, boolean afterGrace) {}
 
   /** The rules, counted after each answer. */
-  private final class Book {
-    final Map<String, Integer> broken = new ConcurrentHashMap<>();
+  private final class RuleChecker {
+    final Map<String, Integer> violations = new ConcurrentHashMap<>();
     final Map<String, Integer> served = new ConcurrentHashMap<>();
-    final Map<String, Integer> asked = new ConcurrentHashMap<>();
+    final Map<String, Integer> sentCounts = new ConcurrentHashMap<>();
     final Map<Sent, Integer> answers = new ConcurrentHashMap<>();
 
-    void breach(String rule, Sent sent) {
-      broken.merge(rule + (sent == null ? "" : " " + sent.body), 1, Integer::sum);
+    void recordViolation(String rule, Sent sent) {
+      violations.merge(rule + (sent == null ? "" : " " + sent.body), 1, Integer::sum);
     }
 
     /** {@code word} is OK, BUSY or FAILED on either wire. */
     void answered(Sent sent, String word, String body) {
       if (answers.merge(sent, 1, Integer::sum) > 1) {
-        breach("two answers", sent);
+        recordViolation("two answers", sent);
       }
       if (System.currentTimeMillis() > sent.dueMs + SLACK_MS) {
-        breach("late", sent);
+        recordViolation("late", sent);
       }
-      long starts = rig.runtime.startsOf(sent.body);
+      long starts = harness.runtime.startsOf(sent.body);
       if (starts > 1) {
-        breach("run twice", sent);
+        recordViolation("run twice", sent);
       }
       if (word.equals("OK")) {
         served.merge(sent.uwsgi ? "uwsgi" : "resp", 1, Integer::sum);
         if (starts == 0 || !body.equals(FakeRuntime.result(sent.body))) {
-          breach("served with what no run made", sent);
+          recordViolation("served with what no run made", sent);
         }
       }
       if (word.equals("BUSY")
           && starts > 0
           && !sent.body.startsWith("load")) { // of a load another try may run
-        breach("refused after it ran", sent);
+        recordViolation("refused after it ran", sent);
       }
       if (sent.afterGrace && starts > 0 && !sent.body.startsWith("load")) {
-        breach("run after the grace", sent);
+        recordViolation("run after the grace", sent);
       }
     }
   }
@@ -84,12 +84,12 @@
   private final class Balancer {
     private final RespClient client;
     private final Map<Long, Sent> open = new ConcurrentHashMap<>();
-    private final Semaphore places = new Semaphore(OPEN);
+    private final Semaphore places = new Semaphore(MAX_OPEN_REQUESTS);
     private volatile boolean leaving;
     private long lastTag;
 
     Balancer() throws IOException {
-      client = new RespClient(rig.node.port(), null);
+      client = new RespClient(harness.node.port(), null);
       pool.execute(this::read);
     }
 
@@ -102,9 +102,9 @@
             places.release();
             Sent sent = open.remove(Long.parseLong(words.get(0)));
             if (sent == null) {
-              book.breach("an answer to nothing", null);
+              rules.recordViolation("an answer to nothing", null);
             } else {
-              book.answered(sent, words.get(1), words.get(3));
+              rules.answered(sent, words.get(1), words.get(3));
             }
           }
           if (leaving && open.isEmpty()) {
@@ -113,7 +113,7 @@
           }
         }
       } catch (IOException e) {
-        open.values().forEach(sent -> book.breach("connection broken under", sent));
+        open.values().forEach(sent -> rules.recordViolation("connection broken under", sent));
       }
     }
 
@@ -121,7 +121,7 @@
       if (leaving || !places.tryAcquire()) {
         return;
       }
-      book.asked.merge("resp", 1, Integer::sum);
+      rules.sentCounts.merge("resp", 1, Integer::sum);
       long tag = ++lastTag;
       open.put(tag, sent);
       try {
@@ -133,21 +133,21 @@
                 RespClient.fields(String.format("%016x", ids++), "small", WAIT_MS, key),
                 sent.body));
       } catch (IOException e) {
-        book.breach("connection closed under", sent);
+        rules.recordViolation("connection closed under", sent);
       }
     }
   }
 
   @TempDir Path folder;
   private final ExecutorService pool = Executors.newCachedThreadPool();
-  private final Book book = new Book();
+  private final RuleChecker rules = new RuleChecker();
   private final List<Sent> all = new ArrayList<>();
-  private NodeHarness rig;
+  private NodeHarness harness;
   private long ids = 1;
 
   @Test
-  void bothProtocolsKeepTheRulesUnderOverloadAndNeitherStarves() throws Exception {
-    rig = new NodeHarness(WORK_MS, STOP_MS, GRACE_MS, folder);
+  void bothProtocolsFollowTheRulesUnderOverloadAndNeitherStarves() throws Exception {
+    harness = new NodeHarness(WORK_MS, STOP_MS, GRACE_MS, folder);
     try {
       List<Balancer> balancers = List.of(new Balancer(), new Balancer());
       double perSecond = 1.5 * TestSite.CORES * 1000 / WORK_MS;
@@ -156,33 +156,34 @@
       int count = (int) (4 * perSecond);
       for (int i = 0; i < count; i++) {
         pace(start + i * gap);
-        one(i, balancers, false);
-        assertEquals(Map.of(), book.broken, "after request " + i);
+        sendRequest(i, balancers, false);
+        assertEquals(Map.of(), rules.violations, "after request " + i);
       }
-      checkServedParts();
+      checkServedShares();
 
       Semaphore left = new Semaphore(0);
       long notice = System.nanoTime();
-      rig.node.beginShutdown(left::release);
+      harness.node.beginShutdown(left::release);
       for (int i = 0; i < perSecond; i++) { // a second more, past the grace
         pace(notice + i * gap);
-        one(count + i, balancers, System.nanoTime() - notice > (GRACE_MS + 100) * 1_000_000L);
-        assertEquals(Map.of(), book.broken, "after request " + i + " of the drain");
+        sendRequest(
+            count + i, balancers, System.nanoTime() - notice > (GRACE_MS + 100) * 1_000_000L);
+        assertEquals(Map.of(), rules.violations, "after request " + i + " of the drain");
       }
       assertTrue(left.tryAcquire(STOP_MS, TimeUnit.MILLISECONDS), "it does not leave in time");
-      checkNothingIsLost();
+      checkEveryRequestWasAnswered();
     } finally {
       pool.shutdownNow();
-      rig.close();
+      harness.close();
     }
   }
 
   /** Both protocols are overloaded, and neither takes much more than its part. */
-  private void checkServedParts() {
-    int askedResp = book.asked.get("resp");
-    int askedUwsgi = book.asked.get("uwsgi");
-    double resp = (double) book.served.getOrDefault("resp", 0) / askedResp;
-    double uwsgi = (double) book.served.getOrDefault("uwsgi", 0) / askedUwsgi;
+  private void checkServedShares() {
+    int sentResp = rules.sentCounts.get("resp");
+    int sentUwsgi = rules.sentCounts.get("uwsgi");
+    double resp = (double) rules.served.getOrDefault("resp", 0) / sentResp;
+    double uwsgi = (double) rules.served.getOrDefault("uwsgi", 0) / sentUwsgi;
     assertTrue(resp > 0.25 && uwsgi > 0.25, "served: resp " + resp + ", uwsgi " + uwsgi);
     assertTrue(resp < 0.95 && uwsgi < 0.95, "no overload: resp " + resp + ", uwsgi " + uwsgi);
     assertTrue(
@@ -190,13 +191,13 @@
         "served: resp " + resp + ", uwsgi " + uwsgi);
   }
 
-  private void checkNothingIsLost() throws InterruptedException {
+  private void checkEveryRequestWasAnswered() throws InterruptedException {
     pool.shutdown();
     assertTrue(pool.awaitTermination(10, TimeUnit.SECONDS));
     all.stream()
-        .filter(sent -> !book.answers.containsKey(sent))
-        .forEach(sent -> book.breach("lost", sent));
-    assertEquals(Map.of(), book.broken);
+        .filter(sent -> !rules.answers.containsKey(sent))
+        .forEach(sent -> rules.recordViolation("lost", sent));
+    assertEquals(Map.of(), rules.violations);
   }
 
   private static void pace(long until) throws InterruptedException {
@@ -207,7 +208,7 @@
   }
 
   /** Sends by one protocol or the other; a load goes by both, under one key. */
-  private void one(int i, List<Balancer> balancers, boolean afterGrace) {
+  private void sendRequest(int i, List<Balancer> balancers, boolean afterGrace) {
     boolean load = i % 10 == 0;
     String body = (load ? "load" : "read") + i;
     String key = "key" + i;
@@ -232,24 +233,24 @@
                 ? UwsgiClient.vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", key)
                 : UwsgiClient.vars("GET", "/cards/x/balance", "till"));
     vars.put("HTTP_X_DEADLINE_MS", Integer.toString(WAIT_MS));
-    try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
-      book.asked.merge("uwsgi", 1, Integer::sum);
+    try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
+      rules.sentCounts.merge("uwsgi", 1, Integer::sum);
       socket.getOutputStream().write(UwsgiClient.packet(vars, sent.body));
       UwsgiClient.Reply reply = UwsgiClient.read(socket);
       boolean neverRan = reply.header("X-Progress").equals("never-ran");
-      book.answered(
+      rules.answered(
           sent,
           reply.status() == 200 ? "OK" : reply.status() == 503 || neverRan ? "BUSY" : "FAILED",
           reply.body());
       if (reply.status() != 200 && reply.status() != 503 && reply.status() != 504) {
-        book.breach("answered " + reply.status(), sent);
+        rules.recordViolation("answered " + reply.status(), sent);
       }
     } catch (java.net.ConnectException e) {
-      if (!rig.ask(core -> core.gracePeriodEnded())) { // a refused connection: nothing ran
-        book.breach("not accepted", sent);
+      if (!harness.ask(core -> core.gracePeriodEnded())) { // a refused connection: nothing ran
+        rules.recordViolation("not accepted", sent);
       }
     } catch (IOException e) {
-      book.breach("connection broken under", sent);
+      rules.recordViolation("connection broken under", sent);
     }
   }
 }
--- a/src/test/java/rosecleat/node/NodeIndexTest.java
+++ b/src/test/java/rosecleat/node/NodeIndexTest.java
@@ -59,9 +59,9 @@
   }
 
   @Test
-  void unreadableReplyFailsOnlyItsOwnCall() throws IOException {
+  void malformedReplyFailsOnlyItsOwnCall() throws IOException {
     startServing();
-    List<String> spoilt =
+    List<String> malformedReplies =
         List.of(
             "noise\u0000\u00ff\n",
             "ID HIT 3000000000\r\nxxxx",
@@ -72,7 +72,7 @@
             "ID HIT\r\n",
             "x".repeat(100),
             "nobody SHED\r\n");
-    for (String text : spoilt) {
+    for (String text : malformedReplies) {
       index.answers.addAll(
           List.of("wait", "raw " + text)); // the first is out while the second is spoilt
       send("card-refresh", null);
@@ -83,9 +83,9 @@
       assertEquals("OK", client.answer().get(1));
       index.release = new CountDownLatch(1);
     }
-    assertEquals(spoilt.size(), count("calls.broken"));
+    assertEquals(malformedReplies.size(), count("calls.broken"));
     assertEquals(0, count("calls.cut"));
-    assertEquals(2L * spoilt.size(), count("calls.hit"));
+    assertEquals(2L * malformedReplies.size(), count("calls.hit"));
   }
 
   @Test
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void idleConnectionIsNotReused() throws Exception {
+  void connectionThatWasIdleTooLongIsNotReused() throws Exception {
     startServing();
     assertEquals("OK", answer("card-refresh").get(1));
     Thread.sleep(300);
--- a/src/test/java/rosecleat/node/NodeProcessTest.java
+++ b/src/test/java/rosecleat/node/NodeProcessTest.java
@@ -25,34 +25,36 @@
                 ProcessConfig.of(TestSite.config(0, 0, 0, 2_000, 500)),
                 NodeEnvironment.standalone(log))) {
       NodeProcess process = new NodeProcess(log);
-      CountDownLatch making = new CountDownLatch(1);
-      CountDownLatch made = new CountDownLatch(1);
-      Thread maker =
+      CountDownLatch buildStarted = new CountDownLatch(1);
+      CountDownLatch buildMayEnd = new CountDownLatch(1);
+      Thread builder =
           new Thread(
               () -> {
                 try {
                   process.build(
                       () -> {
-                        making.countDown();
-                        await(made);
+                        buildStarted.countDown();
+                        await(buildMayEnd);
                         return node;
                       });
                 } catch (java.io.IOException e) {
                   throw new java.io.UncheckedIOException(e);
                 }
               });
-      maker.start();
-      await(making);
-      CompletableFuture<Optional<Node>> leaves = new CompletableFuture<>();
-      Thread notice = new Thread(() -> leaves.complete(process.requestShutdown()));
-      notice.start();
-      while (notice.getState() != Thread.State.BLOCKED) {
+      builder.start();
+      await(buildStarted);
+      CompletableFuture<Optional<Node>> nodeToShutDown = new CompletableFuture<>();
+      Thread shutdownRequest = new Thread(() -> nodeToShutDown.complete(process.requestShutdown()));
+      shutdownRequest.start();
+      while (shutdownRequest.getState() != Thread.State.BLOCKED) {
         assertEquals(
-            false, leaves.isDone(), "the notice found nothing while a node was about to listen");
+            false,
+            nodeToShutDown.isDone(),
+            "the notice found nothing while a node was about to listen");
         Thread.yield();
       }
-      made.countDown();
-      assertSame(node, leaves.get(5, TimeUnit.SECONDS).orElseThrow());
+      buildMayEnd.countDown();
+      assertSame(node, nodeToShutDown.get(5, TimeUnit.SECONDS).orElseThrow());
     }
   }
 
--- a/src/test/java/rosecleat/node/NodeRegistryTest.java
+++ b/src/test/java/rosecleat/node/NodeRegistryTest.java
@@ -18,7 +18,7 @@
 /** What a node tells the registry, and what it makes of a registry that is down. */
 class NodeRegistryTest extends NodeLinksHarness {
   @Test
-  void failingRegistryIsToldAgainEachSecond() throws IOException {
+  void failedReportIsSentAgainEachSecond() throws IOException {
     registry.mood = "";
     startServing();
     await(
@@ -37,10 +37,10 @@
    * is turned away.
    */
   @Test
-  void drainByOperatorsChangesHealthChecksAlone() throws IOException {
+  void operatorDrainChangesOnlyHealthChecks() throws IOException {
     Counters counters = new Counters();
-    TakeoverCoordinator handover = TakeoverCoordinator.join(Optional.empty(), counters, log);
-    NodeOperations operators = new NodeOperations(handover, new NoFleet());
+    TakeoverCoordinator takeover = TakeoverCoordinator.join(Optional.empty(), counters, log);
+    NodeOperations operators = new NodeOperations(takeover, new NoFleet());
     operators.drain(); // before the node stands
     node =
         new Node(
@@ -48,7 +48,7 @@
                 TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500)),
             new NodeEnvironment(
                 new EventLoop(log),
-                handover,
+                takeover,
                 new NoEstimatePersistence(),
                 new NoFleet(),
                 counters,
@@ -59,21 +59,21 @@
     await(this::ready);
     for (int round = 0; round < 2; round++) { // told twice is told once
       node.onLoop(operators::drain);
-      assertEquals("DOWN", check());
+      assertEquals("DOWN", healthCheck());
       assertEquals("OK", answer("balance-check").get(1));
     }
     reload();
-    assertEquals("DOWN", check());
+    assertEquals("DOWN", healthCheck());
     assertEquals(0, client.byes);
     assertEquals(true, ask(core -> operators.isReady()));
     node.onLoop(operators::activate);
-    assertEquals("UP", check());
+    assertEquals("UP", healthCheck());
     assertEquals(1, count("operators.drains"));
     assertTrue(
         registry.reports.stream().noneMatch(r -> r.contains("off")), registry.reports.toString());
   }
 
-  private String check() throws IOException {
+  private String healthCheck() throws IOException {
     client.send(RespClient.array("PING", 999, ""));
     return client.answer().get(1);
   }
@@ -83,7 +83,7 @@
    * it when it is back.
    */
   @Test
-  void unreachableRegistryDelaysNothingAndIsToldOnceItIsBack() throws Exception {
+  void unreachableRegistryDelaysNothingAndGetsTheReportOnceItIsBack() throws Exception {
     registry.down();
     startServing();
     assertEquals("OK", answer("balance-check").get(1));
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void beginningShutdownIsToldToTheRegistryAtOnce() throws Exception {
+  void shutdownIsReportedToTheRegistryImmediately() throws Exception {
     startServing();
     await(() -> count("roster.reports") > 0);
     CompletableFuture<Void> left = new CompletableFuture<>();
--- a/src/test/java/rosecleat/node/NodeReloadTest.java
+++ b/src/test/java/rosecleat/node/NodeReloadTest.java
@@ -14,12 +14,12 @@
 /** A configuration that changes while requests run and connections open. */
 class NodeReloadTest extends NodeLinksHarness {
   @Test
-  void movedRuntimeKeepsRunsAndNumbers() throws IOException {
+  void runsContinueWhenTheRuntimeMoves() throws IOException {
     startServing();
     for (int round = 0; round < 3; round++) { // reloads in a row, each with a run in hand
       send("balance-check", null);
-      int begun = round + 1;
-      await(() -> runtime.starts.size() == begun);
+      int started = round + 1;
+      await(() -> runtime.starts.size() == started);
       runtime.moveAway();
       reload();
       assertEquals(FakeRuntime.result("body " + tag), client.answer().get(3));
@@ -34,7 +34,7 @@
    * former connection was open and could prove that all had arrived.
    */
   @Test
-  void movedRuntimeIsSentNothingThatItHasReceived() throws IOException {
+  void commandsTheRuntimeHasReceivedAreNotResentAfterAMove() throws IOException {
     startServing();
     runtime.endRunsBehindGauges = "resumed";
     send("balance-check", null);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void movedIndexAndRegistryAreUsedAndOldCallsMayEnd() throws IOException {
+  void movedIndexAndRegistryAreUsedAndCallsToTheOldIndexMayEnd() throws IOException {
     startServing();
     index.answers.add("wait");
     send("card-refresh", null);
--- a/src/test/java/rosecleat/node/NodeRuntimeTest.java
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -14,7 +14,7 @@
 /** A node whose connection to its runtime breaks, falls silent or carries nonsense. */
 class NodeRuntimeTest extends NodeLinksHarness {
   @Test
-  void startingRuntimeLeavesHealthChecksAnswered() throws IOException {
+  void healthChecksAreAnsweredWhileTheRuntimeStarts() throws IOException {
     runtime.readyAfterMs = 500;
     start();
     client.send(RespClient.array("PING", 1, ""));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void brokenConnectionIsSynchronizedAndRepeatsNothing() throws IOException {
+  void reconnectionSynchronizesAndRepeatsNothing() throws IOException {
     startServing();
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void commandLostWithTheConnectionIsSentAgain() throws IOException {
+  void commandLostWithTheConnectionIsResent() throws IOException {
     startServing();
     runtime.swallow = 1;
     send("balance-check", null);
@@ -69,19 +69,19 @@
    * sync, gauges, start 1}.
    */
   @Test
-  void startWithAnEffectAndNoKeyIsNeverSentAgain() throws IOException {
+  void startOfSideEffectRequestWithoutKeyIsNeverResent() throws IOException {
     startServing(TestSite.withEffect(config(), "side_effect"));
-    assertRunsOnceThoughItEndsBehindTheResumption("balance-check", null);
+    assertRunsOnceWhenItEndsAfterResumption("balance-check", null);
   }
 
   /** Runs of a class that calls may end without a call (WIRE, extra.class-calls). */
   @Test
-  void idempotentStartWhoseRunMayCallIsNeverSentAgain() throws IOException {
+  void idempotentStartWhoseRunMayCallIsNeverResent() throws IOException {
     startServing(TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500, true));
-    assertRunsOnceThoughItEndsBehindTheResumption("card-load", "k");
+    assertRunsOnceWhenItEndsAfterResumption("card-load", "k");
   }
 
-  private void assertRunsOnceThoughItEndsBehindTheResumption(String className, String once)
+  private void assertRunsOnceWhenItEndsAfterResumption(String className, String once)
       throws IOException {
     runtime.endRunsBehindGauges = "resumed";
     send(className, once);
@@ -120,7 +120,7 @@
    * that it ran; the end that proved it came a moment later and was dropped.
    */
   @Test
-  void endThatComesBehindTheFailureAnswersRetriesWithTheSameKey() throws IOException {
+  void runEndReceivedAfterTheFailureAnswersRetriesWithTheSameKey() throws IOException {
     startServing();
     runtime.gaugesUnansweredBeforeSync = true;
     send("card-load", "k");
@@ -128,7 +128,7 @@
     runtime.cut();
     assertEquals("FAILED", client.answer().get(1)); // at once: nothing proves that it runs
     await(() -> count("runs.proven") == 1);
-    sendFirstLoadAgain();
+    retryFirstLoad();
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals(1, runtime.startsOf("body 1"));
   }
@@ -139,7 +139,7 @@
    * reply names its run and no call.
    */
   @Test
-  void replyToACallIsNeverTakenForTheReplyToTheNext() throws IOException {
+  void callReplyIsNeverUsedForTheNextCall() throws IOException {
     runtime.callsPerRun = 2;
     runtime.endRunsBehindGauges = "resumed";
     startServing();
@@ -174,7 +174,7 @@
     send("card-load", "k");
     assertEquals("FAILED", client.answer().get(1));
     runtime.nackStarts = false;
-    sendFirstLoadAgain();
+    retryFirstLoad();
     assertEquals("OK", client.answer().get(1));
     assertEquals(1, runtime.startsOf("body 1"));
   }
@@ -184,18 +184,18 @@
    * ever.
    */
   @Test
-  void silentConnectionIsReplaced() throws IOException {
+  void unresponsiveConnectionIsReplaced() throws IOException {
     startServing();
     assertEquals("OK", answer("balance-check").get(1));
     runtime.mute();
     await(() -> count("runtime.silent") == 1);
     client.close();
     client = new RespClient(node.port(), null); // the other stood idle for too long
-    await(() -> answered("balance-check").equals("OK"));
+    await(() -> responseWord("balance-check").equals("OK"));
     assertEquals(1, count("runtime.silent"));
   }
 
-  private String answered(String className) {
+  private String responseWord(String className) {
     try {
       return answer(className).get(1);
     } catch (IOException e) {
@@ -219,7 +219,7 @@
   }
 
   /** A further attempt of the first request, which was a load with the key {@code k}. */
-  private void sendFirstLoadAgain() throws IOException {
+  private void retryFirstLoad() throws IOException {
     String fields = RespClient.fields("00000000000000f9", "small", 900, "k");
     client.send(RespClient.array("DO", 9, "card-load", fields, "body 1"));
   }
--- a/src/test/java/rosecleat/node/NodeTickerTest.java
+++ b/src/test/java/rosecleat/node/NodeTickerTest.java
@@ -12,7 +12,7 @@
 class NodeTickerTest extends NodeLinksHarness {
   /** Guards all that is done by time: one beat that fails must not be the last. */
   @Test
-  void tickThatThrowsIsFollowedByOthers() throws Exception {
+  void tickingContinuesAfterATickThatThrows() throws Exception {
     startServing();
     AtomicBoolean thrown = new AtomicBoolean();
     node.onLoop(() -> node.core().start(new FailingOnce(thrown), false, 0));
--- a/src/test/java/rosecleat/node/StatePersistenceTest.java
+++ b/src/test/java/rosecleat/node/StatePersistenceTest.java
@@ -117,7 +117,7 @@
     return new ObjectMapper().readTree(out.toString(UTF_8)).path("facts");
   }
 
-  private boolean knows(String kind) {
+  private boolean isStored(String kind) {
     try {
       for (JsonNode fact : facts()) {
         if (fact.path("kind").asText().equals(kind)) {
@@ -131,23 +131,23 @@
   }
 
   /** A node that has learnt something and is gone. */
-  private void before() throws Exception {
+  private void storeEstimatesAndStop() throws Exception {
     node = start(config(), null);
     Await.until(() -> ask(node, Core::ready) && counter(node, "state.opened") == 1);
     serve(node, 12);
-    Await.until(() -> knows("run-time") && counter(node, "state.saves") > 0);
+    Await.until(() -> isStored("run-time") && counter(node, "state.saves") > 0);
     node.close();
     node = null;
   }
 
   @Test
   void restartedNodeStartsWithStoredEstimates() throws Exception {
-    before();
+    storeEstimatesAndStop();
     node = start(config(), null);
     Await.until(() -> counter(node, "state.taken") >= 3);
-    List<Estimate> lessons = node.estimates().get(5, TimeUnit.SECONDS);
+    List<Estimate> estimates = node.estimates().get(5, TimeUnit.SECONDS);
     double us =
-        lessons.stream()
+        estimates.stream()
             .filter(l -> l.subject().equals("balance-check"))
             .findFirst()
             .orElseThrow()
@@ -157,7 +157,7 @@
 
   @Test
   void changedSettingsDropStoredEstimates() throws Exception {
-    before();
+    storeEstimatesAndStop();
     String other =
         config().source().toString().replace("\"deadline-us\":1200000", "\"deadline-us\":1300000");
     node = start(NodeConfigReader.parse(other, Map.of()), null);
@@ -173,8 +173,8 @@
   }
 
   @Test
-  void damagedFilesAreNoWorseThanNone() throws Exception {
-    before();
+  void damagedFilesAreTreatedAsMissing() throws Exception {
+    storeEstimatesAndStop();
     Path kept = folder.resolve("kept");
     try (Stream<Path> files = Files.list(kept)) {
       for (Path file : files.filter(f -> !f.endsWith("LOCK")).toList()) {
@@ -195,7 +195,7 @@
     node = start(config(), null);
     Await.until(() -> counter(node, "state.opened") == 1);
     serve(node, 5);
-    Await.until(() -> knows("run-time"));
+    Await.until(() -> isStored("run-time"));
     assertEquals(
         0,
         Main.run(
@@ -234,12 +234,12 @@
     node.start();
     Await.until(() -> counter(node, "state.opened") == 1 && ask(node, Core::ready));
     serve(node, 12);
-    assertFalse(knows("run-time"), "it is not time yet");
+    assertFalse(isStored("run-time"), "it is not time yet");
     CompletableFuture<Void> left = new CompletableFuture<>();
     node.beginShutdown(() -> left.complete(null));
     left.get(10, TimeUnit.SECONDS);
     node.awaitStored(2_000);
-    assertTrue(knows("run-time"));
+    assertTrue(isStored("run-time"));
   }
 
   @Test
@@ -249,7 +249,7 @@
     node = older;
     Await.until(() -> ask(older, Core::ready) && counter(older, "state.opened") == 1);
     serve(older, 12);
-    Await.until(() -> knows("run-time"));
+    Await.until(() -> isStored("run-time"));
     FakeRuntime second = new FakeRuntime(30);
     try {
       String same =
--- a/src/test/java/rosecleat/node/TakeoverTest.java
+++ b/src/test/java/rosecleat/node/TakeoverTest.java
@@ -39,18 +39,18 @@
 
   private final FakeRuntime oldRuntime = new FakeRuntime(300);
   private final FakeRuntime newRuntime = new FakeRuntime(300);
-  private final FakeRegistry roster = new FakeRegistry();
+  private final FakeRegistry registry = new FakeRegistry();
   private final Log log = new Log(System.err);
   private Node older;
   private Node newer;
   private RespClient client;
-  private int ids;
+  private int lastId;
 
   @TempDir Path folder;
 
   private Node node(FakeRuntime runtime, int port) throws IOException {
     String file =
-        TestSite.config(runtime.port(), 0, roster.port(), 2_000, 500)
+        TestSite.config(runtime.port(), 0, registry.port(), 2_000, 500)
             .source()
             .toString()
             .replace("127.0.0.1:0", "127.0.0.1:" + port);
@@ -94,7 +94,7 @@
     }
     oldRuntime.close();
     newRuntime.close();
-    roster.close();
+    registry.close();
     log.close();
   }
 
@@ -105,7 +105,7 @@
             "DO",
             tag,
             className,
-            RespClient.fields(String.format("%016x", ++ids), "small", 1_100, once),
+            RespClient.fields(String.format("%016x", ++lastId), "small", 1_100, once),
             body));
   }
 
@@ -113,13 +113,13 @@
    * Connects until the connection leads to the wanted one: the system spreads them while both
    * listen.
    */
-  private RespClient clientOf(Node wanted) throws IOException {
+  private RespClient connectTo(Node target) throws IOException {
     for (int i = 0; i < 100; i++) {
-      int before = onLoop(wanted, () -> (int) wanted.core().counters().get("resp.checks"));
+      int before = onLoop(target, () -> (int) target.core().counters().get("resp.checks"));
       RespClient fresh = new RespClient(older.port(), null);
       fresh.send(RespClient.array("PING", 1, ""));
       assertEquals("UP", fresh.read().get(1));
-      if (onLoop(wanted, () -> (int) wanted.core().counters().get("resp.checks")) > before) {
+      if (onLoop(target, () -> (int) target.core().counters().get("resp.checks")) > before) {
         return fresh;
       }
       fresh.close();
@@ -149,10 +149,10 @@
     older.close();
     await(() -> ask(newer, core -> core.counters().get("shares.one")) == 1);
     assertTrue(
-        roster.reports.stream().noneMatch(r -> r.contains("off")), roster.reports.toString());
+        registry.reports.stream().noneMatch(r -> r.contains("off")), registry.reports.toString());
     client = new RespClient(newer.port(), null);
     newer.beginShutdown(() -> {}); // nobody takes over from this one: its notice to drain
-    await(() -> roster.reports.get(roster.reports.size() - 1).contains("off"));
+    await(() -> registry.reports.get(registry.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 2, ""));
     assertEquals(
         "DOWN", client.answer().get(1)); // on a busy machine the wish to close may come first
@@ -164,8 +164,8 @@
   @Test
   void idempotencyKeyRunsInOneProcessOnly() throws Exception {
     startNewer();
-    try (RespClient a = clientOf(older);
-        RespClient b = clientOf(newer)) {
+    try (RespClient a = connectTo(older);
+        RespClient b = connectTo(newer)) {
       send(a, 2, "card-load", "k", "body");
       await(() -> oldRuntime.startsOf("body") == 1);
       send(b, 2, "card-load", "k", "body"); // while it runs
@@ -196,26 +196,28 @@
    * the node may.
    */
   @Test
-  void bothProcessesTogetherStayWithinTheNodesLimits() throws Exception {
+  void bothProcessesTogetherStayWithinTheLimitsOfTheNode() throws Exception {
     startNewer();
-    PolicySettings whole = TestSite.config(0, 0, 0, 2_000, 500).settings().policy();
-    try (RespClient a = clientOf(older);
-        RespClient b = clientOf(newer)) {
+    PolicySettings nodeLimits = TestSite.config(0, 0, 0, 2_000, 500).settings().policy();
+    try (RespClient a = connectTo(older);
+        RespClient b = connectTo(newer)) {
       for (int tag = 2; tag < 26; tag++) {
         send(a, tag, "balance-check", null, "x");
         send(b, tag, "balance-check", null, "x");
       }
-      await(() -> onLoop(older, older::limits).memoryKb() < 0.6 * whole.memoryKb());
+      await(() -> onLoop(older, older::limits).memoryKb() < 0.6 * nodeLimits.memoryKb());
       double sum =
           onLoop(older, older::limits).memoryKb() + onLoop(newer, newer::limits).memoryKb();
-      assertTrue(sum < 1.1 * whole.memoryKb(), sum + " of " + whole.memoryKb());
+      assertTrue(sum < 1.1 * nodeLimits.memoryKb(), sum + " of " + nodeLimits.memoryKb());
       double calls =
           onLoop(older, older::limits).concurrentCalls()
               + onLoop(newer, newer::limits).concurrentCalls();
-      assertTrue(calls < 1.1 * whole.concurrentCalls(), calls + " of " + whole.concurrentCalls());
+      assertTrue(
+          calls < 1.1 * nodeLimits.concurrentCalls(),
+          calls + " of " + nodeLimits.concurrentCalls());
     }
     older.close();
-    await(() -> onLoop(newer, newer::limits).memoryKb() == whole.memoryKb());
+    await(() -> onLoop(newer, newer::limits).memoryKb() == nodeLimits.memoryKb());
   }
 
   /**
@@ -230,7 +232,7 @@
     client.send(RespClient.array("PING", 1, ""));
     assertEquals("UP", client.read().get(1));
     newer.close();
-    await(() -> roster.reports.stream().anyMatch(r -> r.contains("off")));
+    await(() -> registry.reports.stream().anyMatch(r -> r.contains("off")));
     assertEquals(List.of(), newRuntime.starts);
   }
 
@@ -252,18 +254,18 @@
   }
 
   @Test
-  void drainByOperatorsReachesBothProcesses() throws Exception {
+  void operatorDrainReachesBothProcesses() throws Exception {
     startNewer();
     Counters counters = new Counters();
-    try (RespClient a = clientOf(older);
-        RespClient b = clientOf(newer);
-        TakeoverCoordinator told =
+    try (RespClient a = connectTo(older);
+        RespClient b = connectTo(newer);
+        TakeoverCoordinator coordinator =
             TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log)) {
-      told.setDrained(true);
+      coordinator.setDrained(true);
       for (RespClient each : List.of(a, b)) {
         await(() -> health(each).equals("DOWN"));
       }
-      told.setDrained(false);
+      coordinator.setDrained(false);
       for (RespClient each : List.of(a, b)) {
         await(() -> health(each).equals("UP"));
       }
--- a/src/test/java/rosecleat/node/UwsgiFrontendTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -34,31 +34,32 @@
 /** The second front from request to answer, over loopback: each status, and what each proves. */
 class UwsgiFrontendTest {
   @TempDir Path folder;
-  private NodeHarness rig;
+  private NodeHarness harness;
 
   @BeforeEach
   void start() throws IOException {
-    rig = new NodeHarness(20, 3_000, 1_500, folder);
+    harness = new NodeHarness(20, 3_000, 1_500, folder);
   }
 
   @AfterEach
   void stop() {
-    rig.close();
+    harness.close();
   }
 
   private Reply get(String path, String... more) throws IOException {
-    return exchange(rig.uwsgiPort, packet(vars("GET", path, "till", more), ""));
+    return exchange(harness.uwsgiPort, packet(vars("GET", path, "till", more), ""));
   }
 
   private Reply load(String key, String body) throws IOException {
     return exchange(
-        rig.uwsgiPort,
+        harness.uwsgiPort,
         packet(vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", key), body));
   }
 
   private Reply put(String key) throws IOException {
     return exchange(
-        rig.uwsgiPort, packet(vars("PUT", "/files/a", "till", "HTTP_IDEMPOTENCY_KEY", key), "new"));
+        harness.uwsgiPort,
+        packet(vars("PUT", "/files/a", "till", "HTTP_IDEMPOTENCY_KEY", key), "new"));
   }
 
   @Test
@@ -77,21 +78,21 @@
   void contractsStayValidAfterAReload() throws IOException {
     assertEquals(200, get("/files/a").status());
     String file =
-        TestSite.config(rig.runtime.port(), 0, 0, 3_000, 1_500)
+        TestSite.config(harness.runtime.port(), 0, 0, 3_000, 1_500)
             .source()
             .toString()
             .replace("card-refresh", "card-status")
             .replace("{\"name\":\"big\"", "{\"name\":\"new\",\"quota-per-s\":5},{\"name\":\"big\"");
     NodeConfig fresh = NodeConfigReader.parse(file, Map.of());
     assertEquals(3, fresh.settings().tenantNames().size());
-    rig.node.reload(
+    harness.node.reload(
         new ProcessConfig(
             fresh,
             Optional.of(BrokerConfigReader.read(folder.resolve("broker.yaml"), fresh.settings()))));
     assertEquals(200, get("/cards/77/balance").status());
     assertEquals(200, get("/files/a").status());
     assertEquals(200, load("after", "x").status());
-    assertEquals(1L, (long) rig.ask(core -> core.counters().get("reloads")));
+    assertEquals(1L, (long) harness.ask(core -> core.counters().get("reloads")));
   }
 
   @Test
@@ -100,7 +101,7 @@
         packet(vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", "cut"), "amount=5");
     Random random = new Random(11);
     for (int round = 0; round < 8; round++) {
-      try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
+      try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
         for (int at = 0; at < bytes.length; ) {
           int end = Math.min(bytes.length, at + 1 + random.nextInt(round == 0 ? 1 : 60));
           socket.getOutputStream().write(bytes, at, end - at);
@@ -110,21 +111,23 @@
         assertEquals(FakeRuntime.result("amount=5"), UwsgiClient.read(socket).body());
       }
     }
-    assertEquals(1, rig.runtime.startsOf("amount=5"));
+    assertEquals(1, harness.runtime.startsOf("amount=5"));
   }
 
   @Test
   void invalidRequestIsRejectedWithItsError() throws IOException {
     assertEquals(404, get("/cards/77").status());
     assertEquals(404, get("/elsewhere/1/balance").status());
-    Reply method = exchange(rig.uwsgiPort, packet(vars("DELETE", "/files/a", "till"), ""));
+    Reply method = exchange(harness.uwsgiPort, packet(vars("DELETE", "/files/a", "till"), ""));
     assertEquals(405, method.status());
     assertEquals("GET, HEAD, OPTIONS, PUT", method.header("Allow"));
     assertEquals(
         403,
-        exchange(rig.uwsgiPort, packet(vars("GET", "/cards/7/balance", "nobody"), "")).status());
+        exchange(harness.uwsgiPort, packet(vars("GET", "/cards/7/balance", "nobody"), ""))
+            .status());
     assertEquals(
-        400, exchange(rig.uwsgiPort, packet(vars("POST", "/cards/loads", "till"), "x")).status());
+        400,
+        exchange(harness.uwsgiPort, packet(vars("POST", "/cards/loads", "till"), "x")).status());
     assertEquals(400, load("spaces are none", "x").status());
     assertEquals(400, get("/cards/7/balance", "HTTP_X_DEADLINE_MS", "soon").status());
     assertEquals(400, get("/cards/7/balance", "QUERY_STRING", "a=%zz").status());
@@ -134,90 +137,90 @@
     byte[] cut = packet(vars("GET", "/cards/7/balance", "till"), "");
     cut[4] = (byte) 0xff; // the first var's name now runs past the packet
     cut[5] = (byte) 0xff;
-    assertEquals(400, exchange(rig.uwsgiPort, cut).status());
+    assertEquals(400, exchange(harness.uwsgiPort, cut).status());
     byte[] other = packet(vars("GET", "/cards/7/balance", "till"), "");
     other[0] = 5;
-    assertEquals(400, exchange(rig.uwsgiPort, other).status());
-    assertEquals(0, rig.runtime.starts.size());
+    assertEquals(400, exchange(harness.uwsgiPort, other).status());
+    assertEquals(0, harness.runtime.starts.size());
   }
 
   @Test
   void pingGetsAResponse() throws IOException {
-    try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
+    try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
       socket.getOutputStream().write(new byte[] {100, 0, 0, 0});
       assertTrue(Arrays.equals(new byte[] {100, 0, 0, 1}, socket.getInputStream().readAllBytes()));
     }
   }
 
   @Test
-  void requestNotDoneInTimeIsAGatewayTimeout() throws IOException {
-    rig.backend.mood = Mood.SLOW;
+  void requestNotCompletedByItsDeadlineIsAGatewayTimeout() throws IOException {
+    harness.backend.mood = Mood.SLOW;
     long start = System.nanoTime();
     Reply reply = get("/files/a", "HTTP_X_DEADLINE_MS", "300");
     assertEquals(504, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
     assertTrue(System.nanoTime() - start < 800_000_000L, "it came late");
-    rig.await(core -> rig.backend.closedOnUs.get() == 1); // its run was stopped
+    harness.await(core -> harness.backend.closedOnUs.get() == 1); // its run was stopped
   }
 
   @Test
-  void contractsDeadlineAppliesWhereTheCallerNamesNone() throws IOException {
-    rig.backend.mood = Mood.SLOW;
+  void contractDeadlineAppliesWhenTheCallerSetsNone() throws IOException {
+    harness.backend.mood = Mood.SLOW;
     long start = System.nanoTime();
     assertEquals(504, get("/files/a").status());
     assertTrue(System.nanoTime() - start < 2_000_000_000L, "it came late");
   }
 
   @Test
-  void rejectedRequestIsToldWhenToRetry() throws Exception {
+  void rejectedRequestGetsARetryAfterHeader() throws Exception {
     byte[] bytes = packet(vars("GET", "/cards/late/balance", "till"), "");
-    rig.node.beginShutdown(() -> {});
+    harness.node.beginShutdown(() -> {});
     assertEquals(200, get("/cards/2/balance").status(), "within the grace work is still done");
-    rig.await(core -> core.draining());
+    harness.await(core -> core.draining());
     Thread.sleep(1_200);
-    try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
+    try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
       socket.getOutputStream().write(bytes, 0, 10); // begun within the grace, whole only after it
-      rig.await(core -> core.gracePeriodEnded());
+      harness.await(core -> core.gracePeriodEnded());
       socket.getOutputStream().write(bytes, 10, bytes.length - 10);
       Reply refused = UwsgiClient.read(socket);
       assertEquals(503, refused.status());
       assertEquals("1", refused.header("Retry-After"));
       assertEquals("never-ran", refused.header("X-Progress"));
     }
-    rig.await(core -> rig.node.uwsgi().openConnections() == 0);
+    harness.await(core -> harness.node.uwsgi().openConnections() == 0);
     Thread.sleep(600); // the listening ends once no connection comes
     assertThrows(java.net.ConnectException.class, () -> get("/cards/3/balance"));
-    assertEquals(1, rig.runtime.starts.size());
+    assertEquals(1, harness.runtime.starts.size());
   }
 
   @Test
-  void unreachableBackendProvesThatNothingRan() throws IOException {
-    int before = rig.backend.requests.get();
-    rig.backend.close();
+  void unreachableBackendMeansThatNothingRan() throws IOException {
+    int before = harness.backend.requests.get();
+    harness.backend.close();
     Reply reply = put("k1");
     assertEquals(502, reply.status());
     assertEquals("never-ran", reply.header("X-Progress"));
     assertEquals(
         502, put("k1").status()); // so the key may run: it is tried again, not held for done
-    assertEquals(2L, rig.ask(core -> core.counters().get("backend.unreached")).longValue());
-    assertEquals(before, rig.backend.requests.get());
+    assertEquals(2L, harness.ask(core -> core.counters().get("backend.unreached")).longValue());
+    assertEquals(before, harness.backend.requests.get());
   }
 
   @Test
-  void connectionBrokenAfterTheRequestProvesNothing() throws IOException {
-    rig.backend.mood = Mood.BREAKS;
+  void requestOnABrokenConnectionMayHaveRun() throws IOException {
+    harness.backend.mood = Mood.BREAKS;
     Reply reply = put("k2");
     assertEquals(502, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
-    rig.backend.mood = Mood.GOOD;
+    harness.backend.mood = Mood.GOOD;
     assertEquals(502, put("k2").status()); // it may have had its effect: it is not sent again
-    assertEquals(1, rig.backend.requests.get());
+    assertEquals(1, harness.backend.requests.get());
     assertEquals(200, put("k3").status());
   }
 
   @Test
   void responseOfAServiceReachesTheCallerUnchanged() throws IOException {
-    rig.backend.script =
+    harness.backend.script =
         "HTTP/1.1 100 Continue\r\n\r\n"
             + "HTTP/1.1 404 Nope\r\n"
             + "Content-Type: application/json\r\n"
@@ -241,9 +244,9 @@
             + "Content-Length: 5\r\n"
             + "Connection: close",
         reply.head());
-    rig.backend.script = "HTTP/1.1 500 Oops\r\n\r\nwhy";
+    harness.backend.script = "HTTP/1.1 500 Oops\r\n\r\nwhy";
     assertEquals(500, get("/files/a").status());
-    rig.backend.script = "HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n";
+    harness.backend.script = "HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n";
     Reply empty = get("/files/a");
     assertEquals(204, empty.status());
     assertEquals("", empty.header("Content-Length"));
@@ -251,12 +254,13 @@
 
   @Test
   void retryWithTheSameKeyGetsTheWholeResponse() throws IOException {
-    rig.backend.script = "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
+    harness.backend.script =
+        "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
     Reply first = put("k7");
     assertEquals(409, first.status());
-    rig.backend.script = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    harness.backend.script = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     assertEquals(first, put("k7"), "status, headers and body of the first");
-    assertEquals(1, rig.backend.requests.get());
+    assertEquals(1, harness.backend.requests.get());
   }
 
   @Test
@@ -268,7 +272,7 @@
             "HTTP/1.1 101 Switching\r\n\r\n",
             "HTTP/1.1 204 No Content\r\n\r\nbody",
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nlong")) {
-      rig.backend.script = bad;
+      harness.backend.script = bad;
       Reply reply = get("/files/a");
       assertEquals(502, reply.status(), bad);
       assertEquals("ran", reply.header("X-Progress"));
@@ -279,28 +283,31 @@
   void headIsServedLikeGetAndOptionsByTheBroker() throws IOException {
     Reply head =
         UwsgiClient.exchange(
-            rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("HEAD", "/files/a", "till"), ""));
+            harness.uwsgiPort,
+            UwsgiClient.packet(UwsgiClient.vars("HEAD", "/files/a", "till"), ""));
     assertEquals(200, head.status());
     assertEquals("10", head.header("Content-Length"));
     assertEquals("", head.body());
     assertTrue(
-        rig.backend.lastPacket.contains("GET"), "a service is asked by the method it describes");
-    int before = rig.backend.requests.get();
+        harness.backend.lastPacket.contains("GET"),
+        "a service is asked by the method it describes");
+    int before = harness.backend.requests.get();
     Reply options =
         UwsgiClient.exchange(
-            rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/files/a", ""), ""));
+            harness.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/files/a", ""), ""));
     assertEquals(204, options.status());
     assertEquals("GET, HEAD, OPTIONS, PUT", options.header("Allow"));
     assertEquals(
         404,
         UwsgiClient.exchange(
-                rig.uwsgiPort, UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/nowhere", ""), ""))
+                harness.uwsgiPort,
+                UwsgiClient.packet(UwsgiClient.vars("OPTIONS", "/nowhere", ""), ""))
             .status());
-    assertEquals(before, rig.backend.requests.get());
+    assertEquals(before, harness.backend.requests.get());
   }
 
   @Test
-  void backendGetsARequestInItsOwnProtocol() throws IOException {
+  void backendReceivesTheRequestAsUwsgi() throws IOException {
     assertEquals("x".repeat(10), get("/files/a", "HTTP_X_OTHER", "kept").body());
     for (String var :
         List.of(
@@ -309,51 +316,51 @@
             "HTTP_X_OTHER",
             "HTTP_X_DEADLINE_MS",
             "HTTP_X_REQUEST_ID")) {
-      assertTrue(rig.backend.lastPacket.contains(var), var);
+      assertTrue(harness.backend.lastPacket.contains(var), var);
     }
   }
 
   @Test
   void brokerWithoutRuntimeServesItsBackends() throws IOException {
-    rig.close();
-    rig = new NodeHarness(20, 3_000, 1_500, folder, false);
+    harness.close();
+    harness = new NodeHarness(20, 3_000, 1_500, folder, false);
     for (int i = 0; i < 30; i++) {
       assertEquals(200, get("/files/" + i).status());
     }
-    assertEquals(30, rig.backend.requests.get());
+    assertEquals(30, harness.backend.requests.get());
     Reply none = get("/cards/7/balance");
     assertEquals(502, none.status());
     assertEquals("never-ran", none.header("X-Progress"));
-    assertEquals(0, rig.runtime.commands.size());
+    assertEquals(0, harness.runtime.commands.size());
   }
 
   @Test
   void closedConnectionCancelsItsRequest() throws IOException {
-    rig.backend.mood = Mood.SLOW;
-    try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
+    harness.backend.mood = Mood.SLOW;
+    try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
-      rig.await(core -> rig.backend.requests.get() == 1);
+      harness.await(core -> harness.backend.requests.get() == 1);
     }
-    rig.await(
+    harness.await(
         core ->
-            rig.backend.closedOnUs.get() == 1
+            harness.backend.closedOnUs.get() == 1
                 && core.counters().get("gone") == 1
                 && core.inFlight() == 0);
   }
 
   @Test
   void callerThatNeverFinishesItsRequestIsDisconnected() throws IOException {
-    try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
+    try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/cards/1/balance", "till"), ""), 0, 9);
       assertEquals(-1, socket.getInputStream().read());
     }
-    rig.await(core -> core.counters().get("uwsgi.slow") == 1);
+    harness.await(core -> core.counters().get("uwsgi.slow") == 1);
   }
 
   @Test
   void callerThatReadsTooSlowlyIsDisconnected() throws Exception {
-    rig.backend.bytes = 6_000_000;
-    try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
+    harness.backend.bytes = 6_000_000;
+    try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
       long start = System.nanoTime();
       long taken = 0;
@@ -370,15 +377,17 @@
       assertTrue(taken < 6_000_000, "all was taken");
       assertTrue(System.nanoTime() - start < 10_000_000_000L, "it was cut off late");
     }
-    rig.await(
-        core -> rig.node.uwsgi().openConnections() == 0 && rig.node.uwsgi().bufferedBytes() == 0);
+    harness.await(
+        core ->
+            harness.node.uwsgi().openConnections() == 0
+                && harness.node.uwsgi().bufferedBytes() == 0);
   }
 
   @Test
   void idempotencyKeyRunsOnceAcrossBothFronts() throws IOException {
     String key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     assertEquals(FakeRuntime.result("load 5"), load(key, "load 5").body());
-    try (RespClient resp = new RespClient(rig.node.port(), null)) {
+    try (RespClient resp = new RespClient(harness.node.port(), null)) {
       resp.send(
           RespClient.array(
               "DO",
@@ -398,9 +407,9 @@
     }
     assertEquals(FakeRuntime.result("load 6"), load("other", "load 6").body());
     assertEquals(400, load("other", "load 7").status()); // the key belongs to another body
-    assertEquals(1, rig.runtime.startsOf("load 5"));
-    assertEquals(1, rig.runtime.startsOf("load 6"));
-    assertEquals(0, rig.runtime.startsOf("load 7"));
+    assertEquals(1, harness.runtime.startsOf("load 5"));
+    assertEquals(1, harness.runtime.startsOf("load 6"));
+    assertEquals(0, harness.runtime.startsOf("load 7"));
   }
 
   /**
@@ -408,25 +417,25 @@
    * closed in time.
    */
   @Test
-  void callerThatStopsReadingDelaysNobodyElse() throws Exception {
-    rig.backend.bytes = 6_000_000;
+  void callerThatStopsReadingDelaysNoOtherCaller() throws Exception {
+    harness.backend.bytes = 6_000_000;
     Map<Integer, Socket> stuck = new HashMap<>();
     // two responses fit into the bound on buffered bytes; the other callers get a 502
     for (int i = 0; i < 4; i++) {
-      Socket socket = UwsgiClient.open(rig.uwsgiPort);
+      Socket socket = UwsgiClient.open(harness.uwsgiPort);
       socket.getOutputStream().write(packet(vars("GET", "/files/" + i, "till"), ""));
       stuck.put(i, socket);
       int want = i + 1;
-      rig.await(
+      harness.await(
           core ->
               core.counters().get("uwsgi.status.200") + core.counters().get("uwsgi.noroom")
                   == want);
     }
-    assertEquals(2L, rig.ask(core -> core.counters().get("uwsgi.noroom")).longValue());
-    assertTrue(rig.ask(core -> rig.node.uwsgi().bufferedBytes()) <= 12_000_000);
+    assertEquals(2L, harness.ask(core -> core.counters().get("uwsgi.noroom")).longValue());
+    assertTrue(harness.ask(core -> harness.node.uwsgi().bufferedBytes()) <= 12_000_000);
     assertNotNull(stuck.get(0).getInputStream().readNBytes(100_000));
     long start = System.nanoTime();
-    try (RespClient resp = new RespClient(rig.node.port(), null)) {
+    try (RespClient resp = new RespClient(harness.node.port(), null)) {
       for (int tag = 1; tag <= 40; tag++) {
         resp.send(
             RespClient.array(
@@ -439,13 +448,15 @@
       }
     }
     assertTrue(System.nanoTime() - start < 4_000_000_000L, "the other front was held up");
-    rig.await(
-        core -> rig.node.uwsgi().openConnections() <= 2 && rig.node.uwsgi().bufferedBytes() == 0);
+    harness.await(
+        core ->
+            harness.node.uwsgi().openConnections() <= 2
+                && harness.node.uwsgi().bufferedBytes() == 0);
     for (Socket socket : stuck.values()) {
       socket.close();
     }
-    rig.await(core -> rig.node.uwsgi().openConnections() == 0);
-    rig.backend.bytes = 10;
+    harness.await(core -> harness.node.uwsgi().openConnections() == 0);
+    harness.backend.bytes = 10;
     assertEquals(200, get("/files/a").status());
   }
 }
