--- a/src/main/java/rosecleat/node/ActiveRoutes.java
+++ b/src/main/java/rosecleat/node/ActiveRoutes.java
@@ -6,15 +6,16 @@
 import rosecleat.routes.RouteTable;
 
 /**
- * The routes in force. The owner of a {@link RouteStore} updates them on its own thread; the event
- * loop gets whole tables, and any thread may read the last one.
+ * The routes in force. The thread that owns the {@link RouteStore} publishes complete route tables
+ * here; the event loop applies each table to its instance pools, and any thread may read the latest
+ * one.
  */
 final class ActiveRoutes {
   /**
-   * A table in force.
+   * A route table in force.
    *
    * @param table the routes
-   * @param generation the number of the table in this process
+   * @param generation the number of this table's version in this process
    */
   record Snapshot(RouteTable table, long generation) {}
 
@@ -29,20 +30,20 @@
     this.log = log;
   }
 
-  /** Puts the table of a store in force; for the owner of that store. */
+  /** Puts the current table of a store in force. Called by the thread that owns the store. */
   void update(RouteStore store) {
     Snapshot fresh = new Snapshot(store.table(), store.generation());
     snapshot = fresh;
     loop.execute(() -> pools.update(fresh.table.services()));
-    log.info("routes: " + DigestText.hex(fresh.table.digest()) + " is in force");
+    log.info("routes: table " + DigestText.hex(fresh.table.digest()) + " is in force");
   }
 
-  /** Returns the table in force; for any thread. */
+  /** Returns the table in force. May be called from any thread. */
   Snapshot snapshot() {
     return snapshot;
   }
 
-  /** Returns the instances in force, for the event loop. */
+  /** Returns the pools of the instances in force, for use on the event loop. */
   InstancePools pools() {
     return pools;
   }
--- a/src/main/java/rosecleat/node/ClientListeners.java
+++ b/src/main/java/rosecleat/node/ClientListeners.java
@@ -3,7 +3,9 @@
 import java.io.IOException;
 import rosecleat.config.NodeConfig;
 
-/** Opens the listeners for clients, once this process can serve them. For the event loop. */
+/**
+ * Opens the listeners for clients once this process can serve requests. For use on the event loop.
+ */
 final class ClientListeners {
   private final NodeParts parts;
   private boolean open;
@@ -12,12 +14,15 @@
     this.parts = parts;
   }
 
-  /** Returns whether clients can connect; stays true while the node shuts down. */
+  /** Returns whether the listeners have been opened; stays true while the node shuts down. */
   boolean areOpen() {
     return open;
   }
 
-  /** Listens on all addresses and shows peers that this process serves; a failure is logged. */
+  /**
+   * Listens on all addresses and announces to peer processes that this process serves. A failure is
+   * logged.
+   */
   void open() {
     try {
       parts.frontends.listen();
@@ -25,7 +30,7 @@
       parts.takeover.markServing();
       logAddresses();
     } catch (IOException e) {
-      parts.log.warn("can't listen yet: " + e.getMessage());
+      parts.log.warn("could not open listeners yet: " + e.getMessage());
     }
   }
 
--- a/src/main/java/rosecleat/node/ConfigReloader.java
+++ b/src/main/java/rosecleat/node/ConfigReloader.java
@@ -8,8 +8,9 @@
 import rosecleat.log.Log;
 
 /**
- * Reads the configuration again on SIGHUP. It is checked as a whole, and then takes effect or
- * changes nothing. Without a handler the virtual machine would end on this signal.
+ * Reloads the configuration on SIGHUP. A new configuration is validated as a whole and then either
+ * applied completely or rejected. The handler must be installed because the JVM terminates on
+ * SIGHUP by default.
  */
 final class ConfigReloader {
   private final Supplier<ProcessConfig> reader;
@@ -18,7 +19,13 @@
   private Optional<Consumer<ProcessConfig>> listener = Optional.empty();
   private boolean signalledEarly;
 
-  /** Reloads by a reader that throws {@link ConfigException} for files that cannot be used. */
+  /**
+   * Creates a reloader.
+   *
+   * @param inForce the configuration in force
+   * @param reader reads the configuration; throws {@link ConfigException} if its files are invalid
+   * @param log receives the reason why a configuration is rejected
+   */
   ConfigReloader(ProcessConfig inForce, Supplier<ProcessConfig> reader, Log log) {
     this.inForce = inForce;
     this.reader = reader;
@@ -26,9 +33,11 @@
   }
 
   /**
-   * Handles the signal from now on; one that arrives before {@link #setListener} is made up for
-   * there. Only a class of the module jdk.unsupported can handle signals. It is called by its name,
-   * since the compiler warns of every plain use, and warnings are errors here.
+   * Installs the signal handler. A signal that arrives before {@link #setListener} is handled
+   * there.
+   *
+   * <p>Only a class of the module jdk.unsupported can handle signals. It is accessed by reflection,
+   * since the compiler warns of every direct use and warnings are errors in this build.
    */
   void install() {
     try {
@@ -39,25 +48,25 @@
               handler.getClassLoader(),
               new Class<?>[] {handler},
               (self, method, args) -> {
-                reload(); // the only method is handle(Signal); nobody compares or prints a handler
+                reload(); // the only method is handle(Signal); equals and toString are never called
                 return null;
               });
       Object previous =
           signal
               .getMethod("handle", signal, handler)
               .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), reloading);
-      // a signal that is ignored from the start, as under nohup, stays ignored
+      // A signal that is ignored when the process starts, as under nohup, stays ignored.
       if (previous == handler.getField("SIG_IGN").get(null)) {
         log.warn(
-            "SIGHUP is ignored, as whoever started this process left it: it can't be told to"
-                + " reload");
+            "configuration reload by signal is not available: SIGHUP was set to ignored when this"
+                + " process started");
       }
     } catch (ReflectiveOperationException e) {
-      log.warn("SIGHUP is not handled here: " + e);
+      log.warn("could not install the handler of SIGHUP: " + e);
     }
   }
 
-  /** Sets who takes a changed configuration. */
+  /** Sets the consumer of changed configurations, and reloads if a signal has already arrived. */
   synchronized void setListener(Consumer<ProcessConfig> consumer) {
     listener = Optional.of(consumer);
     if (signalledEarly) {
@@ -66,8 +75,8 @@
   }
 
   /**
-   * Reads the files again. This runs on the thread of the signal, one signal after the other, so
-   * that the files read last are in force.
+   * Reads, checks and applies the configuration files. Runs on the signal handler's thread, one
+   * signal at a time, so that the files that were read last are in force.
    */
   synchronized void reload() {
     if (listener.isEmpty()) {
@@ -79,7 +88,7 @@
       fresh = reader.get();
       fresh.requireAdoptableAfter(inForce);
     } catch (ConfigException e) {
-      log.warn("told to reload, but the old configuration stays: " + e.getMessage());
+      log.warn("configuration not reloaded, previous one stays in force: " + e.getMessage());
       return;
     }
     inForce = fresh;
--- a/src/main/java/rosecleat/node/DescriptorAllocation.java
+++ b/src/main/java/rosecleat/node/DescriptorAllocation.java
@@ -4,11 +4,11 @@
 import rosecleat.config.NodeConfig;
 
 /**
- * Divides the process's descriptors between balancers' connections and connections to the index.
- * For the event loop.
+ * Divides the file descriptors of this process between connections of balancers and connections to
+ * the index. For use on the event loop.
  */
 final class DescriptorAllocation {
-  /** A request of the uwsgi front may need a connection to the caller and one to a backend. */
+  /** A uwsgi request may need two connections: one to the caller and one to a backend. */
   private static final int DESCRIPTORS_PER_UWSGI_CONNECTION = 2;
 
   private final NodeParts parts;
@@ -18,13 +18,16 @@
     this.parts = parts;
   }
 
-  /** Sets whether a peer process takes half of the node's descriptors, and divides the rest. */
+  /**
+   * Sets whether a peer process uses half of the node's descriptors, and divides the remaining
+   * ones.
+   */
   void setSharedWithPeer(boolean shared) {
     sharedWithPeer = shared;
     apply();
   }
 
-  /** Divides the descriptors under the settings in force. */
+  /** Divides the descriptors according to the settings in force. */
   void apply() {
     NodeConfig config = parts.settings.nodeConfig();
     DescriptorBudget budget =
--- a/src/main/java/rosecleat/node/DescriptorBudget.java
+++ b/src/main/java/rosecleat/node/DescriptorBudget.java
@@ -1,36 +1,43 @@
 package rosecleat.node;
 
 /**
- * A division of a process's descriptors between balancers' connections and those to the index, on
- * which one call is made at a time. Neither has a fixed bound: a node that may have hundreds of
- * calls outstanding gets connections for them, one with few descriptors gets fewer. Balancers open
- * connections up to half of the descriptor limit, so that many are theirs where possible.
+ * A division of a process's file descriptors between connections of balancers and connections to
+ * the index, each of which carries one call at a time. Neither part has a fixed maximum: a node
+ * whose settings allow hundreds of outstanding calls gets enough connections for them, while a node
+ * with few descriptors gets fewer. Balancers open connections up to half of the descriptor limit,
+ * so they get that many where possible.
  *
- * @param balancers the most connections of balancers
- * @param index the most connections to the index
+ * @param balancers the maximum number of connections of balancers
+ * @param index the maximum number of connections to the index
  */
 record DescriptorBudget(int balancers, int index) {
-  /** Descriptors for runtime, registry, listeners, jar and libraries: the least that works. */
+  /**
+   * Minimum number of descriptors for the runtime, the registry, listeners, the jar file and
+   * libraries.
+   */
   private static final int MIN_RESERVED = 16;
 
-  /** The same with some room. */
+  /**
+   * Number of descriptors reserved for the same purpose, with spare ones, where the limit is high
+   * enough.
+   */
   private static final int MAX_RESERVED = 32;
 
   private static final int MIN_INDEX_CONNECTIONS = 4;
 
-  /** Connections to the index unless the limit on calls asks for more. */
+  /** Maximum number of connections to the index unless the limit on calls requires more. */
   private static final int DEFAULT_INDEX_CONNECTIONS = 32;
 
-  /** Calls vary around their mean, so connections for twice the mean are kept. */
+  /** The number of calls varies around its mean, so connections for twice the mean are provided. */
   private static final int CONNECTIONS_PER_MEAN_CALL = 2;
 
   /**
-   * Divides the descriptors; each part is at least 1.
+   * Divides the descriptors. Each part is at least 1.
    *
-   * @param maxDescriptors the descriptors of the node
-   * @param others how many of them admin server and uwsgi front take
+   * @param maxDescriptors the descriptor limit of the node
+   * @param others the number of descriptors that the admin server and the uwsgi frontend use
    * @param meanCalls the mean number of calls that may be outstanding
-   * @param sharedWithPeer whether another process of the node has half of them
+   * @param sharedWithPeer whether another process of the node uses half of the limit
    */
   static DescriptorBudget of(
       int maxDescriptors, int others, double meanCalls, boolean sharedWithPeer) {
--- a/src/main/java/rosecleat/node/DigestText.java
+++ b/src/main/java/rosecleat/node/DigestText.java
@@ -1,6 +1,6 @@
 package rosecleat.node;
 
-/** The text of a digest of 64 bits. */
+/** The text form of a 64-bit digest. */
 final class DigestText {
   private DigestText() {}
 
--- a/src/main/java/rosecleat/node/DrainPhase.java
+++ b/src/main/java/rosecleat/node/DrainPhase.java
@@ -1,13 +1,14 @@
 package rosecleat.node;
 
 /**
- * The shutdown of a node that nobody takes over. After the grace period nothing that arrives is run
- * any more: clients are asked to close their connections, and once no new ones arrive the listeners
- * are closed. Closing a listener while clients still connect would reset connections that the
- * system has accepted for this node; those get a response like all others.
+ * The shutdown of a node that has no successor. After the grace period no newly arriving request is
+ * run. Clients are asked to close their connections, and the listeners are closed once no new
+ * connections arrive. Closing a listener while clients still connect would reset connections that
+ * the operating system has already accepted for this node; requests on these connections get a
+ * response like all others.
  */
 final class DrainPhase extends ShutdownPhase {
-  /** Once no connection has arrived for this long, none is expected any more (us). */
+  /** No further connection is expected once none has arrived for this long (us). */
   private static final long QUIET_PERIOD_US = 500_000;
 
   DrainPhase(NodeParts parts, long killedAtUs) {
--- a/src/main/java/rosecleat/node/EstimatePersistence.java
+++ b/src/main/java/rosecleat/node/EstimatePersistence.java
@@ -8,16 +8,25 @@
 import rosecleat.net.EventLoop;
 import rosecleat.policy.PolicyEngine;
 
-/** Keeps what the policy has learned from one process of a node to the next. For the event loop. */
+/**
+ * Persists the policy's estimates across the processes of a node. For use on the event loop, except
+ * for {@link #close}.
+ */
 interface EstimatePersistence {
-  /** Starts to open the folder that a broker's file names, where it names one. */
+  /**
+   * Starts to open the state folder that the broker's file names. Without such a folder nothing is
+   * persisted.
+   */
   static EstimatePersistence of(Optional<BrokerConfig> broker, Log log) {
     return broker.isEmpty() || broker.get().state() == null
         ? new NoEstimatePersistence()
         : new StatePersistence(broker.get().state(), log);
   }
 
-  /** Hands stored estimates to a policy once they are read, and stores what it learns. */
+  /**
+   * Passes stored estimates to a policy once they have been read, and stores what the policy
+   * learns.
+   */
   void attach(
       IndexedSettings settings,
       PolicyEngine policy,
@@ -26,24 +35,25 @@
       Counters counters);
 
   /**
-   * Puts a changed configuration in force; the folder stays, its size is read at the next start.
+   * Applies a changed configuration. The folder cannot change, and its maximum size is read only at
+   * the next start.
    */
   void reconfigure(BrokerConfig broker);
 
-  /** Stores what has changed, where it is time. */
+  /** Stores changed estimates if the save interval has elapsed. */
   void poll(long nowUs);
 
-  /** Stores what has changed now. */
+  /** Stores changed estimates immediately. */
   void save(long nowUs);
 
-  /** Stores what has changed and then leaves the folder to another process. */
+  /** Stores changed estimates and then releases the folder to another process. */
   void saveAndRelease(long nowUs);
 
   /**
-   * Waits until everything is stored; for any thread.
+   * Waits until all estimates are stored. May be called from any thread.
    *
-   * @param maxMs the longest wait (ms)
-   * @return whether everything is stored
+   * @param maxMs the maximum wait (ms)
+   * @return whether all estimates are stored
    */
   boolean close(long maxMs);
 }
--- a/src/main/java/rosecleat/node/FileRoutes.java
+++ b/src/main/java/rosecleat/node/FileRoutes.java
@@ -8,9 +8,9 @@
 import rosecleat.net.EventLoop;
 import rosecleat.routes.RouteStore;
 
-/** Routes of a process without a fleet: those of its own file alone. */
+/** The routes of a process that is not a fleet member: only those of its own routes file. */
 final class FileRoutes implements FleetParticipation {
-  /** Without a fleet no author has to be told from another. */
+  /** Outside a fleet this process is the only publisher, so its routes need no author. */
   private static final String AUTHOR = "";
 
   private static final String NO_ZONE = "";
--- a/src/main/java/rosecleat/node/FleetDocuments.java
+++ b/src/main/java/rosecleat/node/FleetDocuments.java
@@ -12,12 +12,15 @@
 import rosecleat.fleet.MembershipView;
 import rosecleat.routes.Instance;
 
-/** The admin server's documents on fleet and routes, as ASCII JSON. */
+/**
+ * The JSON documents about the fleet and its routes that the admin server returns, encoded in
+ * ASCII.
+ */
 final class FleetDocuments {
-  /** The path of the document on the fleet's members. */
+  /** The path of the document about the fleet's members. */
   static final String FLEET_PATH = "/v1/fleet";
 
-  /** The path of the document on the routes in force. */
+  /** The path of the document about the routes in force. */
   static final String ROUTES_PATH = "/v1/routes";
 
   private static final ObjectMapper JSON =
@@ -26,10 +29,10 @@
   private FleetDocuments() {}
 
   /**
-   * Returns the document on the fleet's members.
+   * Returns the document about the fleet's members.
    *
-   * @param routesDigestOf the digest of the routes in force at a member, by its name; empty where
-   *     it is unknown
+   * @param routesDigestOf returns the digest of the routes in force at the named member; empty text
+   *     if it is unknown
    */
   static String fleet(MembershipView view, Function<String, String> routesDigestOf) {
     ObjectNode root = JSON.createObjectNode();
@@ -50,7 +53,7 @@
     return write(root);
   }
 
-  /** Returns the document on the routes in force. */
+  /** Returns the document about the routes in force. */
   static String routes(ActiveRoutes.Snapshot active) {
     ObjectNode root = JSON.createObjectNode();
     root.put("generation", active.generation())
@@ -85,7 +88,7 @@
     try {
       return JSON.writeValueAsString(root);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException(e); // a tree of texts and numbers can be written
+      throw new IllegalStateException(e); // a tree of strings and numbers can always be serialized
     }
   }
 }
--- a/src/main/java/rosecleat/node/FleetMembership.java
+++ b/src/main/java/rosecleat/node/FleetMembership.java
@@ -15,13 +15,14 @@
 import rosecleat.net.EventLoop;
 
 /**
- * The membership of a process in a fleet, with the routes that its members share. The protocol and
- * the store of routes belong to the thread of the {@link MembershipService}; the event loop gets
- * whole tables.
+ * The fleet membership of this process, and the routes that the members share. The thread of the
+ * {@link MembershipService} owns the protocol and the route store; the event loop receives complete
+ * route tables.
  */
 final class FleetMembership implements FleetParticipation {
   /**
-   * An author waits this many periods to learn what others published since its file was written.
+   * A process waits for this many protocol periods before it publishes its routes file, so that it
+   * first learns what other members have published since the file was written.
    */
   private static final int PERIODS_BEFORE_PUBLISHING = 4;
 
@@ -30,7 +31,8 @@
   private final MembershipService service;
   private final ActiveRoutes activeRoutes;
   private final RouteReplication replication;
-  private Optional<RoutesFile> unpublished = Optional.empty(); // for the service's thread
+  // accessed on the thread of the service only
+  private Optional<RoutesFile> unpublished = Optional.empty();
 
   private FleetMembership(FleetConfig config, EventLoop loop, Counters counters, Log log)
       throws IOException {
@@ -41,7 +43,7 @@
     replication = new RouteReplication(config, service, activeRoutes, log);
   }
 
-  /** Joins the fleet, and publishes the broker's routes where it has any. */
+  /** Joins the fleet, and publishes the broker's routes if it has any. */
   static FleetMembership start(BrokerConfig broker, EventLoop loop, Counters counters, Log log)
       throws IOException {
     FleetMembership membership = new FleetMembership(broker.fleet(), loop, counters, log);
@@ -90,7 +92,10 @@
     synchronizePeriodically();
   }
 
-  /** Repeats what was missed or broke off; where the mailbox is full, the next period does. */
+  /**
+   * Retries synchronization that failed or was interrupted. A task that does not fit into the
+   * mailbox is submitted again in the next period.
+   */
   private void synchronizePeriodically() {
     loop.schedule(
         config.periodUs(),
@@ -100,7 +105,7 @@
         });
   }
 
-  /** Publishes the last file, unless a reload has done so while this waited. */
+  /** Publishes the latest routes file, unless a reload has published it while this task waited. */
   private void publishFile(MembershipProtocol protocol) {
     Optional<RoutesFile> file = unpublished;
     unpublished = Optional.empty();
--- a/src/main/java/rosecleat/node/FleetParticipation.java
+++ b/src/main/java/rosecleat/node/FleetParticipation.java
@@ -9,13 +9,13 @@
 import rosecleat.net.EventLoop;
 
 /**
- * What a process shares with its fleet: membership and routes to instances of services. The classes
- * behind it are loaded only where the broker's file has a section {@code fleet} or {@code routes},
- * since the platform forbids talk among nodes. For the event loop, except for {@link #view}, {@link
- * #stop} and {@link #close}, which any thread may call.
+ * The part of a process in its fleet: membership, and routes to the instances of services. The
+ * implementing classes are loaded only if the broker's file has a section {@code fleet} or {@code
+ * routes}, since the platform forbids communication between nodes. For use on the event loop,
+ * except for {@link #view}, {@link #stop} and {@link #close}, which may be called from any thread.
  */
 interface FleetParticipation {
-  /** Starts to take part in what the broker's file says, if anything. */
+  /** Starts the fleet membership or the file routes that the broker's file configures, if any. */
   static FleetParticipation start(
       Optional<BrokerConfig> broker, EventLoop loop, Counters counters, Log log)
       throws IOException {
@@ -30,27 +30,27 @@
         : FileRoutes.start(broker.get().routes(), loop, log);
   }
 
-  /** Returns the balancer over the instances in force. */
+  /** Returns the balancer that distributes requests among the instances in force. */
   InstanceBalancer balancer();
 
-  /** Returns how many requests all instances in force work on at once. */
+  /** Returns the total number of requests that the instances in force process concurrently. */
   int instanceCapacity();
 
-  /** Runs a task now and whenever the capacity of the instances may have changed. */
+  /** Runs a task immediately and whenever the total capacity of the instances may have changed. */
   void onCapacityChange(Runnable task);
 
   /** Publishes the routes of a changed configuration. */
   void reconfigure(BrokerConfig broker);
 
-  /** Tells the fleet that this member is about to leave, while it still serves. */
+  /** Announces to the fleet that this member is about to leave while it still serves requests. */
   void announceLeave();
 
-  /** Leaves the fleet, and waits for that at most this long (ms). */
+  /** Leaves the fleet, and waits at most {@code timeoutMs} milliseconds for the departure. */
   void stop(long timeoutMs);
 
-  /** Ends at once. */
+  /** Stops the membership without announcing a departure. */
   void close();
 
-  /** Returns the document at a path of the admin server as JSON; empty where there is none. */
+  /** Returns the JSON document at a path of the admin server; empty if there is none. */
   Optional<String> view(String path);
 }
--- a/src/main/java/rosecleat/node/Frontends.java
+++ b/src/main/java/rosecleat/node/Frontends.java
@@ -6,13 +6,14 @@
 import rosecleat.front.uwsgi.UwsgiFrontend;
 
 /**
- * The RESP front and the uwsgi front of a node, opened and closed together. For the event loop.
+ * The RESP frontend and the uwsgi frontend of a node, which are opened and closed together. For use
+ * on the event loop.
  *
- * <p>The uwsgi front is asked for with {@code isPresent} instead of a method reference: that would
- * load its class in nodes without one.
+ * <p>The optional uwsgi frontend is tested with {@code isPresent} instead of being used through a
+ * method reference, which would load its class even in nodes without one.
  *
- * @param resp the front for balancers
- * @param uwsgi the uwsgi front; empty where the node has none
+ * @param resp the frontend for balancers
+ * @param uwsgi the uwsgi frontend; empty if the node has none
  */
 record Frontends(RespFrontend resp, Optional<UwsgiFrontend> uwsgi) {
   /** Starts to listen on all addresses. */
@@ -23,7 +24,7 @@
     }
   }
 
-  /** Puts a changed configuration in force for requests that arrive from now on. */
+  /** Applies a changed configuration to requests that arrive from now on. */
   void reconfigure(NodeParts parts) {
     resp.reconfigure(parts.settings.requestCatalog(parts.runner));
     if (uwsgi.isPresent()) {
@@ -32,8 +33,9 @@
   }
 
   /**
-   * Closes the listeners once no connection has arrived for some time, and uwsgi connections on
-   * which nothing of a request has arrived for as long.
+   * Closes the listeners once no connection has arrived for {@code quietUs} microseconds, and
+   * closes uwsgi connections that have been open for as long without receiving any part of a
+   * request.
    *
    * @return whether both listeners are closed
    */
@@ -44,21 +46,24 @@
     return respClosed && uwsgiClosed;
   }
 
-  /** Closes each listener as soon as no connection waits at it; returns whether both are closed. */
+  /** Closes each listener as soon as its backlog is empty; returns whether both are closed. */
   boolean closeListenersWhenEmpty() {
     boolean respClosed = resp.closeListenerWhenEmpty();
     boolean uwsgiClosed = uwsgi.isEmpty() || uwsgi.get().closeListenerWhenEmpty();
     return respClosed && uwsgiClosed;
   }
 
-  /** Closes uwsgi connections on which nothing of a request has arrived for some time. */
+  /**
+   * Closes uwsgi connections that have been open for {@code quietUs} microseconds without receiving
+   * any part of a request.
+   */
   void closeSilentConnections(long quietUs) {
     if (uwsgi.isPresent()) {
       uwsgi.get().closeSilentConnections(quietUs);
     }
   }
 
-  /** Closes every connection as soon as it awaits no response. */
+  /** Closes each connection as soon as it awaits no response. */
   void closeConnections() {
     resp.closeConnections();
     if (uwsgi.isPresent()) {
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -22,29 +22,30 @@
 import rosecleat.policy.TenantQuota;
 
 /**
- * The configuration in force with an index for each class and tenant, which both keep over reloads
- * for as long as a request uses them. For the event loop.
+ * The configuration in force, with an index for each class and tenant. Classes and tenants retain
+ * their indices over reloads while a request uses them. For use on the event loop.
  */
 final class IndexedSettings {
   /**
-   * Results kept for retries of idempotent requests, all together (bytes): a part of the heap, in
-   * which everything else must fit.
+   * Maximum total size of the results that are retained for retries of idempotent requests (bytes).
+   * Limited to a fifth of the heap, since all other data must fit into the heap as well.
    */
   private static final long MAX_RETAINED_RESULT_BYTES =
       Math.min(8 << 20, Runtime.getRuntime().maxMemory() / 5);
 
   /**
-   * A class in force.
+   * A request class in force.
    *
-   * @param name the class's name in the configuration
-   * @param own whether the node's configuration names it, so that balancers may use it; otherwise a
-   *     contract of the broker's file added it
-   * @param settings the class's settings
+   * @param name the name of the class in the configuration
+   * @param own whether the node's configuration defines the class, so that balancers may use it;
+   *     otherwise a contract in the broker's file added it
+   * @param settings the settings of the class
    */
   private record IndexedClass(String name, boolean own, PriorityClass settings) {
     /**
-     * The key of the class's index and of its stored estimates. Two contracts of one class with
-     * other settings differ in it. Stored state holds this text, so its form must not change.
+     * Returns the key of the class's index and of its stored estimates. The keys of two contracts
+     * that use the same class with different settings differ. The key is part of stored state, so
+     * its form must not change.
      */
     String key() {
       return own
@@ -60,7 +61,7 @@
   private List<String> classKeys;
   private int instanceCapacity;
 
-  /** Indexes the configuration of a starting process. */
+  /** Creates the indices for the configuration of a starting process. */
   IndexedSettings(ProcessConfig config) {
     update(config, index -> false, index -> false);
   }
@@ -68,15 +69,18 @@
   /**
    * Puts a changed configuration in force.
    *
-   * @param classInUse whether a request uses the class of an index, which then keeps it
-   * @param tenantInUse the same for tenants
-   * @return the indices that stand for other classes than before
+   * @param fresh the new configuration
+   * @param classInUse whether a request uses the class with an index; such a class retains its
+   *     index
+   * @param tenantInUse whether a request uses the tenant with an index; such a tenant retains its
+   *     index
+   * @return the indices that have been assigned to a different class, including new indices
    */
   List<Integer> update(ProcessConfig fresh, IntPredicate classInUse, IntPredicate tenantInUse) {
     config = fresh;
     start = fresh.broker().isPresent() ? fresh.broker().get().settings() : fresh.node().settings();
-    int ownClasses =
-        fresh.node().settings().classNames().size(); // those of contracts come after them
+    // The classes of contracts follow the node's own classes.
+    int ownClasses = fresh.node().settings().classNames().size();
     List<IndexedClass> indexed = new ArrayList<>();
     classKeys = new ArrayList<>();
     for (int i = 0; i < start.classNames().size(); i++) {
@@ -90,12 +94,12 @@
     return classes.update(classKeys, indexed, classInUse);
   }
 
-  /** Sets how many requests all instances together work on at once. */
+  /** Sets the total number of requests that all instances process concurrently. */
   void setInstanceCapacity(int capacity) {
     instanceCapacity = capacity;
   }
 
-  /** Returns the policy's settings; a tenant that was removed has no quota any more. */
+  /** Returns the settings of the policy. A tenant that was removed has a quota of 0. */
   PolicySettings policySettings() {
     List<TenantQuota> quotas = new ArrayList<>();
     List<String> names = tenants.names();
@@ -107,7 +111,10 @@
             classes.values().stream().map(IndexedClass::settings).toList(), List.copyOf(quotas));
   }
 
-  /** Where instances elsewhere do all work, the limit on running requests starts at their sum. */
+  /**
+   * Returns the policy's configured settings. If the configuration states no capacity, the limit on
+   * running requests starts at the sum of the local capacity and the capacity of all instances.
+   */
   private PolicySettings settingsWithCapacity() {
     OptionalInt ownCapacity =
         config.broker().isPresent() ? config.broker().get().localCapacity() : OptionalInt.empty();
@@ -116,12 +123,11 @@
         : start.policy().withCores(Math.max(1, ownCapacity.getAsInt() + instanceCapacity));
   }
 
-  /** Returns the names of the runtime's gauges, in the order in which it sends them. */
+  /** Returns the names of the runtime's gauges in the order in which the runtime reports them. */
   List<String> gauges() {
     return start.gaugeNames();
   }
 
-  /** Returns the core's settings. */
   CoreSettings coreSettings() {
     PolicySettings settings = settingsWithCapacity();
     return new CoreSettings(
@@ -144,7 +150,7 @@
         settings.deadlineUs());
   }
 
-  /** Returns the classes and tenants that balancers' requests may name. */
+  /** Returns the classes and tenants that requests of balancers may name. */
   RequestCatalog requestCatalog(Runner runner) {
     List<RequestClass> named = new ArrayList<>();
     List<String> keys = classes.names();
@@ -155,12 +161,14 @@
     return new RequestCatalog(Collections.unmodifiableList(named), tenants.names(), runner);
   }
 
-  /** Returns the names by which estimates are stored, by index. */
+  /** Returns the names under which estimates are stored, by index. */
   ClassAndTenantNames storedNames() {
     return new ClassAndTenantNames(classes.names(), tenants.names());
   }
 
-  /** Returns the settings of each class in force, by the name under which estimates are stored. */
+  /**
+   * Returns the settings of each class in force, by the key under which its estimates are stored.
+   */
   Map<String, PriorityClass> classSettings() {
     Map<String, PriorityClass> settings = new HashMap<>();
     for (int i = 0; i < classes.names().size(); i++) {
@@ -171,7 +179,7 @@
     return settings;
   }
 
-  /** Returns the quota of each tenant in force, by name. */
+  /** Returns the quota of each tenant in force, by tenant name. */
   Map<String, TenantQuota> quotas() {
     Map<String, TenantQuota> quotas = new HashMap<>();
     for (int i = 0; i < tenants.names().size(); i++) {
@@ -187,7 +195,10 @@
     return config.node();
   }
 
-  /** Returns the broker's configuration in force, by indices; empty where there is none. */
+  /**
+   * Returns the broker's configuration in force, with classes and tenants as indices; empty if
+   * there is none.
+   */
   Optional<BrokerConfig> broker() {
     if (config.broker().isEmpty()) {
       return Optional.empty();
--- a/src/main/java/rosecleat/node/InstancePools.java
+++ b/src/main/java/rosecleat/node/InstancePools.java
@@ -11,7 +11,7 @@
 import rosecleat.pool.InstancePool;
 import rosecleat.routes.Instance;
 
-/** A pool of instances for each service in the routes in force. For the event loop. */
+/** A pool of instances for each service in the routes in force. For use on the event loop. */
 final class InstancePools implements InstanceBalancer {
   private final String zone;
   private final SplittableRandom random = new SplittableRandom();
@@ -22,13 +22,13 @@
     this.zone = zone;
   }
 
-  /** Runs a task now and whenever the capacity may have changed. */
+  /** Runs a task immediately and whenever the total capacity may have changed. */
   void onCapacityChange(Runnable task) {
     capacityListener = task;
     task.run();
   }
 
-  /** Puts a table in force; leases that are held stay where they are. */
+  /** Puts the services of a route table in force. Leases that have been granted remain valid. */
   void update(Map<String, Map<String, Instance>> services) {
     for (String service : services.keySet()) {
       pools.computeIfAbsent(service, name -> new InstancePool(zone, random.split()));
@@ -54,7 +54,7 @@
         instance.state() == Instance.State.ON);
   }
 
-  /** Returns how many requests all instances work on at once. */
+  /** Returns the total number of requests that all instances process concurrently. */
   int capacity() {
     return pools.values().stream().mapToInt(InstancePool::capacity).sum();
   }
@@ -76,7 +76,7 @@
     return Optional.of(new PoolLease(pool, instance, address));
   }
 
-  /** A lease of one slot at an instance. */
+  /** A lease of one concurrency slot of an instance. */
   private record PoolLease(
       InstancePool pool, InstancePool.PooledInstance instance, InetSocketAddress address)
       implements Lease {
--- a/src/main/java/rosecleat/node/JitWarmup.java
+++ b/src/main/java/rosecleat/node/JitWarmup.java
@@ -17,18 +17,18 @@
 import rosecleat.runtime.RuntimeMessageWarmup;
 
 /**
- * Plays whole requests in memory before a node listens, so that the virtual machine compiles the
+ * Executes complete requests in memory before a node listens, so that the JIT compiler compiles the
  * code that serves them. A node whose code is still interpreted responds late to its first clients
- * and grants them too little for a second or two. Nothing of it outlives the warm-up.
+ * and grants them too little capacity for a second or two. No state of the warm-up outlives it.
  */
 final class JitWarmup {
   private static final int MAX_REQUESTS = 2_000;
   private static final long MAX_DURATION_NS = 800_000_000;
 
-  /** The virtual time between two requests (us). */
+  /** Simulated time between two requests (us). */
   private static final long REQUEST_INTERVAL_US = 5_000;
 
-  /** When the virtual time starts (us of the Unix clock). */
+  /** Start of the simulated time (Unix time in us). */
   private static final long START_US = 1_000_000_000_000_000L;
 
   private static final long RUN_TIME_US = 20_000;
@@ -45,7 +45,7 @@
 
   private JitWarmup() {}
 
-  /** Plays requests of a configuration; returns how many of them were served. */
+  /** Executes requests under a configuration; returns how many of them were served. */
   static long run(NodeConfig config) {
     return new JitWarmup().serveRequests(config);
   }
@@ -56,7 +56,8 @@
     settings = indexed.coreSettings();
     PolicyEngine policy =
         new PolicyEngine(indexed.policySettings(), indexed.gauges(), config.seed());
-    try (Log silent = Log.silent()) { // a starting node creates no thread that it can do without
+    // A silent log starts no thread, which keeps the start of a node short.
+    try (Log silent = Log.silent()) {
       core = new Core(settings, policy, new CallQueue(), () -> nowUs, counters, silent);
       Runner runner = new RunQueue();
       core.start(runner, false, 0);
--- a/src/main/java/rosecleat/node/LimitShares.java
+++ b/src/main/java/rosecleat/node/LimitShares.java
@@ -8,7 +8,10 @@
 import rosecleat.takeover.ResourceAmounts;
 import rosecleat.takeover.TakeoverCoordinator;
 
-/** This process's part of the node's limits, under which its policy works. For the event loop. */
+/**
+ * The share of the node's limits that this process has, and under which its policy works. For use
+ * on the event loop.
+ */
 final class LimitShares {
   private final TakeoverCoordinator takeover;
   private final IndexedSettings settings;
@@ -27,7 +30,10 @@
     this.clock = clock;
   }
 
-  /** Updates this process's part beside its peers; the policy is told where it has changed. */
+  /**
+   * Updates the share of this process beside its peers, and reconfigures the policy if the share
+   * has changed.
+   */
   void refresh(boolean shuttingDown) {
     ResourceAmounts before = grant;
     updateGrant(shuttingDown);
@@ -39,7 +45,9 @@
   /**
    * Puts changed settings in force.
    *
-   * @param renamedClasses the indices that stand for other classes than before
+   * @param renamedClasses the indices that have been assigned to a different class, including new
+   *     indices
+   * @param shuttingDown whether this process shuts down
    */
   void reconfigure(List<Integer> renamedClasses, boolean shuttingDown) {
     updateGrant(shuttingDown);
@@ -61,7 +69,7 @@
     policy.reconfigure(clock.getAsLong(), limits(), settings.gauges(), renamedClasses);
   }
 
-  /** Returns the settings in force with this process's part of the limits. */
+  /** Returns the settings in force with the limits reduced to the share of this process. */
   PolicySettings limits() {
     PolicySettings node = settings.policySettings();
     double overloadMultiple = Math.max(1, grant.running() / node.cores());
--- a/src/main/java/rosecleat/node/LineReader.java
+++ b/src/main/java/rosecleat/node/LineReader.java
@@ -6,7 +6,7 @@
 import rosecleat.net.ConnectionHandler;
 import rosecleat.net.LineBuffer;
 
-/** Passes on each line that a connection of the {@link Rehearsal} receives. */
+/** Passes each line that a connection of the {@link Rehearsal} receives to a consumer. */
 final class LineReader implements ConnectionHandler {
   private static final int MAX_LINE_BYTES = 1 << 16;
 
--- a/src/main/java/rosecleat/node/NoEstimatePersistence.java
+++ b/src/main/java/rosecleat/node/NoEstimatePersistence.java
@@ -6,7 +6,7 @@
 import rosecleat.net.EventLoop;
 import rosecleat.policy.PolicyEngine;
 
-/** Stores nothing: each process starts without estimates. */
+/** Persists no estimates: each process starts without any. */
 final class NoEstimatePersistence implements EstimatePersistence {
   @Override
   public void attach(
--- a/src/main/java/rosecleat/node/NoFleet.java
+++ b/src/main/java/rosecleat/node/NoFleet.java
@@ -4,7 +4,10 @@
 import rosecleat.config.BrokerConfig;
 import rosecleat.front.uwsgi.InstanceBalancer;
 
-/** Takes part in nothing: the process knows neither other members nor instances of services. */
+/**
+ * The participation of a process without fleet and routes: there are no other members and no
+ * instances of services.
+ */
 final class NoFleet implements FleetParticipation {
   @Override
   public InstanceBalancer balancer() {
--- a/src/main/java/rosecleat/node/Node.java
+++ b/src/main/java/rosecleat/node/Node.java
@@ -9,12 +9,12 @@
 import rosecleat.policy.PolicySettings;
 
 /**
- * One node: the core with its fronts and its clients of runtime, index and registry, all on one
- * event loop. {@link NodeParts} creates them, {@link ShutdownSequence} ends them in order, and
- * {@link ReloadSequence} puts a changed configuration in force.
+ * One node: the core with its frontends and its clients of the runtime, the index and the registry,
+ * all on one event loop. {@link NodeParts} creates these parts, {@link ShutdownSequence} shuts them
+ * down gracefully, and {@link ReloadSequence} puts a changed configuration in force.
  */
 final class Node implements AutoCloseable {
-  /** How long the end of a process waits for its disk (ms). */
+  /** Maximum time that the end of a process waits for its disk (ms). */
   static final long CLOSE_TIMEOUT_MS = 50;
 
   private final NodeParts parts;
@@ -23,7 +23,7 @@
   private final ReloadSequence reload;
   private final NodeTicker ticker;
 
-  /** Creates a node; it listens at once unless a predecessor is alive. */
+  /** Creates a node, which listens immediately unless a predecessor is alive. */
   Node(ProcessConfig config, NodeEnvironment environment) throws IOException {
     try {
       parts = new NodeParts(config, environment);
@@ -48,11 +48,11 @@
   private void listenOrFail(ProcessConfig config) throws IOException {
     listeners.open();
     if (!listeners.areOpen()) {
-      throw new IOException("can't listen at " + config.node().listenAddress());
+      throw new IOException("could not listen on " + config.node().listenAddress());
     }
   }
 
-  /** Connects to runtime and registry, and starts to serve. */
+  /** Connects to the runtime and the registry, and starts to serve requests. */
   void start() {
     parts.loop.execute(
         () -> {
@@ -66,7 +66,7 @@
         });
   }
 
-  /** Logs the counters from now on with this period. */
+  /** Logs the counters periodically from now on. */
   void logCounters(long periodUs) {
     parts.loop.schedule(
         periodUs,
@@ -76,42 +76,45 @@
         });
   }
 
-  /** Returns whether requests that arrive now are served; for the event loop. */
+  /** Returns whether requests that arrive now are served. For use on the event loop. */
   boolean isServing() {
     return listeners.areOpen() && parts.core.ready() && !shutdown.isUnderWay();
   }
 
-  /** Returns the port of the RESP front. */
+  /** Returns the port of the RESP frontend. */
   int port() {
     return parts.frontends.resp().port();
   }
 
-  /** Returns the port of the uwsgi front, which must exist. */
+  /** Returns the port of the uwsgi frontend, which must exist. */
   int uwsgiPort() {
     return uwsgi().port();
   }
 
-  /** Runs a task on the event loop; for any thread. */
+  /** Runs a task on the event loop. May be called from any thread. */
   void onLoop(Runnable task) {
     parts.loop.execute(task);
   }
 
-  /** Returns the core, for the event loop. */
+  /** Returns the core, for use on the event loop. */
   Core core() {
     return parts.core;
   }
 
-  /** Returns the uwsgi front, which must exist, for the event loop. */
+  /** Returns the uwsgi frontend, which must exist, for use on the event loop. */
   UwsgiFrontend uwsgi() {
     return parts.frontends.uwsgi().orElseThrow();
   }
 
-  /** Returns the settings in force with this process's part of the limits, for the event loop. */
+  /**
+   * Returns the settings in force with the limits reduced to the share of this process, for use on
+   * the event loop.
+   */
   PolicySettings limits() {
     return parts.limitShares.limits();
   }
 
-  /** Returns what the policy has learned; for any thread. */
+  /** Returns the estimates of the policy. May be called from any thread. */
   CompletableFuture<List<Estimate>> estimates() {
     CompletableFuture<List<Estimate>> estimates = new CompletableFuture<>();
     parts.loop.execute(
@@ -119,37 +122,46 @@
     return estimates;
   }
 
-  /** Puts a configuration in force that has been checked; for any thread. */
+  /** Puts a configuration in force that has been checked. May be called from any thread. */
   void reload(ProcessConfig config) {
     parts.loop.execute(() -> reload.apply(config));
   }
 
   /**
-   * Begins a graceful shutdown; for any thread.
+   * Begins a graceful shutdown. May be called from any thread.
    *
-   * @param completed called on the event loop once nothing is left to do or the time is up
-   * @return how long the process has until it is killed (us)
+   * @param completed called on the event loop once no work is left or the time has expired
+   * @return the time until the process is killed (us)
    */
   long beginShutdown(Runnable completed) {
     return shutdown.begin(completed);
   }
 
-  /** Leaves the fleet and waits until estimates are stored, each for this long; for any thread. */
+  /**
+   * Leaves the fleet and waits until estimates are stored. May be called from any thread.
+   *
+   * @param timeoutMs the maximum time for each of the two steps (ms)
+   */
   void awaitStored(long timeoutMs) {
     parts.fleet.stop(timeoutMs);
     if (!parts.persistence.close(timeoutMs)) {
-      parts.log.warn("what was learnt last could not be written down in time");
+      parts.log.warn("latest estimates were not stored in time");
     }
   }
 
-  /** Closes all sockets and ends the loop, within a time; for any other thread. */
+  /**
+   * Closes all sockets and stops the event loop. May be called from any thread but that of the
+   * event loop.
+   *
+   * @param timeoutMs the maximum wait (ms)
+   */
   void closeNetwork(long timeoutMs) throws InterruptedException {
     if (!parts.loop.close(timeoutMs)) {
-      parts.log.warn("the thread for sockets has not ended in time");
+      parts.log.warn("event loop thread did not end in time");
     }
   }
 
-  /** Ends the node at once. */
+  /** Closes the node without a graceful shutdown. */
   @Override
   public void close() {
     parts.persistence.close(CLOSE_TIMEOUT_MS);
--- a/src/main/java/rosecleat/node/NodeEnvironment.java
+++ b/src/main/java/rosecleat/node/NodeEnvironment.java
@@ -8,11 +8,11 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * What a node shares with the process around it, which exists before the node does.
+ * The objects that a node shares with the surrounding process and that are created before the node.
  *
- * @param loop the one thread of the node
+ * @param loop the only event loop of the node
  * @param takeover the peer processes of the node
- * @param persistence where learned estimates are kept
+ * @param persistence stores learned estimates
  * @param fleet the fleet that the process is a member of
  * @param counters the counters of the process
  * @param log the log of the process
@@ -24,7 +24,10 @@
     FleetParticipation fleet,
     Counters counters,
     Log log) {
-  /** Returns an environment without peers, stored estimates and fleet, on a loop of its own. */
+  /**
+   * Returns an environment without peer processes, stored estimates and fleet, and with an event
+   * loop of its own.
+   */
   static NodeEnvironment standalone(Log log) throws IOException {
     Counters counters = new Counters();
     return new NodeEnvironment(
--- a/src/main/java/rosecleat/node/NodeOperations.java
+++ b/src/main/java/rosecleat/node/NodeOperations.java
@@ -5,8 +5,8 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * What operators ask of a node through the admin server, which listens before the node is built.
- * For the event loop.
+ * The operations that operators request through the admin server, which listens before the node is
+ * built. For use on the event loop.
  */
 final class NodeOperations implements AdminOperations {
   private final TakeoverCoordinator takeover;
@@ -18,7 +18,10 @@
     this.fleet = fleet;
   }
 
-  /** Passes operations to a node from now on; it learns of earlier ones from the coordinator. */
+  /**
+   * Passes operations to a node from now on. The node learns of earlier operations from the
+   * takeover coordinator.
+   */
   void attach(Node built) {
     node = Optional.of(built);
   }
--- a/src/main/java/rosecleat/node/NodeParts.java
+++ b/src/main/java/rosecleat/node/NodeParts.java
@@ -19,11 +19,13 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * The parts of one node, created and connected to each other. They all work on one event loop;
- * nothing connects or listens before {@link Node} says so.
+ * The parts of one node, created and connected to each other. All of them run on one event loop;
+ * none of them opens a connection or listens before {@link Node} starts it.
  */
 final class NodeParts {
-  /** Replaced by {@link DescriptorAllocation} before the RESP front listens. */
+  /**
+   * Initial limit, which {@link DescriptorAllocation} replaces before the RESP frontend listens.
+   */
   private static final int INITIAL_MAX_CONNECTIONS = 1;
 
   final EventLoop loop;
@@ -65,7 +67,7 @@
     frontends = createFrontends(config);
   }
 
-  /** Logs all counters; the log would cut a line that is too long. */
+  /** Logs all counters, split into lines short enough that the log does not truncate them. */
   void logCounters() {
     counters.toLines(Log.MAX_LINE_CHARS).forEach(log::info);
   }
--- a/src/main/java/rosecleat/node/NodeProcess.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -14,17 +14,19 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * The process around a node: builds it, keeps the virtual machine alive, and shuts the node down on
- * SIGTERM. {@link ShutdownSequence} says in which order.
+ * The process that runs a node: builds it, keeps the JVM alive, and shuts the node down on SIGTERM
+ * in the order that {@link ShutdownSequence} documents.
  */
 public final class NodeProcess {
-  /** The result of a start in place of an exit code: the process keeps running. */
+  /** Returned by {@link #start} in place of an exit code: the process keeps running. */
   public static final int KEEPS_RUNNING = -1;
 
-  /** The node is waited for until so long before the process would be killed (us). */
+  /**
+   * The shutdown hook stops waiting for the node this long before the process would be killed (us).
+   */
   private static final long SHUTDOWN_MARGIN_US = 150_000;
 
-  /** The virtual machine is ended so long before the process would be killed (us). */
+  /** The JVM exits this long before the process would be killed (us). */
   private static final long EXIT_MARGIN_US = 50_000;
 
   private final Log log;
@@ -36,13 +38,13 @@
     this.log = log;
   }
 
-  /** Builds a node, which may listen from then on. */
+  /** Builds a node, which may listen as soon as it is built. */
   interface NodeBuilder {
     /** Builds the node. */
     Node build() throws IOException;
   }
 
-  /** Builds the node, unless SIGTERM has arrived already; empty where none is built. */
+  /** Builds the node unless SIGTERM has already arrived; returns empty if none is built. */
   synchronized Optional<Node> build(NodeBuilder builder) throws IOException {
     if (!shutdownRequested) {
       node = Optional.of(builder.build());
@@ -51,9 +53,9 @@
   }
 
   /**
-   * Records that SIGTERM has arrived.
+   * Records that SIGTERM has arrived. Blocks while a node is being built.
    *
-   * @return the node to shut down, waited for while it is built; empty where none will ever be
+   * @return the node to shut down; empty if none will ever be built
    */
   synchronized Optional<Node> requestShutdown() {
     shutdownRequested = true;
@@ -61,14 +63,14 @@
   }
 
   /**
-   * Starts a node, which keeps running after this returns.
+   * Starts a node, which keeps running after this method returns.
    *
    * @param config the configuration
    * @param reader reads the configuration again on SIGHUP
-   * @param sharedFolder the folder that all processes of the node see, where there is one
-   * @param counterLogPeriodS how often the counters are logged (s); 0 for never
+   * @param sharedFolder the folder that all processes of the node share, if there is one
+   * @param counterLogPeriodS the interval at which the counters are logged (s); 0 for never
    * @return {@link #KEEPS_RUNNING}
-   * @throws IOException where the node cannot listen
+   * @throws IOException if the node cannot listen
    */
   public static int start(
       ProcessConfig config,
@@ -78,8 +80,8 @@
       throws IOException {
     Log log = new Log(System.err);
     NodeProcess process = new NodeProcess(log);
-    // Both are in place before the node listens. Without the hook, a SIGTERM would end the process
-    // under the clients that it has accepted.
+    // The shutdown hook and the reloader are installed before the node listens. Without the hook, a
+    // SIGTERM would end the process while clients that it has accepted await responses.
     Runtime.getRuntime().addShutdownHook(new Thread(process::shutDown, "shutdown"));
     ConfigReloader reloader = new ConfigReloader(config, reader, log);
     reloader.install();
@@ -93,7 +95,7 @@
     NodeEnvironment environment =
         new NodeEnvironment(loop, takeover, persistence, fleet, counters, log);
     if (config.node().runtimeAddress() != null) {
-      JitWarmup.run(config.node()); // meanwhile stored estimates are read
+      JitWarmup.run(config.node()); // stored estimates are read in the background meanwhile
     }
     Optional<Node> node = process.build(() -> new Node(config, environment));
     if (node.isPresent()) {
@@ -102,13 +104,16 @@
     return KEEPS_RUNNING;
   }
 
-  /** Operators may ask for the state of the node while it is still being built. */
+  /**
+   * Starts the admin server early, since operators may query the state of a node that is still
+   * being built.
+   */
   private static void startAdminServer(
       NodeConfig config, EventLoop loop, NodeOperations operations, Counters counters, Log log)
       throws IOException {
     if (config.adminAddress() != null) {
       new AdminServer(loop, config.adminAddress(), operations, counters, log);
-      log.info("operators are heard at " + config.adminAddress());
+      log.info("admin server listens on " + config.adminAddress());
     }
   }
 
@@ -123,7 +128,7 @@
     }
   }
 
-  /** Keeps the process alive; all other threads are daemons. */
+  /** Keeps the process alive, since all other threads are daemon threads. */
   private void keepAlive() {
     try {
       completed.await();
@@ -132,11 +137,11 @@
     }
   }
 
-  /** Runs as the shutdown hook of the virtual machine: the node keeps working while this waits. */
+  /** Runs as the shutdown hook of the JVM; the node continues to work while this method waits. */
   private void shutDown() {
     Optional<Node> built = requestShutdown();
     if (built.isEmpty()) {
-      log.close(); // no client was served: the process ends with the code it was given
+      log.close(); // no client was served, so the process ends with the exit code that it was given
       return;
     }
     try {
@@ -144,21 +149,24 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    Runtime.getRuntime().halt(0); // the process is killed shortly after
+    Runtime.getRuntime().halt(0); // the platform kills the process shortly after
   }
 
   private void shutDown(Node built) throws InterruptedException {
     long timeUs = built.beginShutdown(completed::countDown);
     long exitDueNs = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(timeUs - EXIT_MARGIN_US);
     if (!completed.await(timeUs - SHUTDOWN_MARGIN_US, TimeUnit.MICROSECONDS)) {
-      log.warn("the time to leave ran out");
+      log.warn("graceful shutdown did not complete in time");
     }
     built.awaitStored(closeTimeoutMs(exitDueNs));
     built.closeNetwork(closeTimeoutMs(exitDueNs));
     log.close(closeTimeoutMs(exitDueNs));
   }
 
-  /** How long one of the last steps may take: no step uses up the time of the exit itself. */
+  /**
+   * Returns the timeout of one of the last steps (ms), which no step may exceed so that time
+   * remains for the exit itself.
+   */
   private static long closeTimeoutMs(long exitDueNs) {
     long remainingMs = TimeUnit.NANOSECONDS.toMillis(exitDueNs - System.nanoTime());
     return Math.max(1, Math.min(Node.CLOSE_TIMEOUT_MS, remainingMs));
--- a/src/main/java/rosecleat/node/NodeTicker.java
+++ b/src/main/java/rosecleat/node/NodeTicker.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Does everything on a node that depends on time alone. The core decides when the next tick is due.
- * For the event loop.
+ * Runs the time-driven work of a node. The core decides when the next tick is due. For use on the
+ * event loop.
  */
 final class NodeTicker {
-  /** A tick that is this late delays responses and is logged (us). */
+  /** A tick that is later than this delays responses and is logged (us). */
   private static final long LATE_TICK_US = 200_000;
 
-  /** The time from a tick that failed to the next (us). */
+  /** Time from a tick that failed to the next one (us). */
   private static final long RETRY_DELAY_US = 20_000;
 
   private final NodeParts parts;
@@ -24,7 +24,10 @@
     this.shutdown = shutdown;
   }
 
-  /** Ticks from now on for as long as the loop lives; an exception ends its own tick alone. */
+  /**
+   * Starts ticking for the lifetime of the event loop. An exception ends only the tick that threw
+   * it.
+   */
   void start() {
     long nextUs = parts.clock.getAsLong() + RETRY_DELAY_US;
     try {
@@ -50,11 +53,11 @@
     if (lateUs > LATE_TICK_US) {
       parts.counters.add("beats.late");
       parts.log.warn(
-          "the loop was "
+          "event loop tick was "
               + TimeUnit.MICROSECONDS.toMillis(lateUs)
-              + " ms late, with "
+              + " ms late, "
               + parts.core.inFlight()
-              + " in hand");
+              + " requests in flight");
     }
   }
 }
--- a/src/main/java/rosecleat/node/PeerMonitor.java
+++ b/src/main/java/rosecleat/node/PeerMonitor.java
@@ -1,8 +1,11 @@
 package rosecleat.node;
 
-/** Follows what the node's other processes and its operators do. For the event loop. */
+/**
+ * Polls the state of the node's other processes and the operations of its operators. For use on the
+ * event loop.
+ */
 final class PeerMonitor {
-  /** The time between two polls (us). */
+  /** Time between two polls (us). */
   private static final long POLL_PERIOD_US = 100_000;
 
   private final NodeParts parts;
@@ -23,7 +26,7 @@
     this.shutdown = shutdown;
   }
 
-  /** Polls the peers, where it is time. */
+  /** Polls the peer processes if a poll is due. */
   void pollIfDue(long nowUs) {
     if (nowUs >= nextPollUs) {
       nextPollUs = nowUs + POLL_PERIOD_US;
@@ -34,7 +37,7 @@
   private void poll(long nowUs) {
     parts.takeover.poll(nowUs);
     parts.core.setDrainedByOperator(parts.takeover.isDrained());
-    // beside a predecessor, this process listens only once it can serve
+    // While a predecessor is alive, this process listens only once it can serve requests.
     boolean mayListen = parts.core.ready() || !parts.takeover.predecessorIsAlive();
     if (!listeners.areOpen() && mayListen) {
       listeners.open();
@@ -52,8 +55,8 @@
     parts.counters.add(hasPeers ? "shares.two" : "shares.one");
     parts.log.info(
         hasPeers
-            ? "two processes of this node live, and share its limits"
-            : "this process is alone");
+            ? "two processes of this node are alive and share its limits"
+            : "no peer process is alive, this process has the limits of the node alone");
     descriptors.setSharedWithPeer(hasPeers);
   }
 }
--- a/src/main/java/rosecleat/node/ProcessConfig.java
+++ b/src/main/java/rosecleat/node/ProcessConfig.java
@@ -9,21 +9,23 @@
 import rosecleat.config.StateConfig;
 
 /**
- * The configuration of a process, as its files say it.
+ * The configuration of a process as read from its files.
  *
  * @param node the node's configuration
- * @param broker the configuration of the uwsgi front; empty where the node has none
+ * @param broker the broker's configuration, which includes the uwsgi frontend; empty if the node
+ *     has none
  */
 public record ProcessConfig(NodeConfig node, Optional<BrokerConfig> broker) {
-  /** Returns the configuration of a node without a uwsgi front. */
+  /** Returns the configuration of a node without a uwsgi frontend. */
   public static ProcessConfig of(NodeConfig node) {
     return new ProcessConfig(node, Optional.empty());
   }
 
   /**
-   * Checks that this configuration may replace another in a running process.
+   * Checks that this configuration may replace another one in a running process.
    *
-   * @throws ConfigException where a difference needs a restart
+   * @param inForce the configuration to replace
+   * @throws ConfigException if a difference requires a restart
    */
   public void requireAdoptableAfter(ProcessConfig inForce) {
     node.requireAdoptableAfter(inForce.node);
@@ -37,15 +39,15 @@
         || fresh.maxConnections() != inForce.maxConnections()
         || !fresh.limits().equals(inForce.limits())) {
       throw ConfigException.restartRequired(
-          "where the second front listens and its limits need a restart");
+          "changes of the uwsgi frontend's listen address and limits need a restart");
     }
     if (!Objects.equals(fresh.fleet(), inForce.fleet())
         || (fresh.routes() == null) != (inForce.routes() == null)) {
       throw ConfigException.restartRequired(
-          "its part in the fleet, and whether it publishes routes, need a restart");
+          "changes of the fleet section, and adding or removing routes, need a restart");
     }
     if (!stateFolder(fresh).equals(stateFolder(inForce))) {
-      throw ConfigException.restartRequired("the folder of state needs a restart");
+      throw ConfigException.restartRequired("a change of the state folder needs a restart");
     }
   }
 
--- a/src/main/java/rosecleat/node/Rehearsal.java
+++ b/src/main/java/rosecleat/node/Rehearsal.java
@@ -10,15 +10,15 @@
 import rosecleat.net.EventLoop;
 
 /**
- * The command {@code rehearse}: serves made-up requests on loopback, so that the virtual machine
- * loads the classes of a serving node. The build runs it to write these classes into an archive,
- * from which a node then starts with half the work.
+ * Implements the command {@code rehearse}: serves generated requests on loopback, so that the JVM
+ * loads the classes that a serving node needs. The build runs this command to write these classes
+ * into a class-data archive, with which a node starts with half the work.
  */
 public final class Rehearsal {
   private static final int REQUESTS = 200;
   private static final long TIMEOUT_S = 20;
 
-  /** The time that the node gets to connect to its runtime before requests arrive (us). */
+  /** Time for the node to connect to its runtime before the first request arrives (us). */
   private static final long FIRST_REQUEST_DELAY_US = 200_000;
 
   private final Log log = new Log(System.err);
@@ -31,7 +31,7 @@
    * Serves requests under a configuration.
    *
    * @return whether all requests got a response in time
-   * @throws IOException where nothing can listen on loopback
+   * @throws IOException if no listener can be opened on loopback
    */
   public static boolean run(NodeConfig config) throws IOException {
     JitWarmup.run(config);
@@ -59,7 +59,10 @@
     }
   }
 
-  /** The same configuration between a runtime and a balancer on loopback, and nothing else. */
+  /**
+   * Returns the same configuration with a runtime and a balancer on loopback as its only
+   * neighbours: without admin server, index and registry.
+   */
   private static NodeConfig onLoopback(
       NodeConfig config, InetSocketAddress listen, InetSocketAddress runtime) {
     return new NodeConfig(
--- a/src/main/java/rosecleat/node/RehearsalBalancer.java
+++ b/src/main/java/rosecleat/node/RehearsalBalancer.java
@@ -12,17 +12,20 @@
 import rosecleat.net.ConnectionLimits;
 import rosecleat.net.EventLoop;
 
-/** A balancer on loopback that sends requests of all classes. For the rehearsal's event loop. */
+/**
+ * A balancer on loopback that sends requests of all classes. For use on the event loop of the
+ * rehearsal.
+ */
 final class RehearsalBalancer implements ConnectHandler {
-  /** The first byte of a response. */
+  /** First character of a response. */
   private static final String RESPONSE_START = "*";
 
   private static final long CONNECT_TIMEOUT_US = 1_000_000;
 
-  /** The time between two requests (us). */
+  /** Time between two requests (us). */
   private static final long REQUEST_INTERVAL_US = 5_000;
 
-  /** Request ids have 16 hexadecimal digits. */
+  /** First request id; a request id has 16 hexadecimal digits. */
   private static final long FIRST_ID = 1L << 60;
 
   private final EventLoop loop;
@@ -31,7 +34,12 @@
   private final Runnable responseListener;
   private final Log log;
 
-  /** A balancer that sends this many requests and reports each response. */
+  /**
+   * Creates a balancer.
+   *
+   * @param requests the number of requests to send
+   * @param responseListener called for each response
+   */
   RehearsalBalancer(
       EventLoop loop, NamedSettings settings, int requests, Runnable responseListener, Log log) {
     this.loop = loop;
@@ -41,7 +49,7 @@
     this.log = log;
   }
 
-  /** Connects to a node, and then sends the requests. */
+  /** Connects to a node and then sends the requests. */
   void connect(InetSocketAddress node) {
     Connection.connect(loop, node, CONNECT_TIMEOUT_US, ConnectionLimits.SMALL, this);
   }
--- a/src/main/java/rosecleat/node/RehearsalRuntime.java
+++ b/src/main/java/rosecleat/node/RehearsalRuntime.java
@@ -9,7 +9,9 @@
 import rosecleat.net.EventLoop;
 import rosecleat.net.Listener;
 
-/** A runtime on loopback that ends each run at once. For the rehearsal's event loop. */
+/**
+ * A runtime on loopback that ends each run immediately. For use on the event loop of the rehearsal.
+ */
 final class RehearsalRuntime {
   private static final String JOB_KEY = "\"job\":\"";
   private static final String READY = "{\"type\":\"ready\",\"state\":\"warm\",\"took\":1}\n";
@@ -22,7 +24,7 @@
     listener = new Listener(loop, address, 1, ConnectionLimits.SMALL, RehearsalRuntime::accept);
   }
 
-  /** Returns the port on which it listens. */
+  /** Returns the port that this runtime listens on. */
   int port() {
     return listener.port();
   }
--- a/src/main/java/rosecleat/node/ReloadSequence.java
+++ b/src/main/java/rosecleat/node/ReloadSequence.java
@@ -4,20 +4,21 @@
 import rosecleat.config.NodeConfig;
 
 /**
- * Puts a changed configuration in force. This is the one place that says what a SIGHUP does, after
- * {@link ConfigReloader} has read and checked the files:
+ * Puts a changed configuration in force, after {@link ConfigReloader} has read and checked the
+ * files on SIGHUP. This class alone defines the order of a reload:
  *
  * <ol>
- *   <li>The time for a drain is taken, and the reload is counted and logged.
- *   <li>Classes and tenants get their indices; those that requests use keep theirs.
- *   <li>Policy, core and the retention of claims get their settings.
- *   <li>Descriptors are divided anew.
- *   <li>Both fronts take new requests by the new names and contracts.
- *   <li>Stored estimates follow the new settings, and a changed file of routes is published.
- *   <li>The clients of runtime, index and registry move to their new addresses.
+ *   <li>The drain time is set, and the reload is counted and logged.
+ *   <li>Classes and tenants are assigned indices; those that requests use retain theirs.
+ *   <li>The policy, the core and the retention of claims get their settings.
+ *   <li>Descriptors are divided again.
+ *   <li>Both frontends accept new requests according to the new names and contracts.
+ *   <li>The persistence of estimates follows the new settings, and a changed routes file is
+ *       published.
+ *   <li>The clients of runtime, index and registry change to their new addresses.
  * </ol>
  *
- * <p>For the event loop, on which all of it happens at once.
+ * <p>For use on the event loop, on which the whole reload runs as one task.
  */
 final class ReloadSequence {
   private final NodeParts parts;
@@ -30,7 +31,7 @@
     this.shutdown = shutdown;
   }
 
-  /** Puts a configuration in force that has been checked against the one before. */
+  /** Puts a configuration in force that has been checked against the previous one. */
   void apply(ProcessConfig config) {
     NodeConfig node = config.node();
     shutdown.setDrainTimeUs(node.stopTimeoutUs());
@@ -56,17 +57,17 @@
   private void logReload(NodeConfig node) {
     parts.counters.add("reloads");
     parts.log.info(
-        "reloaded: classes "
+        "configuration reloaded: classes "
             + node.settings().classNames()
             + ", runtime "
             + node.runtimeAddress()
             + ", index "
             + node.indexAddress()
-            + ", roster "
+            + ", service registry "
             + node.registryAddress());
   }
 
-  /** Puts a changed capacity of the fleet's instances in force. */
+  /** Applies a changed total capacity of the fleet's instances. */
   void applyInstanceCapacity() {
     parts.settings.setInstanceCapacity(parts.fleet.instanceCapacity());
     parts.limitShares.reconfigure(List.of(), shutdown.isUnderWay());
--- a/src/main/java/rosecleat/node/RouteEntries.java
+++ b/src/main/java/rosecleat/node/RouteEntries.java
@@ -6,11 +6,11 @@
 import rosecleat.routes.Instance;
 import rosecleat.routes.RouteEntry;
 
-/** Turns a file of routes into entries of a {@link rosecleat.routes.RouteStore}. */
+/** Converts a routes file into entries of a {@link rosecleat.routes.RouteStore}. */
 final class RouteEntries {
   private RouteEntries() {}
 
-  /** Returns the instances of a file by service and name. */
+  /** Returns the instances of a routes file by service and name. */
   static Map<RouteEntry.Key, Instance> of(RoutesFile file) {
     Map<RouteEntry.Key, Instance> entries = new HashMap<>();
     for (RoutesFile.InstanceEntry line : file.instances()) {
--- a/src/main/java/rosecleat/node/RouteReplication.java
+++ b/src/main/java/rosecleat/node/RouteReplication.java
@@ -17,18 +17,18 @@
 import rosecleat.routes.RouteSyncSession;
 
 /**
- * Replicates routes in a fleet. Each member publishes a record with two digests: that of the routes
- * in force and that of all it stores. One that stores something else is asked for the difference,
- * one member at a time.
+ * Replicates routes in a fleet. Each member publishes a record with two digests: that of its routes
+ * in force and that of everything in its route store. If the second digest of another member
+ * differs, this member starts an exchange of the difference with it, one member at a time.
  *
  * <p>All state belongs to the thread of the {@link MembershipService}; only {@link #digestOf} may
  * be called from any thread.
  */
 final class RouteReplication {
-  /** The kind of the exchange in which two members compare their routes. */
+  /** Kind of the exchange in which two members synchronize their routes. */
   static final int EXCHANGE_KIND = 2;
 
-  /** The record with a member's digests. */
+  /** Kind of the record that contains the digests of a member. */
   private static final String DIGESTS_RECORD = "routes";
 
   private static final String DIGEST_SEPARATOR = ":";
@@ -36,7 +36,8 @@
   private static final long DIGESTS_TTL_MS = 60_000;
 
   /**
-   * The record of the file that an author published last: a restart with an old file shows by it.
+   * Kind of the record that contains the digest of the routes file that a member published last. It
+   * shows whether a member restarted with an old file.
    */
   private static final String FILE_RECORD = "routes.file";
 
@@ -61,7 +62,11 @@
     this.log = log;
   }
 
-  /** Returns one side of an exchange; the initiator is the member that asked for it. */
+  /**
+   * Returns a session of one side of an exchange.
+   *
+   * @param initiator whether this member started the exchange
+   */
   RouteSyncSession newSession(boolean initiator) {
     return new RouteSyncSession(
         store,
@@ -78,7 +83,7 @@
     }
   }
 
-  /** Takes a record of another member that is new, changed or (without payload) removed. */
+  /** Processes a record of another member that is new, changed or, without payload, removed. */
   void recordChanged(FleetRecord record) {
     if (!record.kind().equals(DIGESTS_RECORD)) {
       return;
@@ -98,7 +103,10 @@
     }
   }
 
-  /** Starts an exchange with a member that stores something else, unless one is under way. */
+  /**
+   * Starts an exchange with a member whose route store differs from that of this member, unless one
+   * is already in progress.
+   */
   void synchronize(MembershipProtocol protocol) {
     selfUpdate = protocol.selfUpdate();
     String own = storeDigest();
@@ -122,7 +130,9 @@
     service.submit(this::publishDigests);
   }
 
-  /** Publishes the digests of this member, and then looks for others that differ. */
+  /**
+   * Publishes the digests of this member, and then synchronizes with members whose digests differ.
+   */
   void publishDigests(MembershipProtocol protocol) {
     selfUpdate = protocol.selfUpdate();
     String tableDigest = DigestText.hex(store.table().digest());
@@ -133,17 +143,18 @@
   }
 
   /**
-   * Publishes the routes of a file. A file that this author published before its last restart
-   * changes nothing: others may have published since.
+   * Publishes the routes of a file. A file that this member already published before its last
+   * restart changes nothing, since other members may have published newer routes since.
    */
   void publishFile(MembershipProtocol protocol, RoutesFile file) {
-    RouteStore contents = new RouteStore(); // a file is known by its contents, as a table is
+    // A file is identified by the digest of its contents, as a route table is.
+    RouteStore contents = new RouteStore();
     contents.publish("", RouteEntries.of(file));
     String digest = DigestText.hex(contents.table().digest());
     if (!hasPublished && publishedBefore(protocol, digest)) {
       log.info(
-          "routes: the file is what this process published before: what others published since"
-              + " stays");
+          "routes: file not published again: this process published it before, and routes that"
+              + " others published since stay");
     } else if (store.publish(config.name(), RouteEntries.of(file))) {
       tableChanged();
     }
@@ -164,7 +175,10 @@
     protocol.publish(kind, "", payload.getBytes(StandardCharsets.US_ASCII), ttlMs, service.nowUs());
   }
 
-  /** Returns the digest of the routes in force at a member; empty text where it is unknown. */
+  /**
+   * Returns the digest of the routes in force at a member; empty text if it is unknown. May be
+   * called from any thread.
+   */
   String digestOf(String member) {
     return tableDigests.getOrDefault(member, "");
   }
--- a/src/main/java/rosecleat/node/ShutdownPhase.java
+++ b/src/main/java/rosecleat/node/ShutdownPhase.java
@@ -3,21 +3,22 @@
 import rosecleat.core.FailureReason;
 
 /**
- * The part of a graceful shutdown in which requests still end: advanced with each tick until
- * nothing is left or the time is up.
+ * The phase of a graceful shutdown in which requests in flight still complete. Each tick advances
+ * it until no work is left or the time has expired.
  */
 abstract class ShutdownPhase {
   /**
-   * The node ends this long before its process would be killed (us): a tick may be late, estimates
-   * and log lines are written, and the virtual machine ends. Clients were told the end {@link
-   * #RESPOND_MARGIN_US} before, and the protocol gives what they sent meanwhile 50 ms to cross it.
+   * The node completes its shutdown this long before the platform would kill the process (us). The
+   * margin allows for a late tick, for writing estimates and log lines, and for the exit of the
+   * JVM. Clients are informed of the end {@link #RESPOND_MARGIN_US} before the kill, and the
+   * protocol allows 50 ms for what they send in the meantime to arrive.
    */
   static final long END_MARGIN_US = 200_000;
 
   /** Requests that still await a response get one this long before the process is killed (us). */
   private static final long RESPOND_MARGIN_US = 300_000;
 
-  /** From this long before the process is killed, listeners are closed without waiting (us). */
+  /** Listeners are closed without waiting from this long before the process is killed (us). */
   private static final long HURRY_MARGIN_US = 2 * RESPOND_MARGIN_US;
 
   final NodeParts parts;
@@ -32,25 +33,26 @@
   abstract boolean closesConnections();
 
   /**
-   * Closes what can be closed by now.
+   * Closes listeners and connections that are no longer needed.
    *
-   * @param hurry whether the time is almost up
-   * @return whether nothing is left to do
+   * @param hurry whether the time has almost expired
+   * @return whether no work is left
    */
   abstract boolean closeCompleted(boolean hurry);
 
-  /** Takes one step; returns whether the node has served what it can. */
+  /** Advances the phase by one step; returns whether it is complete or its time has expired. */
   final boolean advance() {
     long nowUs = parts.clock.getAsLong();
     boolean done = closeCompleted(nowUs > killedAtUs - HURRY_MARGIN_US);
     if (nowUs > killedAtUs - RESPOND_MARGIN_US) {
       parts.core.respondToAll(FailureReason.NODE_STOPPED);
-      parts.frontends.closeConnections(); // in order, while there is time for it to arrive
+      // Connections are closed gracefully, while there is time for the responses to arrive.
+      parts.frontends.closeConnections();
     }
     return done || nowUs > killedAtUs - END_MARGIN_US;
   }
 
-  /** Returns when the process is killed. */
+  /** Returns the time at which the process is killed (us). */
   long killedAtUs() {
     return killedAtUs;
   }
--- a/src/main/java/rosecleat/node/ShutdownSequence.java
+++ b/src/main/java/rosecleat/node/ShutdownSequence.java
@@ -4,33 +4,33 @@
 import rosecleat.net.MonotonicClock;
 
 /**
- * The graceful shutdown of a node. This is the one place that orders it:
+ * The graceful shutdown of a node. This class alone defines its order:
  *
  * <ol>
  *   <li>SIGTERM arrives. {@link NodeProcess} waits for a node that is just being built, and calls
- *       {@link #begin}. From that moment the time until the process is killed runs.
- *   <li>On the event loop, the fleet is told that this member leaves.
- *   <li>Learned estimates are stored. Where a successor is alive, the folder is released to it.
- *   <li>Where a successor is alive, {@link TakeoverPhase} starts. Otherwise the registry is told,
- *       the core starts to drain, and {@link DrainPhase} starts.
- *   <li>Each tick advances the phase. A successor that ends too early turns a takeover into a
- *       drain. Shortly before the process is killed all requests get a response.
- *   <li>The phase is over: the last use of the limits is reported to peers, estimates are stored,
- *       the folder is released, the counters are logged, and the callback is run.
- *   <li>{@link NodeProcess} stops the fleet's membership, waits until estimates are stored ({@link
- *       Node#awaitStored}), closes the log, and ends the process.
+ *       {@link #begin}. The time until the process is killed counts from that moment.
+ *   <li>On the event loop, this member announces its departure to the fleet.
+ *   <li>Learned estimates are stored. If a successor is alive, the state folder is released to it.
+ *   <li>If a successor is alive, {@link TakeoverPhase} starts. Otherwise the departure is reported
+ *       to the registry, the core starts to drain, and {@link DrainPhase} starts.
+ *   <li>Each tick advances the phase. If a successor ends too early, the takeover becomes a drain.
+ *       Shortly before the process is killed, all remaining requests get a response.
+ *   <li>The phase ends: the last use of the limits is reported to peer processes, estimates are
+ *       stored, the state folder is released, the counters are logged, and the callback is run.
+ *   <li>{@link NodeProcess} stops the fleet membership, waits until estimates are stored ({@link
+ *       Node#awaitStored}), closes the network and the log, and ends the process.
  * </ol>
  *
- * <p>For the event loop, except for {@link #begin} and {@link #setDrainTimeUs}.
+ * <p>For use on the event loop, except for {@link #begin} and {@link #setDrainTimeUs}.
  */
 final class ShutdownSequence {
   /**
-   * The platform kills a process that a successor takes over from this long after the longest
+   * The platform kills a process that is being replaced by a successor this long after the longest
    * timeout of a request (us).
    */
   private static final long KILL_DELAY_US = 700_000;
 
-  /** For that delay, a longer timeout counts as this one (us). */
+  /** A longer timeout counts as this value when the time of the kill is computed (us). */
   private static final long MAX_COUNTED_TIMEOUT_US = 3_000_000;
 
   private final NodeParts parts;
@@ -43,12 +43,18 @@
     setDrainTimeUs(parts.settings.nodeConfig().stopTimeoutUs());
   }
 
-  /** Sets how long a node that nobody takes over has from the notice on (us); for any thread. */
+  /**
+   * Sets the time between SIGTERM and the kill for a node that has no successor (us). May be called
+   * from any thread.
+   */
   void setDrainTimeUs(long timeUs) {
     drainTimeUs = timeUs;
   }
 
-  /** Returns whether requests are still served until the node ends. */
+  /**
+   * Returns whether the shutdown is in progress, that is, requests in flight are still being
+   * served.
+   */
   boolean isUnderWay() {
     return phase.isPresent();
   }
@@ -59,10 +65,10 @@
   }
 
   /**
-   * Begins the shutdown; for any thread.
+   * Begins the shutdown. May be called from any thread.
    *
-   * @param completed called on the event loop once nothing is left to do or the time is up
-   * @return how long the process has until it is killed (us)
+   * @param completed called on the event loop once no work is left or the time has expired
+   * @return the time until the process is killed (us)
    */
   long begin(Runnable completed) {
     parts.takeover.markLeaving();
@@ -77,14 +83,14 @@
   }
 
   private void begin(boolean takenOver, long noticeUs, long timeUs, Runnable completed) {
-    // a busy loop gets here late, while the time runs
+    // A busy event loop runs this task late, but the time counts from SIGTERM.
     long beganAtUs = Math.min(noticeUs, parts.clock.getAsLong());
     onCompletion = completed;
     parts.log.info(
-        "told to leave"
-            + (takenOver ? " by a newer process that takes over, " : ", ")
+        "shutdown requested"
+            + (takenOver ? ", a successor takes over, " : ", ")
             + parts.core.inFlight()
-            + " in hand");
+            + " requests in flight");
     parts.fleet.announceLeave();
     parts.counters.add(takenOver ? "leaves.handover" : "leaves.drain");
     long killedAtUs = beganAtUs + timeUs;
@@ -104,13 +110,13 @@
     phase = Optional.of(new DrainPhase(parts, killedAtUs));
   }
 
-  /** Advances a shutdown that is under way; called with each tick. */
+  /** Advances a shutdown that is in progress. Called with each tick. */
   void advance(long nowUs) {
     if (phase.isEmpty()) {
       return;
     }
     if (phase.get() instanceof TakeoverPhase takeover && takeover.isAbandoned()) {
-      parts.log.warn("the newer process is gone: this one drains");
+      parts.log.warn("successor has ended or is leaving, this process drains");
       drain(nowUs, takeover.killedAtUs());
     }
     if (phase.get().advance()) {
@@ -119,7 +125,8 @@
   }
 
   private void complete(long nowUs) {
-    parts.limitShares.refresh(true); // its calls count on for the processes that stay
+    // The calls of this process continue to count against the limits of its peers.
+    parts.limitShares.refresh(true);
     parts.persistence.saveAndRelease(nowUs);
     parts.logCounters();
     phase = Optional.empty();
--- a/src/main/java/rosecleat/node/StateDigests.java
+++ b/src/main/java/rosecleat/node/StateDigests.java
@@ -13,13 +13,13 @@
 import rosecleat.policy.PriorityClass;
 
 /**
- * Digests of the settings on which estimates depend. They are stored beside the estimates: another
- * digest drops an estimate at the next start, so the texts that go into them must not change.
+ * Digests of the settings that estimates depend on. They are stored with the estimates. At the next
+ * start an estimate whose digest differs is dropped, so the texts that are hashed must not change.
  */
 final class StateDigests {
   /**
-   * A call that took more than this part of the shortest latency objective would prevent all calls,
-   * so no stored estimate may be larger.
+   * Largest fraction of the shortest latency objective that a stored estimate of the call time may
+   * have. A longer estimate would prevent all calls.
    */
   private static final double MAX_CALL_PART_OF_OBJECTIVE = 0.25;
 
@@ -27,7 +27,7 @@
 
   private StateDigests() {}
 
-  /** Returns the digests and the largest possible estimates under the settings in force. */
+  /** Returns the digests and the maximum values of estimates under the settings in force. */
   static SettingsDigests of(IndexedSettings settings) {
     Map<String, String> classes = new HashMap<>();
     Map<String, String> tenants = new HashMap<>();
@@ -69,7 +69,7 @@
           MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
       return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // each Java platform has it
+      throw new IllegalStateException(e); // every Java platform supports SHA-256
     }
   }
 }
--- a/src/main/java/rosecleat/node/StatePersistence.java
+++ b/src/main/java/rosecleat/node/StatePersistence.java
@@ -12,8 +12,8 @@
 import rosecleat.state.StateStoreOpener;
 
 /**
- * Connects a node to its folder of state. Loaded only where the broker's file has a section {@code
- * state}, so that other nodes start without the classes of the store.
+ * Persists estimates in the state folder of a node. Loaded only if the broker's file has a section
+ * {@code state}, so that other nodes start without the classes of the store.
  */
 final class StatePersistence implements EstimatePersistence {
   private final StateConfig initial;
@@ -21,7 +21,7 @@
   private final Log log;
   private IndexedSettings settings;
   private StateStore store;
-  private SettingsDigests digests; // null until they are needed under the settings in force
+  private SettingsDigests digests; // null until they are requested under the settings in force
 
   /** Starts to open the folder in the background; the node may be built later. */
   StatePersistence(StateConfig initial, Log log) {
--- a/src/main/java/rosecleat/node/TakeoverPhase.java
+++ b/src/main/java/rosecleat/node/TakeoverPhase.java
@@ -1,13 +1,13 @@
 package rosecleat.node;
 
 /**
- * The shutdown of a process that a successor takes over from: requests that are here are served as
- * ever, and later ones arrive at the successor. The listeners are closed first, as soon as the
- * successor serves and at an instant when no connection waits at them; clients are asked to close
- * their connections after that, so that they reconnect to the successor.
+ * The shutdown of a process that a successor takes over from. Requests that have arrived here are
+ * served as usual, and later ones arrive at the successor. The listeners are closed first: as soon
+ * as the successor serves requests and the backlog of the listener is empty. Clients are asked to
+ * close their connections only after that, so that they reconnect to the successor.
  */
 final class TakeoverPhase extends ShutdownPhase {
-  /** A uwsgi connection that has been silent for this long is not waited for (us). */
+  /** A uwsgi connection on which nothing has been received for this long is closed (us). */
   private static final long QUIET_PERIOD_US = 500_000;
 
   private boolean listenersClosed;
@@ -18,8 +18,10 @@
   }
 
   /**
-   * Towards the end also with open listeners: while all connections are taken, they cannot be
-   * closed, and a client that reconnects to this process is served and asked again.
+   * Returns true once the listeners are closed. Near the end of the time this also returns true
+   * while the listeners are open: they cannot be closed while the maximum number of connections is
+   * open. A client that then reconnects to this process is served and asked to close its connection
+   * again.
    */
   @Override
   boolean closesConnections() {
@@ -27,15 +29,16 @@
   }
 
   /**
-   * Returns whether the successor has ended or leaves while this process can still do without it.
+   * Returns whether the successor has ended or is leaving while the listeners of this process are
+   * still open, so that this process can drain instead.
    */
   boolean isAbandoned() {
     return !listenersClosed && !parts.takeover.successorTakesOver();
   }
 
   /**
-   * Waits also for runs with an idempotency key that no client here waits for: a retry at the
-   * successor may ask for their results.
+   * Waits also for runs with an idempotency key whose response no client here awaits, since a retry
+   * at the successor may request their results.
    */
   @Override
   boolean closeCompleted(boolean hurry) {
--- a/src/main/java/rosecleat/node/UwsgiFrontendFactory.java
+++ b/src/main/java/rosecleat/node/UwsgiFrontendFactory.java
@@ -7,13 +7,16 @@
 import rosecleat.front.uwsgi.UwsgiRunner;
 
 /**
- * Creates the uwsgi front. A class of its own, so that a node without that front loads none of the
- * classes that it needs.
+ * Creates the uwsgi frontend. This is a separate class so that a node without that frontend loads
+ * none of the classes that it needs.
  */
 final class UwsgiFrontendFactory {
   private UwsgiFrontendFactory() {}
 
-  /** Creates the front for the broker's configuration in force; its ids get a seed of their own. */
+  /**
+   * Creates the frontend for the broker's configuration in force. Its generated ids use a seed that
+   * differs from that of the node.
+   */
   static UwsgiFrontend create(NodeParts parts, long nodeSeed) throws IOException {
     BrokerConfig broker = parts.settings.broker().orElseThrow();
     InstanceBalancer balancer = parts.fleet.balancer();
