--- a/src/test/java/rosecleat/node/ConfigReloaderTest.java
+++ b/src/test/java/rosecleat/node/ConfigReloaderTest.java
@@ -16,7 +16,7 @@
 import rosecleat.config.NodeConfigReader;
 import rosecleat.log.Log;
 
-/** SIGHUP, as a process gets it: the virtual machine that runs this test would end on it. */
+/** Reloading on a real SIGHUP, which by default would terminate the JVM that runs this test. */
 class ConfigReloaderTest {
   @Test
   void signalAppliesAValidFileAndAnInvalidFileChangesNothing(@TempDir Path folder)
@@ -29,7 +29,7 @@
       ConfigReloader reload = new ConfigReloader(read(env), () -> read(env), log);
       reload.install();
       sendHangupSignal();
-      reload.setListener(applied::add); // the signal that came before is made up for, or comes now
+      reload.setListener(applied::add); // the first signal is handled here if it arrived earlier
       assertEquals(4400, applied.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
       for (String bad :
           List.of(
@@ -54,7 +54,7 @@
         Files.writeString(file, bad);
         reload.reload();
       }
-      assertTrue(applied.isEmpty(), "a configuration that can't be used was applied");
+      assertTrue(applied.isEmpty(), "an invalid configuration was applied");
       Files.writeString(file, good.replace("4400", "4401"));
       sendHangupSignal();
       assertEquals(4401, applied.poll(10, TimeUnit.SECONDS).node().runtimeAddress().getPort());
--- a/src/test/java/rosecleat/node/DeploymentSizesTest.java
+++ b/src/test/java/rosecleat/node/DeploymentSizesTest.java
@@ -20,13 +20,13 @@
 import rosecleat.log.Log;
 
 /**
- * Other deployments than the one at hand: each starts, serves every class of its first and last
- * tenant, and ends.
+ * Deployments of various sizes: each starts, serves every class of its first and last tenant, and
+ * ends.
  */
 class DeploymentSizesTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private int tag;
+  private int lastTag;
 
   private static NodeConfig config(
       int runtime,
@@ -69,9 +69,8 @@
   }
 
   private static String name(int classIndex) {
-    return classIndex == 0
-        ? "card-refresh"
-        : "class-" + classIndex; // the fake runtime's runs of this name call below
+    // Runs of the name card-refresh make a call in the fake runtime.
+    return classIndex == 0 ? "card-refresh" : "class-" + classIndex;
   }
 
   @ParameterizedTest
@@ -104,19 +103,19 @@
     }
   }
 
-  /** Sends a request of each class, or of some twenty where there are more. */
+  /** Sends a request of each class, or of about 20 classes if there are more. */
   private void serveEachClass(RespClient client, int classes, String tenant, int callers)
       throws Exception {
     for (int index = 0; index < classes; index += Math.max(1, classes / 20)) {
-      tag++;
-      String key = index % 2 == 1 ? ",once=" + "%032x".formatted(tag) : "";
+      lastTag++;
+      String key = index % 2 == 1 ? ",once=" + "%032x".formatted(lastTag) : "";
       client.send(
           RespClient.array(
               "DO",
-              String.valueOf(tag),
+              String.valueOf(lastTag),
               name(index),
               "id=%016x,at=%d,from=%d,tenant=%s,"
-                      .formatted(tag, System.currentTimeMillis(), callers, tenant)
+                      .formatted(lastTag, System.currentTimeMillis(), callers, tenant)
                   + "wait=2900,kb=2,rank=0.5"
                   + key,
               "b"));
--- a/src/test/java/rosecleat/node/DescriptorBudgetTest.java
+++ b/src/test/java/rosecleat/node/DescriptorBudgetTest.java
@@ -8,8 +8,8 @@
 
 class DescriptorBudgetTest {
   /**
-   * Balancers open connections up to half of the limit; a node with a large share of the index can
-   * use it.
+   * Balancers get connections up to half of the limit; a node whose share of the index is large can
+   * use the rest for calls.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/rosecleat/node/DescriptorLimitTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -23,8 +23,8 @@
 import rosecleat.harness.ServeProcess;
 
 /**
- * A process whose descriptors the system itself limits, under clients that take all they can get
- * and say nothing.
+ * A process whose file descriptors the operating system limits, with clients that open as many
+ * connections as they can and stay idle.
  */
 class DescriptorLimitTest {
   @TempDir Path folder;
@@ -70,23 +70,24 @@
         FakeIndex index = new FakeIndex();
         FakeRegistry registry = new FakeRegistry()) {
       int registryPort = registry.port();
-      registry.down(); // discovery is away from before the start
+      registry.down(); // the registry is unavailable before the start
       process = process(descriptors, runtime.port(), index.port(), registryPort, listen);
       await(
-          "it does not listen",
+          "node does not listen",
           () -> log().contains("listens on") && log().contains("the runtime is up"));
       openIdleConnections(2 * descriptors, listen);
       try (RespClient balancer = new RespClient(listen, null)) {
         assertEquals("OK", answer(balancer, "balance-check"));
         assertEquals("OK", answer(balancer, "card-refresh"));
-        assertEquals(1, index.lines.size(), "its call was made");
+        assertEquals(1, index.lines.size(), "number of calls to the index");
         runtime.cut();
         assertEquals("OK", answer(balancer, "balance-check"));
         registry.up();
-        long backNs = System.nanoTime();
-        await("not listed again", () -> !registry.reports.isEmpty());
+        long recoveredAtNs = System.nanoTime();
+        await("node is not reported to the registry again", () -> !registry.reports.isEmpty());
         assertTrue(
-            System.nanoTime() - backNs < 1_000_000_000L, "listed again after more than a second");
+            System.nanoTime() - recoveredAtNs < 1_000_000_000L,
+            "reported again after more than 1 s");
         assertEquals("OK", answer(balancer, "card-refresh"));
       }
       assertFalse(log().contains("Too many open files") || log().contains("no socket"), log());
@@ -101,11 +102,11 @@
   }
 
   /**
-   * A request waited for half a second and more behind clients that say nothing, until it was
-   * rejected for being late. It lay unread: each wave of evictions freed a quarter of the places at
-   * most, and waited for the poll after the time in which bytes may be in flight. The bound is the
-   * latency objective of its class; eight times as many clients as there are places stand before
-   * it.
+   * A request behind idle clients waited unread for half a second and more, until it was rejected
+   * as late: each wave of evictions freed at most a quarter of the connections, and waited for the
+   * poll after the time in which bytes may be in flight. The bound is the latency objective of the
+   * request's class. Eight times as many idle clients as the maximum number of connections connect
+   * before it.
    */
   @ParameterizedTest
   @ValueSource(ints = {64, 200})
@@ -116,10 +117,11 @@
         FakeRegistry registry = new FakeRegistry()) {
       process = process(descriptors, runtime.port(), index.port(), registry.port(), listen);
       await(
-          "it does not listen",
+          "node does not listen",
           () -> log().contains("listens on") && log().contains("the runtime is up"));
-      int places = DescriptorBudget.of(descriptors, 0, TestSite.CALLS_OUT, false).balancers();
-      openIdleConnections(8 * places, listen);
+      int maxConnections =
+          DescriptorBudget.of(descriptors, 0, TestSite.CALLS_OUT, false).balancers();
+      openIdleConnections(8 * maxConnections, listen);
       long sentNs = System.nanoTime();
       try (RespClient balancer = new RespClient(listen, null)) {
         String word = answer(balancer, "balance-check");
@@ -137,7 +139,7 @@
     }
   }
 
-  /** Opens connections of clients that never close them, whatever they are told. */
+  /** Opens connections of clients that never close them, even when asked to. */
   private void openIdleConnections(int count, int port) throws IOException {
     for (int i = 0; i < count; i++) {
       Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
--- a/src/test/java/rosecleat/node/JitWarmupTest.java
+++ b/src/test/java/rosecleat/node/JitWarmupTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.fakes.TestSite;
 
-/** The lives played before a node listens are whole ones: read, run, called for and served. */
+/** The requests of the warm-up pass all stages: they are parsed, run, make calls and are served. */
 class JitWarmupTest {
   @Test
   void warmupRequestsAreServed() {
--- a/src/test/java/rosecleat/node/MisbehavingClientsTest.java
+++ b/src/test/java/rosecleat/node/MisbehavingClientsTest.java
@@ -18,8 +18,8 @@
 import rosecleat.log.Log;
 
 /**
- * Clients that mean harm or know no better: each is refused or closed in time, and a balancer goes
- * on.
+ * Malicious or faulty clients: each is rejected or disconnected in time, while requests of a
+ * balancer continue to be served.
  */
 class MisbehavingClientsTest {
   private final FakeRuntime runtime = new FakeRuntime(20);
@@ -37,7 +37,7 @@
     node.start();
     balancer = connect();
     while (!served(1)) {
-      Thread.yield(); // the runtime comes up
+      Thread.yield(); // wait until the runtime is connected
     }
   }
 
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Reads until the connection ends, which must be in order: a reset could cost answers. The words
-   * are the answers'.
+   * Returns the status words of all responses until the connection ends. It must be closed
+   * gracefully, since a reset could lose responses.
    */
   private static List<String> answersUntilClosed(RespClient client) throws IOException {
     List<String> answers = new ArrayList<>();
@@ -92,13 +92,14 @@
     List<String> answers = answersUntilClosed(errant);
     assertEquals(64, Collections.frequency(answers, "FAILED"));
     assertEquals(65, answers.size());
-    assertEquals("BYE", answers.get(64)); // the wish to close goes last, and the end with it
+    // The request to close is sent last, followed by the end of the stream.
+    assertEquals("BYE", answers.get(64));
     assertTrue(served(3));
   }
 
   /**
-   * Guards what was read well: one who errs too often is shut out, and still gets the answers that
-   * are owed to it.
+   * Guards valid requests of a client that is disconnected for too many invalid requests: the
+   * client still gets their responses.
    */
   @Test
   void validRequestsAroundTooManyInvalidOnesGetResponses() throws IOException {
@@ -129,8 +130,8 @@
   }
 
   /**
-   * Guards what was read well on a connection whose bytes make no sense later: it is answered
-   * before the end.
+   * Guards a valid request on a connection that later carries malformed bytes: its response is sent
+   * before the connection is closed.
    */
   @Test
   void requestBeforeMalformedBytesGetsItsResponse() throws IOException {
@@ -150,8 +151,8 @@
   }
 
   /**
-   * Guards what stands behind an array that can't be answered, as it has no tag: the stream goes on
-   * there.
+   * Guards a request after an array that cannot be answered because it has no tag: parsing
+   * continues after that array.
    */
   @Test
   void requestAfterAnArrayWithoutTagGetsItsResponse() throws IOException {
@@ -179,7 +180,8 @@
     assertEquals(List.of("BYE"), answersUntilClosed(huge));
     RespClient large = connect();
     large.send(RespClient.array("DO", 1, "balance-check", "id", new byte[10_000_000]));
-    assertEquals("FAILED", large.answer().get(1)); // skipped, and the connection can go on
+    // The body is skipped, and the connection stays usable.
+    assertEquals("FAILED", large.answer().get(1));
     assertTrue(served(3));
   }
 }
--- a/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
@@ -23,24 +23,24 @@
 import rosecleat.fakes.UwsgiClient;
 
 /**
- * Both protocols at once at 150% of what the cores can do, with every rule counted after each
+ * Both protocols at once at 150% of the capacity of the cores. All rules are checked after each
  * request.
  */
 class MixedProtocolLoadTest {
   private static final int WORK_MS = 20;
   private static final int WAIT_MS = 900;
 
-  /** The rule's slack of 130 ms, and room for a busy machine that runs this test (ms). */
+  /** The permitted response delay of 130 ms plus an allowance for a busy test machine (ms). */
   private static final long SLACK_MS = 130 + 500;
 
   private static final int GRACE_MS = 600;
   private static final int STOP_MS = 3_000;
   private static final int MAX_OPEN_REQUESTS = 32;
 
-  /** One request as sent, and the words that came back for it. */
+  /** A request as sent. Its due time is the latest time of its response without slack. */
   private record Sent(String body, boolean uwsgi, long dueMs, boolean afterGrace) {}
 
-  /** The rules, counted after each answer. */
+  /** Checks the rules on each response, and counts violations. */
   private final class RuleChecker {
     final Map<String, Integer> violations = new ConcurrentHashMap<>();
     final Map<String, Integer> served = new ConcurrentHashMap<>();
@@ -51,10 +51,14 @@
       violations.merge(rule + (sent == null ? "" : " " + sent.body), 1, Integer::sum);
     }
 
-    /** {@code word} is OK, BUSY or FAILED on either wire. */
+    /**
+     * Checks a response.
+     *
+     * @param word OK, BUSY or FAILED, for both protocols
+     */
     void answered(Sent sent, String word, String body) {
       if (answers.merge(sent, 1, Integer::sum) > 1) {
-        recordViolation("two answers", sent);
+        recordViolation("answered twice", sent);
       }
       if (System.currentTimeMillis() > sent.dueMs + SLACK_MS) {
         recordViolation("late", sent);
@@ -66,25 +70,24 @@
       if (word.equals("OK")) {
         served.merge(sent.uwsgi ? "uwsgi" : "resp", 1, Integer::sum);
         if (starts == 0 || !body.equals(FakeRuntime.result(sent.body))) {
-          recordViolation("served with what no run made", sent);
+          recordViolation("served with a result that no run returned", sent);
         }
       }
-      if (word.equals("BUSY")
-          && starts > 0
-          && !sent.body.startsWith("load")) { // of a load another try may run
-        recordViolation("refused after it ran", sent);
+      // Another attempt with the same key may run a load.
+      if (word.equals("BUSY") && starts > 0 && !sent.body.startsWith("load")) {
+        recordViolation("rejected after it ran", sent);
       }
       if (sent.afterGrace && starts > 0 && !sent.body.startsWith("load")) {
-        recordViolation("run after the grace", sent);
+        recordViolation("run after the grace period", sent);
       }
     }
   }
 
-  /** A balancer's connection with its reader. */
+  /** A balancer's connection and the task that reads its responses. */
   private final class Balancer {
     private final RespClient client;
     private final Map<Long, Sent> open = new ConcurrentHashMap<>();
-    private final Semaphore places = new Semaphore(MAX_OPEN_REQUESTS);
+    private final Semaphore freeSlots = new Semaphore(MAX_OPEN_REQUESTS);
     private volatile boolean leaving;
     private long lastTag;
 
@@ -99,10 +102,10 @@
           if (words.get(1).equals("BYE")) {
             leaving = true;
           } else {
-            places.release();
+            freeSlots.release();
             Sent sent = open.remove(Long.parseLong(words.get(0)));
             if (sent == null) {
-              rules.recordViolation("an answer to nothing", null);
+              rules.recordViolation("response without a request", null);
             } else {
               rules.answered(sent, words.get(1), words.get(3));
             }
@@ -118,7 +121,7 @@
     }
 
     void send(Sent sent, String className, String key) {
-      if (leaving || !places.tryAcquire()) {
+      if (leaving || !freeSlots.tryAcquire()) {
         return;
       }
       rules.sentCounts.merge("resp", 1, Integer::sum);
@@ -164,13 +167,13 @@
       Semaphore left = new Semaphore(0);
       long notice = System.nanoTime();
       harness.node.beginShutdown(left::release);
-      for (int i = 0; i < perSecond; i++) { // a second more, past the grace
+      for (int i = 0; i < perSecond; i++) { // one more second, beyond the end of the grace period
         pace(notice + i * gap);
         sendRequest(
             count + i, balancers, System.nanoTime() - notice > (GRACE_MS + 100) * 1_000_000L);
         assertEquals(Map.of(), rules.violations, "after request " + i + " of the drain");
       }
-      assertTrue(left.tryAcquire(STOP_MS, TimeUnit.MILLISECONDS), "it does not leave in time");
+      assertTrue(left.tryAcquire(STOP_MS, TimeUnit.MILLISECONDS), "shutdown not completed in time");
       checkEveryRequestWasAnswered();
     } finally {
       pool.shutdownNow();
@@ -178,7 +181,7 @@
     }
   }
 
-  /** Both protocols are overloaded, and neither takes much more than its part. */
+  /** Both protocols are overloaded, and neither is served a much larger share than the other. */
   private void checkServedShares() {
     int sentResp = rules.sentCounts.get("resp");
     int sentUwsgi = rules.sentCounts.get("uwsgi");
@@ -207,7 +210,7 @@
     }
   }
 
-  /** Sends by one protocol or the other; a load goes by both, under one key. */
+  /** Sends a request by one of the protocols. A load is sent by both, with the same key. */
   private void sendRequest(int i, List<Balancer> balancers, boolean afterGrace) {
     boolean load = i % 10 == 0;
     String body = (load ? "load" : "read") + i;
@@ -246,7 +249,8 @@
         rules.recordViolation("answered " + reply.status(), sent);
       }
     } catch (java.net.ConnectException e) {
-      if (!harness.ask(core -> core.gracePeriodEnded())) { // a refused connection: nothing ran
+      // Nothing ran on a connection that was refused.
+      if (!harness.ask(core -> core.gracePeriodEnded())) {
         rules.recordViolation("not accepted", sent);
       }
     } catch (IOException e) {
--- a/src/test/java/rosecleat/node/NodeHarness.java
+++ b/src/test/java/rosecleat/node/NodeHarness.java
@@ -15,7 +15,9 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 
-/** A whole node on loopback between stand-ins: a runtime, a uwsgi backend, and both fronts. */
+/**
+ * A complete node on loopback between a fake runtime and a fake uwsgi backend, with both frontends.
+ */
 final class NodeHarness implements AutoCloseable {
   private static final String CARDS =
       """
@@ -71,7 +73,7 @@
     this(workMs, stopMs, graceMs, folder, true);
   }
 
-  /** A node that has a runtime, or (false) only its backends. */
+  /** Starts a node that has a runtime or, if {@code hasRuntime} is false, only its backends. */
   NodeHarness(int workMs, int stopMs, int graceMs, Path folder, boolean hasRuntime)
       throws IOException {
     runtime = new FakeRuntime(workMs);
@@ -85,7 +87,10 @@
     await(core -> core.ready());
   }
 
-  /** A broker's file in a folder, with more sections at its end, read over a node's settings. */
+  /**
+   * Writes a broker's file with additional sections at its end into a folder, and reads it with a
+   * node's settings.
+   */
   static BrokerConfig broker(Path folder, int backend, NodeConfig config, String more)
       throws IOException {
     Files.writeString(folder.resolve("cards.yaml"), CARDS);
@@ -94,12 +99,12 @@
     return BrokerConfigReader.read(folder.resolve("broker.yaml"), config.settings());
   }
 
-  /** Asks the core something on its own thread. */
+  /** Evaluates a function of the core on the event loop. */
   <T> T ask(Function<Core, T> question) {
     return NodeProbe.ask(node, question);
   }
 
-  /** Waits until something holds of the core. */
+  /** Waits until a condition on the core is true. */
   void await(Function<Core, Boolean> condition) {
     Await.until(() -> ask(condition), () -> ask(core -> core.counters().toString()));
   }
--- a/src/test/java/rosecleat/node/NodeIndexTest.java
+++ b/src/test/java/rosecleat/node/NodeIndexTest.java
@@ -10,7 +10,7 @@
 import rosecleat.core.Core;
 import rosecleat.fakes.RespClient;
 
-/** Calls to the index that end in all ways, and replies that make no sense. */
+/** Calls to the index with each possible outcome, and malformed replies. */
 class NodeIndexTest extends NodeLinksHarness {
   @Test
   void callCarriesTheRunsBodyAndReturnsItsReply() throws IOException {
@@ -26,7 +26,7 @@
   void eachOutcomeOfACallIsCountedAndRetried() throws IOException {
     startServing();
     index.answers.addAll(List.of("SHED", "HIT", "BROKEN", "HIT", "NOBODY", "SLOW", "cut", "HIT"));
-    for (int i = 0; i < 4; i++) { // reads may call again after any failure; all end well
+    for (int i = 0; i < 4; i++) { // reads may repeat a call after any failure; all of them succeed
       assertEquals("OK", answer("card-refresh").get(1));
     }
     assertEquals(8, index.lines.size());
@@ -39,7 +39,7 @@
   void unreachableIndexProvesThatNoCallRan() throws IOException {
     startServing();
     index.close();
-    assertEquals("OK", answer("card-refresh").get(1)); // served without the call
+    assertEquals("OK", answer("card-refresh").get(1)); // served without the result of the call
     assertTrue(count("calls.unreached") > 0);
     assertEquals(0, count("calls.cut"));
   }
@@ -53,8 +53,8 @@
     client.send(RespClient.array("UNDO", tag));
     await(() -> index.lines.contains("STOP " + id) && runtime.commands.contains("stop " + id));
     assertEquals("OK", answer("card-refresh").get(1));
-    assertEquals(
-        2, count("index.connections")); // a reply that never came may still come on the first
+    // The reply that is missing may still arrive on the first connection.
+    assertEquals(2, count("index.connections"));
     assertEquals(0, ask(Core::inFlight));
   }
 
@@ -73,12 +73,12 @@
             "x".repeat(100),
             "nobody SHED\r\n");
     for (String text : malformedReplies) {
-      index.answers.addAll(
-          List.of("wait", "raw " + text)); // the first is out while the second is spoilt
+      // The first call is outstanding while the reply to the second is malformed.
+      index.answers.addAll(List.of("wait", "raw " + text));
       send("card-refresh", null);
       await(() -> index.answers.size() == 1);
       send("card-refresh", null);
-      assertEquals("OK", client.answer().get(1)); // a read may call again
+      assertEquals("OK", client.answer().get(1)); // a read may repeat its call
       index.release.countDown();
       assertEquals("OK", client.answer().get(1));
       index.release = new CountDownLatch(1);
@@ -98,9 +98,9 @@
             "raw ID SHED\r\nID HIT 3\r\nbad\r\n",
             "raw " + hit + hit,
             "HIT"));
-    for (int i = 0;
-        i < 3;
-        i++) { // the second calls twice: the surplus reply to its first call is not the second's
+    // The second request calls twice: the surplus reply to its first call is not a reply to its
+    // second.
+    for (int i = 0; i < 3; i++) {
       assertEquals("OK", answer("card-refresh").get(1));
     }
     assertTrue(runtime.gives.stream().noneMatch(g -> g.contains("bad")), runtime.gives.toString());
--- a/src/test/java/rosecleat/node/NodeLinksHarness.java
+++ b/src/test/java/rosecleat/node/NodeLinksHarness.java
@@ -14,7 +14,7 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 
-/** A node on loopback between a fake runtime, index and registry, and one client. */
+/** A node on loopback between a fake runtime, a fake index and a fake registry, with one client. */
 abstract class NodeLinksHarness {
   final FakeRuntime runtime = new FakeRuntime(100);
   final FakeIndex index = new FakeIndex();
@@ -43,7 +43,7 @@
     await(() -> count("") >= 0 && ready());
   }
 
-  /** The configuration of the test site, with the fakes' addresses of this moment. */
+  /** Returns the configuration of the test site with the current addresses of the fakes. */
   NodeConfig config() {
     return TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500);
   }
--- a/src/test/java/rosecleat/node/NodeProcessTest.java
+++ b/src/test/java/rosecleat/node/NodeProcessTest.java
@@ -11,11 +11,11 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 
-/** The notice to leave against the making of the node. */
+/** SIGTERM while a node is being built. */
 class NodeProcessTest {
   /**
-   * Guards callers whom a starting node has accepted: the notice finds the node that listens, and
-   * lets it leave.
+   * Guards clients that a starting node has accepted: a shutdown request waits for the node that is
+   * about to listen, so that this node is shut down gracefully.
    */
   @Test
   void shutdownRequestWaitsForANodeThatIsBeingBuilt() throws Exception {
@@ -50,7 +50,7 @@
         assertEquals(
             false,
             nodeToShutDown.isDone(),
-            "the notice found nothing while a node was about to listen");
+            "shutdown request did not wait for the node that is being built");
         Thread.yield();
       }
       buildMayEnd.countDown();
@@ -67,7 +67,9 @@
           Optional.empty(),
           process.build(
               () -> {
-                throw new AssertionError("it would listen and be killed under its callers");
+                throw new AssertionError(
+                    "a node was built after the shutdown request; it would be killed while it"
+                        + " serves clients");
               }));
     }
   }
--- a/src/test/java/rosecleat/node/NodeRegistryTest.java
+++ b/src/test/java/rosecleat/node/NodeRegistryTest.java
@@ -15,16 +15,14 @@
 import rosecleat.net.EventLoop;
 import rosecleat.takeover.TakeoverCoordinator;
 
-/** What a node tells the registry, and what it makes of a registry that is down. */
+/** What a node reports to the registry, and how it handles a registry that is unavailable. */
 class NodeRegistryTest extends NodeLinksHarness {
   @Test
   void failedReportIsSentAgainEachSecond() throws IOException {
     registry.mood = "";
     startServing();
-    await(
-        () ->
-            registry.reports.size()
-                == 2); // the first got no answer: it was given up, and a new link made
+    // The first report got no response: it was abandoned, and a new connection opened.
+    await(() -> registry.reports.size() == 2);
     registry.mood = "503";
     await(() -> registry.reports.size() == 3);
     registry.mood = "204";
@@ -33,15 +31,15 @@
   }
 
   /**
-   * Guards a drain by call against that of SIGTERM: only health checks may hear of it, and nothing
-   * is turned away.
+   * Guards the difference between a drain by operators and that of SIGTERM: a drain by operators
+   * changes only health checks, and no request is rejected.
    */
   @Test
   void operatorDrainChangesOnlyHealthChecks() throws IOException {
     Counters counters = new Counters();
     TakeoverCoordinator takeover = TakeoverCoordinator.join(Optional.empty(), counters, log);
     NodeOperations operators = new NodeOperations(takeover, new NoFleet());
-    operators.drain(); // before the node stands
+    operators.drain(); // before the node is built
     node =
         new Node(
             ProcessConfig.of(
@@ -57,7 +55,7 @@
     node.onLoop(() -> operators.attach(node));
     client = new RespClient(node.port(), null);
     await(this::ready);
-    for (int round = 0; round < 2; round++) { // told twice is told once
+    for (int round = 0; round < 2; round++) { // a repeated drain has no further effect
       node.onLoop(operators::drain);
       assertEquals("DOWN", healthCheck());
       assertEquals("OK", answer("balance-check").get(1));
@@ -79,15 +77,16 @@
   }
 
   /**
-   * Guards a release while the registry is down: the node serves and leaves without it, and tells
-   * it when it is back.
+   * Guards a deployment while the registry is unavailable: the node serves requests and shuts down
+   * without it, and sends its report once the registry is available again.
    */
   @Test
   void unreachableRegistryDelaysNothingAndGetsTheReportOnceItIsBack() throws Exception {
     registry.down();
     startServing();
     assertEquals("OK", answer("balance-check").get(1));
-    await(() -> count("roster.failed") >= 3); // tried again sooner than the next second's report
+    // Retried before the next periodic report, which follows after 1 s.
+    await(() -> count("roster.failed") >= 3);
     CompletableFuture<Void> left = new CompletableFuture<>();
     node.beginShutdown(() -> left.complete(null));
     Thread.sleep(300);
@@ -108,11 +107,11 @@
     await(() -> registry.reports.get(registry.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 5, ""));
     assertEquals("DOWN", client.answer().get(1));
-    assertEquals("OK", answer("balance-check").get(1)); // within the grace
+    assertEquals("OK", answer("balance-check").get(1)); // within the grace period
     await(() -> ask(Core::gracePeriodEnded));
-    Thread.sleep(5); // requests tell whole milliseconds
-    assertEquals(
-        "BUSY", answer("balance-check").get(1)); // behind it: nothing is run, all is answered
+    Thread.sleep(5); // requests carry their times in whole milliseconds
+    // After the grace period no request is run, but each gets a response.
+    assertEquals("BUSY", answer("balance-check").get(1));
     assertTrue(client.byes > 0);
     client.close();
     left.get(2, TimeUnit.SECONDS);
--- a/src/test/java/rosecleat/node/NodeReloadTest.java
+++ b/src/test/java/rosecleat/node/NodeReloadTest.java
@@ -11,12 +11,12 @@
 import rosecleat.fakes.RespClient;
 import rosecleat.fakes.TestSite;
 
-/** A configuration that changes while requests run and connections open. */
+/** A configuration that changes while requests run and connections are open. */
 class NodeReloadTest extends NodeLinksHarness {
   @Test
   void runsContinueWhenTheRuntimeMoves() throws IOException {
     startServing();
-    for (int round = 0; round < 3; round++) { // reloads in a row, each with a run in hand
+    for (int round = 0; round < 3; round++) { // successive reloads, each with a run in progress
       send("balance-check", null);
       int started = round + 1;
       await(() -> runtime.starts.size() == started);
@@ -29,9 +29,10 @@
   }
 
   /**
-   * A start that the runtime had received was sent again after a move, and ran twice where its run
-   * had just ended. The node held every command sent in the last second for lost, although the
-   * former connection was open and could prove that all had arrived.
+   * A start command that the runtime had received was sent again after the runtime's address
+   * changed, and ran twice if its run had just ended. The node considered every command of the last
+   * second lost, although the former connection was still open and could prove that all commands
+   * had arrived.
    */
   @Test
   void commandsTheRuntimeHasReceivedAreNotResentAfterAMove() throws IOException {
@@ -51,7 +52,7 @@
   void reloadWhileConnectingConnectsToTheLastAddress() throws IOException {
     startServing();
     runtime.moveAway();
-    node.reload(ProcessConfig.of(TestSite.config(1, 1, 1, 2_000, 500))); // nobody listens there
+    node.reload(ProcessConfig.of(TestSite.config(1, 1, 1, 2_000, 500))); // no process listens there
     reload();
     reload();
     assertEquals("OK", answer("card-refresh").get(1));
@@ -87,8 +88,8 @@
   }
 
   /**
-   * Guards requests against new settings: what is open keeps its class, only new requests go by the
-   * new names.
+   * Guards requests against changed settings: requests in flight retain their class, and only new
+   * requests use the new names.
    */
   @Test
   void reloadedClassesApplyToLaterRequestsOnly() throws IOException {
@@ -102,8 +103,8 @@
     for (int round = 1; round <= 30; round++) {
       reloadWithOtherNames(file, round);
     }
-    assertEquals(
-        FakeRuntime.result("body 1"), client.answer().get(3)); // it runs on, as what it came as
+    // The run continues with the class of its request.
+    assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals("FAILED", answer("card-load").get(1));
     assertEquals("FAILED", answer("balance-check").get(1));
     assertEquals("OK", answer("check-30").get(1));
@@ -115,19 +116,20 @@
         runtime.starts.toString());
     node.reload(ProcessConfig.of(NodeConfigReader.parse(file, Map.of())));
     send("card-load", "k");
+    // The load above has another body than the first load with this key; this one has the same.
     client.send(
         RespClient.array(
             "DO",
             90,
             "card-load",
             RespClient.fields("00000000000000f9", "small", 900, "k"),
-            "body 1")); // the first of them has another body under that key, this one the first's
+            "body 1"));
     assertEquals("FAILED", client.answer().get(1));
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals(1, runtime.startsOf("body 1"));
   }
 
-  /** Reloads with another name for two classes and a tenant. */
+  /** Reloads with other names for two classes and a tenant. */
   private void reloadWithOtherNames(String file, int round) {
     String renamed =
         file.replace("card-load", "load-" + round)
--- a/src/test/java/rosecleat/node/NodeRuntimeTest.java
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -11,7 +11,10 @@
 import rosecleat.fakes.RespClient;
 import rosecleat.fakes.TestSite;
 
-/** A node whose connection to its runtime breaks, falls silent or carries nonsense. */
+/**
+ * A node whose connection to its runtime breaks, stops delivering messages or carries malformed
+ * messages.
+ */
 class NodeRuntimeTest extends NodeLinksHarness {
   @Test
   void healthChecksAreAnsweredWhileTheRuntimeStarts() throws IOException {
@@ -20,7 +23,8 @@
     client.send(RespClient.array("PING", 1, ""));
     assertEquals("UP", client.answer().get(1));
     assertTrue(!ready());
-    assertEquals("BUSY", answer("balance-check").get(1)); // nothing can run yet, and nothing has
+    // No request can run yet, and none has run.
+    assertEquals("BUSY", answer("balance-check").get(1));
     await(this::ready);
     assertEquals(FakeRuntime.result("body 2"), answer("balance-check").get(3));
   }
@@ -30,7 +34,7 @@
     startServing();
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
-    runtime.cut(); // the run goes on, and ends while there is no link
+    runtime.cut(); // the run continues, and ends while there is no connection
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals("OK", answer("balance-check").get(1));
     assertEquals(2, runtime.starts.size());
@@ -54,19 +58,21 @@
     startServing();
     runtime.swallow = 1;
     long sentNs = System.nanoTime();
-    send("card-load", "k"); // its runs may end without a call: a repeat could run it twice
+    // Runs of this class may end without a call, so a repeated start could run twice.
+    send("card-load", "k");
     await(() -> runtime.swallow == 0);
     runtime.cut();
     assertEquals("FAILED", client.answer().get(1));
-    assertTrue(System.nanoTime() - sentNs < 700_000_000, "it hung until its due time");
+    assertTrue(
+        System.nanoTime() - sentNs < 700_000_000, "request was not failed before its deadline");
     assertEquals(0, runtime.starts.size());
   }
 
   /**
-   * A request with an effect and no key ran twice. Its connection to the runtime broke while it
-   * ran; the node took the missing key for a sign that the start may be repeated, and sent it again
-   * after its run had ended. The runtime's record of commands showed it: {@code sync, start 1,
-   * sync, gauges, start 1}.
+   * A request with an effect and without a key ran twice. Its connection to the runtime broke while
+   * it ran; the node inferred from the missing key that the start may be repeated, and sent it
+   * again after its run had ended. The runtime's record of commands was {@code sync, start 1, sync,
+   * gauges, start 1}.
    */
   @Test
   void startOfSideEffectRequestWithoutKeyIsNeverResent() throws IOException {
@@ -74,7 +80,9 @@
     assertRunsOnceWhenItEndsAfterResumption("balance-check", null);
   }
 
-  /** Runs of a class that calls may end without a call (WIRE, extra.class-calls). */
+  /**
+   * Runs of a class that makes calls may end without a call (setting {@code extra.class-calls}).
+   */
   @Test
   void idempotentStartWhoseRunMayCallIsNeverResent() throws IOException {
     startServing(TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500, true));
@@ -87,14 +95,16 @@
     send(className, once);
     await(() -> runtime.starts.size() == 1);
     runtime.cut();
-    assertNotEquals("BUSY", client.answer().get(1)); // it ran
-    assertEquals("OK", answer("card-refresh").get(1)); // behind whatever was sent again
+    assertNotEquals("BUSY", client.answer().get(1)); // the request ran
+    // Processed after any command that was sent again.
+    assertEquals("OK", answer("card-refresh").get(1));
     assertEquals(1, runtime.startsOf("body 1"));
   }
 
   /**
-   * A class that calls may still end a run without a call, so that a start that may have arrived is
-   * no safer to repeat there than elsewhere. A run that has shown its end is in no doubt.
+   * A run of a class that makes calls may still end without a call, so repeating a start that may
+   * have arrived is no safer for such a class than for others. The outcome of a run whose end has
+   * been received is not in doubt.
    */
   @Test
   void idempotentStartWhoseRunMayCallFailsAtOnce() throws IOException {
@@ -105,7 +115,8 @@
     await(() -> runtime.swallow == 0);
     runtime.cut();
     assertEquals("FAILED", client.answer().get(1));
-    assertTrue(System.nanoTime() - sentNs < 700_000_000, "it hung until its due time");
+    assertTrue(
+        System.nanoTime() - sentNs < 700_000_000, "request was not failed before its deadline");
     assertEquals(0, runtime.starts.size());
     send("card-load", "k2");
     assertEquals(FakeRuntime.result("body 2"), client.answer().get(3));
@@ -116,8 +127,9 @@
 
   /**
    * The effect of a keyed request took place and its result arrived, yet every retry failed for the
-   * rest of the window. The request had been failed when its connection broke, since nothing proved
-   * that it ran; the end that proved it came a moment later and was dropped.
+   * rest of the key's window. The request had been failed when its connection broke, since there
+   * was no proof that it ran; the end of the run, which proved it, arrived a moment later and was
+   * dropped.
    */
   @Test
   void runEndReceivedAfterTheFailureAnswersRetriesWithTheSameKey() throws IOException {
@@ -126,7 +138,8 @@
     send("card-load", "k");
     await(() -> runtime.starts.size() == 1);
     runtime.cut();
-    assertEquals("FAILED", client.answer().get(1)); // at once: nothing proves that it runs
+    // Fails immediately: there is no proof that the request runs.
+    assertEquals("FAILED", client.answer().get(1));
     await(() -> count("runs.proven") == 1);
     retryFirstLoad();
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
@@ -134,9 +147,9 @@
   }
 
   /**
-   * A run that makes two calls took the reply to the first for the reply to the second. The reply
-   * had arrived, but its connection broke before that was proven, and the node sent it again: a
-   * reply names its run and no call.
+   * A run that makes two calls took the reply to its first call for the reply to its second. The
+   * reply had arrived, but its connection broke before that was proven, and the node sent the reply
+   * again: a reply names its run but no call.
    */
   @Test
   void callReplyIsNeverUsedForTheNextCall() throws IOException {
@@ -161,7 +174,8 @@
         "{\"type\":\"info\",\"n\":true,\"state\":\"x\"}\n[]\n{\"type\":\"end\"\n"
             + "{\"type\":\"end\",\"job\":\"0000000000000001\",\"state\":\"ok\",\"data\":\"?!\"}\n";
     send("balance-check", null);
-    assertEquals("FAILED", client.answer().get(1)); // its end came, its result can't be read
+    // The end of the run has arrived, but its result cannot be decoded.
+    assertEquals("FAILED", client.answer().get(1));
     assertEquals("OK", answer("balance-check").get(1));
     assertEquals(0, count("runtime.unreached"));
     assertEquals(1, count("runs.cut"));
@@ -180,8 +194,8 @@
   }
 
   /**
-   * Guards a node against a link that stays open and brings nothing: it must not wait for that for
-   * ever.
+   * Guards a node against a connection that stays open and delivers nothing: the node must not wait
+   * for it indefinitely.
    */
   @Test
   void unresponsiveConnectionIsReplaced() throws IOException {
@@ -190,7 +204,7 @@
     runtime.mute();
     await(() -> count("runtime.silent") == 1);
     client.close();
-    client = new RespClient(node.port(), null); // the other stood idle for too long
+    client = new RespClient(node.port(), null); // the former connection was idle for too long
     await(() -> responseWord("balance-check").equals("OK"));
     assertEquals(1, count("runtime.silent"));
   }
@@ -204,8 +218,8 @@
   }
 
   /**
-   * Guards an honest balancer that a reload left with a name too many: its other requests are no
-   * mistakes.
+   * Guards a correct balancer that uses a class name which a reload has removed: its other requests
+   * are valid, so it is not disconnected.
    */
   @Test
   void clientWithSomeValidRequestsIsNotDisconnected() throws IOException {
@@ -218,7 +232,7 @@
     }
   }
 
-  /** A further attempt of the first request, which was a load with the key {@code k}. */
+  /** Sends another attempt of the first request, which was a load with the key {@code k}. */
   private void retryFirstLoad() throws IOException {
     String fields = RespClient.fields("00000000000000f9", "small", 900, "k");
     client.send(RespClient.array("DO", 9, "card-load", fields, "body 1"));
--- a/src/test/java/rosecleat/node/NodeTickerTest.java
+++ b/src/test/java/rosecleat/node/NodeTickerTest.java
@@ -8,9 +8,9 @@
 import rosecleat.core.Request;
 import rosecleat.core.Runner;
 
-/** A tick of the node that fails. */
+/** A tick that fails with an exception. */
 class NodeTickerTest extends NodeLinksHarness {
-  /** Guards all that is done by time: one beat that fails must not be the last. */
+  /** Guards all time-driven work: a tick that throws must not be the last one. */
   @Test
   void tickingContinuesAfterATickThatThrows() throws Exception {
     startServing();
@@ -23,7 +23,7 @@
     left.get(3, TimeUnit.SECONDS);
   }
 
-  /** A runner that throws when it is first asked for gauges. */
+  /** A runner that throws on the first request for gauges. */
   private record FailingOnce(AtomicBoolean thrown) implements Runner {
     @Override
     public void start(Request ask, DeliveryGuarantee guarantee, long dueUs) {}
--- a/src/test/java/rosecleat/node/StateDigestsTest.java
+++ b/src/test/java/rosecleat/node/StateDigestsTest.java
@@ -18,8 +18,9 @@
 import rosecleat.facts.SettingsDigests;
 
 /**
- * The names and digests under which estimates are stored. Commit a6781e5 wrote the expected file
- * from the same configuration; a difference would drop every stored estimate at the next start.
+ * The names and digests under which estimates are stored. The expected file was written by commit
+ * a6781e5 from the same configuration; a difference would drop every stored estimate at the next
+ * start.
  */
 class StateDigestsTest {
   private static final Path FILES = Path.of("src/test/resources/rosecleat/node/learned-by-a6781e5");
--- a/src/test/java/rosecleat/node/StatePersistenceTest.java
+++ b/src/test/java/rosecleat/node/StatePersistenceTest.java
@@ -42,8 +42,8 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * A node that keeps what it learnt: started again, with other settings, beside another process, on
- * a bad folder.
+ * A node that persists its estimates: restarted, with changed settings, beside another process, and
+ * with an unusable folder.
  */
 class StatePersistenceTest {
   private static final String STATE = "\nstate: {folder: kept, every_ms: 100}\n";
@@ -126,11 +126,11 @@
       }
       return false;
     } catch (IOException e) {
-      return false; // it is being written this moment
+      return false; // the folder is being written at this moment
     }
   }
 
-  /** A node that has learnt something and is gone. */
+  /** Runs a node until it has stored estimates, and closes it. */
   private void storeEstimatesAndStop() throws Exception {
     node = start(config(), null);
     Await.until(() -> ask(node, Core::ready) && counter(node, "state.opened") == 1);
@@ -152,7 +152,8 @@
             .findFirst()
             .orElseThrow()
             .value();
-    assertTrue(us > 20_000 && us < 100_000, "a run of 30 ms is known before any was seen: " + us);
+    assertTrue(
+        us > 20_000 && us < 100_000, "estimate of runs of 30 ms before the first run (us): " + us);
   }
 
   @Test
@@ -207,8 +208,8 @@
 
   @Test
   void unusableFolderLeavesTheNodeServing() throws Exception {
-    Files.createFile(
-        folder.resolve("kept")); // a file where the folder should be; root may write anywhere else
+    // A file in place of the folder, since root may write to any other folder.
+    Files.createFile(folder.resolve("kept"));
     node = start(config(), null);
     Await.until(() -> ask(node, Core::ready));
     serve(node, 3);
@@ -234,7 +235,7 @@
     node.start();
     Await.until(() -> counter(node, "state.opened") == 1 && ask(node, Core::ready));
     serve(node, 12);
-    assertFalse(isStored("run-time"), "it is not time yet");
+    assertFalse(isStored("run-time"), "stored before the save interval has elapsed");
     CompletableFuture<Void> left = new CompletableFuture<>();
     node.beginShutdown(() -> left.complete(null));
     left.get(10, TimeUnit.SECONDS);
@@ -260,7 +261,7 @@
       Node newer = start(NodeConfigReader.parse(same, Map.of()), shared);
       node = newer;
       Await.until(() -> counter(newer, "state.taken") >= 3);
-      assertEquals(0, counter(newer, "state.opened"), "the older one writes");
+      assertEquals(0, counter(newer, "state.opened"), "the predecessor still owns the folder");
       CompletableFuture<Void> left = new CompletableFuture<>();
       older.beginShutdown(() -> left.complete(null));
       Await.until(() -> counter(newer, "state.opened") == 1);
--- a/src/test/java/rosecleat/node/TakeoverTest.java
+++ b/src/test/java/rosecleat/node/TakeoverTest.java
@@ -30,11 +30,11 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * A new version beside a running one: two nodes that share a folder and an address, as two
- * processes would.
+ * A new version of a node beside a running one: two nodes that share a folder and an address, as
+ * two processes would.
  */
 class TakeoverTest {
-  /** The protocol's time limits are this much longer on sockets. */
+  /** Extra time that the limits of the protocol get on sockets (ms). */
   private static final int SOCKET_SLACK_MS = 50;
 
   private final FakeRuntime oldRuntime = new FakeRuntime(300);
@@ -76,7 +76,9 @@
     client = new RespClient(older.port(), null);
   }
 
-  /** The newer one takes clients as soon as its runtime is up, and not before. */
+  /**
+   * Starts the successor, which serves clients as soon as its runtime is connected, and not before.
+   */
   private void startNewer() throws IOException {
     newRuntime.readyAfterMs = 300;
     newer = node(newRuntime, older.port());
@@ -110,8 +112,8 @@
   }
 
   /**
-   * Connects until the connection leads to the wanted one: the system spreads them while both
-   * listen.
+   * Connects until a connection reaches the target node: the operating system distributes
+   * connections while both nodes listen.
    */
   private RespClient connectTo(Node target) throws IOException {
     for (int i = 0; i < 100; i++) {
@@ -124,7 +126,7 @@
       }
       fresh.close();
     }
-    throw new AssertionError("no connection led there");
+    throw new AssertionError("no connection reached the target node");
   }
 
   @Test
@@ -134,7 +136,8 @@
     await(() -> oldRuntime.startsOf("held") == 1);
     CompletableFuture<Void> left = new CompletableFuture<>();
     assertTrue(
-        older.beginShutdown(() -> left.complete(null)) < 2_000_000, "longest deadline and 0.7 s");
+        older.beginShutdown(() -> left.complete(null)) < 2_000_000,
+        "longest timeout of a request plus 0.7 s");
     assertEquals("BYE", client.read().get(1));
     assertEquals(FakeRuntime.result("held"), client.read().get(3));
     try (RespClient after = new RespClient(newer.port(), null)) {
@@ -151,15 +154,16 @@
     assertTrue(
         registry.reports.stream().noneMatch(r -> r.contains("off")), registry.reports.toString());
     client = new RespClient(newer.port(), null);
-    newer.beginShutdown(() -> {}); // nobody takes over from this one: its notice to drain
+    newer.beginShutdown(() -> {}); // this node has no successor, so it drains
     await(() -> registry.reports.get(registry.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 2, ""));
-    assertEquals(
-        "DOWN", client.answer().get(1)); // on a busy machine the wish to close may come first
+    // On a busy machine the request to close may arrive first.
+    assertEquals("DOWN", client.answer().get(1));
   }
 
   /**
-   * Guards keyed requests, whose tries reach either process: one runs, the others get its bytes.
+   * Guards requests with an idempotency key whose attempts reach both processes: one attempt runs,
+   * and the others get its result.
    */
   @Test
   void idempotencyKeyRunsInOneProcessOnly() throws Exception {
@@ -192,8 +196,8 @@
   }
 
   /**
-   * Guards the shared index: two modules, each by its own count, would make twice the calls that
-   * the node may.
+   * Guards the shared index: two processes, each with its own count, would make twice the calls
+   * that the node may make.
    */
   @Test
   void bothProcessesTogetherStayWithinTheLimitsOfTheNode() throws Exception {
@@ -221,8 +225,8 @@
   }
 
   /**
-   * Guards clients of a node whose new process dies before it serves: the old one must drain as if
-   * it were alone.
+   * Guards clients of a node whose successor dies before it serves: the predecessor must drain as
+   * if it were alone.
    */
   @Test
   void predecessorDrainsWhenItsSuccessorEnds() throws Exception {
@@ -237,8 +241,9 @@
   }
 
   /**
-   * Both processes of a node were told to leave, the newer one first. The older one held it for the
-   * one that takes over, and went on to run requests that came long after the grace.
+   * Both processes of a node were requested to shut down, the newer one first. The older one still
+   * considered it the successor that takes over, and continued to run requests that arrived long
+   * after the grace period.
    */
   @Test
   void predecessorDrainsWhenItsSuccessorIsLeaving() throws Exception {
@@ -247,7 +252,8 @@
     older.beginShutdown(() -> {});
     await(() -> ask(older, Core::draining));
     await(() -> ask(older, Core::gracePeriodEnded));
-    Thread.sleep(SOCKET_SLACK_MS); // at the end itself a request may still run
+    // A request that arrives exactly at the end of the grace period may still run.
+    Thread.sleep(SOCKET_SLACK_MS);
     send(client, 1, "balance-check", null, "late");
     assertEquals("BUSY", client.answer().get(1));
     assertEquals(List.of(), oldRuntime.starts);
--- a/src/test/java/rosecleat/node/UwsgiFrontendTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -31,7 +31,10 @@
 import rosecleat.fakes.UwsgiClient;
 import rosecleat.fakes.UwsgiClient.Reply;
 
-/** The second front from request to answer, over loopback: each status, and what each proves. */
+/**
+ * The uwsgi frontend from request to response, over loopback: each status, and what it states about
+ * whether the request ran.
+ */
 class UwsgiFrontendTest {
   @TempDir Path folder;
   private NodeHarness harness;
@@ -71,8 +74,8 @@
   }
 
   /**
-   * Guards contracts against reloads: their classes and tenants go by other numbers in a file with
-   * other names.
+   * Guards contracts against reloads: after a reload with other names, their classes and tenants
+   * have other indices.
    */
   @Test
   void contractsStayValidAfterAReload() throws IOException {
@@ -135,7 +138,7 @@
     assertEquals(413, load("big", "y".repeat(1025)).status());
     assertEquals(413, get("/cards/7/balance", "HTTP_X_LONG", "z".repeat(4096)).status());
     byte[] cut = packet(vars("GET", "/cards/7/balance", "till"), "");
-    cut[4] = (byte) 0xff; // the first var's name now runs past the packet
+    cut[4] = (byte) 0xff; // the name of the first var now extends beyond the packet
     cut[5] = (byte) 0xff;
     assertEquals(400, exchange(harness.uwsgiPort, cut).status());
     byte[] other = packet(vars("GET", "/cards/7/balance", "till"), "");
@@ -159,8 +162,8 @@
     Reply reply = get("/files/a", "HTTP_X_DEADLINE_MS", "300");
     assertEquals(504, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
-    assertTrue(System.nanoTime() - start < 800_000_000L, "it came late");
-    harness.await(core -> harness.backend.closedOnUs.get() == 1); // its run was stopped
+    assertTrue(System.nanoTime() - start < 800_000_000L, "response came late");
+    harness.await(core -> harness.backend.closedOnUs.get() == 1); // the run was cancelled
   }
 
   @Test
@@ -168,18 +171,20 @@
     harness.backend.mood = Mood.SLOW;
     long start = System.nanoTime();
     assertEquals(504, get("/files/a").status());
-    assertTrue(System.nanoTime() - start < 2_000_000_000L, "it came late");
+    assertTrue(System.nanoTime() - start < 2_000_000_000L, "response came late");
   }
 
   @Test
   void rejectedRequestGetsARetryAfterHeader() throws Exception {
     byte[] bytes = packet(vars("GET", "/cards/late/balance", "till"), "");
     harness.node.beginShutdown(() -> {});
-    assertEquals(200, get("/cards/2/balance").status(), "within the grace work is still done");
+    assertEquals(
+        200, get("/cards/2/balance").status(), "requests still run within the grace period");
     harness.await(core -> core.draining());
     Thread.sleep(1_200);
     try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
-      socket.getOutputStream().write(bytes, 0, 10); // begun within the grace, whole only after it
+      // Started within the grace period, complete only after it.
+      socket.getOutputStream().write(bytes, 0, 10);
       harness.await(core -> core.gracePeriodEnded());
       socket.getOutputStream().write(bytes, 10, bytes.length - 10);
       Reply refused = UwsgiClient.read(socket);
@@ -188,7 +193,7 @@
       assertEquals("never-ran", refused.header("X-Progress"));
     }
     harness.await(core -> harness.node.uwsgi().openConnections() == 0);
-    Thread.sleep(600); // the listening ends once no connection comes
+    Thread.sleep(600); // the listener is closed once no connection arrives
     assertThrows(java.net.ConnectException.class, () -> get("/cards/3/balance"));
     assertEquals(1, harness.runtime.starts.size());
   }
@@ -200,8 +205,8 @@
     Reply reply = put("k1");
     assertEquals(502, reply.status());
     assertEquals("never-ran", reply.header("X-Progress"));
-    assertEquals(
-        502, put("k1").status()); // so the key may run: it is tried again, not held for done
+    // Nothing ran, so a retry with the key is attempted and not answered from a result.
+    assertEquals(502, put("k1").status());
     assertEquals(2L, harness.ask(core -> core.counters().get("backend.unreached")).longValue());
     assertEquals(before, harness.backend.requests.get());
   }
@@ -213,7 +218,8 @@
     assertEquals(502, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
     harness.backend.mood = Mood.GOOD;
-    assertEquals(502, put("k2").status()); // it may have had its effect: it is not sent again
+    // The request may have had its effect, so it is not sent again.
+    assertEquals(502, put("k2").status());
     assertEquals(1, harness.backend.requests.get());
     assertEquals(200, put("k3").status());
   }
@@ -259,7 +265,7 @@
     Reply first = put("k7");
     assertEquals(409, first.status());
     harness.backend.script = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    assertEquals(first, put("k7"), "status, headers and body of the first");
+    assertEquals(first, put("k7"), "status, headers and body of the first response");
     assertEquals(1, harness.backend.requests.get());
   }
 
@@ -290,7 +296,7 @@
     assertEquals("", head.body());
     assertTrue(
         harness.backend.lastPacket.contains("GET"),
-        "a service is asked by the method it describes");
+        "the service gets the method that its description names");
     int before = harness.backend.requests.get();
     Reply options =
         UwsgiClient.exchange(
@@ -365,17 +371,16 @@
       long start = System.nanoTime();
       long taken = 0;
       try {
-        for (int got = 0;
-            got >= 0;
-            taken += got) { // always some progress, but 6 MB would take over 6 s
+        // The client always makes some progress, but reading 6 MB would take over 6 s.
+        for (int got = 0; got >= 0; taken += got) {
           Thread.sleep(50);
           got = socket.getInputStream().read(new byte[50_000]);
         }
       } catch (java.net.SocketException e) {
-        // reset: it was cut off
+        // the connection was reset
       }
-      assertTrue(taken < 6_000_000, "all was taken");
-      assertTrue(System.nanoTime() - start < 10_000_000_000L, "it was cut off late");
+      assertTrue(taken < 6_000_000, "the complete response was read");
+      assertTrue(System.nanoTime() - start < 10_000_000_000L, "disconnected late");
     }
     harness.await(
         core ->
@@ -406,21 +411,22 @@
       assertEquals("OK", resp.answer().get(1));
     }
     assertEquals(FakeRuntime.result("load 6"), load("other", "load 6").body());
-    assertEquals(400, load("other", "load 7").status()); // the key belongs to another body
+    // The key belongs to a request with another body.
+    assertEquals(400, load("other", "load 7").status());
     assertEquals(1, harness.runtime.startsOf("load 5"));
     assertEquals(1, harness.runtime.startsOf("load 6"));
     assertEquals(0, harness.runtime.startsOf("load 7"));
   }
 
   /**
-   * The hard case: a large reply half read, while the other front goes on; in bounded memory,
-   * closed in time.
+   * Callers stop reading in the middle of large responses. The other frontend must continue
+   * undelayed, the buffered bytes stay within their bound, and the connections are closed in time.
    */
   @Test
   void callerThatStopsReadingDelaysNoOtherCaller() throws Exception {
     harness.backend.bytes = 6_000_000;
     Map<Integer, Socket> stuck = new HashMap<>();
-    // two responses fit into the bound on buffered bytes; the other callers get a 502
+    // Two responses fit into the bound on buffered bytes; the other callers get a 502.
     for (int i = 0; i < 4; i++) {
       Socket socket = UwsgiClient.open(harness.uwsgiPort);
       socket.getOutputStream().write(packet(vars("GET", "/files/" + i, "till"), ""));
@@ -447,7 +453,7 @@
         assertEquals(FakeRuntime.result("b" + tag), resp.answer().get(3));
       }
     }
-    assertTrue(System.nanoTime() - start < 4_000_000_000L, "the other front was held up");
+    assertTrue(System.nanoTime() - start < 4_000_000_000L, "the RESP frontend was delayed");
     harness.await(
         core ->
             harness.node.uwsgi().openConnections() <= 2
