--- a/src/test/java/rosecleat/node/DescriptorBudgetTest.java
+++ b/src/test/java/rosecleat/node/DescriptorBudgetTest.java
@@ -8,8 +8,8 @@
 
 class DescriptorBudgetTest {
   /**
-   * Balancers open connections up to half of the limit; a node with a large share of the index can
-   * use it.
+   * Balancers get connections up to half of the limit; a node whose share of the index is large can
+   * use the rest for calls.
    */
   @ParameterizedTest
   @CsvSource({
@@ -24,7 +24,7 @@
     "65536, 500, 64504, 1000",
     "1024, 1e12, 512, 480"
   })
-  void descriptorsAreDividedByLimitsAndSettings(
+  void descriptorsAreDividedAccordingToLimitAndExpectedCalls(
       int sockets, double callsOut, int balancers, int index) {
     assertEquals(
         new DescriptorBudget(balancers, index), DescriptorBudget.of(sockets, 0, callsOut, false));
--- a/src/test/java/rosecleat/node/NodeProcessTest.java
+++ b/src/test/java/rosecleat/node/NodeProcessTest.java
@@ -11,11 +11,11 @@
 import rosecleat.fakes.TestSite;
 import rosecleat.log.Log;
 
-/** The notice to leave against the making of the node. */
+/** SIGTERM while a node is being built. */
 class NodeProcessTest {
   /**
-   * Guards callers whom a starting node has accepted: the notice finds the node that listens, and
-   * lets it leave.
+   * Guards clients that a starting node has accepted: a shutdown request waits for the node that is
+   * about to listen, so that this node is shut down gracefully.
    */
   @Test
   void shutdownRequestWaitsForANodeThatIsBeingBuilt() throws Exception {
@@ -25,34 +25,36 @@
                 ProcessConfig.of(TestSite.config(0, 0, 0, 2_000, 500)),
                 NodeEnvironment.standalone(log))) {
       NodeProcess process = new NodeProcess(log);
-      CountDownLatch making = new CountDownLatch(1);
-      CountDownLatch made = new CountDownLatch(1);
-      Thread maker =
+      CountDownLatch buildStarted = new CountDownLatch(1);
+      CountDownLatch buildMayEnd = new CountDownLatch(1);
+      Thread builder =
           new Thread(
               () -> {
                 try {
                   process.build(
                       () -> {
-                        making.countDown();
-                        await(made);
+                        buildStarted.countDown();
+                        await(buildMayEnd);
                         return node;
                       });
                 } catch (java.io.IOException e) {
                   throw new java.io.UncheckedIOException(e);
                 }
               });
-      maker.start();
-      await(making);
-      CompletableFuture<Optional<Node>> leaves = new CompletableFuture<>();
-      Thread notice = new Thread(() -> leaves.complete(process.requestShutdown()));
-      notice.start();
-      while (notice.getState() != Thread.State.BLOCKED) {
+      builder.start();
+      await(buildStarted);
+      CompletableFuture<Optional<Node>> nodeToShutDown = new CompletableFuture<>();
+      Thread shutdownRequest = new Thread(() -> nodeToShutDown.complete(process.requestShutdown()));
+      shutdownRequest.start();
+      while (shutdownRequest.getState() != Thread.State.BLOCKED) {
         assertEquals(
-            false, leaves.isDone(), "the notice found nothing while a node was about to listen");
+            false,
+            nodeToShutDown.isDone(),
+            "shutdown request did not wait for the node that is being built");
         Thread.yield();
       }
-      made.countDown();
-      assertSame(node, leaves.get(5, TimeUnit.SECONDS).orElseThrow());
+      buildMayEnd.countDown();
+      assertSame(node, nodeToShutDown.get(5, TimeUnit.SECONDS).orElseThrow());
     }
   }
 
@@ -65,7 +67,9 @@
           Optional.empty(),
           process.build(
               () -> {
-                throw new AssertionError("it would listen and be killed under its callers");
+                throw new AssertionError(
+                    "a node was built after the shutdown request; it would be killed while it"
+                        + " serves clients");
               }));
     }
   }
--- a/src/test/java/rosecleat/node/StatePersistenceTest.java
+++ b/src/test/java/rosecleat/node/StatePersistenceTest.java
@@ -42,8 +42,8 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * A node that keeps what it learnt: started again, with other settings, beside another process, on
- * a bad folder.
+ * A node that persists its estimates: restarted, with changed settings, beside another process, and
+ * with an unusable folder.
  */
 class StatePersistenceTest {
   private static final String STATE = "\nstate: {folder: kept, every_ms: 100}\n";
@@ -117,7 +117,7 @@
     return new ObjectMapper().readTree(out.toString(UTF_8)).path("facts");
   }
 
-  private boolean knows(String kind) {
+  private boolean isStored(String kind) {
     try {
       for (JsonNode fact : facts()) {
         if (fact.path("kind").asText().equals(kind)) {
@@ -126,38 +126,39 @@
       }
       return false;
     } catch (IOException e) {
-      return false; // it is being written this moment
+      return false; // the folder is being written at this moment
     }
   }
 
-  /** A node that has learnt something and is gone. */
-  private void before() throws Exception {
+  /** Runs a node until it has stored estimates, and closes it. */
+  private void storeEstimatesAndStop() throws Exception {
     node = start(config(), null);
     Await.until(() -> ask(node, Core::ready) && counter(node, "state.opened") == 1);
     serve(node, 12);
-    Await.until(() -> knows("run-time") && counter(node, "state.saves") > 0);
+    Await.until(() -> isStored("run-time") && counter(node, "state.saves") > 0);
     node.close();
     node = null;
   }
 
   @Test
   void restartedNodeStartsWithStoredEstimates() throws Exception {
-    before();
+    storeEstimatesAndStop();
     node = start(config(), null);
     Await.until(() -> counter(node, "state.taken") >= 3);
-    List<Estimate> lessons = node.estimates().get(5, TimeUnit.SECONDS);
+    List<Estimate> estimates = node.estimates().get(5, TimeUnit.SECONDS);
     double us =
-        lessons.stream()
+        estimates.stream()
             .filter(l -> l.subject().equals("balance-check"))
             .findFirst()
             .orElseThrow()
             .value();
-    assertTrue(us > 20_000 && us < 100_000, "a run of 30 ms is known before any was seen: " + us);
+    assertTrue(
+        us > 20_000 && us < 100_000, "estimate of runs of 30 ms before the first run (us): " + us);
   }
 
   @Test
   void changedSettingsDropStoredEstimates() throws Exception {
-    before();
+    storeEstimatesAndStop();
     String other =
         config().source().toString().replace("\"deadline-us\":1200000", "\"deadline-us\":1300000");
     node = start(NodeConfigReader.parse(other, Map.of()), null);
@@ -173,8 +174,8 @@
   }
 
   @Test
-  void damagedFilesAreNoWorseThanNone() throws Exception {
-    before();
+  void damagedFilesAreTreatedAsMissing() throws Exception {
+    storeEstimatesAndStop();
     Path kept = folder.resolve("kept");
     try (Stream<Path> files = Files.list(kept)) {
       for (Path file : files.filter(f -> !f.endsWith("LOCK")).toList()) {
@@ -195,7 +196,7 @@
     node = start(config(), null);
     Await.until(() -> counter(node, "state.opened") == 1);
     serve(node, 5);
-    Await.until(() -> knows("run-time"));
+    Await.until(() -> isStored("run-time"));
     assertEquals(
         0,
         Main.run(
@@ -207,8 +208,8 @@
 
   @Test
   void unusableFolderLeavesTheNodeServing() throws Exception {
-    Files.createFile(
-        folder.resolve("kept")); // a file where the folder should be; root may write anywhere else
+    // A file in place of the folder, since root may write to any other folder.
+    Files.createFile(folder.resolve("kept"));
     node = start(config(), null);
     Await.until(() -> ask(node, Core::ready));
     serve(node, 3);
@@ -234,12 +235,12 @@
     node.start();
     Await.until(() -> counter(node, "state.opened") == 1 && ask(node, Core::ready));
     serve(node, 12);
-    assertFalse(knows("run-time"), "it is not time yet");
+    assertFalse(isStored("run-time"), "stored before the save interval has elapsed");
     CompletableFuture<Void> left = new CompletableFuture<>();
     node.beginShutdown(() -> left.complete(null));
     left.get(10, TimeUnit.SECONDS);
     node.awaitStored(2_000);
-    assertTrue(knows("run-time"));
+    assertTrue(isStored("run-time"));
   }
 
   @Test
@@ -249,7 +250,7 @@
     node = older;
     Await.until(() -> ask(older, Core::ready) && counter(older, "state.opened") == 1);
     serve(older, 12);
-    Await.until(() -> knows("run-time"));
+    Await.until(() -> isStored("run-time"));
     FakeRuntime second = new FakeRuntime(30);
     try {
       String same =
@@ -260,7 +261,7 @@
       Node newer = start(NodeConfigReader.parse(same, Map.of()), shared);
       node = newer;
       Await.until(() -> counter(newer, "state.taken") >= 3);
-      assertEquals(0, counter(newer, "state.opened"), "the older one writes");
+      assertEquals(0, counter(newer, "state.opened"), "the predecessor still owns the folder");
       CompletableFuture<Void> left = new CompletableFuture<>();
       older.beginShutdown(() -> left.complete(null));
       Await.until(() -> counter(newer, "state.opened") == 1);
--- a/src/test/java/rosecleat/node/TakeoverTest.java
+++ b/src/test/java/rosecleat/node/TakeoverTest.java
@@ -30,27 +30,27 @@
 import rosecleat.takeover.TakeoverCoordinator;
 
 /**
- * A new version beside a running one: two nodes that share a folder and an address, as two
- * processes would.
+ * A new version of a node beside a running one: two nodes that share a folder and an address, as
+ * two processes would.
  */
 class TakeoverTest {
-  /** The protocol's time limits are this much longer on sockets. */
+  /** Extra time that the limits of the protocol get on sockets (ms). */
   private static final int SOCKET_SLACK_MS = 50;
 
   private final FakeRuntime oldRuntime = new FakeRuntime(300);
   private final FakeRuntime newRuntime = new FakeRuntime(300);
-  private final FakeRegistry roster = new FakeRegistry();
+  private final FakeRegistry registry = new FakeRegistry();
   private final Log log = new Log(System.err);
   private Node older;
   private Node newer;
   private RespClient client;
-  private int ids;
+  private int lastId;
 
   @TempDir Path folder;
 
   private Node node(FakeRuntime runtime, int port) throws IOException {
     String file =
-        TestSite.config(runtime.port(), 0, roster.port(), 2_000, 500)
+        TestSite.config(runtime.port(), 0, registry.port(), 2_000, 500)
             .source()
             .toString()
             .replace("127.0.0.1:0", "127.0.0.1:" + port);
@@ -76,7 +76,9 @@
     client = new RespClient(older.port(), null);
   }
 
-  /** The newer one takes clients as soon as its runtime is up, and not before. */
+  /**
+   * Starts the successor, which serves clients as soon as its runtime is connected, and not before.
+   */
   private void startNewer() throws IOException {
     newRuntime.readyAfterMs = 300;
     newer = node(newRuntime, older.port());
@@ -94,7 +96,7 @@
     }
     oldRuntime.close();
     newRuntime.close();
-    roster.close();
+    registry.close();
     log.close();
   }
 
@@ -105,26 +107,26 @@
             "DO",
             tag,
             className,
-            RespClient.fields(String.format("%016x", ++ids), "small", 1_100, once),
+            RespClient.fields(String.format("%016x", ++lastId), "small", 1_100, once),
             body));
   }
 
   /**
-   * Connects until the connection leads to the wanted one: the system spreads them while both
-   * listen.
+   * Connects until a connection reaches the target node: the operating system distributes
+   * connections while both nodes listen.
    */
-  private RespClient clientOf(Node wanted) throws IOException {
+  private RespClient connectTo(Node target) throws IOException {
     for (int i = 0; i < 100; i++) {
-      int before = onLoop(wanted, () -> (int) wanted.core().counters().get("resp.checks"));
+      int before = onLoop(target, () -> (int) target.core().counters().get("resp.checks"));
       RespClient fresh = new RespClient(older.port(), null);
       fresh.send(RespClient.array("PING", 1, ""));
       assertEquals("UP", fresh.read().get(1));
-      if (onLoop(wanted, () -> (int) wanted.core().counters().get("resp.checks")) > before) {
+      if (onLoop(target, () -> (int) target.core().counters().get("resp.checks")) > before) {
         return fresh;
       }
       fresh.close();
     }
-    throw new AssertionError("no connection led there");
+    throw new AssertionError("no connection reached the target node");
   }
 
   @Test
@@ -134,7 +136,8 @@
     await(() -> oldRuntime.startsOf("held") == 1);
     CompletableFuture<Void> left = new CompletableFuture<>();
     assertTrue(
-        older.beginShutdown(() -> left.complete(null)) < 2_000_000, "longest deadline and 0.7 s");
+        older.beginShutdown(() -> left.complete(null)) < 2_000_000,
+        "longest timeout of a request plus 0.7 s");
     assertEquals("BYE", client.read().get(1));
     assertEquals(FakeRuntime.result("held"), client.read().get(3));
     try (RespClient after = new RespClient(newer.port(), null)) {
@@ -149,23 +152,24 @@
     older.close();
     await(() -> ask(newer, core -> core.counters().get("shares.one")) == 1);
     assertTrue(
-        roster.reports.stream().noneMatch(r -> r.contains("off")), roster.reports.toString());
+        registry.reports.stream().noneMatch(r -> r.contains("off")), registry.reports.toString());
     client = new RespClient(newer.port(), null);
-    newer.beginShutdown(() -> {}); // nobody takes over from this one: its notice to drain
-    await(() -> roster.reports.get(roster.reports.size() - 1).contains("off"));
+    newer.beginShutdown(() -> {}); // this node has no successor, so it drains
+    await(() -> registry.reports.get(registry.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 2, ""));
-    assertEquals(
-        "DOWN", client.answer().get(1)); // on a busy machine the wish to close may come first
+    // On a busy machine the request to close may arrive first.
+    assertEquals("DOWN", client.answer().get(1));
   }
 
   /**
-   * Guards keyed requests, whose tries reach either process: one runs, the others get its bytes.
+   * Guards requests with an idempotency key whose attempts reach both processes: one attempt runs,
+   * and the others get its result.
    */
   @Test
   void idempotencyKeyRunsInOneProcessOnly() throws Exception {
     startNewer();
-    try (RespClient a = clientOf(older);
-        RespClient b = clientOf(newer)) {
+    try (RespClient a = connectTo(older);
+        RespClient b = connectTo(newer)) {
       send(a, 2, "card-load", "k", "body");
       await(() -> oldRuntime.startsOf("body") == 1);
       send(b, 2, "card-load", "k", "body"); // while it runs
@@ -192,35 +196,37 @@
   }
 
   /**
-   * Guards the shared index: two modules, each by its own count, would make twice the calls that
-   * the node may.
+   * Guards the shared index: two processes, each with its own count, would make twice the calls
+   * that the node may make.
    */
   @Test
-  void bothProcessesTogetherStayWithinTheNodesLimits() throws Exception {
+  void bothProcessesTogetherStayWithinTheLimitsOfTheNode() throws Exception {
     startNewer();
-    PolicySettings whole = TestSite.config(0, 0, 0, 2_000, 500).settings().policy();
-    try (RespClient a = clientOf(older);
-        RespClient b = clientOf(newer)) {
+    PolicySettings nodeLimits = TestSite.config(0, 0, 0, 2_000, 500).settings().policy();
+    try (RespClient a = connectTo(older);
+        RespClient b = connectTo(newer)) {
       for (int tag = 2; tag < 26; tag++) {
         send(a, tag, "balance-check", null, "x");
         send(b, tag, "balance-check", null, "x");
       }
-      await(() -> onLoop(older, older::limits).memoryKb() < 0.6 * whole.memoryKb());
+      await(() -> onLoop(older, older::limits).memoryKb() < 0.6 * nodeLimits.memoryKb());
       double sum =
           onLoop(older, older::limits).memoryKb() + onLoop(newer, newer::limits).memoryKb();
-      assertTrue(sum < 1.1 * whole.memoryKb(), sum + " of " + whole.memoryKb());
+      assertTrue(sum < 1.1 * nodeLimits.memoryKb(), sum + " of " + nodeLimits.memoryKb());
       double calls =
           onLoop(older, older::limits).concurrentCalls()
               + onLoop(newer, newer::limits).concurrentCalls();
-      assertTrue(calls < 1.1 * whole.concurrentCalls(), calls + " of " + whole.concurrentCalls());
+      assertTrue(
+          calls < 1.1 * nodeLimits.concurrentCalls(),
+          calls + " of " + nodeLimits.concurrentCalls());
     }
     older.close();
-    await(() -> onLoop(newer, newer::limits).memoryKb() == whole.memoryKb());
+    await(() -> onLoop(newer, newer::limits).memoryKb() == nodeLimits.memoryKb());
   }
 
   /**
-   * Guards clients of a node whose new process dies before it serves: the old one must drain as if
-   * it were alone.
+   * Guards clients of a node whose successor dies before it serves: the predecessor must drain as
+   * if it were alone.
    */
   @Test
   void predecessorDrainsWhenItsSuccessorEnds() throws Exception {
@@ -230,13 +236,14 @@
     client.send(RespClient.array("PING", 1, ""));
     assertEquals("UP", client.read().get(1));
     newer.close();
-    await(() -> roster.reports.stream().anyMatch(r -> r.contains("off")));
+    await(() -> registry.reports.stream().anyMatch(r -> r.contains("off")));
     assertEquals(List.of(), newRuntime.starts);
   }
 
   /**
-   * Both processes of a node were told to leave, the newer one first. The older one held it for the
-   * one that takes over, and went on to run requests that came long after the grace.
+   * Both processes of a node were requested to shut down, the newer one first. The older one still
+   * considered it the successor that takes over, and continued to run requests that arrived long
+   * after the grace period.
    */
   @Test
   void predecessorDrainsWhenItsSuccessorIsLeaving() throws Exception {
@@ -245,25 +252,26 @@
     older.beginShutdown(() -> {});
     await(() -> ask(older, Core::draining));
     await(() -> ask(older, Core::gracePeriodEnded));
-    Thread.sleep(SOCKET_SLACK_MS); // at the end itself a request may still run
+    // A request that arrives exactly at the end of the grace period may still run.
+    Thread.sleep(SOCKET_SLACK_MS);
     send(client, 1, "balance-check", null, "late");
     assertEquals("BUSY", client.answer().get(1));
     assertEquals(List.of(), oldRuntime.starts);
   }
 
   @Test
-  void drainByOperatorsReachesBothProcesses() throws Exception {
+  void operatorDrainReachesBothProcesses() throws Exception {
     startNewer();
     Counters counters = new Counters();
-    try (RespClient a = clientOf(older);
-        RespClient b = clientOf(newer);
-        TakeoverCoordinator told =
+    try (RespClient a = connectTo(older);
+        RespClient b = connectTo(newer);
+        TakeoverCoordinator coordinator =
             TakeoverCoordinator.join(Optional.ofNullable(folder), counters, log)) {
-      told.setDrained(true);
+      coordinator.setDrained(true);
       for (RespClient each : List.of(a, b)) {
         await(() -> health(each).equals("DOWN"));
       }
-      told.setDrained(false);
+      coordinator.setDrained(false);
       for (RespClient each : List.of(a, b)) {
         await(() -> health(each).equals("UP"));
       }
