--- a/src/main/java/rosecleat/policy/AdmissionController.java
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -82,11 +82,13 @@
     }
     // an arrival that is read late must not bind its own rejection: with none queued before it a
     // run may start at once, unless heavier arrivals alone offer more than this server can do
-    double heavier = weights.shareAtLeast(weight / RequestWeights.EQUAL);
+    double heavier = weights.shareAtLeast(weight / RequestWeights.EQUAL_WEIGHT_RATIO);
     if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavier <= 1) {
       return 0;
     }
-    return 1 - gate.filteringCoefficient(weights.shareAtLeast(weight * RequestWeights.EQUAL));
+    return 1
+        - gate.filteringCoefficient(
+            weights.shareAtLeast(weight * RequestWeights.EQUAL_WEIGHT_RATIO));
   }
 
   private boolean isDrawn(double rejectionChance) {
@@ -96,7 +98,7 @@
   /** Rejects the lightest queued request in place of a heavier one; false where none is lighter. */
   private boolean replaceLighter(double weight) {
     TrackedRequest lightest = null;
-    double lightestWeight = weight * RequestWeights.EQUAL;
+    double lightestWeight = weight * RequestWeights.EQUAL_WEIGHT_RATIO;
     for (TrackedRequest tracked : requests.queue()) {
       double other = weights.weight(tracked);
       if (other < lightestWeight && tracked.mayBeRejected()) {
--- a/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
+++ b/src/main/java/rosecleat/policy/DownstreamCallScheduler.java
@@ -123,7 +123,8 @@
       if (!tracked.awaitingResponse) {
         waiting.remove(tracked);
         resumeWithoutCall(tracked);
-      } else if (best == null || callWeight(tracked) * RequestWeights.EQUAL > callWeight(best)) {
+      } else if (best == null
+          || callWeight(tracked) * RequestWeights.EQUAL_WEIGHT_RATIO > callWeight(best)) {
         best = tracked;
       }
     }
--- a/src/main/java/rosecleat/policy/RequestWeights.java
+++ b/src/main/java/rosecleat/policy/RequestWeights.java
@@ -3,7 +3,7 @@
 /** What answers are worth, and how the recent arrivals compare. */
 final class RequestWeights {
   /** From this part of a weight on, two weights are equal; chosen here. */
-  static final double EQUAL = 0.999;
+  static final double EQUAL_WEIGHT_RATIO = 0.999;
 
   /** Arrivals whose weights are compared; chosen here. */
   private static final int RECENT_ARRIVALS = 64;
