--- a/src/main/java/rosecleat/policy/AdmissionController.java
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -44,7 +44,7 @@
    */
   void admit(TrackedRequest tracked, double weight, double advisedLevel) {
     boolean afterGrace = availability.isPastGrace(tracked);
-    if (tracked.request.originalId() != 0 && repeats(tracked, afterGrace)) {
+    if (tracked.request.originalId() != 0 && handleRepeat(tracked, afterGrace)) {
       return;
     }
     double rejectionChance = rejectionChance(weight);
@@ -54,7 +54,7 @@
         || memory.isFull()
         || forecast.isHopeless(tracked)
         || (tracked.isKeyed() && !memory.hasCapacityForKey())
-        || (isDrawn(rejectionChance) && !replaceLighter(weight))) {
+        || (isDrawnForRejection(rejectionChance) && !rejectLighterQueued(weight))) {
       responses.reject(tracked);
     } else if (tracked.isKeyed()) {
       idempotency.rememberEffect(tracked);
@@ -62,7 +62,7 @@
   }
 
   /** Deals with a request that repeats another; false where it is new work. */
-  private boolean repeats(TrackedRequest tracked, boolean afterGrace) {
+  private boolean handleRepeat(TrackedRequest tracked, boolean afterGrace) {
     switch (idempotency.classify(tracked, afterGrace, availability.isStalled())) {
       case ATTACH -> idempotency.attach(tracked);
       case ANSWER -> responses.answer(tracked);
@@ -82,8 +82,8 @@
     }
     // an arrival that is read late must not bind its own rejection: with none queued before it a
     // run may start at once, unless heavier arrivals alone offer more than this server can do
-    double heavier = weights.shareAtLeast(weight / RequestWeights.EQUAL_WEIGHT_RATIO);
-    if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavier <= 1) {
+    double heavierShare = weights.shareAtLeast(weight / RequestWeights.EQUAL_WEIGHT_RATIO);
+    if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavierShare <= 1) {
       return 0;
     }
     return 1
@@ -91,19 +91,19 @@
             weights.shareAtLeast(weight * RequestWeights.EQUAL_WEIGHT_RATIO));
   }
 
-  private boolean isDrawn(double rejectionChance) {
+  private boolean isDrawnForRejection(double rejectionChance) {
     return rejectionChance > 0 && context.random.nextDouble() < rejectionChance;
   }
 
   /** Rejects the lightest queued request in place of a heavier one; false where none is lighter. */
-  private boolean replaceLighter(double weight) {
+  private boolean rejectLighterQueued(double weight) {
     TrackedRequest lightest = null;
     double lightestWeight = weight * RequestWeights.EQUAL_WEIGHT_RATIO;
     for (TrackedRequest tracked : requests.queue()) {
-      double other = weights.weight(tracked);
-      if (other < lightestWeight && tracked.mayBeRejected()) {
+      double queuedWeight = weights.weight(tracked);
+      if (queuedWeight < lightestWeight && tracked.mayBeRejected()) {
         lightest = tracked;
-        lightestWeight = other;
+        lightestWeight = queuedWeight;
       }
     }
     if (lightest != null) {
--- a/src/main/java/rosecleat/policy/AdmissionGate.java
+++ b/src/main/java/rosecleat/policy/AdmissionGate.java
@@ -6,16 +6,16 @@
  */
 final class AdmissionGate {
   /** Weight of the newest offered load, per event. The paper's alpha; its value is chosen here. */
-  private static final double ALPHA = 0.1;
+  private static final double OFFERED_LOAD_WEIGHT = 0.1;
 
   /** Weight of the newest utilisation, per event. The paper's beta; its value is chosen here. */
-  private static final double BETA = 0.1;
+  private static final double UTILISATION_WEIGHT = 0.1;
 
   /** Share of the cores; the paper's U_thr, its value is DESIGN's. */
   private static final double UTILISATION_THRESHOLD = 0.75;
 
   /** Wait of the oldest request from which the gate binds (part of its objective); DESIGN's. */
-  private static final double BINDING_WAIT = 0.1;
+  private static final double BINDING_WAIT_SHARE = 0.1;
 
   /** Utilisation from which the gate binds (share of the cores); DESIGN's. */
   static final double BUSY_UTILISATION = 0.9;
@@ -45,8 +45,10 @@
         rates.completions() > 0
             ? utilisation * rates.arrivals() / Math.max(1, rates.completions())
             : utilisation;
-    averageOfferedLoad = ALPHA * offeredLoad + (1 - ALPHA) * averageOfferedLoad;
-    averageUtilisation = BETA * utilisation + (1 - BETA) * averageUtilisation;
+    averageOfferedLoad =
+        OFFERED_LOAD_WEIGHT * offeredLoad + (1 - OFFERED_LOAD_WEIGHT) * averageOfferedLoad;
+    averageUtilisation =
+        UTILISATION_WEIGHT * utilisation + (1 - UTILISATION_WEIGHT) * averageUtilisation;
   }
 
   /**
@@ -71,6 +73,6 @@
     }
     TrackedRequest oldest = requests.queue().get(0);
     return context.nowUs() - oldest.arrivedUs
-        > BINDING_WAIT * (oldest.objectiveUs - oldest.arrivedUs);
+        > BINDING_WAIT_SHARE * (oldest.objectiveUs - oldest.arrivedUs);
   }
 }
--- a/src/main/java/rosecleat/policy/ConcurrencyLimiter.java
+++ b/src/main/java/rosecleat/policy/ConcurrencyLimiter.java
@@ -6,13 +6,13 @@
   static final double INCREASE = 1.0;
 
   /** One step down of the limit (factor); chosen here. */
-  private static final double DECREASE = 0.9;
+  private static final double DECREASE_FACTOR = 0.9;
 
   /** Run time over its base from which the limit falls; chosen here. */
   private static final double CONGESTED_SLOWNESS = 1.3;
 
   /** Ceiling of the limit (part of the overload limit); chosen here. */
-  private static final double OVERLOAD_PART = 0.6;
+  private static final double MAX_OVERLOAD_LIMIT_SHARE = 0.6;
 
   private final PolicyContext context;
   private final CoreLoad load;
@@ -52,12 +52,13 @@
   /** How many concurrent requests the server survives, fewer while it warms up. */
   double overloadLimit() {
     PolicySettings settings = context.settings();
-    double warm = 1;
+    double warmShare = 1;
     if (settings.coldStart() && settings.warmupUs() > 0) {
-      double cold = settings.coldCapacity();
-      warm = Math.min(1, cold + (1 - cold) * (lastTickUs - startedUs) / settings.warmupUs());
+      double coldShare = settings.coldCapacity();
+      warmShare =
+          Math.min(1, coldShare + (1 - coldShare) * (lastTickUs - startedUs) / settings.warmupUs());
     }
-    return settings.cores() * (1 + (settings.overloadMultiple() - 1) * warm);
+    return settings.cores() * (1 + (settings.overloadMultiple() - 1) * warmShare);
   }
 
   /** Whether one more request may run. */
@@ -75,13 +76,16 @@
       // free cores come first: runs that wait for something else are long but do not congest
       limit += INCREASE;
     } else if (serviceTimes.slowness() * load.contention() > CONGESTED_SLOWNESS) {
-      limit *= DECREASE;
+      limit *= DECREASE_FACTOR;
     }
-    limit = Math.max(context.settings().cores(), Math.min(limit, OVERLOAD_PART * overloadLimit()));
+    limit =
+        Math.max(
+            context.settings().cores(),
+            Math.min(limit, MAX_OVERLOAD_LIMIT_SHARE * overloadLimit()));
   }
 
   /** Takes in a limit learned elsewhere, never over the ceiling. */
   void restore(double learnedLimit) {
-    limit = Math.max(limit, Math.min(learnedLimit, OVERLOAD_PART * overloadLimit()));
+    limit = Math.max(limit, Math.min(learnedLimit, MAX_OVERLOAD_LIMIT_SHARE * overloadLimit()));
   }
 }
--- a/src/main/java/rosecleat/policy/CoreLoad.java
+++ b/src/main/java/rosecleat/policy/CoreLoad.java
@@ -3,7 +3,7 @@
 /** How busy the server's cores are, from its gauges. */
 final class CoreLoad {
   /** Time constant of the smoothed values (us); chosen here. */
-  private static final double SMOOTHING_US = 5e5;
+  private static final double SMOOTHING_TIME_CONSTANT_US = 5e5;
 
   private final PolicyContext context;
   private double utilisation;
@@ -39,14 +39,14 @@
       utilisation = gauges.coreUtilisation;
     }
     int cores = context.settings().cores();
-    double weight = Math.min(1, gapUs / SMOOTHING_US);
+    double weight = Math.min(1, gapUs / SMOOTHING_TIME_CONSTANT_US);
     double demand = Math.max(1, Math.max(running, gauges.runnable) / cores);
     contention += weight * (demand - contention);
-    double reads =
+    double readDemandShare =
         gauges.runnable < 0
             ? 0
             : Math.max(0, gauges.runnable - running) / Math.max(cores, gauges.runnable);
-    readShare += weight * (reads - readShare);
+    readShare += weight * (readDemandShare - readShare);
     return demand;
   }
 }
--- a/src/main/java/rosecleat/policy/Dispatcher.java
+++ b/src/main/java/rosecleat/policy/Dispatcher.java
@@ -41,7 +41,7 @@
   /** Starts as many queued requests as there is capacity for; rejects those that are hopeless. */
   void dispatch() {
     while (concurrency.hasCapacity() && !availability.isStalled()) {
-      TrackedRequest next = next();
+      TrackedRequest next = selectNext();
       if (next == null) {
         return;
       }
@@ -52,7 +52,7 @@
   }
 
   /** The request to start next, null where there is none. */
-  private TrackedRequest next() {
+  private TrackedRequest selectNext() {
     List<TrackedRequest> queue = requests.queue();
     boolean binding = gate.isBinding();
     TrackedRequest best = null;
--- a/src/main/java/rosecleat/policy/EstimateExchange.java
+++ b/src/main/java/rosecleat/policy/EstimateExchange.java
@@ -6,7 +6,7 @@
 /** Turns what a policy has learned into estimates by name, and estimates into what it takes in. */
 final class EstimateExchange {
   /** A limit that rests on so many seconds is taken in whole (s); chosen here. */
-  private static final double TRUSTED_S = 10;
+  private static final double FULL_TRUST_S = 10;
 
   /** Interval of the samples that the usual limit is a mean of (us); chosen here. */
   private static final long SAMPLE_INTERVAL_US = 100_000;
@@ -15,7 +15,7 @@
   private static final double SAMPLE_WEIGHT = 0.03;
 
   /** Limits on calls from here on are none (calls); chosen here. */
-  private static final double NO_CALL_LIMIT = 1e5;
+  private static final double UNLIMITED_CALLS = 1e5;
 
   private static final double US_PER_S = 1_000_000;
 
@@ -28,7 +28,7 @@
   private double typicalLimit;
 
   /** The seconds of use that the usual limit rests on. */
-  private double usedSeconds;
+  private double typicalLimitSeconds;
 
   private long lastSampleUs;
   private double restoredArrivals;
@@ -47,7 +47,7 @@
     double limit = policy.concurrencyLimit();
     if (policy.concurrentRequests() >= limit / 2) {
       typicalLimit += SAMPLE_WEIGHT * (limit - typicalLimit);
-      usedSeconds += SAMPLE_INTERVAL_US / US_PER_S;
+      typicalLimitSeconds += SAMPLE_INTERVAL_US / US_PER_S;
     }
   }
 
@@ -78,11 +78,12 @@
     if (calls > 0) {
       estimates.add(new Estimate(EstimateKind.CALL_TIME, "", learned.callTimeUs(), calls));
     }
-    if (usedSeconds > 0) {
-      estimates.add(new Estimate(EstimateKind.LIMIT, "", typicalLimit, usedSeconds));
+    if (typicalLimitSeconds > 0) {
+      estimates.add(new Estimate(EstimateKind.LIMIT, "", typicalLimit, typicalLimitSeconds));
     }
-    if (learned.callLimit() < NO_CALL_LIMIT && calls > 0) {
-      estimates.add(new Estimate(EstimateKind.CALL_LIMIT, "", learned.callLimit(), usedSeconds));
+    if (learned.callLimit() < UNLIMITED_CALLS && calls > 0) {
+      estimates.add(
+          new Estimate(EstimateKind.CALL_LIMIT, "", learned.callLimit(), typicalLimitSeconds));
     }
   }
 
@@ -107,7 +108,7 @@
         new Restoration(settings, names, policy.learnedEstimates().tenantShares().clone());
     estimates.forEach(restoration::add);
     if (restoration.limitSeconds >= 0) {
-      usedSeconds = restoration.limitSeconds;
+      typicalLimitSeconds = restoration.limitSeconds;
     }
     restoredArrivals = restoration.arrivals;
     policy.restore(restoration.learned());
@@ -150,10 +151,10 @@
         }
         case LIMIT -> {
           int cores = settings.cores();
-          limit = cores + (value - cores) * Math.min(1, samples / TRUSTED_S);
+          limit = cores + (value - cores) * Math.min(1, samples / FULL_TRUST_S);
           limitSeconds = samples;
         }
-        case CALL_LIMIT -> callLimit = samples >= TRUSTED_S ? value : 0;
+        case CALL_LIMIT -> callLimit = samples >= FULL_TRUST_S ? value : 0;
         case TENANT_PART -> addTenantShare(estimate);
         default -> throw new IllegalArgumentException("unknown estimate " + estimate.kind());
       }
--- a/src/main/java/rosecleat/policy/OverloadEstimator.java
+++ b/src/main/java/rosecleat/policy/OverloadEstimator.java
@@ -3,10 +3,10 @@
 /** How overloaded the server is: rejections, arrivals that are too many, and its read backlog. */
 final class OverloadEstimator {
   /** Rejection rate up to which a first attempt may go on to another server; chosen here. */
-  private static final double SELDOM_REJECTED = 0.08;
+  private static final double MAX_SELDOM_REJECTION_RATE = 0.08;
 
   /** Requests read so late are a backlog (part of the latency objective); chosen here. */
-  private static final double BACKLOG_LAG = 0.4;
+  private static final double BACKLOG_LAG_SHARE = 0.4;
 
   /** Weight of the newest arrival in the rates; chosen here. */
   private static final double DECISION_WEIGHT = 0.05;
@@ -15,7 +15,7 @@
   private static final double LAG_WEIGHT = 0.1;
 
   /** Factor of a step without arrivals; chosen here. */
-  private static final double IDLE_FADE = 0.9;
+  private static final double IDLE_FADE_FACTOR = 0.9;
 
   private double rejectionRate;
   private double excess;
@@ -35,14 +35,14 @@
    */
   void recordDecision(double rejectionChance, boolean belowLevel) {
     rejectionRate += DECISION_WEIGHT * (rejectionChance - rejectionRate);
-    double tooMany = belowLevel ? 0 : hasBacklog() ? 1 : rejectionChance;
-    excess += DECISION_WEIGHT * (tooMany - excess);
+    double arrivalExcess = belowLevel ? 0 : hasBacklog() ? 1 : rejectionChance;
+    excess += DECISION_WEIGHT * (arrivalExcess - excess);
   }
 
   /** Lets the signals fade: callers that stay away leave nothing to measure. */
   void fade() {
-    readLag *= IDLE_FADE;
-    excess *= IDLE_FADE;
+    readLag *= IDLE_FADE_FACTOR;
+    excess *= IDLE_FADE_FACTOR;
   }
 
   /** Chance of a rejection by the gate, smoothed. */
@@ -51,7 +51,7 @@
   }
 
   boolean rejectsSeldom() {
-    return rejectionRate <= SELDOM_REJECTED;
+    return rejectionRate <= MAX_SELDOM_REJECTION_RATE;
   }
 
   /** Share of the arrivals that are too many, though not below the advised level, smoothed. */
@@ -61,6 +61,6 @@
 
   /** Whether requests wait long before they are read. */
   boolean hasBacklog() {
-    return readLag > BACKLOG_LAG;
+    return readLag > BACKLOG_LAG_SHARE;
   }
 }
--- a/src/main/java/rosecleat/policy/RequestRates.java
+++ b/src/main/java/rosecleat/policy/RequestRates.java
@@ -3,7 +3,7 @@
 /** Recent arrivals and completions, with exponentially fading memory. */
 final class RequestRates {
   /** Time constant of the memory (us); chosen here. */
-  private static final double MEMORY_US = 2e6;
+  private static final double TIME_CONSTANT_US = 2e6;
 
   private static final double US_PER_S = 1e6;
 
@@ -17,7 +17,7 @@
 
   /** Fades the memory up to now and returns the factor. */
   double fade(long nowUs) {
-    double factor = Math.exp(-(nowUs - fadedAtUs) / MEMORY_US);
+    double factor = Math.exp(-(nowUs - fadedAtUs) / TIME_CONSTANT_US);
     arrivals *= factor;
     completions *= factor;
     fadedAtUs = nowUs;
@@ -42,6 +42,6 @@
 
   /** Converts a count that fades like these into a rate a second. */
   static double perSecond(double fadingCount) {
-    return fadingCount / (MEMORY_US / US_PER_S);
+    return fadingCount / (TIME_CONSTANT_US / US_PER_S);
   }
 }
--- a/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
+++ b/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
@@ -8,7 +8,7 @@
  */
 final class ServiceTimeEstimator {
   /** A class's run time is known after so many runs; chosen here. */
-  private static final int ENOUGH_RUNS = 8;
+  private static final int MIN_KNOWN_RUNS = 8;
 
   /** Weight of the newest run in the slowdown; chosen here. */
   private static final double SLOWDOWN_WEIGHT = 0.1;
@@ -20,7 +20,7 @@
   private static final double MIN_SLOWDOWN_GROWTH = 1.0005;
 
   /** Run times are learned while the server is less than this many times slower; chosen here. */
-  private static final double LEARNING_SLOWNESS = 1.5;
+  private static final double MAX_LEARNING_SLOWNESS = 1.5;
 
   /** Least weight of the newest run in a class's run time; chosen here. */
   private static final double MIN_RUN_WEIGHT = 0.02;
@@ -59,7 +59,7 @@
 
   /** Whether enough runs of a class have ended here. */
   boolean hasEnoughRuns(int classIndex) {
-    return runCounts[classIndex] >= ENOUGH_RUNS;
+    return runCounts[classIndex] >= MIN_KNOWN_RUNS;
   }
 
   /** Counts a run that ended by itself. */
@@ -75,22 +75,22 @@
     record(tracked, workedUs, 0);
   }
 
-  private void record(TrackedRequest tracked, long workedUs, int ended) {
+  private void record(TrackedRequest tracked, long workedUs, int completions) {
     int index = tracked.request.classIndex();
     // what reading and other runs took of the cores is no slowness
-    double alone = workedUs / load.contention();
+    double uncontendedUs = workedUs / load.contention();
     long hintUs = tracked.request.runTimeHintUs();
-    double unit = hintUs > 0 ? alone / hintUs : alone;
+    double runTime = hintUs > 0 ? uncontendedUs / hintUs : uncontendedUs;
     if (runCounts[index] == 0) {
-      runTimes[index] = unit;
+      runTimes[index] = runTime;
     }
-    double ratio = Math.min(MAX_SLOWDOWN, unit / runTimes[index]);
-    slowdown += SLOWDOWN_WEIGHT * (ratio - ended * slowdown);
+    double ratio = Math.min(MAX_SLOWDOWN, runTime / runTimes[index]);
+    slowdown += SLOWDOWN_WEIGHT * (ratio - completions * slowdown);
     minSlowdown = Math.min(minSlowdown * MIN_SLOWDOWN_GROWTH, slowdown);
-    runCounts[index] += ended;
-    if (slowness() < LEARNING_SLOWNESS) {
+    runCounts[index] += completions;
+    if (slowness() < MAX_LEARNING_SLOWNESS) {
       runTimes[index] +=
-          (unit - ended * runTimes[index])
+          (runTime - completions * runTimes[index])
               * Math.max(MIN_RUN_WEIGHT, 1.0 / Math.max(1, runCounts[index]));
     }
   }
@@ -120,7 +120,8 @@
   double[] learnedRunTimes() {
     double[] learned = new double[runTimes.length];
     for (int index = 0; index < learned.length; index++) {
-      learned[index] = seenEnough(index) ? runTimes[index] * minSlowdown : restoredRunTimes[index];
+      learned[index] =
+          isObservationPreferred(index) ? runTimes[index] * minSlowdown : restoredRunTimes[index];
     }
     return learned;
   }
@@ -129,12 +130,12 @@
   int[] learnedRunCounts() {
     int[] counts = new int[runCounts.length];
     for (int index = 0; index < counts.length; index++) {
-      counts[index] = seenEnough(index) ? runCounts[index] : restoredRunCounts[index];
+      counts[index] = isObservationPreferred(index) ? runCounts[index] : restoredRunCounts[index];
     }
     return counts;
   }
 
-  private boolean seenEnough(int classIndex) {
+  private boolean isObservationPreferred(int classIndex) {
     return runCounts[classIndex] >= restoredRunCounts[classIndex];
   }
 
@@ -143,7 +144,7 @@
     restoredRunTimes = learnedRunTimes.clone();
     restoredRunCounts = new int[learnedRunCounts.length];
     for (int index = 0; index < learnedRunCounts.length; index++) {
-      restoredRunCounts[index] = Math.min(learnedRunCounts[index], ENOUGH_RUNS);
+      restoredRunCounts[index] = Math.min(learnedRunCounts[index], MIN_KNOWN_RUNS);
     }
   }
 }
--- a/src/main/java/rosecleat/policy/StallGuard.java
+++ b/src/main/java/rosecleat/policy/StallGuard.java
@@ -62,9 +62,9 @@
     int running = requests.running();
     double expected = expectedCompletions(gapUs, demand);
     overdueCompletions = running == 0 ? 0 : overdueCompletions + expected;
-    boolean many =
+    boolean manyOverdue =
         running >= context.settings().cores() && overdueCompletions > OVERDUE_COMPLETIONS;
-    if (availability.isStalled() || !many || context.nowUs() - lastEndUs <= MIN_STALL_US) {
+    if (availability.isStalled() || !manyOverdue || context.nowUs() - lastEndUs <= MIN_STALL_US) {
       return false;
     }
     availability.setStalled(true);
--- a/src/test/java/rosecleat/policy/AdmissionGateTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionGateTest.java
@@ -11,14 +11,14 @@
   private static final PriorityClass LONG =
       new PriorityClass(1, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
 
-  private static SimulatedHost busy(SimulatedHost host) {
+  private static SimulatedHost withBusyCores(SimulatedHost host) {
     host.gauges.coreUtilisation = 1;
     host.advance(20_000);
     return host;
   }
 
   /** Four of eight arrivals run, four are held, and every further arrival is drawn for refusal. */
-  private static void rejectsEveryDraw(SimulatedHost host) {
+  private static void forceRejections(SimulatedHost host) {
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
     }
@@ -28,8 +28,8 @@
   }
 
   @Test
-  void averagesFollowAHandWorkedSequence() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
+  void averagesMatchHandComputedSequence() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
     host.arrive(0); // nothing ended yet: rho_c is u_s = 1
     assertEquals(0.1, host.policy.gate().averageOfferedLoad, 1e-12);
     assertEquals(0.1, host.policy.gate().averageUtilisation, 1e-12);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void theFilteringCoefficientIsFromZeroToOne() {
+  void filteringCoefficientIsClampedToZeroAndOne() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     host.policy.gate().averageOfferedLoad = 0.95;
     assertEquals(0.8, host.policy.gate().filteringCoefficient(1), 1e-12);
@@ -53,8 +53,8 @@
   }
 
   @Test
-  void nothingIsRejectedBeforeTheGateBinds() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
+  void arrivalsAreRejectedOnlyWhileGateBinds() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
     host.policy.gate().averageUtilisation = 1;
     host.policy.gate().averageOfferedLoad = 3;
     for (int i = 0; i < 50; i++) { // held, but the oldest has not waited a tenth of its time
@@ -71,8 +71,8 @@
   }
 
   @Test
-  void rejectionsComeAsOftenAsTheFilteringCoefficientSays() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 42));
+  void rejectionRateMatchesFilteringCoefficient() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 42));
     for (int i = 0; i < 6; i++) {
       host.arrive(0);
     }
@@ -81,7 +81,8 @@
     for (int i = 0; i < 2000; i++) {
       host.policy.gate().averageUtilisation = 1;
       host.policy.gate().averageOfferedLoad =
-          (1.15 - 0.1 * rhoNow(host)) / 0.9; // so that rho_av is 1.15 when the gate decides
+          (1.15 - 0.1 * currentOfferedLoad(host))
+              / 0.9; // so that rho_av is 1.15 when the gate decides
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       assertEquals(1.15, host.policy.gate().averageOfferedLoad, 0.05);
       rejected += hosted.answer.equals("reject") ? 1 : 0;
@@ -92,15 +93,16 @@
     assertEquals(0.4, rejected / 2000.0, 0.05);
   }
 
-  private static double rhoNow(SimulatedHost host) {
+  private static double currentOfferedLoad(SimulatedHost host) {
     return host.policy.load().utilisation(); // nothing has ended: rho_c is u_s
   }
 
   @Test
-  void anArrivalCompetesOnlyWithArrivalsOfItsWeightOrMore() {
+  void arrivalCompetesOnlyWithArrivalsOfEqualOrHigherWeight() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
     for (int i = 0; i < 60; i++) {
       host.arrive(i % 4 == 0 ? 1 : 0);
     }
@@ -115,8 +117,8 @@
   }
 
   @Test
-  void aMarkedRetryGivesWayToAFirstAttempt() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
+  void firstAttemptReplacesQueuedRetry() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
     host.markRetries = true;
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
@@ -137,12 +139,12 @@
   }
 
   @Test
-  void theLevelDoesNotRiseForRejectionsBelowIt() {
-    double[] said = new double[2];
-    for (int all = 0; all < 2; all++) {
-      SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
-      rejectsEveryDraw(host);
-      host.rank = all == 0 ? 0.3 : 0.99;
+  void rejectionsBelowAdvisedLevelDoNotRaiseIt() {
+    double[] advisedLevels = new double[2];
+    for (int run = 0; run < 2; run++) {
+      SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
+      forceRejections(host);
+      host.rank = run == 0 ? 0.3 : 0.99;
       for (int i = 0;
           i < 400;
           i++) { // far too many, of one rank: once under the level, they come unheeding
@@ -151,18 +153,19 @@
         host.arrive(0);
         host.advance(20_000);
       }
-      said[all] = host.loadAdvice;
+      advisedLevels[run] = host.loadAdvice;
     }
-    assertTrue(said[0] > 0.25 && said[0] < 0.45, "said " + said[0]);
-    assertTrue(said[1] > 0.9, "said " + said[1]);
+    assertTrue(advisedLevels[0] > 0.25 && advisedLevels[0] < 0.45, "said " + advisedLevels[0]);
+    assertTrue(advisedLevels[1] > 0.9, "said " + advisedLevels[1]);
   }
 
   @Test
-  void aHeavierArrivalThatWasDrawnReplacesTheLightestQueuedRequest() {
+  void heavierArrivalDrawnForRejectionReplacesLightestQueuedRequest() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
-    rejectsEveryDraw(host);
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
+    forceRejections(host);
     assertEquals("reject", host.arrive(0).answer);
     host.policy.gate().averageOfferedLoad = 90;
     assertEquals("", host.arrive(1).answer);
@@ -171,9 +174,10 @@
   }
 
   @Test
-  void tenantsOverAllQuotasInEqualPartsAreRejectedAlike() {
+  void tenantsEquallyOverQuotaAreBothRejected() {
     List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(10));
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
     for (int i = 0; i < 80; i++) { // each at four times its quota a server, in equal parts
       host.arrive(0, i % 2, 0, 0, 0);
     }
@@ -192,29 +196,32 @@
   }
 
   @Test
-  void aTenantWithoutAQuotaIsOverItsQuota() {
+  void tenantWithZeroQuotaIsOverQuota() {
     List<TenantQuota> tenants = List.of(new TenantQuota(0), new TenantQuota(100));
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
-    rejectsEveryDraw(host);
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
+    forceRejections(host);
     assertEquals("", host.arrive(0, 1, 0, 0, 0).answer);
     assertEquals("reject", host.requests.get(5L).answer);
   }
 
   @Test
-  void nothingQueuedGivesWayToAnArrivalThatIsRejectedAnyway() {
+  void arrivalPastItsObjectiveReplacesNoQueuedRequest() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
-    rejectsEveryDraw(host);
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
+    forceRejections(host);
     assertEquals(
         "reject", host.arrive(1, 0, 60_100_000, 0, 0).answer); // past its wanted time when read
     assertEquals("", host.requests.get(5L).answer);
   }
 
   @Test
-  void aTenantFarOverItsQuotaIsRejectedFirst() {
+  void tenantFarOverQuotaIsRejectedFirst() {
     List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(100));
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
     for (int i = 0; i < 80; i++) {
       host.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
     }
--- a/src/test/java/rosecleat/policy/AdmissionTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionTest.java
@@ -8,7 +8,7 @@
 /** Admission of requests that are read late. */
 class AdmissionTest {
   @Test
-  void aRequestReadLateRunsWhereTheQueueIsEmptyThoughTheLoadIsHigh() {
+  void requestReadLateStartsOnEmptyQueueDespiteHighLoad() {
     SimulatedHost host = Scenarios.warmedUp();
     host.gauges.coreUtilisation = 1; // reading alone fills the cores
     host.advance(20_000);
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void aLightArrivalIsRejectedOnAnEmptyQueueWhereHeavierOnesAloneAreTooMany() {
+  void lightArrivalIsRejectedOnEmptyQueueIfHeavierArrivalsAloneExceedCapacity() {
     SimulatedHost host =
         new SimulatedHost(
             TestSettings.plain(
--- a/src/test/java/rosecleat/policy/ColdNodeRamp.java
+++ b/src/test/java/rosecleat/policy/ColdNodeRamp.java
@@ -26,38 +26,39 @@
    * The largest mean of what a cold node runs, over the time that it survives an overload, as a
    * part of what it survives at that moment.
    */
-  static double maxLoad(int callers, int seed) {
-    return new ColdNodeRamp(seed).maxLoad(callers);
+  static double maxOverloadShare(int callers, int seed) {
+    return new ColdNodeRamp(seed).maxOverloadShare(callers);
   }
 
-  private double maxLoad(int callers) {
+  private double maxOverloadShare(int callers) {
     PolicySettings settings = host.settings;
     int window = (int) (settings.overloadDurationUs() / STEP_US);
     Deque<Integer> running = new ArrayDeque<>();
     double max = 0;
     for (long now = 0; now < settings.warmupUs(); now += STEP_US) {
-      double warm =
+      double warmShare =
           settings.coldCapacity() + (1 - settings.coldCapacity()) * now / settings.warmupUs();
       host.gauges.coreUtilisation = host.running().isEmpty() ? 0.2 : 1;
       host.advance(STEP_US);
       for (int caller = 0; caller < callers; caller++) {
-        sendAllowed(caller);
+        sendWithinCredit(caller);
       }
-      endSome(warm);
+      completeRandomRuns(warmShare);
       running.add(host.running().size());
       if (running.size() > window) {
         running.remove();
       }
       if (running.size() == window) {
-        double survived = settings.cores() * (1 + (settings.overloadMultiple() - 1) * warm);
-        max = Math.max(max, mean(running) / survived);
+        double survivedRuns =
+            settings.cores() * (1 + (settings.overloadMultiple() - 1) * warmShare);
+        max = Math.max(max, mean(running) / survivedRuns);
       }
     }
     return max;
   }
 
   /** A caller has as much outstanding as its credit allows. */
-  private void sendAllowed(int caller) {
+  private void sendWithinCredit(int caller) {
     host.callerId = caller;
     long outstanding =
         host.requests.values().stream()
@@ -70,10 +71,10 @@
     }
   }
 
-  private void endSome(double warm) {
+  private void completeRandomRuns(double warmShare) {
     for (SimulatedHost.HostedRequest hosted : host.running()) {
-      double crowd = Math.max(1, host.running().size() / 4.0);
-      if (random.nextDouble() < warm * STEP_US / RUN_TIME_US / crowd) {
+      double contention = Math.max(1, host.running().size() / 4.0);
+      if (random.nextDouble() < warmShare * STEP_US / RUN_TIME_US / contention) {
         host.end(hosted, Outcome.OK, (long) RUN_TIME_US);
       }
     }
--- a/src/test/java/rosecleat/policy/ConcurrencyLimiterTest.java
+++ b/src/test/java/rosecleat/policy/ConcurrencyLimiterTest.java
@@ -12,7 +12,7 @@
       new PriorityClass(1, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
 
   @Test
-  void theLimitStartsAtTheCoresGrowsWhileTheyAreFreeAndStaysUnderTheOverloadLimit() {
+  void limitStartsAtCoreCountAndGrowsWithFreeCoresUpToOverloadLimit() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(List.of(LONG)), 1);
     for (int i = 0; i < 60; i++) {
       host.arrive(0);
@@ -26,14 +26,14 @@
   }
 
   @Test
-  void theLimitFallsToTheCoresAsRunTimesRise() {
+  void limitFallsToCoreCountAsRunTimesRise() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(List.of(LONG)), 1);
     for (int i = 0; i < 200; i++) {
       host.arrive(0);
     }
     host.gauges.coreUtilisation = 0.5;
     host.advance(2_000_000);
-    double grown = host.policy.concurrencyLimit();
+    double limitWithFreeCores = host.policy.concurrencyLimit();
     host.gauges.coreUtilisation = 1; // with cores to spare, long runs are no crowd
     for (int i = 0; i < 30; i++) {
       host.end(host.running().get(0), Outcome.OK, 100_000);
@@ -42,7 +42,7 @@
       host.end(host.running().get(0), Outcome.OK, 300_000);
       host.advance(100_000);
     }
-    assertTrue(grown > 4);
+    assertTrue(limitWithFreeCores > 4);
     assertEquals(4, host.policy.concurrencyLimit(), 1e-9);
   }
 
--- a/src/test/java/rosecleat/policy/DeadlineTest.java
+++ b/src/test/java/rosecleat/policy/DeadlineTest.java
@@ -10,12 +10,12 @@
 /** Every request is answered before its deadline. */
 class DeadlineTest {
   @Test
-  void whenNothingEndsEveryRequestIsAnsweredBeforeItsDeadline() {
-    for (CancelMode halt : CancelMode.values()) {
+  void everyRequestIsAnsweredBeforeItsDeadlineWhenNoRunEnds() {
+    for (CancelMode cancelMode : CancelMode.values()) {
       SimulatedHost host =
           new SimulatedHost(
               TestSettings.with(
-                  halt,
+                  cancelMode,
                   LoadAdviceMode.OFF,
                   DownstreamMode.OFF,
                   0,
@@ -35,19 +35,19 @@
   }
 
   @Test
-  void aShorterTimeoutBindsAndARequestReadTooLateIsAnsweredAtOnce() {
+  void shorterTimeoutAppliesAndRequestReadAfterItsDeadlineIsAnswered() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
-    SimulatedHost.HostedRequest tight = host.arrive(0, 0, 0, 300_000, 0);
+    SimulatedHost.HostedRequest withTimeout = host.arrive(0, 0, 0, 300_000, 0);
     host.advance(300_000);
-    assertFalse(tight.awaitingResponse);
+    assertFalse(withTimeout.awaitingResponse);
     host.arrive(0);
-    SimulatedHost.HostedRequest stale = host.arrive(0, 0, 9_000_000, 0, 0);
+    SimulatedHost.HostedRequest readLate = host.arrive(0, 0, 9_000_000, 0, 0);
     host.advance(60_000);
-    assertFalse(stale.awaitingResponse);
+    assertFalse(readLate.awaitingResponse);
   }
 
   @Test
-  void aRequestThatWaitsForACallIsFailedBeforeItsDeadline() {
+  void requestWaitingForCallFailsBeforeItsDeadline() {
     PriorityClass calling =
         new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
     SimulatedHost host = new SimulatedHost(TestSettings.sharedDownstream(1, calling), 1);
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aRequestThatCannotFinishInTimeIsRejectedWhileOthersRun() {
+  void requestThatCannotFinishInTimeIsRejectedWhileOthersRun() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 30; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
--- a/src/test/java/rosecleat/policy/DigestTextTest.java
+++ b/src/test/java/rosecleat/policy/DigestTextTest.java
@@ -7,7 +7,7 @@
 /** The texts whose digests are stored beside estimates: an earlier version wrote the same. */
 class DigestTextTest {
   @Test
-  void aClassReadsAsInTheDigestsThatAreStored() {
+  void classDigestTextMatchesStoredForm() {
     PriorityClass requestClass =
         new PriorityClass(2.5, 0.1, 900_000, 1.5, 3_000_000, Idempotency.KEYED, 60, true, 0.4);
     assertEquals(
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aTenantReadsAsInTheDigestsThatAreStored() {
+  void tenantDigestTextMatchesStoredForm() {
     assertEquals("Tenant[quotaPerS=10.0]", new TenantQuota(10).digestText());
   }
 }
--- a/src/test/java/rosecleat/policy/EstimatesTest.java
+++ b/src/test/java/rosecleat/policy/EstimatesTest.java
@@ -39,7 +39,7 @@
         .toList();
   }
 
-  private void runs(PolicyEngine engine, int count, long tookUs) {
+  private void completeRuns(PolicyEngine engine, int count, long tookUs) {
     for (int i = 0; i < count; i++) {
       assertEquals(List.of(new PolicyCommand.Run(id + 1)), arrive(engine, 3_000_000));
       now += tookUs;
@@ -54,40 +54,42 @@
   }
 
   @Test
-  void aRestoredRunTimeIsPassedOnUntilEnoughRunsAreSeen() {
+  void restoredRunTimeIsReportedUntilEnoughRunsAreObserved() {
     PolicyEngine first = started();
-    runs(first, 20, 50_000);
+    completeRuns(first, 20, 50_000);
     Estimate learned = byKind(first).get(EstimateKind.RUN_TIME);
     assertEquals("safe", learned.subject());
     assertEquals(50_000, learned.value(), 1_000);
     assertEquals(20, learned.samples());
-    Estimate passedOn = new Estimate(EstimateKind.RUN_TIME, "safe", learned.value(), 8);
+    Estimate restoredEstimate = new Estimate(EstimateKind.RUN_TIME, "safe", learned.value(), 8);
 
     PolicyEngine second =
         new PolicyEngine(TestSettings.plain(), List.of("core_use", "on_cores"), 7);
     second.restore(NAMES, () -> first.estimates(NAMES)); // it has not started: taken in then
     second.start(now, false);
     assertEquals(
-        passedOn,
+        restoredEstimate,
         byKind(second).get(EstimateKind.RUN_TIME),
         "passed on until it has seen as much itself");
-    runs(second, 4, 10_000);
+    completeRuns(second, 4, 10_000);
     assertEquals(50_000, byKind(second).get(EstimateKind.RUN_TIME).value(), 1_000);
-    runs(second, 20, 10_000);
+    completeRuns(second, 20, 10_000);
     assertEquals(10_000, byKind(second).get(EstimateKind.RUN_TIME).value(), 1_500);
   }
 
   @Test
-  void aRestoredRunTimeDecidesBeforeAnythingHasRun() {
-    PolicyEngine unaware = started();
+  void restoredRunTimeIsUsedBeforeFirstRunEnds() {
+    PolicyEngine withoutEstimates = started();
     PolicyEngine restored = started();
     restored.restore(
         NAMES, () -> List.of(new Estimate(EstimateKind.RUN_TIME, "safe", 400_000, 10)));
-    for (PolicyEngine d : List.of(unaware, restored)) {
-      arrive(d, 3_000_000); // the first runs: nothing else does
+    for (PolicyEngine engine : List.of(withoutEstimates, restored)) {
+      arrive(engine, 3_000_000); // the first runs: nothing else does
     }
     assertEquals(
-        List.of(new PolicyCommand.Run(id + 1)), arrive(unaware, 200_000), "it knows no better");
+        List.of(new PolicyCommand.Run(id + 1)),
+        arrive(withoutEstimates, 200_000),
+        "it knows no better");
     assertEquals(
         1,
         arrive(restored, 200_000).stream()
@@ -97,17 +99,17 @@
   }
 
   @Test
-  void aRestoredRunTimeTooShortMisleadsForAFewRunsOnly() {
+  void tooShortRestoredRunTimeIsReplacedAfterFewRuns() {
     PolicyEngine restored = started();
     restored.restore(
         NAMES, () -> List.of(new Estimate(EstimateKind.RUN_TIME, "safe", 1, 32))); // far too short
-    runs(restored, 30, 50_000);
+    completeRuns(restored, 30, 50_000);
     assertEquals(50_000, byKind(restored).get(EstimateKind.RUN_TIME).value(), 2_000);
     assertEquals(1, arrive(restored, 3_000_000).size(), "and it goes on");
   }
 
   @Test
-  void aRestoredRunTimeTooLongRejectsAFewAndIsThenForgotten() {
+  void tooLongRestoredRunTimeIsDroppedAfterFewRejections() {
     PolicyEngine restored = started();
     restored.restore(
         NAMES,
@@ -136,17 +138,20 @@
   }
 
   @Test
-  void restoredLimitsStayUnderTheCeilingAndCountInPartWhereTheyRestOnLittle() {
-    PolicyEngine poisoned = started();
-    poisoned.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 90_000, 60)));
-    poisoned.tick(now);
-    double ceiling = byKind(poisoned).get(EstimateKind.LIMIT).value();
+  void restoredLimitIsCappedAndCountsInPartIfBasedOnFewSeconds() {
+    PolicyEngine tooHigh = started();
+    tooHigh.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 90_000, 60)));
+    tooHigh.tick(now);
+    double ceiling = byKind(tooHigh).get(EstimateKind.LIMIT).value();
     assertTrue(ceiling > 4 && ceiling <= 4 * 6, "the crowd that the server survives: " + ceiling);
-    PolicyEngine little = started();
-    little.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 8, 5)));
-    assertEquals(6, byKind(little).get(EstimateKind.LIMIT).value(), 1e-9);
+    PolicyEngine fromFewSeconds = started();
+    fromFewSeconds.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 8, 5)));
+    assertEquals(6, byKind(fromFewSeconds).get(EstimateKind.LIMIT).value(), 1e-9);
     assertEquals(
-        5, byKind(little).get(EstimateKind.LIMIT).samples(), 1e-9, "what it rests on is not lost");
+        5,
+        byKind(fromFewSeconds).get(EstimateKind.LIMIT).samples(),
+        1e-9,
+        "what it rests on is not lost");
     assertEquals(null, byKind(started()).get(EstimateKind.LIMIT), "none was in use yet");
   }
 
@@ -160,7 +165,7 @@
                 new Estimate(EstimateKind.RUN_TIME, "other", 400_000, 10),
                 new Estimate(EstimateKind.TENANT_PART, "nobody", 0.4, 10)));
     assertEquals(null, byKind(restored).get(EstimateKind.RUN_TIME));
-    runs(restored, 3, 10_000);
+    completeRuns(restored, 3, 10_000);
     assertEquals(
         List.of(),
         restored
--- a/src/test/java/rosecleat/policy/FleetRamp.java
+++ b/src/test/java/rosecleat/policy/FleetRamp.java
@@ -17,16 +17,16 @@
 
   /**
    * The dependency works, is away, and is back; cold ones take so many times as long at first, and
-   * are warm after RAMP_US.
+   * are warm after WARMUP_US.
    */
-  private static final long AWAY_FROM_US = 10_000_000;
+  private static final long OUTAGE_START_US = 10_000_000;
 
-  private static final long BACK_US = 16_000_000;
-  private static final long RAMP_US = 15_000_000;
+  private static final long OUTAGE_END_US = 16_000_000;
+  private static final long WARMUP_US = 15_000_000;
   private static final long END_US = 36_000_000;
-  private static final double COLD_TIMES = 10;
+  private static final double COLD_SLOWDOWN = 10;
   private static final long CALL_US = 30_000;
-  private static final long WORK_US = 20_000;
+  private static final long EXTRA_RUN_TIME_US = 20_000;
 
   /**
    * What a fleet sent below: the largest mean of calls outstanding in one window, and its bound;
@@ -45,7 +45,7 @@
    * Plays so many processes that share a dependency which survives so many calls in the mean, each
    * with its quota.
    */
-  static DownstreamLoad below(int processes, double quota, int seed) {
+  static DownstreamLoad downstreamLoad(int processes, double quota, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<SimulatedHost> fleet = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
@@ -103,8 +103,8 @@
     }
     for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
       switch (hosted.state) {
-        case RUNNING -> run(host, hosted, random, runStarts);
-        case CALLING -> call(host, hosted, now, callEnds);
+        case RUNNING -> runStep(host, hosted, random, runStarts);
+        case CALLING -> callStep(host, hosted, now, callEnds);
         default -> {
           if (!hosted.awaitingResponse && hosted.state != RequestState.COMPLETED) {
             host.end(hosted, Outcome.CANCELLED, 1);
@@ -115,7 +115,7 @@
     host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
   }
 
-  private static void run(
+  private static void runStep(
       SimulatedHost host,
       SimulatedHost.HostedRequest hosted,
       SplittableRandom random,
@@ -129,24 +129,25 @@
       host.end(
           hosted,
           hosted.awaitingResponse ? Outcome.OK : Outcome.CANCELLED,
-          host.nowUs - runStarts.remove(hosted) + WORK_US);
+          host.nowUs - runStarts.remove(hosted) + EXTRA_RUN_TIME_US);
     }
   }
 
-  private static void call(
+  private static void callStep(
       SimulatedHost host,
       SimulatedHost.HostedRequest hosted,
       long now,
       Map<SimulatedHost.HostedRequest, Long> callEnds) {
-    if (now >= AWAY_FROM_US && now < BACK_US) {
+    if (now >= OUTAGE_START_US && now < OUTAGE_END_US) {
       callEnds.remove(hosted);
       host.endCall(hosted, Outcome.UNREACHABLE);
       return;
     }
-    double cold = now < BACK_US ? 0 : Math.max(0, 1 - (now - BACK_US) / (double) RAMP_US);
+    double coldShare =
+        now < OUTAGE_END_US ? 0 : Math.max(0, 1 - (now - OUTAGE_END_US) / (double) WARMUP_US);
     long end =
         callEnds.computeIfAbsent(
-            hosted, x -> now + (long) (CALL_US * (1 + (COLD_TIMES - 1) * cold)));
+            hosted, x -> now + (long) (CALL_US * (1 + (COLD_SLOWDOWN - 1) * coldShare)));
     if (now >= Math.min(end, hosted.callUntilUs)) {
       callEnds.remove(hosted);
       host.endCall(hosted, now >= end ? Outcome.OK : Outcome.TIMEOUT);
@@ -159,22 +160,22 @@
             + " calls |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (int processes : new int[] {20, 30}) {
-      for (double share : new double[] {0.02, 0.05, 0.3, 1, 5}) {
+      for (double quota : new double[] {0.02, 0.05, 0.3, 1, 5}) {
         DownstreamLoad worst = null;
         for (int seed = 1; seed <= 3; seed++) {
-          DownstreamLoad one = below(processes, share, seed);
-          worst = worst == null || one.maxMeanCalls() > worst.maxMeanCalls() ? one : worst;
+          DownstreamLoad load = downstreamLoad(processes, quota, seed);
+          worst = worst == null || load.maxMeanCalls() > worst.maxMeanCalls() ? load : worst;
         }
         System.out.printf(
             "| %d | %.2f | %.1f | %.2f | %.1f | %d |%n",
-            processes, share, worst.budget(), worst.maxMeanCalls(), worst.allowed(), worst.calls());
+            processes, quota, worst.budget(), worst.maxMeanCalls(), worst.allowed(), worst.calls());
       }
     }
     for (int callers : new int[] {4, 20, 30}) {
       System.out.printf(
           "cold node, %d callers: at the most %.2f of what it survives, in the mean of its"
               + " overload's time%n",
-          callers, ColdNodeRamp.maxLoad(callers, 1));
+          callers, ColdNodeRamp.maxOverloadShare(callers, 1));
     }
   }
 }
--- a/src/test/java/rosecleat/policy/MemoryBudgetTest.java
+++ b/src/test/java/rosecleat/policy/MemoryBudgetTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void arrivalsAndSharedReadsStopBeforeRunsAndKeysDo() {
+  void arrivalsAndSharedReadsAreRefusedBeforeRunsAndKeys() {
     memory.add(85_000);
     assertFalse(memory.isFull());
     assertTrue(memory.hasCapacityForKey());
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aRunIsCountedByItsFactorInPlaceOfWhatItTookInTheQueue() {
+  void memoryOfRunReplacesMemoryOfQueuedRequest() {
     TrackedRequest tracked = queued(10);
     memory.add(tracked.memoryKb);
     assertTrue(memory.hasCapacityToRun(tracked));
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aRunThatDoesNotFitIsNotStarted() {
+  void runThatExceedsMemoryIsNotStarted() {
     memory.add(91_990);
     TrackedRequest tracked = queued(10);
     memory.add(tracked.memoryKb);
--- a/src/test/java/rosecleat/policy/OverloadLimitTest.java
+++ b/src/test/java/rosecleat/policy/OverloadLimitTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void aColdServerKeepsToItsSmallerOverloadLimit() {
+  void coldServerStaysWithinItsLowerOverloadLimit() {
     SimulatedHost host =
         new SimulatedHost(
             TestSettings.withoutDownstream(
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void requestsThatReturnFromCallsAtOnceStayWithinTheOverloadLimit() {
+  void requestsReturningFromCallsTogetherStayWithinOverloadLimit() {
     for (boolean cold : new boolean[] {false, true}) {
       SimulatedHost host = Scenarios.allWaitingForCalls(60, cold);
       host.requests.values().stream()
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void pausedRequestsKeepTheirMemoryCounted() {
+  void memoryOfPausedRequestsStaysCounted() {
     SimulatedHost host =
         new SimulatedHost(
             TestSettings.withoutDownstream(
--- a/src/test/java/rosecleat/policy/ServiceTimeEstimatorTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeEstimatorTest.java
@@ -13,54 +13,54 @@
 
   private final ServiceTimeEstimator estimator =
       new ServiceTimeEstimator(new CoreLoad(new PolicyContext(TestSettings.plain(), 1, null)));
-  private final TrackedRequest tracked = tracked(0);
+  private final TrackedRequest tracked = newRequest(0);
 
   ServiceTimeEstimatorTest() {
     estimator.resize(1);
   }
 
-  private static TrackedRequest tracked(long hintUs) {
+  private static TrackedRequest newRequest(long hintUs) {
     PolicyRequest request =
         new PolicyRequest(1, 0, 0, 0, 0, hintUs, 10, 0.5, false, false, 1, 0, 0);
     return new TrackedRequest(request, TestSettings.SAFE, 0, 1_000_000, 3_000_000);
   }
 
-  private void runs(long tookUs) {
+  private void completeRuns(long tookUs) {
     for (int i = 0; i < RUNS; i++) {
       estimator.recordEnd(tracked, tookUs);
     }
   }
 
   @Test
-  void nothingIsExpectedBeforeARunHasEnded() {
+  void expectedRunTimeIsZeroBeforeFirstRunEnds() {
     assertEquals(0, estimator.expectedRunTime(tracked));
     assertFalse(estimator.hasEnoughRuns(0));
   }
 
   @Test
-  void equalRunsAreExpectedAgainAndAreNoSlowness() {
-    runs(50_000);
+  void equalRunsSetExpectedRunTimeWithoutSlowness() {
+    completeRuns(50_000);
     assertEquals(50_000, estimator.expectedRunTime(tracked), 1e-6);
     assertEquals(1, estimator.slowness(), 1e-9);
     assertTrue(estimator.hasEnoughRuns(0));
   }
 
   @Test
-  void longerRunsThanBeforeAreSlownessAndNotANewRunTime() {
-    runs(50_000);
-    runs(200_000);
+  void longerRunsRaiseSlownessAndExpectedRunTime() {
+    completeRuns(50_000);
+    completeRuns(200_000);
     assertTrue(estimator.slowness() > 2);
     assertTrue(estimator.expectedRunTime(tracked) > 100_000);
   }
 
   @Test
-  void hintsScaleTheRunTime() {
-    estimator.recordEnd(tracked(10_000), 20_000);
-    assertEquals(40_000, estimator.expectedRunTime(tracked(20_000)), 1e-6);
+  void hintsScaleExpectedRunTime() {
+    estimator.recordEnd(newRequest(10_000), 20_000);
+    assertEquals(40_000, estimator.expectedRunTime(newRequest(20_000)), 1e-6);
   }
 
   @Test
-  void aRestoredRunTimeIsUsedUntilItIsDiscounted() {
+  void restoredRunTimeIsUsedUntilDiscounted() {
     estimator.restore(new double[] {70_000}, new int[] {1});
     assertEquals(70_000, estimator.expectedRunTime(tracked));
     assertArrayEquals(new int[] {1}, estimator.learnedRunCounts());
@@ -69,8 +69,8 @@
   }
 
   @Test
-  void aReassignedClassIsForgotten() {
-    runs(50_000);
+  void reassignedClassIsForgotten() {
+    completeRuns(50_000);
     estimator.forget(0);
     assertEquals(0, estimator.observedRunTime(0));
     assertArrayEquals(new int[] {0}, estimator.learnedRunCounts());
--- a/src/test/java/rosecleat/policy/ServiceTimeTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeTest.java
@@ -15,7 +15,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 100_000})
-  void aRunOfNoLengthKeepsEveryEstimateFinite(long tookUs) {
+  void runOfZeroLengthKeepsEstimatesFinite(long tookUs) {
     SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
     SimulatedHost.HostedRequest hosted = host.arrive(0);
     host.needCall(hosted);
@@ -40,7 +40,7 @@
    * none of the second run's.
    */
   @Test
-  void aSecondRunIsMeasuredWithoutTheCallTimeOfTheFirst() {
+  void secondRunExcludesCallTimeOfFirstRun() {
     SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
     SimulatedHost.HostedRequest hosted = host.arrive(0);
     host.needCall(hosted);
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void timeSpentAtCallsIsNoContentionForTheCores() {
+  void timeAtCallsDoesNotRaiseExpectedRunTime() {
     SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
     for (int i = 0; i < 60; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void cancelledLongRunsStillRaiseTheExpectedRunTime() {
+  void cancelledLongRunsRaiseExpectedRunTime() {
     SimulatedHost host =
         new SimulatedHost(
             TestSettings.withoutDownstream(
--- a/src/test/java/rosecleat/policy/StallTest.java
+++ b/src/test/java/rosecleat/policy/StallTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aStallRejectsQueuedRequestsAndClosesTheServer() {
+  void stallRejectsQueuedRequestsAndClosesServer() {
     SimulatedHost host = Scenarios.warmedUp();
     for (int i = 0; i < 9; i++) {
       host.arrive(i % 3);
@@ -25,8 +25,8 @@
     host.advance(900_000);
     assertFalse(host.healthy);
     assertEquals(1, host.loadAdvice);
-    SimulatedHost.HostedRequest more = host.arrive(0);
-    assertEquals("reject", more.answer);
+    SimulatedHost.HostedRequest duringStall = host.arrive(0);
+    assertEquals("reject", duringStall.answer);
     assertTrue(host.lastRetryAfterUs > 0);
     assertFalse(host.lastNoRetry);
     host.end(
@@ -38,12 +38,12 @@
   }
 
   @Test
-  void aNewServerSeesNoStallInItsFirstSecond() {
+  void newServerReportsNoStallInFirstSecond() {
     assertNoStall(new SimulatedHost(TestSettings.plain(), 1));
   }
 
   @Test
-  void aFewLongRunsAreNoStallUntilADozenEndsAreOverdue() {
+  void longRunsAreNoStallUntilTwelveCompletionsAreOverdue() {
     SimulatedHost host = Scenarios.warmedUp(600_000);
     for (int i = 0; i < 4; i++) {
       host.arrive(0);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aVeryLongRunIsNoStallWhileOtherCoresAreFree() {
+  void longRunsAreNoStallWhileOtherCoresAreFree() {
     SimulatedHost host = Scenarios.warmedUp();
     host.arrive(2);
     host.arrive(2);
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void manyReadsAreNoStall() {
+  void heavyReadingIsNoStall() {
     SimulatedHost host = Scenarios.warmedUp();
     host.gauges.runnable = 40;
     assertNoStall(host);
--- a/src/test/java/rosecleat/policy/TimerQueueTest.java
+++ b/src/test/java/rosecleat/policy/TimerQueueTest.java
@@ -11,7 +11,7 @@
   private final TimerQueue timers = new TimerQueue();
 
   @Test
-  void timersOfOneTimeFireInTheOrderInWhichTheyWereAdded() {
+  void timersDueAtSameTimeFireInOrderAdded() {
     timers.add(20, 1);
     timers.add(10, 2);
     timers.add(20, 3);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void aTimerIsDueFromItsTimeOn() {
+  void timerIsDueFromItsTime() {
     assertFalse(timers.isDue(Long.MAX_VALUE));
     assertEquals(Long.MAX_VALUE, timers.nextUs());
     timers.add(10, 1);
