--- a/src/main/java/rosecleat/policy/AdmissionController.java
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -37,10 +37,10 @@
   }
 
   /**
-   * Decides on an arrival that was queued.
+   * Admits or rejects an arrival that is already queued.
    *
-   * @param weight the weight of its answer
-   * @param advisedLevel the rank below which callers were advised not to send
+   * @param weight weight of its response
+   * @param advisedLevel rank below which callers were advised not to send requests
    */
   void admit(TrackedRequest tracked, double weight, double advisedLevel) {
     boolean afterGrace = availability.isPastGrace(tracked);
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Deals with a request that repeats another; false where it is new work. */
+  /** Handles a request that repeats another; returns false if it must run as new work. */
   private boolean handleRepeat(TrackedRequest tracked, boolean afterGrace) {
     switch (idempotency.classify(tracked, afterGrace, availability.isStalled())) {
       case ATTACH -> idempotency.attach(tracked);
@@ -74,14 +74,17 @@
   }
 
   /**
-   * The chance of a rejection by the gate: an arrival competes with what weighs as much or more.
+   * Returns the probability that the gate rejects an arrival, which competes only with arrivals of
+   * equal or higher weight.
    */
   private double rejectionChance(double weight) {
     if (!gate.isBinding()) {
       return 0;
     }
-    // an arrival that is read late must not bind its own rejection: with none queued before it a
-    // run may start at once, unless heavier arrivals alone offer more than this server can do
+    // A request that is read late may make the gate bind by its own waiting time. With no other
+    // request
+    // in the queue it can start at once, so it is not rejected unless heavier arrivals alone exceed
+    // this server's capacity.
     double heavierShare = weights.shareAtLeast(weight / RequestWeights.EQUAL_WEIGHT_RATIO);
     if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavierShare <= 1) {
       return 0;
@@ -95,7 +98,10 @@
     return rejectionChance > 0 && context.random.nextDouble() < rejectionChance;
   }
 
-  /** Rejects the lightest queued request in place of a heavier one; false where none is lighter. */
+  /**
+   * Rejects the lightest queued request in place of a heavier arrival; returns false if none is
+   * lighter.
+   */
   private boolean rejectLighterQueued(double weight) {
     TrackedRequest lightest = null;
     double lightestWeight = weight * RequestWeights.EQUAL_WEIGHT_RATIO;
--- a/src/main/java/rosecleat/policy/AdmissionGate.java
+++ b/src/main/java/rosecleat/policy/AdmissionGate.java
@@ -1,29 +1,30 @@
 package rosecleat.policy;
 
 /**
- * Algorithm 1 of Khojasteh and Mišić: a smoothed utilisation gate with random rejection. Above the
- * utilisation threshold a request is admitted with the probability F_cf, the filtering coefficient.
+ * Implements Algorithm 1 of Khojasteh and Mišić: a gate on the smoothed utilisation with random
+ * rejection. Above the utilisation threshold a request is admitted with probability F_cf, the
+ * filtering coefficient.
  */
 final class AdmissionGate {
-  /** Weight of the newest offered load, per event. The paper's alpha; its value is chosen here. */
+  /** Weight of the newest offered load in its average, per event; alpha in the paper. */
   private static final double OFFERED_LOAD_WEIGHT = 0.1;
 
-  /** Weight of the newest utilisation, per event. The paper's beta; its value is chosen here. */
+  /** Weight of the newest utilisation in its average, per event; beta in the paper. */
   private static final double UTILISATION_WEIGHT = 0.1;
 
-  /** Share of the cores; the paper's U_thr, its value is DESIGN's. */
+  /** Average utilisation above which the gate may bind (share of the cores); U_thr in the paper. */
   private static final double UTILISATION_THRESHOLD = 0.75;
 
-  /** Wait of the oldest request from which the gate binds (part of its objective); DESIGN's. */
+  /** Waiting time of the oldest request beyond which the gate binds (share of its objective). */
   private static final double BINDING_WAIT_SHARE = 0.1;
 
-  /** Utilisation from which the gate binds (share of the cores); DESIGN's. */
+  /** Current utilisation above which the cores count as busy (share of the cores). */
   static final double BUSY_UTILISATION = 0.9;
 
-  /** Smoothed utilisation, the paper's u_av. */
+  /** Smoothed utilisation; u_av in the paper. */
   double averageUtilisation;
 
-  /** Smoothed offered load, the paper's rho_av. */
+  /** Smoothed offered load; rho_av in the paper. */
   double averageOfferedLoad;
 
   private final PolicyContext context;
@@ -38,7 +39,7 @@
     this.requests = requests;
   }
 
-  /** Renews the two averages; called at each arrival and departure. */
+  /** Updates both averages; called at each arrival and each completion. */
   void update() {
     double utilisation = load.utilisation();
     double offeredLoad =
@@ -52,9 +53,9 @@
   }
 
   /**
-   * F_cf, the probability of admission, from 0 to 1.
+   * Returns F_cf, the probability of admission, from 0 to 1.
    *
-   * @param arrivalShare the share of the arrivals that a request competes with; 1 is every arrival,
+   * @param arrivalShare share of the arrivals that a request competes with; 1 means every arrival,
    *     as in the paper
    */
   double filteringCoefficient(double arrivalShare) {
@@ -63,7 +64,8 @@
   }
 
   /**
-   * Whether the gate binds: over the threshold, cores busy, and the oldest request kept waiting.
+   * Returns whether the gate binds: the average utilisation exceeds the threshold, the cores are
+   * busy now, and the oldest queued request has waited too long.
    */
   boolean isBinding() {
     if (averageUtilisation <= UTILISATION_THRESHOLD
--- a/src/main/java/rosecleat/policy/CompletionForecast.java
+++ b/src/main/java/rosecleat/policy/CompletionForecast.java
@@ -1,6 +1,6 @@
 package rosecleat.policy;
 
-/** Whether a request that is started now can still be answered in time. */
+/** Predicts whether a request that starts now can still be answered in time. */
 final class CompletionForecast {
   private final PolicyContext context;
   private final RequestTable requests;
@@ -19,7 +19,8 @@
   }
 
   /**
-   * Whether no answer of any worth can come of a request any more. An idle server lets one through.
+   * Returns whether the request can no longer yield a response of any weight. While nothing runs, a
+   * request within its latency objective is never hopeless, whatever its expected run time.
    */
   boolean isHopeless(TrackedRequest tracked) {
     long now = context.nowUs();
@@ -38,7 +39,7 @@
     return hopeless;
   }
 
-  /** Whether a run that starts now is expected to miss its latency objective. */
+  /** Returns whether a run that starts now is expected to miss its latency objective. */
   boolean missesObjective(TrackedRequest tracked) {
     return context.nowUs() + serviceTimes.expectedRunTime(tracked) > tracked.objectiveUs;
   }
--- a/src/main/java/rosecleat/policy/ConcurrencyLimiter.java
+++ b/src/main/java/rosecleat/policy/ConcurrencyLimiter.java
@@ -1,17 +1,17 @@
 package rosecleat.policy;
 
-/** The limit on concurrent runs, led by run times, and the overload limit of the server. */
+/** Adapts the limit on concurrent runs to run times, and computes the server's overload limit. */
 final class ConcurrencyLimiter {
-  /** One step up of the limit (runs); chosen here. */
+  /** Additive increase of the limit per step (runs). */
   static final double INCREASE = 1.0;
 
-  /** One step down of the limit (factor); chosen here. */
+  /** Multiplicative decrease of the limit per step. */
   private static final double DECREASE_FACTOR = 0.9;
 
-  /** Run time over its base from which the limit falls; chosen here. */
+  /** Ratio of the current run times to the fastest above which the limit is decreased. */
   private static final double CONGESTED_SLOWNESS = 1.3;
 
-  /** Ceiling of the limit (part of the overload limit); chosen here. */
+  /** Upper bound of the limit (share of the overload limit). */
   private static final double MAX_OVERLOAD_LIMIT_SHARE = 0.6;
 
   private final PolicyContext context;
@@ -39,17 +39,17 @@
     lastTickUs = nowUs;
   }
 
-  /** Notes the time up to which a cold server has warmed up. */
+  /** Records the current time, from which the warm-up progress of a cold server is computed. */
   void tick(long nowUs) {
     lastTickUs = nowUs;
   }
 
-  /** The limit on concurrent runs, at least one a core. */
+  /** Returns the limit on concurrent runs, at least one per core. */
   double limit() {
     return limit;
   }
 
-  /** How many concurrent requests the server survives, fewer while it warms up. */
+  /** Returns the number of concurrent requests that the server survives, less while it warms up. */
   double overloadLimit() {
     PolicySettings settings = context.settings();
     double warmShare = 1;
@@ -61,19 +61,22 @@
     return settings.cores() * (1 + (settings.overloadMultiple() - 1) * warmShare);
   }
 
-  /** Whether one more request may run. */
+  /** Returns whether one more request may run. */
   boolean hasCapacity() {
-    // requests at a call come back to the cores, at worst all at once: one limit bounds both
+    // Requests that wait for a downstream call return to the cores, at worst all at the same time,
+    // so
+    // the overload limit bounds running and waiting requests together.
     return requests.running() < (int) limit
         && requests.running() + requests.atCall() + 1 < overloadLimit();
   }
 
-  /** Moves the limit by one step. */
+  /** Adjusts the limit by one step. */
   void adjust() {
     if (load.utilisation() < AdmissionGate.BUSY_UTILISATION
         && !requests.queue().isEmpty()
         && requests.running() >= (int) limit) {
-      // free cores come first: runs that wait for something else are long but do not congest
+      // Free cores take precedence over long run times: runs that wait for something other than a
+      // core are long without causing congestion.
       limit += INCREASE;
     } else if (serviceTimes.slowness() * load.contention() > CONGESTED_SLOWNESS) {
       limit *= DECREASE_FACTOR;
@@ -84,7 +87,7 @@
             Math.min(limit, MAX_OVERLOAD_LIMIT_SHARE * overloadLimit()));
   }
 
-  /** Takes in a limit learned elsewhere, never over the ceiling. */
+  /** Raises the limit to one learned by another process, at most to the upper bound. */
   void restore(double learnedLimit) {
     limit = Math.max(limit, Math.min(learnedLimit, MAX_OVERLOAD_LIMIT_SHARE * overloadLimit()));
   }
--- a/src/main/java/rosecleat/policy/CoreLoad.java
+++ b/src/main/java/rosecleat/policy/CoreLoad.java
@@ -1,8 +1,8 @@
 package rosecleat.policy;
 
-/** How busy the server's cores are, from its gauges. */
+/** Tracks how busy the server's cores are, from its gauges. */
 final class CoreLoad {
-  /** Time constant of the smoothed values (us); chosen here. */
+  /** Time constant of the smoothed values. */
   private static final double SMOOTHING_TIME_CONSTANT_US = 5e5;
 
   private final PolicyContext context;
@@ -14,25 +14,25 @@
     this.context = context;
   }
 
-  /** Share of the cores that was busy of late, as last read. */
+  /** Returns the share of the cores that was busy recently, as last read. */
   double utilisation() {
     return utilisation;
   }
 
-  /** What wants the cores over the cores, smoothed; 1 while all of it fits. */
+  /** Returns the demand for cores divided by their number, smoothed; 1 while the demand fits. */
   double contention() {
     return contention;
   }
 
-  /** Share of the cores that reading and connections want, smoothed. */
+  /** Returns the share of the cores demanded by reading and connection handling, smoothed. */
   double readShare() {
     return readShare;
   }
 
   /**
-   * Takes the gauges in, {@code gapUs} after the last time.
+   * Updates the load from gauges that are read {@code gapUs} after the previous ones.
    *
-   * @return what wants the cores over the cores right now, at least 1
+   * @return the current demand for cores divided by their number, at least 1
    */
   double update(ServerGauges gauges, double gapUs, int running) {
     if (gauges.coreUtilisation >= 0) {
--- a/src/main/java/rosecleat/policy/DeadlineMonitor.java
+++ b/src/main/java/rosecleat/policy/DeadlineMonitor.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Answers requests before their deadlines, and cancels runs that are of no use any more. */
+/** Answers requests before their deadlines, and cancels runs whose response is no longer useful. */
 final class DeadlineMonitor {
   private final PolicyContext context;
   private final RequestTable requests;
@@ -32,7 +32,7 @@
       TrackedRequest tracked = queue.get(i);
       if (isDue(tracked) || tracked.mustNotRunAgain() || forecast.isHopeless(tracked)) {
         responses.answer(tracked);
-        i = -1; // the answer may have taken others out: begin again
+        i = -1; // answering may remove other requests from the queue, so start over
       }
     }
   }
@@ -55,7 +55,7 @@
     return context.nowUs() >= tracked.deadlineUs - PolicyTiming.DEADLINE_MARGIN_US;
   }
 
-  /** Whether a run keeps queued requests waiting although its answer is worth nothing any more. */
+  /** Returns whether a run delays queued requests although its response has no weight any more. */
   private boolean isUseless(TrackedRequest tracked) {
     return tracked.state == RequestState.RUNNING
         && tracked.isSafe()
--- a/src/main/java/rosecleat/policy/Dispatcher.java
+++ b/src/main/java/rosecleat/policy/Dispatcher.java
@@ -2,7 +2,11 @@
 
 import java.util.List;
 
-/** Starts queued requests while there is capacity: by weight while the gate binds, else oldest. */
+/**
+ * Starts queued requests while there is capacity: the heaviest first while the gate binds,
+ * otherwise the oldest first. Requests that would miss their latency objective count with their
+ * late weight.
+ */
 final class Dispatcher {
   private final PolicyContext context;
   private final RequestTable requests;
@@ -38,7 +42,7 @@
     this.responses = responses;
   }
 
-  /** Starts as many queued requests as there is capacity for; rejects those that are hopeless. */
+  /** Starts queued requests until capacity is used up; rejects those that cannot finish in time. */
   void dispatch() {
     while (concurrency.hasCapacity() && !availability.isStalled()) {
       TrackedRequest next = selectNext();
@@ -51,7 +55,7 @@
     }
   }
 
-  /** The request to start next, null where there is none. */
+  /** Returns the request to start next, or null if there is none. */
   private TrackedRequest selectNext() {
     List<TrackedRequest> queue = requests.queue();
     boolean binding = gate.isBinding();
@@ -64,7 +68,7 @@
       }
       if (forecast.isHopeless(tracked)) {
         responses.reject(tracked);
-        // the rejection may have taken others out: begin again
+        // rejecting may remove other requests from the queue, so start over
         i = -1;
         best = null;
         bestWeight = -1;
--- a/src/main/java/rosecleat/policy/EstimateExchange.java
+++ b/src/main/java/rosecleat/policy/EstimateExchange.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns what a policy has learned into estimates by name, and estimates into what it takes in. */
+/** Exports what a policy has learned as estimates by name, and restores such estimates into it. */
 final class EstimateExchange {
-  /** A limit that rests on so many seconds is taken in whole (s); chosen here. */
+  /** Seconds of use behind a restored limit from which it counts in full. */
   private static final double FULL_TRUST_S = 10;
 
-  /** Interval of the samples that the usual limit is a mean of (us); chosen here. */
+  /** Interval of the samples that are averaged into the typical limit. */
   private static final long SAMPLE_INTERVAL_US = 100_000;
 
-  /** Weight of the newest sample in the usual limit; chosen here. */
+  /** Weight of the newest sample in the typical limit. */
   private static final double SAMPLE_WEIGHT = 0.03;
 
-  /** Limits on calls from here on are none (calls); chosen here. */
+  /** Call limits from this number of calls on count as unlimited. */
   private static final double UNLIMITED_CALLS = 1e5;
 
   private static final double US_PER_S = 1_000_000;
@@ -22,12 +22,12 @@
   private final Policy policy;
 
   /**
-   * The concurrency limit while it is in use, smoothed: the limit itself falls as soon as nothing
-   * needs it.
+   * The concurrency limit while it is in use, smoothed. The current limit is no estimate: it falls
+   * as soon as it is not needed.
    */
   private double typicalLimit;
 
-  /** The seconds of use that the usual limit rests on. */
+  /** Seconds of use behind the typical limit. */
   private double typicalLimitSeconds;
 
   private long lastSampleUs;
@@ -38,7 +38,7 @@
     typicalLimit = policy.concurrencyLimit();
   }
 
-  /** Samples the limit where it is time, while half of it or more is in use. */
+  /** Samples the limit once per interval, provided that at least half of it is in use. */
   void sample(long nowUs) {
     if (nowUs - lastSampleUs < SAMPLE_INTERVAL_US) {
       return;
@@ -51,7 +51,7 @@
     }
   }
 
-  /** What the policy has learned, by the names in force. */
+  /** Returns what the policy has learned, by the current names of classes and tenants. */
   List<Estimate> estimates(ClassAndTenantNames names) {
     LearnedEstimates learned = policy.learnedEstimates();
     List<Estimate> estimates = new ArrayList<>();
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Has the policy take in estimates. Limits count in part where they rest on few seconds; what
-   * names nothing here is left out.
+   * Restores estimates into the policy. Limits with few seconds of use behind them count in part;
+   * estimates of unknown classes or tenants are ignored.
    */
   void restore(PolicySettings settings, ClassAndTenantNames names, List<Estimate> estimates) {
     Restoration restoration =
@@ -115,7 +115,7 @@
     typicalLimit = policy.concurrencyLimit();
   }
 
-  /** Collects estimates by name into what the policy takes in by index. */
+  /** Converts estimates by name into learned values by index. */
   private static final class Restoration {
     private final PolicySettings settings;
     private final ClassAndTenantNames names;
@@ -126,7 +126,7 @@
     private int calls;
     private double limit;
 
-    /** The seconds that the limit rests on, negative where none is restored. */
+    /** Seconds of use behind the limit, negative if no limit is restored. */
     private double limitSeconds = -1;
 
     private double callLimit;
--- a/src/main/java/rosecleat/policy/EstimateKind.java
+++ b/src/main/java/rosecleat/policy/EstimateKind.java
@@ -1,17 +1,18 @@
 package rosecleat.policy;
 
-/** What an {@link Estimate} is about: its unit, and what its samples are. */
+/** The quantity of an {@link Estimate}, with the unit of its value and of its samples. */
 public enum EstimateKind {
-  /** The run time of a class alone on the cores (us); runs. */
+  /** Run time of a class without contention for the cores (us); samples are runs. */
   RUN_TIME,
-  /** The usual length of a downstream call (us); calls. */
+  /** Typical duration of a downstream call (us); samples are calls. */
   CALL_TIME,
   /**
-   * The usual concurrency limit while half of it or more was in use (runs); seconds of such use.
+   * Typical concurrency limit while at least half of it was in use (runs); samples are seconds of
+   * such use.
    */
   LIMIT,
-  /** The limit on concurrent downstream calls (calls); seconds. */
+  /** Limit on concurrent downstream calls (calls); samples are the seconds of {@link #LIMIT}. */
   CALL_LIMIT,
-  /** A tenant's share of the arrivals; arrivals. */
+  /** A tenant's share of the arrivals, from 0 to 1; samples are arrivals. */
   TENANT_PART
 }
--- a/src/main/java/rosecleat/policy/LearnedEstimates.java
+++ b/src/main/java/rosecleat/policy/LearnedEstimates.java
@@ -1,16 +1,17 @@
 package rosecleat.policy;
 
 /**
- * What a policy has learned that holds beyond the moment, by the indexes of classes and tenants.
+ * Values that a policy has learned and that stay valid beyond the current load, by the indexes of
+ * classes and tenants.
  *
- * @param runTimesUs run time alone on the cores, by class (us)
- * @param runCounts the runs that each run time rests on
- * @param callTimeUs the usual length of a downstream call (us)
- * @param callCount the calls that it rests on
- * @param concurrencyLimit the limit on concurrent runs, 0 where it is not known
- * @param callLimit the limit on concurrent calls, 0 where it is not known
- * @param tenantShares each tenant's share of the arrivals
- * @param arrivals the arrivals that the shares rest on
+ * @param runTimesUs run time without contention for the cores, by class (us)
+ * @param runCounts number of runs behind each run time
+ * @param callTimeUs typical duration of a downstream call (us)
+ * @param callCount number of calls behind the call duration
+ * @param concurrencyLimit limit on concurrent runs, 0 if unknown
+ * @param callLimit limit on concurrent calls, 0 if unknown
+ * @param tenantShares share of the arrivals, by tenant
+ * @param arrivals number of arrivals behind the shares
  */
 record LearnedEstimates(
     double[] runTimesUs,
--- a/src/main/java/rosecleat/policy/MemoryBudget.java
+++ b/src/main/java/rosecleat/policy/MemoryBudget.java
@@ -1,11 +1,11 @@
 package rosecleat.policy;
 
-/** Counts the memory of requests and remembered keys (KB) and guards the server's limit. */
+/** Counts the memory of requests and stored keys (KB) and keeps it within the server's limit. */
 final class MemoryBudget {
-  /** Share of the memory that runs and keys may fill; chosen here. */
+  /** Share of the memory that may be used by starting a run or storing a key. */
   private static final double RUN_SHARE = 0.92;
 
-  /** Share of the memory above which arrivals are rejected; chosen here. */
+  /** Share of the memory above which arrivals are rejected and optional keys are not stored. */
   private static final double ADMIT_SHARE = 0.85;
 
   private final PolicyContext context;
@@ -27,31 +27,31 @@
     usedKb -= memoryKb;
   }
 
-  /** Whether too much is used to take any further request in. */
+  /** Returns whether too much memory is used to admit any further request. */
   boolean isFull() {
     return usedKb > ADMIT_SHARE * context.settings().memoryKb();
   }
 
-  /** Whether there is memory for one more key that must be remembered. */
+  /** Returns whether there is memory for one more key that must be stored. */
   boolean hasCapacityForKey() {
     PolicySettings settings = context.settings();
     return usedKb + settings.keyKb() <= RUN_SHARE * settings.memoryKb();
   }
 
-  /** Whether there is memory to spare for one more key that need not be remembered. */
+  /** Returns whether there is spare memory for one more key that need not be stored. */
   boolean canSpareKey() {
     PolicySettings settings = context.settings();
     return usedKb + settings.keyKb() <= ADMIT_SHARE * settings.memoryKb();
   }
 
-  /** Whether a queued request can be run within the memory there is. */
+  /** Returns whether a queued request can run within the available memory. */
   boolean hasCapacityToRun(TrackedRequest tracked) {
     PolicySettings settings = context.settings();
     double runningKb = settings.runMemoryFactor() * tracked.request.queuedKb();
     return usedKb + runningKb - tracked.memoryKb <= RUN_SHARE * settings.memoryKb();
   }
 
-  /** Counts a queued request as a running one. */
+  /** Replaces the memory counted for a queued request by that of a running one. */
   void grow(TrackedRequest tracked) {
     double runningKb = context.settings().runMemoryFactor() * tracked.request.queuedKb();
     usedKb += runningKb - tracked.memoryKb;
--- a/src/main/java/rosecleat/policy/PolicySettings.java
+++ b/src/main/java/rosecleat/policy/PolicySettings.java
@@ -3,42 +3,45 @@
 import java.util.List;
 
 /**
- * What a policy is told of its server, its callers and the classes of requests.
+ * Settings of a policy: its server, its callers, and the classes of requests.
  *
- * @param cores cores of the server
- * @param servers servers that share the load, 0 where it is not known
- * @param callers callers of all servers together, 0 where it is not known
+ * @param cores number of cores of the server
+ * @param servers number of servers that share the load, 0 if unknown
+ * @param callers number of callers of all servers together, 0 if unknown
  * @param coldStart whether the server starts cold and warms up (slow start)
- * @param coldCapacity share of its overload limit that a cold server survives, from 0 to 1
- * @param warmupUs how long a cold server takes to warm up (us)
- * @param memoryKb memory for requests and remembered keys (KB)
- * @param runMemoryFactor memory of a running request over that of a queued one
- * @param keyKb memory of one remembered key (KB)
- * @param overloadMultiple concurrent requests a core from which the server collapses
- * @param overloadDurationUs how long an overload may last before the server collapses (us)
- * @param graceUs how long after the start of draining requests may still arrive (us)
- * @param slackUs how much later than its deadline an answer may be written (us)
+ * @param coldCapacity what a cold server survives beyond one request per core, as a share of what
+ *     the warm server survives beyond that, from 0 to 1
+ * @param warmupUs time that a cold server takes to warm up (us)
+ * @param memoryKb limit on the memory of requests and stored keys (KB)
+ * @param runMemoryFactor memory of a running request as a multiple of its memory while queued
+ * @param keyKb memory of one stored key (KB)
+ * @param overloadMultiple concurrent requests per core at which the server collapses
+ * @param overloadDurationUs time that an overload may last before the server collapses (us)
+ * @param graceUs grace period from the start of draining, in which arriving requests are still
+ *     accepted (us)
+ * @param slackUs time after its deadline within which a response may still be written (us)
  * @param propagatesDeadline whether requests carry their deadline
- * @param signalsCancellation whether the server learns that a caller has cancelled
+ * @param signalsCancellation whether the server is notified when a caller cancels a request
  * @param marksRetries whether callers mark retries
- * @param weightByWork whether priority weights are by the work of a request
- * @param overQuotaWeight part of the weight that is left over a tenant's quota, from 0 to 1
- * @param cancelMode what can be done to a running request
- * @param loadAdviceMode what callers make of the value that goes with answers
- * @param adviceHeededUs how long callers heed that value (us)
- * @param maxRetryAfterUs the longest Retry-After that callers heed (us), 0 where they heed none
+ * @param weightByWork whether priority weights are based on the work of a request
+ * @param overQuotaWeight factor for the weight of a request beyond its tenant's quota, from 0 to 1
+ * @param cancelMode effect of cancelling a running request
+ * @param loadAdviceMode meaning of the load advice that is sent with responses
+ * @param adviceHeededUs time for which callers follow the load advice (us)
+ * @param maxRetryAfterUs longest Retry-After that callers follow (us), 0 if they ignore it
  * @param readinessChecks whether health checks ask for readiness
  * @param deepChecks whether health checks may do real work
- * @param maxIdleUs the longest time that an idle connection stays open (us)
- * @param readSharingUs how long the result of a read may be shared (us), 0 for never
- * @param downstreamMode what this server's requests call
- * @param concurrentCalls this server's quota of concurrent downstream calls, in the mean of a
- *     window
- * @param callWindowUs the window of that mean (us)
- * @param callLingerUs how long a call that was given up still occupies the dependency (us)
- * @param roundUs a network round trip (us)
- * @param classes the classes of requests, by index
- * @param tenants the tenants, by index
+ * @param maxIdleUs longest time that an idle connection stays open (us)
+ * @param readSharingUs time for which the result of a read may be shared (us), 0 for never
+ * @param downstreamMode kind of dependency that this server's requests call
+ * @param concurrentCalls this server's quota of concurrent downstream calls, as the mean over a
+ *     window of {@code callWindowUs}
+ * @param callWindowUs window over which the mean of concurrent calls is taken (us)
+ * @param callLingerUs time for which a timed-out or abandoned call still occupies the dependency
+ *     (us)
+ * @param roundUs duration of a network round trip (us)
+ * @param classes request classes, by index
+ * @param tenants tenants' quotas, by index
  */
 public record PolicySettings(
     int cores,
@@ -75,18 +78,18 @@
     List<PriorityClass> classes,
     List<TenantQuota> tenants) {
 
-  /** The same for a server that starts cold, or warm. */
+  /** Returns these settings for a server that starts cold, or warm. */
   public PolicySettings withColdStart(boolean cold) {
     return copy(cores, cold, memoryKb, overloadMultiple, concurrentCalls, classes, tenants);
   }
 
-  /** The same with another number of cores. */
+  /** Returns these settings with another number of cores. */
   public PolicySettings withCores(int otherCores) {
     return copy(
         otherCores, coldStart, memoryKb, overloadMultiple, concurrentCalls, classes, tenants);
   }
 
-  /** The same with these classes and tenants. */
+  /** Returns these settings with other classes and tenants. */
   public PolicySettings withClassesAndTenants(
       List<PriorityClass> otherClasses, List<TenantQuota> otherTenants) {
     return copy(
@@ -94,7 +97,8 @@
   }
 
   /**
-   * The same for one of several processes on this server, which together must keep to its limits.
+   * Returns these settings with one process's share of the limits that all processes on this server
+   * must keep together.
    */
   public PolicySettings withLimits(
       double partMemoryKb, double partOverloadMultiple, double partConcurrentCalls) {
--- a/src/main/java/rosecleat/policy/PriorityClass.java
+++ b/src/main/java/rosecleat/policy/PriorityClass.java
@@ -1,17 +1,18 @@
 package rosecleat.policy;
 
 /**
- * A class of requests: what their answers are worth, by when, and what happens when they run twice.
+ * A class of requests: the weight of their responses, their time limits, and the effect of running
+ * a request twice.
  *
- * @param priorityWeight the weight of one answer within the latency objective
- * @param lateWeight the part of the weight that is left after the latency objective, from 0 to 1
- * @param latencyObjectiveUs when an answer should be ready, from the arrival (us)
- * @param objectiveRunTimeFactor how many run times are added to the latency objective
- * @param deadlineUs when an answer must be ready, from the arrival (us)
- * @param idempotency what happens when a request runs twice
- * @param retryWindowUs how long after the arrival a repeated attempt may come (us)
+ * @param priorityWeight weight of one response within the latency objective
+ * @param lateWeight share of the weight that remains after the latency objective, from 0 to 1
+ * @param latencyObjectiveUs time from the arrival within which a response should be ready (us)
+ * @param objectiveRunTimeFactor multiple of the run time that is added to the latency objective
+ * @param deadlineUs time from the arrival within which a response must be ready (us)
+ * @param idempotency effect of running a request twice
+ * @param retryWindowUs time from the arrival within which a repeated attempt may arrive (us)
  * @param callsDownstream whether a run makes a downstream call
- * @param weightWithoutCall the part of the weight of an answer without the call, from 0 to 1
+ * @param weightWithoutCall share of the weight that a response has without the call, from 0 to 1
  */
 public record PriorityClass(
     double priorityWeight,
@@ -25,8 +26,9 @@
     double weightWithoutCall) {
 
   /**
-   * The class's terms as one text. Digests of it are stored beside estimates, so its form stays as
-   * it is: another form would drop every estimate that an earlier version stored.
+   * Returns the class's terms as one text. Digests of this text are stored with estimates, so its
+   * form must not change: another form would invalidate every estimate that an earlier version
+   * stored.
    */
   public String digestText() {
     return "Klass[worth="
--- a/src/main/java/rosecleat/policy/RequestRates.java
+++ b/src/main/java/rosecleat/policy/RequestRates.java
@@ -1,8 +1,8 @@
 package rosecleat.policy;
 
-/** Recent arrivals and completions, with exponentially fading memory. */
+/** Counts recent arrivals and completions with exponential decay. */
 final class RequestRates {
-  /** Time constant of the memory (us); chosen here. */
+  /** Time constant of the decay. */
   private static final double TIME_CONSTANT_US = 2e6;
 
   private static final double US_PER_S = 1e6;
@@ -15,7 +15,7 @@
     fadedAtUs = nowUs;
   }
 
-  /** Fades the memory up to now and returns the factor. */
+  /** Decays the counts up to now and returns the decay factor. */
   double fade(long nowUs) {
     double factor = Math.exp(-(nowUs - fadedAtUs) / TIME_CONSTANT_US);
     arrivals *= factor;
@@ -40,7 +40,7 @@
     return completions;
   }
 
-  /** Converts a count that fades like these into a rate a second. */
+  /** Converts a count that decays like these into a rate per second. */
   static double perSecond(double fadingCount) {
     return fadingCount / (TIME_CONSTANT_US / US_PER_S);
   }
--- a/src/main/java/rosecleat/policy/RequestState.java
+++ b/src/main/java/rosecleat/policy/RequestState.java
@@ -1,21 +1,21 @@
 package rosecleat.policy;
 
-/** Where a request is on this server. */
+/** State of a request on this server. */
 enum RequestState {
-  /** It waits to be run. */
+  /** The request waits for its run to start. */
   QUEUED,
-  /** It runs on the cores. */
+  /** The request runs on the cores. */
   RUNNING,
-  /** It waits for the result of the request that it repeats. */
+  /** The request waits for the result of the request that it repeats. */
   ATTACHED,
-  /** Its run waits for a downstream call that is not made yet. */
+  /** The run waits for a downstream call that is not made yet. */
   NEEDS_CALL,
-  /** Its run waits for a downstream call that is outstanding. */
+  /** The run waits for a downstream call that is outstanding. */
   CALLING,
-  /** It is over. */
+  /** The request is complete. */
   COMPLETED;
 
-  /** Whether a run waits for its downstream call, made or not. */
+  /** Returns whether the run waits for its downstream call, made or not. */
   boolean atCall() {
     return this == NEEDS_CALL || this == CALLING;
   }
--- a/src/main/java/rosecleat/policy/RequestTable.java
+++ b/src/main/java/rosecleat/policy/RequestTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests on this server, by id and by state, and the only place that moves them. */
+/** Stores the requests on this server by id and by state; every change of state is made here. */
 final class RequestTable {
   private final PolicyContext context;
   private final MemoryBudget memory;
@@ -23,7 +23,7 @@
     this.callLimiter = callLimiter;
   }
 
-  /** The request of an id, null where it is over or was never here. */
+  /** Returns the request with an id, or null if it is complete or unknown. */
   TrackedRequest find(long id) {
     return byId.get(id);
   }
@@ -32,34 +32,38 @@
     return byId.values();
   }
 
-  /** Queued requests, in order of arrival. A live view: moving a request changes it. */
+  /** Returns the queued requests as a live list, in the order in which they were queued. */
   List<TrackedRequest> queue() {
     return queue;
   }
 
-  /** Requests that run, are attached or wait for a call, in order of their start. A live view. */
+  /**
+   * Returns requests that run, are attached or wait for a call, in order of start, as a live list.
+   */
   List<TrackedRequest> active() {
     return active;
   }
 
-  /** Requests on the cores. */
+  /** Returns the number of requests on the cores. */
   int running() {
     return running;
   }
 
-  /** Requests whose run waits for a downstream call: off the cores, but they will come back. */
+  /**
+   * Returns the number of runs that wait for a downstream call and return to the cores after it.
+   */
   int atCall() {
     return atCall;
   }
 
-  /** Takes in a request that has arrived. */
+  /** Adds an arrived request to the queue. */
   void add(TrackedRequest tracked) {
     byId.put(tracked.id(), tracked);
     queue.add(tracked);
     memory.add(tracked.memoryKb);
   }
 
-  /** Queues a request again whose run was dropped or paused before it was answered. */
+  /** Queues a request again after its run was dropped or paused before the response. */
   void requeue(TrackedRequest tracked) {
     remove(tracked);
     tracked.state = RequestState.QUEUED;
@@ -71,7 +75,7 @@
     memory.add(tracked.memoryKb);
   }
 
-  /** Has a queued request wait for the result of the one it repeats. */
+  /** Makes a queued request wait for the result of the request that it repeats. */
   void attach(TrackedRequest tracked) {
     queue.remove(tracked);
     active.add(tracked);
@@ -92,7 +96,7 @@
     setState(tracked, RequestState.RUNNING);
   }
 
-  /** Moves a request between running, waiting for a call and being over. */
+  /** Sets the state of an active request, and counts running and waiting requests and call time. */
   void setState(TrackedRequest tracked, RequestState state) {
     running += (state == RequestState.RUNNING ? 1 : 0);
     running -= (tracked.state == RequestState.RUNNING ? 1 : 0);
@@ -102,11 +106,12 @@
     tracked.stateSinceUs = now;
     tracked.state = state;
     if (state != RequestState.CALLING) {
-      callLimiter.release(tracked, false); // its request ended first
+      callLimiter.release(
+          tracked, false); // no effect unless the request left the call before the call ended
     }
   }
 
-  /** Takes a request out that is over. */
+  /** Removes a request that is complete. */
   void complete(TrackedRequest tracked) {
     remove(tracked);
     byId.remove(tracked.id());
--- a/src/main/java/rosecleat/policy/RequestWeights.java
+++ b/src/main/java/rosecleat/policy/RequestWeights.java
@@ -1,11 +1,11 @@
 package rosecleat.policy;
 
-/** What answers are worth, and how the recent arrivals compare. */
+/** Computes the weights of responses, and compares a weight with those of recent arrivals. */
 final class RequestWeights {
-  /** From this part of a weight on, two weights are equal; chosen here. */
+  /** Two weights count as equal if the lower is at least this share of the higher. */
   static final double EQUAL_WEIGHT_RATIO = 0.999;
 
-  /** Arrivals whose weights are compared; chosen here. */
+  /** Number of recent arrivals whose weights are compared. */
   private static final int RECENT_ARRIVALS = 64;
 
   private final TenantFairness fairness;
@@ -17,9 +17,10 @@
   }
 
   /**
-   * The weight of an answer within its latency objective. A marked retry is as likely as not past
-   * its objective; this guards first attempts against retries. Harm: where first attempts fail at
-   * once elsewhere, their retries are as good as new.
+   * Returns the weight of a response within its latency objective. A marked retry counts as past
+   * its objective with a probability of one half, so that first attempts take precedence over
+   * retries. Trade-off: where first attempts fail at once on other servers, their retries have as
+   * much time left as first attempts, but still count less.
    */
   double weight(TrackedRequest tracked) {
     PriorityClass priorityClass = tracked.priorityClass;
@@ -28,12 +29,12 @@
         * (tracked.request.retry() ? (1 + priorityClass.lateWeight()) / 2 : 1);
   }
 
-  /** Counts the weight of an arrival. */
+  /** Records the weight of an arrival. */
   void record(double weight) {
     recent[(int) (arrivals++ % RECENT_ARRIVALS)] = weight;
   }
 
-  /** The share of the recent arrivals of this weight or more. */
+  /** Returns the share of recent arrivals of at least this weight. */
   double shareAtLeast(double weight) {
     int count = (int) Math.min(arrivals, RECENT_ARRIVALS);
     int found = 0;
@@ -43,7 +44,7 @@
     return (double) found / count;
   }
 
-  /** All arrivals since the start. */
+  /** Returns the number of arrivals since the start. */
   long arrivals() {
     return arrivals;
   }
--- a/src/main/java/rosecleat/policy/ServerAvailability.java
+++ b/src/main/java/rosecleat/policy/ServerAvailability.java
@@ -1,6 +1,6 @@
 package rosecleat.policy;
 
-/** Whether the server takes requests: it does not while it drains or its work stands still. */
+/** Tracks whether the server is open to requests: it is closed while it drains or is stalled. */
 final class ServerAvailability {
   private static final long NOT_DRAINING = -1;
 
@@ -13,23 +13,25 @@
     this.context = context;
   }
 
-  /** The server drains from now on and is stopped after {@code remainingUs}. */
+  /** Records that the server drains from now on and is stopped after {@code remainingUs}. */
   void startDraining(long remainingUs) {
     drainStartedUs = context.nowUs();
     stopUs = drainStartedUs + remainingUs;
   }
 
-  /** When the server is stopped (us), far in the future while it does not drain. */
+  /**
+   * Returns the time at which the server is stopped (us), {@code Long.MAX_VALUE} unless it drains.
+   */
   long stopUs() {
     return stopUs;
   }
 
-  /** Whether a request arrived after the grace that callers have for going elsewhere. */
+  /** Returns whether a request arrived after the grace period in which callers switch servers. */
   boolean isPastGrace(TrackedRequest tracked) {
     return drainStartedUs >= 0 && tracked.arrivedUs > drainStartedUs + context.settings().graceUs();
   }
 
-  /** Whether the work on the cores stands still. */
+  /** Returns whether runs are stalled: they occupy the cores, but none completes. */
   boolean isStalled() {
     return stalled;
   }
@@ -38,7 +40,7 @@
     stalled = isStalled;
   }
 
-  /** Whether the server drains or stands still. */
+  /** Returns whether the server drains or is stalled. */
   boolean isClosed() {
     return stalled || drainStartedUs >= 0;
   }
--- a/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
+++ b/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
@@ -3,26 +3,27 @@
 import java.util.Arrays;
 
 /**
- * Estimates run times by class, and how much slower the server is than it can be. Run times are
- * those alone on the cores, in us, or in us per us of the caller's hint where requests bring one.
+ * Estimates run times by class, and how much slower the server is than at its fastest. Run times
+ * exclude contention for the cores. They are in us, or in us per us of the caller's run time hint
+ * if requests carry one.
  */
 final class ServiceTimeEstimator {
-  /** A class's run time is known after so many runs; chosen here. */
+  /** Number of runs after which the run time of a class counts as known. */
   private static final int MIN_KNOWN_RUNS = 8;
 
-  /** Weight of the newest run in the slowdown; chosen here. */
+  /** Weight of the newest run in the slowdown. */
   private static final double SLOWDOWN_WEIGHT = 0.1;
 
-  /** One run counts as at most so many times its usual run time; chosen here. */
+  /** Upper bound of one run's ratio to the run time of its class. */
   private static final double MAX_SLOWDOWN = 4;
 
-  /** Growth of the least slowdown with each run, so that it is forgotten; chosen here. */
+  /** Growth factor of the minimum slowdown per run, so that old minima are forgotten. */
   private static final double MIN_SLOWDOWN_GROWTH = 1.0005;
 
-  /** Run times are learned while the server is less than this many times slower; chosen here. */
+  /** Slowness below which run times of classes are learned. */
   private static final double MAX_LEARNING_SLOWNESS = 1.5;
 
-  /** Least weight of the newest run in a class's run time; chosen here. */
+  /** Minimum weight of the newest run in the run time of a class. */
   private static final double MIN_RUN_WEIGHT = 0.02;
 
   private final CoreLoad load;
@@ -37,7 +38,7 @@
     this.load = load;
   }
 
-  /** Makes room for so many classes. */
+  /** Sets the number of classes. */
   void resize(int classes) {
     runTimes = Arrays.copyOf(runTimes, classes);
     runCounts = Arrays.copyOf(runCounts, classes);
@@ -45,31 +46,34 @@
     restoredRunCounts = Arrays.copyOf(restoredRunCounts, classes);
   }
 
-  /** Forgets what is known under an index that stands for another class now. */
+  /** Discards the run times of an index that is assigned to another class. */
   void forget(int classIndex) {
     runTimes[classIndex] = 0;
     runCounts[classIndex] = 0;
     restoredRunCounts[classIndex] = 0;
   }
 
-  /** The run time of a class as seen here, 0 while no run of it has ended. */
+  /**
+   * Returns the run time of a class observed by this process, 0 before the first run is recorded.
+   */
   double observedRunTime(int classIndex) {
     return runTimes[classIndex];
   }
 
-  /** Whether enough runs of a class have ended here. */
+  /** Returns whether enough runs of a class have ended in this process. */
   boolean hasEnoughRuns(int classIndex) {
     return runCounts[classIndex] >= MIN_KNOWN_RUNS;
   }
 
-  /** Counts a run that ended by itself. */
+  /** Records a run that ended by itself. */
   void recordEnd(TrackedRequest tracked, long workedUs) {
     record(tracked, workedUs, 1);
   }
 
   /**
-   * Counts a run that was cancelled: its time, but not its end. Otherwise a server that stops its
-   * long runs would know short ones only, and take too much.
+   * Records a cancelled run: adds its time without counting a completion. If cancelled runs were
+   * ignored, a server that cancels its long runs would learn the run times of short ones only and
+   * admit too many requests.
    */
   void recordCancellation(TrackedRequest tracked, long workedUs) {
     record(tracked, workedUs, 0);
@@ -77,7 +81,7 @@
 
   private void record(TrackedRequest tracked, long workedUs, int completions) {
     int index = tracked.request.classIndex();
-    // what reading and other runs took of the cores is no slowness
+    // the time that reading and other runs take from this run on the cores is not slowness
     double uncontendedUs = workedUs / load.contention();
     long hintUs = tracked.request.runTimeHintUs();
     double runTime = hintUs > 0 ? uncontendedUs / hintUs : uncontendedUs;
@@ -95,12 +99,12 @@
     }
   }
 
-  /** How many times slower runs are than they were at their fastest. */
+  /** Returns the ratio of current run times to the fastest recent ones. */
   double slowness() {
     return minSlowdown > 0 ? slowdown / minSlowdown : 1;
   }
 
-  /** The run time to expect now (us); 0 while no run of the class has ended here. */
+  /** Returns the run time to expect now (us), 0 if none is recorded or restored for the class. */
   double expectedRunTime(TrackedRequest tracked) {
     int index = tracked.request.classIndex();
     double base =
@@ -109,14 +113,16 @@
     return base * (hintUs > 0 ? hintUs : 1) * slowdown * load.contention();
   }
 
-  /** Trusts a restored run time less, as it may be wrong: called where it leads to a rejection. */
+  /**
+   * Counts one run less behind a restored run time, which may be wrong, after a rejection by it.
+   */
   void discountRestored(int classIndex) {
     if (restoredRunCounts[classIndex] > 0) {
       restoredRunCounts[classIndex]--;
     }
   }
 
-  /** Run times by class; where little was seen here, the restored ones. */
+  /** Returns run times by class; the restored one where fewer runs were observed than restored. */
   double[] learnedRunTimes() {
     double[] learned = new double[runTimes.length];
     for (int index = 0; index < learned.length; index++) {
@@ -126,7 +132,7 @@
     return learned;
   }
 
-  /** The runs that {@link #learnedRunTimes} rest on. */
+  /** Returns the number of runs behind each of {@link #learnedRunTimes}. */
   int[] learnedRunCounts() {
     int[] counts = new int[runCounts.length];
     for (int index = 0; index < counts.length; index++) {
@@ -139,7 +145,10 @@
     return runCounts[classIndex] >= restoredRunCounts[classIndex];
   }
 
-  /** Uses run times learned elsewhere until some are seen here. Harm: wrong ones mislead. */
+  /**
+   * Restores run times learned by another process, used until as many runs are observed here, at
+   * most {@link #MIN_KNOWN_RUNS}. Trade-off: wrong run times mislead decisions until then.
+   */
   void restore(double[] learnedRunTimes, int[] learnedRunCounts) {
     restoredRunTimes = learnedRunTimes.clone();
     restoredRunCounts = new int[learnedRunCounts.length];
--- a/src/main/java/rosecleat/policy/StallGuard.java
+++ b/src/main/java/rosecleat/policy/StallGuard.java
@@ -1,14 +1,14 @@
 package rosecleat.policy;
 
-/** Notices that the work on the cores stands still, whatever the cause. */
+/** Detects that runs on the cores no longer complete, whatever the cause. */
 final class StallGuard {
-  /** So many overdue completions are a stall; chosen here. */
+  /** Number of overdue completions above which the server counts as stalled. */
   private static final double OVERDUE_COMPLETIONS = 12;
 
-  /** The shortest stall (us); chosen here. */
+  /** Minimum time without a completion before a stall is reported. */
   private static final long MIN_STALL_US = 700_000;
 
-  /** A timer so late means that the process itself stood still (us); chosen here. */
+  /** Gap between ticks above which this process itself was paused. */
   private static final long PROCESS_PAUSE_US = 5 * PolicyTiming.TICK_US;
 
   private final PolicyContext context;
@@ -36,22 +36,23 @@
     lastEndUs = nowUs;
   }
 
-  /** A run has ended: a stall is over. */
+  /** Records that a run has ended, which ends a stall. */
   void runEnded() {
     lastEndUs = context.nowUs();
     overdueCompletions = 0;
     if (availability.isStalled()) {
       availability.setStalled(false);
-      context.actions.log("work moves again");
+      context.actions.log("requests complete again after a stall");
     }
   }
 
   /**
-   * Counts the completions that were to be expected since the last tick.
+   * Counts the completions that were expected since the last tick. A pause of this process restarts
+   * the count.
    *
-   * @param gapUs time since the last tick
-   * @param demand what wants the cores over the cores right now
-   * @return whether a stall has begun; the requests that wait are to be given back
+   * @param gapUs time since the last tick (us)
+   * @param demand current demand for cores divided by their number, at least 1
+   * @return whether a stall has begun; the caller must then answer the queued requests
    */
   boolean tick(double gapUs, double demand) {
     if (gapUs > PROCESS_PAUSE_US) {
@@ -69,9 +70,9 @@
     }
     availability.setStalled(true);
     context.actions.log(
-        "work stands still with "
+        "requests stalled: "
             + running
-            + " on the cores, "
+            + " running, none completes, cores "
             + Math.round(100 * load.utilisation())
             + "% busy");
     return true;
@@ -87,7 +88,7 @@
     return completions;
   }
 
-  /** The expected run time; before a class is known, its latency objective stands in. */
+  /** Returns the expected run time (us), or the latency objective before the class is known. */
   private double expectedRunTime(TrackedRequest tracked, double demand) {
     double runTimeUs =
         serviceTimes.hasEnoughRuns(tracked.request.classIndex())
--- a/src/main/java/rosecleat/policy/TimerQueue.java
+++ b/src/main/java/rosecleat/policy/TimerQueue.java
@@ -24,7 +24,7 @@
     return timers.remove().tag;
   }
 
-  /** When the next timer fires (us), {@code Long.MAX_VALUE} where there is none. */
+  /** Returns the time of the next timer (us), {@code Long.MAX_VALUE} if there is none. */
   long nextUs() {
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().atUs;
   }
--- a/src/main/java/rosecleat/policy/TrackedRequest.java
+++ b/src/main/java/rosecleat/policy/TrackedRequest.java
@@ -1,44 +1,44 @@
 package rosecleat.policy;
 
-/** A request on this server, with its times and its state. */
+/** A request on this server, with its times and state. */
 final class TrackedRequest {
   final PolicyRequest request;
   final PriorityClass priorityClass;
   final long arrivedUs;
 
-  /** The latency objective: when the answer should be ready. */
+  /** Time at which the response should be ready (us): the latency objective. */
   final long objectiveUs;
 
-  /** When the answer must be ready. */
+  /** Time at which the response must be ready (us). */
   long deadlineUs;
 
   RequestState state = RequestState.QUEUED;
 
-  /** Whether the host still owes an answer. */
+  /** Whether the host must still send a response. */
   boolean awaitingResponse = true;
 
   /** Whether a run was started. */
   boolean executed;
 
-  /** Whether its run was asked to stop. */
+  /** Whether cancellation of the run was requested. */
   boolean cancelRequested;
 
-  /** Downstream calls made for the need in hand. */
+  /** Attempts made at the current downstream call. */
   int callAttempts;
 
-  /** The call that is outstanding, null where there is none. */
+  /** The outstanding downstream call, null if there is none. */
   DownstreamCall activeCall;
 
-  /** Memory that is counted for it now. */
+  /** Memory that is counted for the request now (KB). */
   double memoryKb;
 
   long runStartedUs;
   long stateSinceUs;
 
-  /** Time of its run spent waiting for downstream calls. */
+  /** Time that the run has waited for downstream calls (us). */
   long waitedAtCallsUs;
 
-  /** The effect that it shares with its other attempts, null where it has no idempotency key. */
+  /** The execution shared with other attempts, null if the request has no idempotency key. */
   IdempotentExecution execution;
 
   TrackedRequest(
@@ -67,12 +67,15 @@
     return priorityClass.idempotency() == Idempotency.KEYED;
   }
 
-  /** Whether it has an effect that was started: queued again, it must not run a second time. */
+  /** Returns whether a run with an effect was started, so that the request must not run again. */
   boolean mustNotRunAgain() {
     return executed && !isSafe();
   }
 
-  /** Whether it is true that no attempt of it ran, or that it does not matter. */
+  /**
+   * Returns whether the request may be rejected. A rejection states that nothing ran, so it is
+   * allowed only if no attempt was started or if running a request twice is harmless.
+   */
   boolean mayBeRejected() {
     return isSafe()
         || (!executed
