--- a/src/main/java/rosecleat/policy/Dispatcher.java
+++ b/src/main/java/rosecleat/policy/Dispatcher.java
@@ -4,8 +4,8 @@
 
 /**
  * Starts queued requests while there is capacity: the heaviest first while the gate binds,
- * otherwise the oldest first. Requests that would miss their latency objective count with their
- * late weight.
+ * otherwise in queue order. Requests that would miss their latency objective count with their late
+ * weight.
  */
 final class Dispatcher {
   private final PolicyContext context;
--- a/src/test/java/rosecleat/policy/AdmissionGateTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionGateTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The arithmetic of Algorithm 1, when the gate binds, and whom it rejects. */
+/** Tests the arithmetic of Algorithm 1, when the gate binds, and which requests it rejects. */
 class AdmissionGateTest {
   private static final PriorityClass LONG =
       new PriorityClass(1, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
@@ -17,7 +17,10 @@
     return host;
   }
 
-  /** Four of eight arrivals run, four are held, and every further arrival is drawn for refusal. */
+  /**
+   * Starts four of eight arrivals, queues four, and lets the gate draw every later one for
+   * rejection.
+   */
   private static void forceRejections(SimulatedHost host) {
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
@@ -30,12 +33,12 @@
   @Test
   void averagesMatchHandComputedSequence() {
     SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
-    host.arrive(0); // nothing ended yet: rho_c is u_s = 1
+    host.arrive(0); // no run has ended, so rho_c is u_s = 1
     assertEquals(0.1, host.policy.gate().averageOfferedLoad, 1e-12);
     assertEquals(0.1, host.policy.gate().averageUtilisation, 1e-12);
     SimulatedHost.HostedRequest second = host.arrive(0);
     assertEquals(0.19, host.policy.gate().averageOfferedLoad, 1e-12);
-    host.end(second, Outcome.OK, 1000); // two arrivals over one completion: rho_c = 2
+    host.end(second, Outcome.OK, 1000); // two arrivals for one completion, so rho_c = 2
     assertEquals(0.9 * 0.19 + 0.1 * 2, host.policy.gate().averageOfferedLoad, 1e-12);
     assertEquals(0.271, host.policy.gate().averageUtilisation, 1e-12);
   }
@@ -57,14 +60,16 @@
     SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
     host.policy.gate().averageUtilisation = 1;
     host.policy.gate().averageOfferedLoad = 3;
-    for (int i = 0; i < 50; i++) { // held, but the oldest has not waited a tenth of its time
+    // the arrivals are queued, but the oldest has not waited for a tenth of its objective
+    for (int i = 0; i < 50; i++) {
       host.arrive(0);
     }
     assertTrue(host.actions.stream().noneMatch(a -> a.startsWith("reject")));
     host.advance(7_000_000);
     host.policy.gate().averageOfferedLoad = 9;
     assertEquals("reject", host.arrive(0).answer);
-    host.gauges.coreUtilisation = 0.85; // waited enough, but the cores are not busy
+    // the oldest has waited long enough, but the cores are not busy
+    host.gauges.coreUtilisation = 0.85;
     host.advance(20_000);
     host.policy.gate().averageOfferedLoad = 9;
     assertEquals("", host.arrive(0).answer);
@@ -81,8 +86,7 @@
     for (int i = 0; i < 2000; i++) {
       host.policy.gate().averageUtilisation = 1;
       host.policy.gate().averageOfferedLoad =
-          (1.15 - 0.1 * currentOfferedLoad(host))
-              / 0.9; // so that rho_av is 1.15 when the gate decides
+          (1.15 - 0.1 * currentOfferedLoad(host)) / 0.9; // makes rho_av 1.15 when the gate decides
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       assertEquals(1.15, host.policy.gate().averageOfferedLoad, 0.05);
       rejected += hosted.answer.equals("reject") ? 1 : 0;
@@ -94,7 +98,7 @@
   }
 
   private static double currentOfferedLoad(SimulatedHost host) {
-    return host.policy.load().utilisation(); // nothing has ended: rho_c is u_s
+    return host.policy.load().utilisation(); // no run has ended, so rho_c is u_s
   }
 
   @Test
@@ -125,17 +129,17 @@
     }
     host.advance(6_500_000);
     host.markRetries = false;
-    for (int i = 0; i < 4; i++) { // refusal binds, at an offered load that leaves no room for any
+    for (int i = 0; i < 4; i++) { // the gate binds, at an offered load that admits no arrival
       host.policy.gate().averageUtilisation = 1;
       host.policy.gate().averageOfferedLoad = 90;
       host.arrive(0);
     }
-    List<SimulatedHost.HostedRequest> held =
+    List<SimulatedHost.HostedRequest> queued =
         host.requests.values().stream()
             .filter(hosted -> hosted.state == RequestState.QUEUED)
             .toList();
-    assertEquals(4, held.size()); // each took the place of a further try
-    assertTrue(held.stream().noneMatch(hosted -> hosted.request.retry()));
+    assertEquals(4, queued.size()); // each first attempt has replaced a retry
+    assertTrue(queued.stream().noneMatch(hosted -> hosted.request.retry()));
   }
 
   @Test
@@ -145,9 +149,8 @@
       SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
       forceRejections(host);
       host.rank = run == 0 ? 0.3 : 0.99;
-      for (int i = 0;
-          i < 400;
-          i++) { // far too many, of one rank: once under the level, they come unheeding
+      // overload by arrivals of one rank, which continue after the level exceeds that rank
+      for (int i = 0; i < 400; i++) {
         host.policy.gate().averageUtilisation = 1;
         host.policy.gate().averageOfferedLoad = 5;
         host.arrive(0);
@@ -155,8 +158,9 @@
       }
       advisedLevels[run] = host.loadAdvice;
     }
-    assertTrue(advisedLevels[0] > 0.25 && advisedLevels[0] < 0.45, "said " + advisedLevels[0]);
-    assertTrue(advisedLevels[1] > 0.9, "said " + advisedLevels[1]);
+    assertTrue(
+        advisedLevels[0] > 0.25 && advisedLevels[0] < 0.45, "advised level " + advisedLevels[0]);
+    assertTrue(advisedLevels[1] > 0.9, "advised level " + advisedLevels[1]);
   }
 
   @Test
@@ -178,7 +182,7 @@
     List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(10));
     SimulatedHost host =
         withBusyCores(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
-    for (int i = 0; i < 80; i++) { // each at four times its quota a server, in equal parts
+    for (int i = 0; i < 80; i++) { // both send equally, at four times their quota per server
       host.arrive(0, i % 2, 0, 0, 0);
     }
     host.advance(6_500_000);
@@ -212,8 +216,8 @@
     SimulatedHost host =
         withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
     forceRejections(host);
-    assertEquals(
-        "reject", host.arrive(1, 0, 60_100_000, 0, 0).answer); // past its wanted time when read
+    // the arrival is past its latency objective when it is read
+    assertEquals("reject", host.arrive(1, 0, 60_100_000, 0, 0).answer);
     assertEquals("", host.requests.get(5L).answer);
   }
 
@@ -229,8 +233,8 @@
     for (int i = 0; i < 40; i++) {
       host.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
     }
-    for (SimulatedHost.HostedRequest hosted :
-        List.copyOf(host.requests.values())) { // it is served its quota
+    // the tenant is served its quota
+    for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
       if (hosted.state == RequestState.RUNNING && hosted.request.tenantIndex() == 0) {
         host.end(hosted, Outcome.OK, 1_000);
       }
--- a/src/test/java/rosecleat/policy/AdmissionTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionTest.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Admission of requests that are read late. */
+/** Tests the admission of requests that are read late. */
 class AdmissionTest {
   @Test
   void requestReadLateStartsOnEmptyQueueDespiteHighLoad() {
     SimulatedHost host = Scenarios.warmedUp();
-    host.gauges.coreUtilisation = 1; // reading alone fills the cores
+    host.gauges.coreUtilisation = 1; // reading alone uses all cores
     host.advance(20_000);
     host.policy.gate().averageUtilisation = 1;
     host.policy.gate().averageOfferedLoad = 50;
@@ -34,9 +34,11 @@
     host.gauges.coreUtilisation = 1;
     host.advance(20_000);
     host.policy.gate().averageUtilisation = 1;
-    host.policy.gate().averageOfferedLoad = 2; // the dear ones offer half of what the server can do
+    // heavier arrivals offer half of the server's capacity
+    host.policy.gate().averageOfferedLoad = 2;
     assertEquals(RequestState.RUNNING, host.arrive(0, 0, 300_000, 0, 0).state);
-    host.policy.gate().averageOfferedLoad = 20; // and now five times
+    // heavier arrivals offer five times the server's capacity
+    host.policy.gate().averageOfferedLoad = 20;
     assertEquals("reject", host.arrive(0, 0, 300_000, 0, 0).answer);
     assertEquals(RequestState.RUNNING, host.arrive(1, 0, 300_000, 0, 0).state);
   }
--- a/src/test/java/rosecleat/policy/ColdNodeRamp.java
+++ b/src/test/java/rosecleat/policy/ColdNodeRamp.java
@@ -4,7 +4,9 @@
 import java.util.Deque;
 import java.util.SplittableRandom;
 
-/** A cold node that warms up under callers who send as much as its credit allows. */
+/**
+ * Simulates a cold node that warms up while callers send as many requests as their credit allows.
+ */
 final class ColdNodeRamp {
   private static final long STEP_US = 10_000;
   private static final double RUN_TIME_US = 250_000;
@@ -23,8 +25,8 @@
   }
 
   /**
-   * The largest mean of what a cold node runs, over the time that it survives an overload, as a
-   * part of what it survives at that moment.
+   * Returns the highest mean number of concurrent runs of a cold node, taken over the time for
+   * which it survives an overload, as a share of the number that it survives at that moment.
    */
   static double maxOverloadShare(int callers, int seed) {
     return new ColdNodeRamp(seed).maxOverloadShare(callers);
@@ -57,7 +59,7 @@
     return max;
   }
 
-  /** A caller has as much outstanding as its credit allows. */
+  /** Sends requests of a caller until as many are outstanding as its credit allows. */
   private void sendWithinCredit(int caller) {
     host.callerId = caller;
     long outstanding =
--- a/src/test/java/rosecleat/policy/ConcurrencyLimiterTest.java
+++ b/src/test/java/rosecleat/policy/ConcurrencyLimiterTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How many queued requests are started at once, and which. */
+/** Tests how many queued requests run concurrently, and which are started first. */
 class ConcurrencyLimiterTest {
   private static final PriorityClass LONG =
       new PriorityClass(1, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
@@ -34,7 +34,7 @@
     host.gauges.coreUtilisation = 0.5;
     host.advance(2_000_000);
     double limitWithFreeCores = host.policy.concurrencyLimit();
-    host.gauges.coreUtilisation = 1; // with cores to spare, long runs are no crowd
+    host.gauges.coreUtilisation = 1; // while cores are free, long runs are not congestion
     for (int i = 0; i < 30; i++) {
       host.end(host.running().get(0), Outcome.OK, 100_000);
     }
--- a/src/test/java/rosecleat/policy/DeadlineTest.java
+++ b/src/test/java/rosecleat/policy/DeadlineTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every request is answered before its deadline. */
+/** Tests that every request is answered before its deadline. */
 class DeadlineTest {
   @Test
   void everyRequestIsAnsweredBeforeItsDeadlineWhenNoRunEnds() {
@@ -69,8 +69,8 @@
       host.end(hosted, Outcome.OK, 400_000);
     }
     host.arrive(0);
-    assertEquals(
-        "reject", host.arrive(0, 0, 700_000, 0, 0).answer); // 300 ms are left and 400 ms of work
+    // 300 ms remain for a run of 400 ms
+    assertEquals("reject", host.arrive(0, 0, 700_000, 0, 0).answer);
     assertEquals(RequestState.RUNNING, host.arrive(0, 0, 500_000, 0, 0).state);
   }
 }
--- a/src/test/java/rosecleat/policy/DigestTextTest.java
+++ b/src/test/java/rosecleat/policy/DigestTextTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The texts whose digests are stored beside estimates: an earlier version wrote the same. */
+/** Tests that the texts whose digests are stored with estimates match those of earlier versions. */
 class DigestTextTest {
   @Test
   void classDigestTextMatchesStoredForm() {
--- a/src/test/java/rosecleat/policy/EstimatesTest.java
+++ b/src/test/java/rosecleat/policy/EstimatesTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What one policy has learned, restored into another. */
+/** Tests that estimates learned by one policy can be restored into another. */
 class EstimatesTest {
   private static final ClassAndTenantNames NAMES =
       new ClassAndTenantNames(List.of("safe", "keyed", "unsafe"), List.of());
@@ -25,7 +25,9 @@
     return engine;
   }
 
-  /** One request of the first class that comes now; what became of it at once. */
+  /**
+   * Sends one request of the first class now, and returns the commands that run or answer requests.
+   */
   private List<PolicyCommand> arrive(PolicyEngine engine, long timeoutUs) {
     engine.handle(
         now, new PolicyEvent.Arrived(++id, 0, 0, 0, timeoutUs, 16, 0.5, false, false, 1, 0, 0));
@@ -65,12 +67,13 @@
 
     PolicyEngine second =
         new PolicyEngine(TestSettings.plain(), List.of("core_use", "on_cores"), 7);
-    second.restore(NAMES, () -> first.estimates(NAMES)); // it has not started: taken in then
+    // the engine has not started, so it restores the estimates at its start
+    second.restore(NAMES, () -> first.estimates(NAMES));
     second.start(now, false);
     assertEquals(
         restoredEstimate,
         byKind(second).get(EstimateKind.RUN_TIME),
-        "passed on until it has seen as much itself");
+        "the restored run time is reported until as many runs are observed");
     completeRuns(second, 4, 10_000);
     assertEquals(50_000, byKind(second).get(EstimateKind.RUN_TIME).value(), 1_000);
     completeRuns(second, 20, 10_000);
@@ -84,18 +87,19 @@
     restored.restore(
         NAMES, () -> List.of(new Estimate(EstimateKind.RUN_TIME, "safe", 400_000, 10)));
     for (PolicyEngine engine : List.of(withoutEstimates, restored)) {
-      arrive(engine, 3_000_000); // the first runs: nothing else does
+      arrive(engine, 3_000_000); // the first request starts, as nothing else runs
     }
     assertEquals(
         List.of(new PolicyCommand.Run(id + 1)),
         arrive(withoutEstimates, 200_000),
-        "it knows no better");
+        "without an estimate the request is started");
     assertEquals(
         1,
         arrive(restored, 200_000).stream()
             .filter(command -> command instanceof PolicyCommand.Reject)
             .count(),
-        "a run of 400 ms does not fit into 200 ms: rejected at once, not failed later");
+        "a run of 400 ms does not fit into 200 ms, so it is rejected at once instead of failing"
+            + " later");
   }
 
   @Test
@@ -105,7 +109,7 @@
         NAMES, () -> List.of(new Estimate(EstimateKind.RUN_TIME, "safe", 1, 32))); // far too short
     completeRuns(restored, 30, 50_000);
     assertEquals(50_000, byKind(restored).get(EstimateKind.RUN_TIME).value(), 2_000);
-    assertEquals(1, arrive(restored, 3_000_000).size(), "and it goes on");
+    assertEquals(1, arrive(restored, 3_000_000).size(), "requests are still started");
   }
 
   @Test
@@ -124,7 +128,7 @@
         Stream.generate(restored::nextCommand)
             .filter(command -> command instanceof PolicyCommand.Run)
             .findFirst()
-            .orElseThrow()); // never idle from here on
+            .orElseThrow()); // keeps the server from being idle
     int rejected = 0;
     for (int i = 0; i < 20; i++) {
       rejected +=
@@ -134,7 +138,8 @@
               : 0;
     }
     assertTrue(
-        rejected >= 1 && rejected <= 8, rejected + " were rejected by what was never seen here");
+        rejected >= 1 && rejected <= 8,
+        rejected + " requests were rejected by the restored run time");
   }
 
   @Test
@@ -143,7 +148,7 @@
     tooHigh.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 90_000, 60)));
     tooHigh.tick(now);
     double ceiling = byKind(tooHigh).get(EstimateKind.LIMIT).value();
-    assertTrue(ceiling > 4 && ceiling <= 4 * 6, "the crowd that the server survives: " + ceiling);
+    assertTrue(ceiling > 4 && ceiling <= 4 * 6, "limit outside 4 to 24: " + ceiling);
     PolicyEngine fromFewSeconds = started();
     fromFewSeconds.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 8, 5)));
     assertEquals(6, byKind(fromFewSeconds).get(EstimateKind.LIMIT).value(), 1e-9);
@@ -151,8 +156,8 @@
         5,
         byKind(fromFewSeconds).get(EstimateKind.LIMIT).samples(),
         1e-9,
-        "what it rests on is not lost");
-    assertEquals(null, byKind(started()).get(EstimateKind.LIMIT), "none was in use yet");
+        "the seconds of use are restored");
+    assertEquals(null, byKind(started()).get(EstimateKind.LIMIT), "no limit has been in use yet");
   }
 
   @Test
@@ -173,6 +178,6 @@
             .stream()
             .filter(estimate -> estimate.kind() == EstimateKind.RUN_TIME)
             .toList(),
-        "a number without a name has no lesson");
+        "classes without a name have no estimate");
   }
 }
--- a/src/test/java/rosecleat/policy/FleetRamp.java
+++ b/src/test/java/rosecleat/policy/FleetRamp.java
@@ -7,17 +7,18 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of modules that hear nothing of each other, and what they send together: to a dependency
- * below that was away and comes back cold, and as callers to one cold card node. {@code main}
- * prints the table that docs/measurements keeps.
+ * Simulates the total load of a fleet whose processes do not communicate: on a downstream
+ * dependency that is unreachable and restarts cold, and, as callers, on one cold card node. {@code
+ * main} prints the table that docs/measurements contains.
  */
 final class FleetRamp {
   private static final long STEP_US = 10_000;
   private static final long WINDOW_US = 5_000_000;
 
   /**
-   * The dependency works, is away, and is back; cold ones take so many times as long at first, and
-   * are warm after WARMUP_US.
+   * The dependency is reachable, then unreachable from this time to {@link #OUTAGE_END_US}. It
+   * restarts cold: its calls take {@link #COLD_SLOWDOWN} times as long at first, and it is warm
+   * after {@link #WARMUP_US}.
    */
   private static final long OUTAGE_START_US = 10_000_000;
 
@@ -29,11 +30,14 @@
   private static final long EXTRA_RUN_TIME_US = 20_000;
 
   /**
-   * What a fleet sent below: the largest mean of calls outstanding in one window, and its bound;
-   * both in calls.
+   * The load of a fleet on the dependency.
+   *
+   * @param maxMeanCalls highest mean number of outstanding calls in one window
+   * @param budget bound of that mean (calls): the sum of the quotas
+   * @param calls number of calls made
    */
   record DownstreamLoad(double maxMeanCalls, double budget, int calls) {
-    /** What the operators put down to chance beyond a budget. */
+    /** Returns the highest mean that the operators attribute to chance beyond the budget. */
     double allowed() {
       return budget + 2 * Math.sqrt(budget) + 2;
     }
@@ -42,8 +46,8 @@
   private FleetRamp() {}
 
   /**
-   * Plays so many processes that share a dependency which survives so many calls in the mean, each
-   * with its quota.
+   * Simulates processes that share a dependency, each with its quota of concurrent calls. The
+   * dependency survives the sum of the quotas as the mean number of concurrent calls.
    */
   static DownstreamLoad downstreamLoad(int processes, double quota, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -98,7 +102,8 @@
       Map<SimulatedHost.HostedRequest, Long> callEnds,
       Map<SimulatedHost.HostedRequest, Long> runStarts) {
     host.advance(STEP_US);
-    if (random.nextInt(8) == 0) { // some twelve a second, as many as one node of the fleet is sent
+    // about twelve requests per second, the rate of one node of the fleet
+    if (random.nextInt(8) == 0) {
       host.arrive(random.nextInt(2));
     }
     for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
@@ -124,7 +129,7 @@
       host.end(hosted, Outcome.CANCELLED, 1);
     } else if (hosted.call == null && hosted.callUntilUs == 0) {
       runStarts.put(hosted, host.nowUs);
-      host.needCall(hosted); // each run calls once, at once
+      host.needCall(hosted); // each run makes one call, at its start
     } else if (random.nextInt(10) == 0) {
       host.end(
           hosted,
@@ -156,8 +161,8 @@
 
   public static void main(String[] args) {
     System.out.println(
-        "| processes | share of each | budget N | most held, worst of 3 seeds | N + 2 root N + 2 |"
-            + " calls |");
+        "| processes | quota of each | budget N | highest mean of calls, worst of 3 seeds |"
+            + " N + 2 sqrt(N) + 2 | calls |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (int processes : new int[] {20, 30}) {
       for (double quota : new double[] {0.02, 0.05, 0.3, 1, 5}) {
@@ -173,8 +178,8 @@
     }
     for (int callers : new int[] {4, 20, 30}) {
       System.out.printf(
-          "cold node, %d callers: at the most %.2f of what it survives, in the mean of its"
-              + " overload's time%n",
+          "cold node, %d callers: at most %.2f of what it survives, as the mean over the time"
+              + " that it survives an overload%n",
           callers, ColdNodeRamp.maxOverloadShare(callers, 1));
     }
   }
--- a/src/test/java/rosecleat/policy/FleetRampTest.java
+++ b/src/test/java/rosecleat/policy/FleetRampTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a fleet sends in load, with no word among its processes. */
+/** Tests the total load of a fleet whose processes do not communicate. */
 class FleetRampTest {
   /**
-   * Guards a cold dependency: beyond the budget of all shares only chance is allowed, and none
-   * where a call fits a quota.
+   * Guards against overload of a cold dependency by the sum of the processes' calls. Only random
+   * variation may exceed the sum of the quotas, and none where a call fits into a quota.
    */
   @ParameterizedTest
   @CsvSource({"20, 0.05", "30, 0.05", "20, 1", "30, 1"})
@@ -18,12 +18,12 @@
     FleetRamp.DownstreamLoad load = FleetRamp.downstreamLoad(processes, quota, 1);
     assertTrue(load.maxMeanCalls() <= load.allowed(), load.toString());
     assertTrue(quota < 0.1 || load.maxMeanCalls() <= load.budget(), load.toString());
-    assertTrue(load.calls() > 20 * processes, "it calls at all: " + load);
+    assertTrue(load.calls() > 20 * processes, "too few calls: " + load);
   }
 
   /**
-   * Guards a cold node against the load of its callers: what it runs follows its own ramp, however
-   * many there are.
+   * Guards against overload of a cold node by the sum of its callers: its concurrent runs must
+   * follow its own warm-up, whatever the number of callers.
    */
   @Test
   void coldNodeStaysWithinOverloadLimitForFourToThirtyCallers() {
@@ -31,9 +31,10 @@
       double maxOverloadShare = ColdNodeRamp.maxOverloadShare(callers, 1);
       assertTrue(
           maxOverloadShare <= 1,
-          callers + " callers: " + maxOverloadShare + " of what it survives");
+          callers + " callers: " + maxOverloadShare + " of what the node survives");
       assertTrue(
-          maxOverloadShare > 0.1, callers + " callers: it hardly runs at all, " + maxOverloadShare);
+          maxOverloadShare > 0.1,
+          callers + " callers: the node runs too little: " + maxOverloadShare);
     }
   }
 }
--- a/src/test/java/rosecleat/policy/MemoryBudgetTest.java
+++ b/src/test/java/rosecleat/policy/MemoryBudgetTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The shares of the memory that arrivals, runs and keys may fill. */
+/** Tests the shares of the memory that arrivals, runs and keys may use. */
 class MemoryBudgetTest {
   private final PolicyContext context =
       new PolicyContext(TestSettings.plain(), 1, null); // 100,000 KB
--- a/src/test/java/rosecleat/policy/OverloadLimitTest.java
+++ b/src/test/java/rosecleat/policy/OverloadLimitTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Memory and concurrency stay within what the server survives. */
+/** Tests that memory and concurrent runs stay within the server's limits. */
 class OverloadLimitTest {
   @Test
   void memoryStaysWithinItsLimit() {
@@ -45,7 +45,8 @@
       host.requests.values().stream()
           .filter(hosted -> hosted.state == RequestState.CALLING)
           .toList()
-          .forEach(hosted -> host.endCall(hosted, Outcome.OK)); // the host asserts the crowd
+          // the host asserts the overload limit
+          .forEach(hosted -> host.endCall(hosted, Outcome.OK));
       assertTrue(host.running().size() > 4);
     }
   }
@@ -61,7 +62,7 @@
       host.end(host.arrive(0), Outcome.CANCELLED, 1000);
     }
     for (int i = 0; i < 30; i++) {
-      host.arrive(0); // the host asserts the memory
+      host.arrive(0); // the host asserts the memory limit
     }
   }
 }
--- a/src/test/java/rosecleat/policy/ServiceTimeEstimatorTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeEstimatorTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Run times by class, seen and restored. */
+/** Tests run times by class, observed and restored. */
 class ServiceTimeEstimatorTest {
   private static final int RUNS = 30;
 
--- a/src/test/java/rosecleat/policy/ServiceTimeTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What runs teach the policy about run times. */
+/** Tests the run times that the policy learns from runs. */
 class ServiceTimeTest {
   /**
-   * Guards all that is reckoned by run times against a run of no length, or of less than the clock
-   * makes of its calls.
+   * Guards against infinite or negative estimates after a run whose reported duration is zero, or
+   * shorter than the time that this clock shows for its call.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 100_000})
@@ -19,13 +19,13 @@
     SimulatedHost host = Scenarios.withDownstreamQuota(4, false, Scenarios.OPTIONAL_CALL);
     SimulatedHost.HostedRequest hosted = host.arrive(0);
     host.needCall(hosted);
-    host.advance(tookUs + 1_000); // its time at the call, by this clock
+    host.advance(tookUs + 1_000); // time at the call by this clock, longer than the reported run
     host.endCall(hosted, Outcome.OK);
     host.end(hosted, Outcome.OK, tookUs);
     assertTrue(
         host.policy.learnedEstimates().runTimesUs()[0] > 0,
         "a run time of " + host.policy.learnedEstimates().runTimesUs()[0]);
-    for (int i = 0; i < 5; i++) { // the host asserts that no call is given up before it is made
+    for (int i = 0; i < 5; i++) { // the host asserts that no call times out before it is made
       SimulatedHost.HostedRequest next = host.arrive(0);
       host.advance(40_000);
       host.needCall(next);
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Guards run times against a run that was dropped at a call and began anew: that call's time is
-   * none of the second run's.
+   * Guards against a run time that is too short after a run was dropped at a call and started
+   * again: the call time of the first run must not be subtracted from the second.
    */
   @Test
   void secondRunExcludesCallTimeOfFirstRun() {
@@ -46,7 +46,8 @@
     host.needCall(hosted);
     host.advance(300_000);
     host.endCall(hosted, Outcome.OK);
-    host.end(hosted, Outcome.CANCELLED, 310_000); // by itself, as where a link lost a command
+    // the run is dropped without a cancel command, as when a connection loses a command
+    host.end(hosted, Outcome.CANCELLED, 310_000);
     host.advance(20_000);
     assertEquals(RequestState.RUNNING, hosted.state);
     host.advance(40_000);
@@ -66,8 +67,8 @@
       host.advance(50_000);
       host.end(hosted, Outcome.OK, host.nowUs - hosted.arrivedUs);
     }
-    SimulatedHost.HostedRequest late =
-        host.arrive(0, 0, 800_000, 0, 0); // 200 ms are left and 100 ms of work
+    // 200 ms remain for a run of 100 ms
+    SimulatedHost.HostedRequest late = host.arrive(0, 0, 800_000, 0, 0);
     assertEquals(RequestState.RUNNING, late.state);
   }
 
@@ -78,9 +79,8 @@
             TestSettings.withoutDownstream(
                 CancelMode.PAUSE, LoadAdviceMode.LEVEL, 100_000, false, TestSettings.SAFE),
             1);
-    for (int i = 0;
-        i < 60;
-        i++) { // one in three ends, after 300 ms; the others are stopped after 900
+    // one run in three ends after 300 ms; the others are cancelled after 900 ms
+    for (int i = 0; i < 60; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       if (i % 3 == 0) {
         host.advance(300_000);
@@ -94,8 +94,9 @@
     for (int i = 0; i < 4; i++) {
       host.arrive(0);
     }
-    // 500 ms are left and the cores are taken: enough for a run of 300 ms, not for one of 2100 for
-    // each end
+    // 500 ms remain and all cores are busy: enough for a run of 300 ms, but not for the expected
+    // run
+    // time of 2100 ms per completion
     SimulatedHost.HostedRequest late = host.arrive(0, 0, 500_000, 0, 0);
     assertEquals("reject", late.answer);
   }
--- a/src/test/java/rosecleat/policy/StallTest.java
+++ b/src/test/java/rosecleat/policy/StallTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When work that stands still is noticed. */
+/** Tests when runs that no longer complete are detected as a stall. */
 class StallTest {
   private static void assertNoStall(SimulatedHost host) {
     for (int i = 0; i < 4; i++) {
@@ -48,11 +48,10 @@
     for (int i = 0; i < 4; i++) {
       host.arrive(0);
     }
-    host.advance(1_200_000); // eight ends overdue
+    host.advance(1_200_000); // eight completions are overdue
     assertTrue(host.logs.isEmpty());
-    for (int i = 0;
-        i < 4;
-        i++) { // runs past their wanted time may have been stopped: work is there again
+    // runs past their objective may have been cancelled, so the cores are filled again
+    for (int i = 0; i < 4; i++) {
       host.arrive(2);
     }
     host.advance(1_200_000);
--- a/src/test/java/rosecleat/policy/TimerQueueTest.java
+++ b/src/test/java/rosecleat/policy/TimerQueueTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The order of timers. */
+/** Tests the order in which timers fire. */
 class TimerQueueTest {
   private final TimerQueue timers = new TimerQueue();
 
