--- a/src/main/java/rosecleat/policy/AdmissionController.java
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -81,10 +81,9 @@
     if (!gate.isBinding()) {
       return 0;
     }
-    // A request that is read late may make the gate bind by its own waiting time. With no other
-    // request
-    // in the queue it can start at once, so it is not rejected unless heavier arrivals alone exceed
-    // this server's capacity.
+    // A request that is read late may make the gate bind by its own waiting time. With no request
+    // queued before it, it can start at once, so the gate does not reject it unless heavier
+    // arrivals alone exceed this server's capacity.
     double heavierShare = weights.shareAtLeast(weight / RequestWeights.EQUAL_WEIGHT_RATIO);
     if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavierShare <= 1) {
       return 0;
--- a/src/main/java/rosecleat/policy/AdmissionGate.java
+++ b/src/main/java/rosecleat/policy/AdmissionGate.java
@@ -65,7 +65,8 @@
 
   /**
    * Returns whether the gate binds: the average utilisation exceeds the threshold, the cores are
-   * busy now, and the oldest queued request has waited too long.
+   * busy now, and the oldest queued request has waited for more than {@link #BINDING_WAIT_SHARE} of
+   * its latency objective.
    */
   boolean isBinding() {
     if (averageUtilisation <= UTILISATION_THRESHOLD
--- a/src/main/java/rosecleat/policy/ConcurrencyLimiter.java
+++ b/src/main/java/rosecleat/policy/ConcurrencyLimiter.java
@@ -8,7 +8,7 @@
   /** Multiplicative decrease of the limit per step. */
   private static final double DECREASE_FACTOR = 0.9;
 
-  /** Ratio of the current run times to the fastest above which the limit is decreased. */
+  /** Ratio of current run times, with contention, to the fastest above which the limit falls. */
   private static final double CONGESTED_SLOWNESS = 1.3;
 
   /** Upper bound of the limit (share of the overload limit). */
@@ -64,8 +64,7 @@
   /** Returns whether one more request may run. */
   boolean hasCapacity() {
     // Requests that wait for a downstream call return to the cores, at worst all at the same time,
-    // so
-    // the overload limit bounds running and waiting requests together.
+    // so the overload limit bounds running and waiting requests together.
     return requests.running() < (int) limit
         && requests.running() + requests.atCall() + 1 < overloadLimit();
   }
--- a/src/main/java/rosecleat/policy/RequestTable.java
+++ b/src/main/java/rosecleat/policy/RequestTable.java
@@ -106,8 +106,8 @@
     tracked.stateSinceUs = now;
     tracked.state = state;
     if (state != RequestState.CALLING) {
-      callLimiter.release(
-          tracked, false); // no effect unless the request left the call before the call ended
+      // has no effect unless the request left the call before the call ended
+      callLimiter.release(tracked, false);
     }
   }
 
