--- a/src/test/java/rosecleat/policy/ServiceTimeTest.java
+++ b/src/test/java/rosecleat/policy/ServiceTimeTest.java
@@ -95,8 +95,7 @@
       host.arrive(0);
     }
     // 500 ms remain and all cores are busy: enough for a run of 300 ms, but not for the expected
-    // run
-    // time of 2100 ms per completion
+    // 2100 ms of run time per completion
     SimulatedHost.HostedRequest late = host.arrive(0, 0, 500_000, 0, 0);
     assertEquals("reject", late.answer);
   }
