--- a/src/main/java/rosecleat/policy/AdmissionController.java
+++ b/src/main/java/rosecleat/policy/AdmissionController.java
@@ -37,14 +37,14 @@
   }
 
   /**
-   * Decides on an arrival that was queued.
+   * Admits or rejects an arrival that is already queued.
    *
-   * @param weight the weight of its answer
-   * @param advisedLevel the rank below which callers were advised not to send
+   * @param weight weight of its response
+   * @param advisedLevel rank below which callers were advised not to send requests
    */
   void admit(TrackedRequest tracked, double weight, double advisedLevel) {
     boolean afterGrace = availability.isPastGrace(tracked);
-    if (tracked.request.originalId() != 0 && repeats(tracked, afterGrace)) {
+    if (tracked.request.originalId() != 0 && handleRepeat(tracked, afterGrace)) {
       return;
     }
     double rejectionChance = rejectionChance(weight);
@@ -54,15 +54,15 @@
         || memory.isFull()
         || forecast.isHopeless(tracked)
         || (tracked.isKeyed() && !memory.hasCapacityForKey())
-        || (isDrawn(rejectionChance) && !replaceLighter(weight))) {
+        || (isDrawnForRejection(rejectionChance) && !rejectLighterQueued(weight))) {
       responses.reject(tracked);
     } else if (tracked.isKeyed()) {
       idempotency.rememberEffect(tracked);
     }
   }
 
-  /** Deals with a request that repeats another; false where it is new work. */
-  private boolean repeats(TrackedRequest tracked, boolean afterGrace) {
+  /** Handles a request that repeats another; returns false if it must run as new work. */
+  private boolean handleRepeat(TrackedRequest tracked, boolean afterGrace) {
     switch (idempotency.classify(tracked, afterGrace, availability.isStalled())) {
       case ATTACH -> idempotency.attach(tracked);
       case ANSWER -> responses.answer(tracked);
@@ -74,34 +74,41 @@
   }
 
   /**
-   * The chance of a rejection by the gate: an arrival competes with what weighs as much or more.
+   * Returns the probability that the gate rejects an arrival, which competes only with arrivals of
+   * equal or higher weight.
    */
   private double rejectionChance(double weight) {
     if (!gate.isBinding()) {
       return 0;
     }
-    // an arrival that is read late must not bind its own rejection: with none queued before it a
-    // run may start at once, unless heavier arrivals alone offer more than this server can do
-    double heavier = weights.shareAtLeast(weight / RequestWeights.EQUAL);
-    if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavier <= 1) {
+    // A request that is read late may make the gate bind by its own waiting time. With no request
+    // queued before it, it can start at once, so the gate does not reject it unless heavier
+    // arrivals alone exceed this server's capacity.
+    double heavierShare = weights.shareAtLeast(weight / RequestWeights.EQUAL_WEIGHT_RATIO);
+    if (requests.queue().size() <= 1 && gate.averageOfferedLoad * heavierShare <= 1) {
       return 0;
     }
-    return 1 - gate.filteringCoefficient(weights.shareAtLeast(weight * RequestWeights.EQUAL));
+    return 1
+        - gate.filteringCoefficient(
+            weights.shareAtLeast(weight * RequestWeights.EQUAL_WEIGHT_RATIO));
   }
 
-  private boolean isDrawn(double rejectionChance) {
+  private boolean isDrawnForRejection(double rejectionChance) {
     return rejectionChance > 0 && context.random.nextDouble() < rejectionChance;
   }
 
-  /** Rejects the lightest queued request in place of a heavier one; false where none is lighter. */
-  private boolean replaceLighter(double weight) {
+  /**
+   * Rejects the lightest queued request in place of a heavier arrival; returns false if none is
+   * lighter.
+   */
+  private boolean rejectLighterQueued(double weight) {
     TrackedRequest lightest = null;
-    double lightestWeight = weight * RequestWeights.EQUAL;
+    double lightestWeight = weight * RequestWeights.EQUAL_WEIGHT_RATIO;
     for (TrackedRequest tracked : requests.queue()) {
-      double other = weights.weight(tracked);
-      if (other < lightestWeight && tracked.mayBeRejected()) {
+      double queuedWeight = weights.weight(tracked);
+      if (queuedWeight < lightestWeight && tracked.mayBeRejected()) {
         lightest = tracked;
-        lightestWeight = other;
+        lightestWeight = queuedWeight;
       }
     }
     if (lightest != null) {
--- a/src/main/java/rosecleat/policy/EstimateExchange.java
+++ b/src/main/java/rosecleat/policy/EstimateExchange.java
@@ -3,32 +3,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns what a policy has learned into estimates by name, and estimates into what it takes in. */
+/** Exports what a policy has learned as estimates by name, and restores such estimates into it. */
 final class EstimateExchange {
-  /** A limit that rests on so many seconds is taken in whole (s); chosen here. */
-  private static final double TRUSTED_S = 10;
+  /** Seconds of use behind a restored limit from which it counts in full. */
+  private static final double FULL_TRUST_S = 10;
 
-  /** Interval of the samples that the usual limit is a mean of (us); chosen here. */
+  /** Interval of the samples that are averaged into the typical limit. */
   private static final long SAMPLE_INTERVAL_US = 100_000;
 
-  /** Weight of the newest sample in the usual limit; chosen here. */
+  /** Weight of the newest sample in the typical limit. */
   private static final double SAMPLE_WEIGHT = 0.03;
 
-  /** Limits on calls from here on are none (calls); chosen here. */
-  private static final double NO_CALL_LIMIT = 1e5;
+  /** Call limits from this number of calls on count as unlimited. */
+  private static final double UNLIMITED_CALLS = 1e5;
 
   private static final double US_PER_S = 1_000_000;
 
   private final Policy policy;
 
   /**
-   * The concurrency limit while it is in use, smoothed: the limit itself falls as soon as nothing
-   * needs it.
+   * The concurrency limit while it is in use, smoothed. The current limit is no estimate: it falls
+   * as soon as it is not needed.
    */
   private double typicalLimit;
 
-  /** The seconds of use that the usual limit rests on. */
-  private double usedSeconds;
+  /** Seconds of use behind the typical limit. */
+  private double typicalLimitSeconds;
 
   private long lastSampleUs;
   private double restoredArrivals;
@@ -38,7 +38,7 @@
     typicalLimit = policy.concurrencyLimit();
   }
 
-  /** Samples the limit where it is time, while half of it or more is in use. */
+  /** Samples the limit once per interval, provided that at least half of it is in use. */
   void sample(long nowUs) {
     if (nowUs - lastSampleUs < SAMPLE_INTERVAL_US) {
       return;
@@ -47,11 +47,11 @@
     double limit = policy.concurrencyLimit();
     if (policy.concurrentRequests() >= limit / 2) {
       typicalLimit += SAMPLE_WEIGHT * (limit - typicalLimit);
-      usedSeconds += SAMPLE_INTERVAL_US / US_PER_S;
+      typicalLimitSeconds += SAMPLE_INTERVAL_US / US_PER_S;
     }
   }
 
-  /** What the policy has learned, by the names in force. */
+  /** Returns what the policy has learned, by the current names of classes and tenants. */
   List<Estimate> estimates(ClassAndTenantNames names) {
     LearnedEstimates learned = policy.learnedEstimates();
     List<Estimate> estimates = new ArrayList<>();
@@ -78,11 +78,12 @@
     if (calls > 0) {
       estimates.add(new Estimate(EstimateKind.CALL_TIME, "", learned.callTimeUs(), calls));
     }
-    if (usedSeconds > 0) {
-      estimates.add(new Estimate(EstimateKind.LIMIT, "", typicalLimit, usedSeconds));
+    if (typicalLimitSeconds > 0) {
+      estimates.add(new Estimate(EstimateKind.LIMIT, "", typicalLimit, typicalLimitSeconds));
     }
-    if (learned.callLimit() < NO_CALL_LIMIT && calls > 0) {
-      estimates.add(new Estimate(EstimateKind.CALL_LIMIT, "", learned.callLimit(), usedSeconds));
+    if (learned.callLimit() < UNLIMITED_CALLS && calls > 0) {
+      estimates.add(
+          new Estimate(EstimateKind.CALL_LIMIT, "", learned.callLimit(), typicalLimitSeconds));
     }
   }
 
@@ -99,22 +100,22 @@
   }
 
   /**
-   * Has the policy take in estimates. Limits count in part where they rest on few seconds; what
-   * names nothing here is left out.
+   * Restores estimates into the policy. Limits with few seconds of use behind them count in part;
+   * estimates of unknown classes or tenants are ignored.
    */
   void restore(PolicySettings settings, ClassAndTenantNames names, List<Estimate> estimates) {
     Restoration restoration =
         new Restoration(settings, names, policy.learnedEstimates().tenantShares().clone());
     estimates.forEach(restoration::add);
     if (restoration.limitSeconds >= 0) {
-      usedSeconds = restoration.limitSeconds;
+      typicalLimitSeconds = restoration.limitSeconds;
     }
     restoredArrivals = restoration.arrivals;
     policy.restore(restoration.learned());
     typicalLimit = policy.concurrencyLimit();
   }
 
-  /** Collects estimates by name into what the policy takes in by index. */
+  /** Converts estimates by name into learned values by index. */
   private static final class Restoration {
     private final PolicySettings settings;
     private final ClassAndTenantNames names;
@@ -125,7 +126,7 @@
     private int calls;
     private double limit;
 
-    /** The seconds that the limit rests on, negative where none is restored. */
+    /** Seconds of use behind the limit, negative if no limit is restored. */
     private double limitSeconds = -1;
 
     private double callLimit;
@@ -150,10 +151,10 @@
         }
         case LIMIT -> {
           int cores = settings.cores();
-          limit = cores + (value - cores) * Math.min(1, samples / TRUSTED_S);
+          limit = cores + (value - cores) * Math.min(1, samples / FULL_TRUST_S);
           limitSeconds = samples;
         }
-        case CALL_LIMIT -> callLimit = samples >= TRUSTED_S ? value : 0;
+        case CALL_LIMIT -> callLimit = samples >= FULL_TRUST_S ? value : 0;
         case TENANT_PART -> addTenantShare(estimate);
         default -> throw new IllegalArgumentException("unknown estimate " + estimate.kind());
       }
--- a/src/test/java/rosecleat/policy/AdmissionGateTest.java
+++ b/src/test/java/rosecleat/policy/AdmissionGateTest.java
@@ -6,19 +6,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The arithmetic of Algorithm 1, when the gate binds, and whom it rejects. */
+/** Tests the arithmetic of Algorithm 1, when the gate binds, and which requests it rejects. */
 class AdmissionGateTest {
   private static final PriorityClass LONG =
       new PriorityClass(1, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
 
-  private static SimulatedHost busy(SimulatedHost host) {
+  private static SimulatedHost withBusyCores(SimulatedHost host) {
     host.gauges.coreUtilisation = 1;
     host.advance(20_000);
     return host;
   }
 
-  /** Four of eight arrivals run, four are held, and every further arrival is drawn for refusal. */
-  private static void rejectsEveryDraw(SimulatedHost host) {
+  /**
+   * Starts four of eight arrivals, queues four, and lets the gate draw every later one for
+   * rejection.
+   */
+  private static void forceRejections(SimulatedHost host) {
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
     }
@@ -28,20 +31,20 @@
   }
 
   @Test
-  void averagesFollowAHandWorkedSequence() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
-    host.arrive(0); // nothing ended yet: rho_c is u_s = 1
+  void averagesMatchHandComputedSequence() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
+    host.arrive(0); // no run has ended, so rho_c is u_s = 1
     assertEquals(0.1, host.policy.gate().averageOfferedLoad, 1e-12);
     assertEquals(0.1, host.policy.gate().averageUtilisation, 1e-12);
     SimulatedHost.HostedRequest second = host.arrive(0);
     assertEquals(0.19, host.policy.gate().averageOfferedLoad, 1e-12);
-    host.end(second, Outcome.OK, 1000); // two arrivals over one completion: rho_c = 2
+    host.end(second, Outcome.OK, 1000); // two arrivals for one completion, so rho_c = 2
     assertEquals(0.9 * 0.19 + 0.1 * 2, host.policy.gate().averageOfferedLoad, 1e-12);
     assertEquals(0.271, host.policy.gate().averageUtilisation, 1e-12);
   }
 
   @Test
-  void theFilteringCoefficientIsFromZeroToOne() {
+  void filteringCoefficientIsClampedToZeroAndOne() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     host.policy.gate().averageOfferedLoad = 0.95;
     assertEquals(0.8, host.policy.gate().filteringCoefficient(1), 1e-12);
@@ -53,26 +56,28 @@
   }
 
   @Test
-  void nothingIsRejectedBeforeTheGateBinds() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
+  void arrivalsAreRejectedOnlyWhileGateBinds() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 1));
     host.policy.gate().averageUtilisation = 1;
     host.policy.gate().averageOfferedLoad = 3;
-    for (int i = 0; i < 50; i++) { // held, but the oldest has not waited a tenth of its time
+    // the arrivals are queued, but the oldest has not waited for a tenth of its objective
+    for (int i = 0; i < 50; i++) {
       host.arrive(0);
     }
     assertTrue(host.actions.stream().noneMatch(a -> a.startsWith("reject")));
     host.advance(7_000_000);
     host.policy.gate().averageOfferedLoad = 9;
     assertEquals("reject", host.arrive(0).answer);
-    host.gauges.coreUtilisation = 0.85; // waited enough, but the cores are not busy
+    // the oldest has waited long enough, but the cores are not busy
+    host.gauges.coreUtilisation = 0.85;
     host.advance(20_000);
     host.policy.gate().averageOfferedLoad = 9;
     assertEquals("", host.arrive(0).answer);
   }
 
   @Test
-  void rejectionsComeAsOftenAsTheFilteringCoefficientSays() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 42));
+  void rejectionRateMatchesFilteringCoefficient() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 42));
     for (int i = 0; i < 6; i++) {
       host.arrive(0);
     }
@@ -81,7 +86,7 @@
     for (int i = 0; i < 2000; i++) {
       host.policy.gate().averageUtilisation = 1;
       host.policy.gate().averageOfferedLoad =
-          (1.15 - 0.1 * rhoNow(host)) / 0.9; // so that rho_av is 1.15 when the gate decides
+          (1.15 - 0.1 * currentOfferedLoad(host)) / 0.9; // makes rho_av 1.15 when the gate decides
       SimulatedHost.HostedRequest hosted = host.arrive(0);
       assertEquals(1.15, host.policy.gate().averageOfferedLoad, 0.05);
       rejected += hosted.answer.equals("reject") ? 1 : 0;
@@ -92,15 +97,16 @@
     assertEquals(0.4, rejected / 2000.0, 0.05);
   }
 
-  private static double rhoNow(SimulatedHost host) {
-    return host.policy.load().utilisation(); // nothing has ended: rho_c is u_s
+  private static double currentOfferedLoad(SimulatedHost host) {
+    return host.policy.load().utilisation(); // no run has ended, so rho_c is u_s
   }
 
   @Test
-  void anArrivalCompetesOnlyWithArrivalsOfItsWeightOrMore() {
+  void arrivalCompetesOnlyWithArrivalsOfEqualOrHigherWeight() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
     for (int i = 0; i < 60; i++) {
       host.arrive(i % 4 == 0 ? 1 : 0);
     }
@@ -115,54 +121,55 @@
   }
 
   @Test
-  void aMarkedRetryGivesWayToAFirstAttempt() {
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
+  void firstAttemptReplacesQueuedRetry() {
+    SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
     host.markRetries = true;
     for (int i = 0; i < 8; i++) {
       host.arrive(0);
     }
     host.advance(6_500_000);
     host.markRetries = false;
-    for (int i = 0; i < 4; i++) { // refusal binds, at an offered load that leaves no room for any
+    for (int i = 0; i < 4; i++) { // the gate binds, at an offered load that admits no arrival
       host.policy.gate().averageUtilisation = 1;
       host.policy.gate().averageOfferedLoad = 90;
       host.arrive(0);
     }
-    List<SimulatedHost.HostedRequest> held =
+    List<SimulatedHost.HostedRequest> queued =
         host.requests.values().stream()
             .filter(hosted -> hosted.state == RequestState.QUEUED)
             .toList();
-    assertEquals(4, held.size()); // each took the place of a further try
-    assertTrue(held.stream().noneMatch(hosted -> hosted.request.retry()));
+    assertEquals(4, queued.size()); // each first attempt has replaced a retry
+    assertTrue(queued.stream().noneMatch(hosted -> hosted.request.retry()));
   }
 
   @Test
-  void theLevelDoesNotRiseForRejectionsBelowIt() {
-    double[] said = new double[2];
-    for (int all = 0; all < 2; all++) {
-      SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
-      rejectsEveryDraw(host);
-      host.rank = all == 0 ? 0.3 : 0.99;
-      for (int i = 0;
-          i < 400;
-          i++) { // far too many, of one rank: once under the level, they come unheeding
+  void rejectionsBelowAdvisedLevelDoNotRaiseIt() {
+    double[] advisedLevels = new double[2];
+    for (int run = 0; run < 2; run++) {
+      SimulatedHost host = withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG)), 3));
+      forceRejections(host);
+      host.rank = run == 0 ? 0.3 : 0.99;
+      // overload by arrivals of one rank, which continue after the level exceeds that rank
+      for (int i = 0; i < 400; i++) {
         host.policy.gate().averageUtilisation = 1;
         host.policy.gate().averageOfferedLoad = 5;
         host.arrive(0);
         host.advance(20_000);
       }
-      said[all] = host.loadAdvice;
+      advisedLevels[run] = host.loadAdvice;
     }
-    assertTrue(said[0] > 0.25 && said[0] < 0.45, "said " + said[0]);
-    assertTrue(said[1] > 0.9, "said " + said[1]);
+    assertTrue(
+        advisedLevels[0] > 0.25 && advisedLevels[0] < 0.45, "advised level " + advisedLevels[0]);
+    assertTrue(advisedLevels[1] > 0.9, "advised level " + advisedLevels[1]);
   }
 
   @Test
-  void aHeavierArrivalThatWasDrawnReplacesTheLightestQueuedRequest() {
+  void heavierArrivalDrawnForRejectionReplacesLightestQueuedRequest() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
-    rejectsEveryDraw(host);
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
+    forceRejections(host);
     assertEquals("reject", host.arrive(0).answer);
     host.policy.gate().averageOfferedLoad = 90;
     assertEquals("", host.arrive(1).answer);
@@ -171,10 +178,11 @@
   }
 
   @Test
-  void tenantsOverAllQuotasInEqualPartsAreRejectedAlike() {
+  void tenantsEquallyOverQuotaAreBothRejected() {
     List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(10));
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
-    for (int i = 0; i < 80; i++) { // each at four times its quota a server, in equal parts
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
+    for (int i = 0; i < 80; i++) { // both send equally, at four times their quota per server
       host.arrive(0, i % 2, 0, 0, 0);
     }
     host.advance(6_500_000);
@@ -192,29 +200,32 @@
   }
 
   @Test
-  void aTenantWithoutAQuotaIsOverItsQuota() {
+  void tenantWithZeroQuotaIsOverQuota() {
     List<TenantQuota> tenants = List.of(new TenantQuota(0), new TenantQuota(100));
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
-    rejectsEveryDraw(host);
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
+    forceRejections(host);
     assertEquals("", host.arrive(0, 1, 0, 0, 0).answer);
     assertEquals("reject", host.requests.get(5L).answer);
   }
 
   @Test
-  void nothingQueuedGivesWayToAnArrivalThatIsRejectedAnyway() {
+  void arrivalPastItsObjectiveReplacesNoQueuedRequest() {
     PriorityClass heavy =
         new PriorityClass(5, 0, 60_000_000, 0, 60_000_000, Idempotency.SAFE, 0, false, 0);
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
-    rejectsEveryDraw(host);
-    assertEquals(
-        "reject", host.arrive(1, 0, 60_100_000, 0, 0).answer); // past its wanted time when read
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.plain(List.of(LONG, heavy)), 3));
+    forceRejections(host);
+    // the arrival is past its latency objective when it is read
+    assertEquals("reject", host.arrive(1, 0, 60_100_000, 0, 0).answer);
     assertEquals("", host.requests.get(5L).answer);
   }
 
   @Test
-  void aTenantFarOverItsQuotaIsRejectedFirst() {
+  void tenantFarOverQuotaIsRejectedFirst() {
     List<TenantQuota> tenants = List.of(new TenantQuota(10), new TenantQuota(100));
-    SimulatedHost host = busy(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
+    SimulatedHost host =
+        withBusyCores(new SimulatedHost(TestSettings.withTenants(tenants, LONG), 3));
     for (int i = 0; i < 80; i++) {
       host.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
     }
@@ -222,8 +233,8 @@
     for (int i = 0; i < 40; i++) {
       host.arrive(0, i % 4 == 0 ? 1 : 0, 0, 0, 0);
     }
-    for (SimulatedHost.HostedRequest hosted :
-        List.copyOf(host.requests.values())) { // it is served its quota
+    // the tenant is served its quota
+    for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
       if (hosted.state == RequestState.RUNNING && hosted.request.tenantIndex() == 0) {
         host.end(hosted, Outcome.OK, 1_000);
       }
--- a/src/test/java/rosecleat/policy/DeadlineTest.java
+++ b/src/test/java/rosecleat/policy/DeadlineTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every request is answered before its deadline. */
+/** Tests that every request is answered before its deadline. */
 class DeadlineTest {
   @Test
-  void whenNothingEndsEveryRequestIsAnsweredBeforeItsDeadline() {
-    for (CancelMode halt : CancelMode.values()) {
+  void everyRequestIsAnsweredBeforeItsDeadlineWhenNoRunEnds() {
+    for (CancelMode cancelMode : CancelMode.values()) {
       SimulatedHost host =
           new SimulatedHost(
               TestSettings.with(
-                  halt,
+                  cancelMode,
                   LoadAdviceMode.OFF,
                   DownstreamMode.OFF,
                   0,
@@ -35,19 +35,19 @@
   }
 
   @Test
-  void aShorterTimeoutBindsAndARequestReadTooLateIsAnsweredAtOnce() {
+  void shorterTimeoutAppliesAndRequestReadAfterItsDeadlineIsAnswered() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
-    SimulatedHost.HostedRequest tight = host.arrive(0, 0, 0, 300_000, 0);
+    SimulatedHost.HostedRequest withTimeout = host.arrive(0, 0, 0, 300_000, 0);
     host.advance(300_000);
-    assertFalse(tight.awaitingResponse);
+    assertFalse(withTimeout.awaitingResponse);
     host.arrive(0);
-    SimulatedHost.HostedRequest stale = host.arrive(0, 0, 9_000_000, 0, 0);
+    SimulatedHost.HostedRequest readLate = host.arrive(0, 0, 9_000_000, 0, 0);
     host.advance(60_000);
-    assertFalse(stale.awaitingResponse);
+    assertFalse(readLate.awaitingResponse);
   }
 
   @Test
-  void aRequestThatWaitsForACallIsFailedBeforeItsDeadline() {
+  void requestWaitingForCallFailsBeforeItsDeadline() {
     PriorityClass calling =
         new PriorityClass(1, 0, 1_000_000, 0, 2_000_000, Idempotency.UNSAFE, 0, true, 0);
     SimulatedHost host = new SimulatedHost(TestSettings.sharedDownstream(1, calling), 1);
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aRequestThatCannotFinishInTimeIsRejectedWhileOthersRun() {
+  void requestThatCannotFinishInTimeIsRejectedWhileOthersRun() {
     SimulatedHost host = new SimulatedHost(TestSettings.plain(), 1);
     for (int i = 0; i < 30; i++) {
       SimulatedHost.HostedRequest hosted = host.arrive(0);
@@ -69,8 +69,8 @@
       host.end(hosted, Outcome.OK, 400_000);
     }
     host.arrive(0);
-    assertEquals(
-        "reject", host.arrive(0, 0, 700_000, 0, 0).answer); // 300 ms are left and 400 ms of work
+    // 300 ms remain for a run of 400 ms
+    assertEquals("reject", host.arrive(0, 0, 700_000, 0, 0).answer);
     assertEquals(RequestState.RUNNING, host.arrive(0, 0, 500_000, 0, 0).state);
   }
 }
--- a/src/test/java/rosecleat/policy/EstimatesTest.java
+++ b/src/test/java/rosecleat/policy/EstimatesTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What one policy has learned, restored into another. */
+/** Tests that estimates learned by one policy can be restored into another. */
 class EstimatesTest {
   private static final ClassAndTenantNames NAMES =
       new ClassAndTenantNames(List.of("safe", "keyed", "unsafe"), List.of());
@@ -25,7 +25,9 @@
     return engine;
   }
 
-  /** One request of the first class that comes now; what became of it at once. */
+  /**
+   * Sends one request of the first class now, and returns the commands that run or answer requests.
+   */
   private List<PolicyCommand> arrive(PolicyEngine engine, long timeoutUs) {
     engine.handle(
         now, new PolicyEvent.Arrived(++id, 0, 0, 0, timeoutUs, 16, 0.5, false, false, 1, 0, 0));
@@ -39,7 +41,7 @@
         .toList();
   }
 
-  private void runs(PolicyEngine engine, int count, long tookUs) {
+  private void completeRuns(PolicyEngine engine, int count, long tookUs) {
     for (int i = 0; i < count; i++) {
       assertEquals(List.of(new PolicyCommand.Run(id + 1)), arrive(engine, 3_000_000));
       now += tookUs;
@@ -54,60 +56,64 @@
   }
 
   @Test
-  void aRestoredRunTimeIsPassedOnUntilEnoughRunsAreSeen() {
+  void restoredRunTimeIsReportedUntilEnoughRunsAreObserved() {
     PolicyEngine first = started();
-    runs(first, 20, 50_000);
+    completeRuns(first, 20, 50_000);
     Estimate learned = byKind(first).get(EstimateKind.RUN_TIME);
     assertEquals("safe", learned.subject());
     assertEquals(50_000, learned.value(), 1_000);
     assertEquals(20, learned.samples());
-    Estimate passedOn = new Estimate(EstimateKind.RUN_TIME, "safe", learned.value(), 8);
+    Estimate restoredEstimate = new Estimate(EstimateKind.RUN_TIME, "safe", learned.value(), 8);
 
     PolicyEngine second =
         new PolicyEngine(TestSettings.plain(), List.of("core_use", "on_cores"), 7);
-    second.restore(NAMES, () -> first.estimates(NAMES)); // it has not started: taken in then
+    // the engine has not started, so it restores the estimates at its start
+    second.restore(NAMES, () -> first.estimates(NAMES));
     second.start(now, false);
     assertEquals(
-        passedOn,
+        restoredEstimate,
         byKind(second).get(EstimateKind.RUN_TIME),
-        "passed on until it has seen as much itself");
-    runs(second, 4, 10_000);
+        "the restored run time is reported until as many runs are observed");
+    completeRuns(second, 4, 10_000);
     assertEquals(50_000, byKind(second).get(EstimateKind.RUN_TIME).value(), 1_000);
-    runs(second, 20, 10_000);
+    completeRuns(second, 20, 10_000);
     assertEquals(10_000, byKind(second).get(EstimateKind.RUN_TIME).value(), 1_500);
   }
 
   @Test
-  void aRestoredRunTimeDecidesBeforeAnythingHasRun() {
-    PolicyEngine unaware = started();
+  void restoredRunTimeIsUsedBeforeFirstRunEnds() {
+    PolicyEngine withoutEstimates = started();
     PolicyEngine restored = started();
     restored.restore(
         NAMES, () -> List.of(new Estimate(EstimateKind.RUN_TIME, "safe", 400_000, 10)));
-    for (PolicyEngine d : List.of(unaware, restored)) {
-      arrive(d, 3_000_000); // the first runs: nothing else does
+    for (PolicyEngine engine : List.of(withoutEstimates, restored)) {
+      arrive(engine, 3_000_000); // the first request starts, as nothing else runs
     }
     assertEquals(
-        List.of(new PolicyCommand.Run(id + 1)), arrive(unaware, 200_000), "it knows no better");
+        List.of(new PolicyCommand.Run(id + 1)),
+        arrive(withoutEstimates, 200_000),
+        "without an estimate the request is started");
     assertEquals(
         1,
         arrive(restored, 200_000).stream()
             .filter(command -> command instanceof PolicyCommand.Reject)
             .count(),
-        "a run of 400 ms does not fit into 200 ms: rejected at once, not failed later");
+        "a run of 400 ms does not fit into 200 ms, so it is rejected at once instead of failing"
+            + " later");
   }
 
   @Test
-  void aRestoredRunTimeTooShortMisleadsForAFewRunsOnly() {
+  void tooShortRestoredRunTimeIsReplacedAfterFewRuns() {
     PolicyEngine restored = started();
     restored.restore(
         NAMES, () -> List.of(new Estimate(EstimateKind.RUN_TIME, "safe", 1, 32))); // far too short
-    runs(restored, 30, 50_000);
+    completeRuns(restored, 30, 50_000);
     assertEquals(50_000, byKind(restored).get(EstimateKind.RUN_TIME).value(), 2_000);
-    assertEquals(1, arrive(restored, 3_000_000).size(), "and it goes on");
+    assertEquals(1, arrive(restored, 3_000_000).size(), "requests are still started");
   }
 
   @Test
-  void aRestoredRunTimeTooLongRejectsAFewAndIsThenForgotten() {
+  void tooLongRestoredRunTimeIsDroppedAfterFewRejections() {
     PolicyEngine restored = started();
     restored.restore(
         NAMES,
@@ -122,7 +128,7 @@
         Stream.generate(restored::nextCommand)
             .filter(command -> command instanceof PolicyCommand.Run)
             .findFirst()
-            .orElseThrow()); // never idle from here on
+            .orElseThrow()); // keeps the server from being idle
     int rejected = 0;
     for (int i = 0; i < 20; i++) {
       rejected +=
@@ -132,22 +138,26 @@
               : 0;
     }
     assertTrue(
-        rejected >= 1 && rejected <= 8, rejected + " were rejected by what was never seen here");
+        rejected >= 1 && rejected <= 8,
+        rejected + " requests were rejected by the restored run time");
   }
 
   @Test
-  void restoredLimitsStayUnderTheCeilingAndCountInPartWhereTheyRestOnLittle() {
-    PolicyEngine poisoned = started();
-    poisoned.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 90_000, 60)));
-    poisoned.tick(now);
-    double ceiling = byKind(poisoned).get(EstimateKind.LIMIT).value();
-    assertTrue(ceiling > 4 && ceiling <= 4 * 6, "the crowd that the server survives: " + ceiling);
-    PolicyEngine little = started();
-    little.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 8, 5)));
-    assertEquals(6, byKind(little).get(EstimateKind.LIMIT).value(), 1e-9);
+  void restoredLimitIsCappedAndCountsInPartIfBasedOnFewSeconds() {
+    PolicyEngine tooHigh = started();
+    tooHigh.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 90_000, 60)));
+    tooHigh.tick(now);
+    double ceiling = byKind(tooHigh).get(EstimateKind.LIMIT).value();
+    assertTrue(ceiling > 4 && ceiling <= 4 * 6, "limit outside 4 to 24: " + ceiling);
+    PolicyEngine fromFewSeconds = started();
+    fromFewSeconds.restore(NAMES, () -> List.of(new Estimate(EstimateKind.LIMIT, "", 8, 5)));
+    assertEquals(6, byKind(fromFewSeconds).get(EstimateKind.LIMIT).value(), 1e-9);
     assertEquals(
-        5, byKind(little).get(EstimateKind.LIMIT).samples(), 1e-9, "what it rests on is not lost");
-    assertEquals(null, byKind(started()).get(EstimateKind.LIMIT), "none was in use yet");
+        5,
+        byKind(fromFewSeconds).get(EstimateKind.LIMIT).samples(),
+        1e-9,
+        "the seconds of use are restored");
+    assertEquals(null, byKind(started()).get(EstimateKind.LIMIT), "no limit has been in use yet");
   }
 
   @Test
@@ -160,7 +170,7 @@
                 new Estimate(EstimateKind.RUN_TIME, "other", 400_000, 10),
                 new Estimate(EstimateKind.TENANT_PART, "nobody", 0.4, 10)));
     assertEquals(null, byKind(restored).get(EstimateKind.RUN_TIME));
-    runs(restored, 3, 10_000);
+    completeRuns(restored, 3, 10_000);
     assertEquals(
         List.of(),
         restored
@@ -168,6 +178,6 @@
             .stream()
             .filter(estimate -> estimate.kind() == EstimateKind.RUN_TIME)
             .toList(),
-        "a number without a name has no lesson");
+        "classes without a name have no estimate");
   }
 }
--- a/src/test/java/rosecleat/policy/OverloadLimitTest.java
+++ b/src/test/java/rosecleat/policy/OverloadLimitTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Memory and concurrency stay within what the server survives. */
+/** Tests that memory and concurrent runs stay within the server's limits. */
 class OverloadLimitTest {
   @Test
   void memoryStaysWithinItsLimit() {
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void aColdServerKeepsToItsSmallerOverloadLimit() {
+  void coldServerStaysWithinItsLowerOverloadLimit() {
     SimulatedHost host =
         new SimulatedHost(
             TestSettings.withoutDownstream(
@@ -39,19 +39,20 @@
   }
 
   @Test
-  void requestsThatReturnFromCallsAtOnceStayWithinTheOverloadLimit() {
+  void requestsReturningFromCallsTogetherStayWithinOverloadLimit() {
     for (boolean cold : new boolean[] {false, true}) {
       SimulatedHost host = Scenarios.allWaitingForCalls(60, cold);
       host.requests.values().stream()
           .filter(hosted -> hosted.state == RequestState.CALLING)
           .toList()
-          .forEach(hosted -> host.endCall(hosted, Outcome.OK)); // the host asserts the crowd
+          // the host asserts the overload limit
+          .forEach(hosted -> host.endCall(hosted, Outcome.OK));
       assertTrue(host.running().size() > 4);
     }
   }
 
   @Test
-  void pausedRequestsKeepTheirMemoryCounted() {
+  void memoryOfPausedRequestsStaysCounted() {
     SimulatedHost host =
         new SimulatedHost(
             TestSettings.withoutDownstream(
@@ -61,7 +62,7 @@
       host.end(host.arrive(0), Outcome.CANCELLED, 1000);
     }
     for (int i = 0; i < 30; i++) {
-      host.arrive(0); // the host asserts the memory
+      host.arrive(0); // the host asserts the memory limit
     }
   }
 }
--- a/src/test/java/rosecleat/policy/StallTest.java
+++ b/src/test/java/rosecleat/policy/StallTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When work that stands still is noticed. */
+/** Tests when runs that no longer complete are detected as a stall. */
 class StallTest {
   private static void assertNoStall(SimulatedHost host) {
     for (int i = 0; i < 4; i++) {
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aStallRejectsQueuedRequestsAndClosesTheServer() {
+  void stallRejectsQueuedRequestsAndClosesServer() {
     SimulatedHost host = Scenarios.warmedUp();
     for (int i = 0; i < 9; i++) {
       host.arrive(i % 3);
@@ -25,8 +25,8 @@
     host.advance(900_000);
     assertFalse(host.healthy);
     assertEquals(1, host.loadAdvice);
-    SimulatedHost.HostedRequest more = host.arrive(0);
-    assertEquals("reject", more.answer);
+    SimulatedHost.HostedRequest duringStall = host.arrive(0);
+    assertEquals("reject", duringStall.answer);
     assertTrue(host.lastRetryAfterUs > 0);
     assertFalse(host.lastNoRetry);
     host.end(
@@ -38,21 +38,20 @@
   }
 
   @Test
-  void aNewServerSeesNoStallInItsFirstSecond() {
+  void newServerReportsNoStallInFirstSecond() {
     assertNoStall(new SimulatedHost(TestSettings.plain(), 1));
   }
 
   @Test
-  void aFewLongRunsAreNoStallUntilADozenEndsAreOverdue() {
+  void longRunsAreNoStallUntilTwelveCompletionsAreOverdue() {
     SimulatedHost host = Scenarios.warmedUp(600_000);
     for (int i = 0; i < 4; i++) {
       host.arrive(0);
     }
-    host.advance(1_200_000); // eight ends overdue
+    host.advance(1_200_000); // eight completions are overdue
     assertTrue(host.logs.isEmpty());
-    for (int i = 0;
-        i < 4;
-        i++) { // runs past their wanted time may have been stopped: work is there again
+    // runs past their objective may have been cancelled, so the cores are filled again
+    for (int i = 0; i < 4; i++) {
       host.arrive(2);
     }
     host.advance(1_200_000);
@@ -60,7 +59,7 @@
   }
 
   @Test
-  void aVeryLongRunIsNoStallWhileOtherCoresAreFree() {
+  void longRunsAreNoStallWhileOtherCoresAreFree() {
     SimulatedHost host = Scenarios.warmedUp();
     host.arrive(2);
     host.arrive(2);
@@ -69,7 +68,7 @@
   }
 
   @Test
-  void manyReadsAreNoStall() {
+  void heavyReadingIsNoStall() {
     SimulatedHost host = Scenarios.warmedUp();
     host.gauges.runnable = 40;
     assertNoStall(host);
