--- a/src/main/java/rosecleat/index/IndexConnection.java
+++ b/src/main/java/rosecleat/index/IndexConnection.java
@@ -34,7 +34,7 @@
   }
 
   /** Bounds the ids that are remembered. */
-  private static final int MAX_CALLS = 200;
+  private static final int MAX_CALLS_PER_CONNECTION = 200;
 
   /** The most replies with other ids before the one that is awaited. */
   private static final int MAX_UNEXPECTED_REPLIES = 8;
@@ -68,7 +68,7 @@
    * been notified yet.
    */
   boolean exhausted() {
-    return ended || connection.isClosed() || carriedIds.size() >= MAX_CALLS;
+    return ended || connection.isClosed() || carriedIds.size() >= MAX_CALLS_PER_CONNECTION;
   }
 
   /**
@@ -99,9 +99,9 @@
   }
 
   private static ByteBuffer encode(PendingCall call, long nowUs) {
-    long leftMs = Math.max(1, (call.untilUs() - nowUs) / 1000);
+    long remainingMs = Math.max(1, (call.untilUs() - nowUs) / 1000);
     byte[] body = call.body();
-    byte[] head = ascii("GET " + call.id() + " " + leftMs + " " + body.length + "\r\n");
+    byte[] head = ascii("GET " + call.id() + " " + remainingMs + " " + body.length + "\r\n");
     return ByteBuffer.allocate(head.length + body.length + 2)
         .put(head)
         .put(body)
--- a/src/main/java/rosecleat/pool/InstancePool.java
+++ b/src/main/java/rosecleat/pool/InstancePool.java
@@ -20,7 +20,7 @@
    *
    * @param weight its share of the work relative to the other instances, above 0
    * @param capacity how many requests it works on at once; 0 where that is not declared
-   * @param acceptsRequests whether it takes new requests
+   * @param acceptsRequests whether it acceptsRequests new requests
    */
   public record InstanceSpec(
       String name,
@@ -99,8 +99,8 @@
    */
   public void update(List<InstanceSpec> specs) {
     Map<String, PooledInstance> updated = new HashMap<>();
-    List<PooledInstance> inZone = new ArrayList<>();
-    List<PooledInstance> elsewhere = new ArrayList<>();
+    List<PooledInstance> localInstances = new ArrayList<>();
+    List<PooledInstance> remoteInstances = new ArrayList<>();
     for (InstanceSpec spec : specs) {
       PooledInstance instance = byName.get(spec.name);
       if (instance == null || !instance.hasAddressOf(spec)) {
@@ -110,12 +110,12 @@
       instance.capacity = spec.capacity > 0 ? spec.capacity : DEFAULT_CAPACITY;
       updated.put(spec.name, instance);
       if (spec.acceptsRequests) {
-        (spec.zone.equals(zone) ? inZone : elsewhere).add(instance);
+        (spec.zone.equals(zone) ? localInstances : remoteInstances).add(instance);
       }
     }
     byName = updated;
-    local = List.copyOf(inZone);
-    remote = List.copyOf(elsewhere);
+    local = List.copyOf(localInstances);
+    remote = List.copyOf(remoteInstances);
   }
 
   /** Whether no instance accepts requests. */
@@ -150,19 +150,19 @@
   }
 
   private PooledInstance choose(double workUs) {
-    PooledInstance inZone = lighterOfTwo(local, workUs);
-    if (inZone != null && !inZone.isFull()) {
-      return inZone;
+    PooledInstance localChoice = lessLoadedOfTwo(local, workUs);
+    if (localChoice != null && !localChoice.isFull()) {
+      return localChoice;
     }
-    PooledInstance elsewhere = lighterOfTwo(remote, workUs);
-    if (inZone == null) {
-      return elsewhere;
+    PooledInstance remoteChoice = lessLoadedOfTwo(remote, workUs);
+    if (localChoice == null) {
+      return remoteChoice;
     }
-    boolean elsewhereIsBetter =
-        elsewhere != null
-            && !elsewhere.isFull()
-            && elsewhere.loadWith(workUs) < inZone.loadWith(workUs);
-    return elsewhereIsBetter ? elsewhere : inZone;
+    boolean remoteIsBetter =
+        remoteChoice != null
+            && !remoteChoice.isFull()
+            && remoteChoice.loadWith(workUs) < localChoice.loadWith(workUs);
+    return remoteIsBetter ? remoteChoice : localChoice;
   }
 
   /** Ends a request and takes its work off the instance. */
@@ -174,7 +174,7 @@
   }
 
   /** Of two instances at random the one with less load; null where there are none. */
-  private PooledInstance lighterOfTwo(List<PooledInstance> instances, double workUs) {
+  private PooledInstance lessLoadedOfTwo(List<PooledInstance> instances, double workUs) {
     if (instances.size() < 2) {
       return instances.isEmpty() ? null : instances.get(0);
     }
--- a/src/main/java/rosecleat/registry/RegistryClient.java
+++ b/src/main/java/rosecleat/registry/RegistryClient.java
@@ -50,7 +50,7 @@
   private boolean draining;
 
   /** Whether another report is due as soon as the one in progress has ended. */
-  private boolean reportAgain;
+  private boolean followUpDue;
 
   private Future<?> responseTimeout;
 
@@ -99,7 +99,7 @@
       return;
     }
     if (awaitingResponse) {
-      if (draining && !reportAgain) {
+      if (draining && !followUpDue) {
         reportDrainingSoon();
       }
     } else if (connection != null && !connection.isClosed()) {
@@ -111,12 +111,12 @@
 
   /** Bounds how long the report that this node drains waits for the one in progress. */
   private void reportDrainingSoon() {
-    reportAgain = true;
+    followUpDue = true;
     Connection used = connection;
     loop.schedule(
         DRAINING_REPORT_MAX_WAIT_US,
         () -> {
-          if (reportAgain && connection == used && used != null) {
+          if (followUpDue && connection == used && used != null) {
             used.abort("the roster does not answer, and the notice to leave waits");
           }
         });
@@ -253,8 +253,8 @@
   private void reportEnded(boolean succeeded) {
     awaitingResponse = false;
     responseTimeout.cancel(false);
-    if (reportAgain) {
-      reportAgain = false;
+    if (followUpDue) {
+      followUpDue = false;
       report();
     } else if (!succeeded) {
       scheduleRetry();
--- a/src/main/java/rosecleat/runtime/CommandTracker.java
+++ b/src/main/java/rosecleat/runtime/CommandTracker.java
@@ -116,7 +116,7 @@
   }
 
   /** Records that the last command of a run is sent a second time. */
-  void resending(String runId) {
+  void markResent(String runId) {
     resentRuns.add(runId);
   }
 
--- a/src/main/java/rosecleat/runtime/RunCommand.java
+++ b/src/main/java/rosecleat/runtime/RunCommand.java
@@ -24,7 +24,7 @@
     this(runId, line, recovery, 0);
   }
 
-  RunCommand withSequence(long sentAs) {
-    return new RunCommand(runId, line, recovery, sentAs);
+  RunCommand withSequence(long newSequence) {
+    return new RunCommand(runId, line, recovery, newSequence);
   }
 }
--- a/src/main/java/rosecleat/runtime/RuntimeClient.java
+++ b/src/main/java/rosecleat/runtime/RuntimeClient.java
@@ -22,10 +22,10 @@
  */
 public final class RuntimeClient implements Runner {
   /** Begins the references of requests for gauges; the number of commands sent before follows. */
-  private static final String PROOF_REFERENCE = "g";
+  private static final String ACKNOWLEDGEMENT_REFERENCE_PREFIX = "g";
 
   /** The reference of the request whose answer shows that all missed messages were read. */
-  private static final String RESUMED_REFERENCE = "resumed";
+  private static final String RESUME_REFERENCE = "resumed";
 
   private final EventLoop loop;
   private final Core core;
@@ -83,13 +83,13 @@
     }
 
     @Override
-    public boolean needsProof() {
+    public boolean needsAcknowledgement() {
       return commands.hasUnacknowledged();
     }
 
     @Override
-    public void requestProof() {
-      RuntimeClient.this.requestProof();
+    public void requestAcknowledgement() {
+      RuntimeClient.this.requestAcknowledgement();
     }
   }
 
@@ -145,13 +145,15 @@
       abortSilentConnection(now);
     } else if (keepAlive.requestDue(now)) {
       keepAlive.requested(now);
-      requestProof();
+      requestAcknowledgement();
     }
   }
 
   /** Requests the gauges; their answer proves that the commands sent so far have arrived. */
-  private void requestProof() {
-    link.write(RuntimeCommandEncoder.requestGauges(PROOF_REFERENCE + commands.sentCount()));
+  private void requestAcknowledgement() {
+    link.write(
+        RuntimeCommandEncoder.requestGauges(
+            ACKNOWLEDGEMENT_REFERENCE_PREFIX + commands.sentCount()));
   }
 
   /** The runs go on, and a new connection brings the messages about them. */
@@ -239,7 +241,7 @@
         "the runtime is up, " + message.state() + ", since " + message.uptimeUs() / 1000 + " ms");
     core.start(this, message.cold(), message.uptimeUs());
     if (commands.hasInDoubt()) {
-      link.write(RuntimeCommandEncoder.requestGauges(RESUMED_REFERENCE));
+      link.write(RuntimeCommandEncoder.requestGauges(RESUME_REFERENCE));
     }
     while (commands.hasQueued() && sendNow(commands.firstQueued())) {
       commands.removeFirstQueued();
@@ -267,19 +269,19 @@
 
   private void handleGauges(RuntimeMessage.Gauges message) {
     keepAlive.gaugesReceived();
-    if (message.reference().equals(RESUMED_REFERENCE)) {
-      resolveDoubts();
+    if (message.reference().equals(RESUME_REFERENCE)) {
+      resolveCommandsInDoubt();
     } else {
-      commands.acknowledgeThrough(provenCount(message.reference()));
-      link.proofReceived();
+      commands.acknowledgeThrough(acknowledgedCount(message.reference()));
+      link.acknowledgementReceived();
     }
     core.gaugesReceived(message.values());
   }
 
   /** How many commands the answer to a request for gauges proves to have arrived. */
-  private static long provenCount(String reference) {
+  private static long acknowledgedCount(String reference) {
     try {
-      return Long.parseLong(reference.substring(PROOF_REFERENCE.length()));
+      return Long.parseLong(reference.substring(ACKNOWLEDGEMENT_REFERENCE_PREFIX.length()));
     } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
       return 0; // none of our references: it proves nothing
     }
@@ -289,7 +291,7 @@
    * Resolves the commands in doubt, once all messages missed between connections were read, and the
    * runs in question still show no effect of them.
    */
-  private void resolveDoubts() {
+  private void resolveCommandsInDoubt() {
     for (RunCommand command : commands.takeInDoubt()) {
       switch (command.recovery()) {
         case RESEND -> resend(command);
@@ -309,7 +311,7 @@
 
   private void resend(RunCommand command) {
     counters.add("runtime.resent");
-    commands.resending(command.runId());
+    commands.markResent(command.runId());
     if (!sendNow(command)) {
       commands.putInDoubt(command); // this connection has ended too
     }
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeLink.java
@@ -17,8 +17,8 @@
 /**
  * Keeps one connection to the runtime: connects, connects again whenever the connection is lost,
  * and moves to a new address. On a move the former connection is used up in order: it is replaced
- * once it has proven which commands arrived by it, or after {@link #PROOF_TIMEOUT_US}. For the loop
- * alone.
+ * once it has proven which commands arrived by it, or after {@link #ACKNOWLEDGEMENT_TIMEOUT_US}.
+ * For the loop alone.
  */
 final class RuntimeLink {
   private static final long CONNECT_TIMEOUT_US = 2_000_000;
@@ -26,7 +26,7 @@
   private static final int MAX_LINE_BYTES = 1 << 20;
 
   /** After this time without a proof, a move goes on without it. */
-  private static final long PROOF_TIMEOUT_US = 500_000;
+  private static final long ACKNOWLEDGEMENT_TIMEOUT_US = 500_000;
 
   private static final ConnectionLimits LIMITS =
       new ConnectionLimits(16 << 10, 1 << 20, 4 << 20, 10_000_000);
@@ -43,10 +43,10 @@
     void lost();
 
     /** Whether it is unknown which of the commands written to the connection in use arrived. */
-    boolean needsProof();
+    boolean needsAcknowledgement();
 
     /** Asks for the proof on the connection in use. */
-    void requestProof();
+    void requestAcknowledgement();
   }
 
   private final EventLoop loop;
@@ -111,8 +111,8 @@
   }
 
   /** Goes on with a move that waits for the proof, where it has come. */
-  void proofReceived() {
-    if (successor != null && !handler.needsProof()) {
+  void acknowledgementReceived() {
+    if (successor != null && !handler.needsAcknowledgement()) {
       use(successor);
     }
   }
@@ -120,8 +120,8 @@
   private final class ReconnectingHandler implements Connector.Handler {
     @Override
     public void connected(Connection established) {
-      if (connection != null && handler.needsProof()) {
-        useOnceProven(established);
+      if (connection != null && handler.needsAcknowledgement()) {
+        useOnceAcknowledged(established);
       } else {
         use(established);
       }
@@ -139,12 +139,12 @@
     }
   }
 
-  private void useOnceProven(Connection established) {
+  private void useOnceAcknowledged(Connection established) {
     successor = established;
     ready = false;
-    handler.requestProof();
+    handler.requestAcknowledgement();
     loop.schedule(
-        PROOF_TIMEOUT_US,
+        ACKNOWLEDGEMENT_TIMEOUT_US,
         () -> {
           if (successor == established) {
             counters.add("runtime.unsettled");
--- a/src/main/java/rosecleat/runtime/RuntimeMessage.java
+++ b/src/main/java/rosecleat/runtime/RuntimeMessage.java
@@ -40,7 +40,7 @@
   record CommandRejected(String command) implements Body {}
 
   /** A message that needs no handling. */
-  record Remark() implements Body {}
+  record Ignored() implements Body {}
 
   /** Parses a line; empty where it is no message. */
   static Optional<RuntimeMessage> parse(String line) {
@@ -62,7 +62,7 @@
       case "wants" -> new CallRequested(json.text("data"));
       case "load" -> new Gauges(json.text("ref"), json.numbers());
       case "nack" -> new CommandRejected(json.text("state"));
-      default -> new Remark();
+      default -> new Ignored();
     };
   }
 
--- a/src/main/java/rosecleat/takeover/PeerLoadReports.java
+++ b/src/main/java/rosecleat/takeover/PeerLoadReports.java
@@ -26,10 +26,10 @@
   private static final double SECOND_US = 1_000_000;
 
   /** The part of the free amounts that a process beside a successor grants itself. */
-  private static final double FREE_PART_WHILE_SERVING = 0.5;
+  private static final double FREE_SHARE_WHILE_SERVING = 0.5;
 
   /** The same once that process shuts down. */
-  private static final double FREE_PART_WHILE_LEAVING = 0.125;
+  private static final double FREE_SHARE_WHILE_SHUTTING_DOWN = 0.125;
 
   /**
    * The last report of a peer process.
@@ -39,19 +39,19 @@
    * @param seenAtUs when the peer was last seen alive
    */
   private record Report(ResourceAmounts grant, List<Double> remainingCalls, long seenAtUs) {
-    static final Report NOTHING_YET = new Report(null, List.of(), 0);
+    static final Report NOT_REPORTED = new Report(null, List.of(), 0);
 
     Report seenAt(long nowUs) {
       return new Report(grant, remainingCalls, nowUs);
     }
 
     /** The seconds from the last sign of life to a poll of all peers. */
-    double secondsUnseen(long polledAtUs) {
+    double secondsSinceSeen(long polledAtUs) {
       return (polledAtUs - seenAtUs) / SECOND_US;
     }
 
     boolean hasExpired(long polledAtUs) {
-      return seenAtUs < polledAtUs && secondsUnseen(polledAtUs) >= remainingCalls.size();
+      return seenAtUs < polledAtUs && secondsSinceSeen(polledAtUs) >= remainingCalls.size();
     }
   }
 
@@ -71,7 +71,7 @@
       reports.put(
           peer, parse(Files.readString(reportFile(peer), StandardCharsets.US_ASCII), nowUs));
     } catch (IOException | RuntimeException e) {
-      reports.put(peer, reports.getOrDefault(peer, Report.NOTHING_YET).seenAt(nowUs));
+      reports.put(peer, reports.getOrDefault(peer, Report.NOT_REPORTED).seenAt(nowUs));
     }
   }
 
@@ -106,9 +106,9 @@
       ownGrant = free;
       return ownGrant;
     }
-    double part = shuttingDown ? FREE_PART_WHILE_LEAVING : FREE_PART_WHILE_SERVING;
-    ResourceAmounts wanted = inUse.plus(free.minus(inUse).times(part));
-    ownGrant = ownGrant == null ? wanted : ownGrant.min(wanted);
+    double freeShare = shuttingDown ? FREE_SHARE_WHILE_SHUTTING_DOWN : FREE_SHARE_WHILE_SERVING;
+    ResourceAmounts proposed = inUse.plus(free.minus(inUse).times(freeShare));
+    ownGrant = ownGrant == null ? proposed : ownGrant.min(proposed);
     return ownGrant;
   }
 
@@ -119,7 +119,7 @@
     for (Map.Entry<Integer, Report> entry : reports.entrySet()) {
       Report report = entry.getValue();
       if (report.seenAtUs < polledAtUs) {
-        double calls = report.remainingCalls.get((int) report.secondsUnseen(polledAtUs));
+        double calls = report.remainingCalls.get((int) report.secondsSinceSeen(polledAtUs));
         sum = sum.plus(new ResourceAmounts(calls, 0, 0));
       } else if (entry.getKey() < ownNumber) {
         // a predecessor that has reported nothing yet may take everything
--- a/src/main/java/rosecleat/takeover/SymlinkClaims.java
+++ b/src/main/java/rosecleat/takeover/SymlinkClaims.java
@@ -64,7 +64,7 @@
   private final ArrayDeque<Expiry> expiries = new ArrayDeque<>();
   private final ArrayDeque<String> resultFiles = new ArrayDeque<>();
   private long retentionUs = DEFAULT_RETENTION_US;
-  private boolean peersClaimsRemain;
+  private boolean peerClaimsRemain;
 
   SymlinkClaims(Path folder, ProcessMarkers markers, Counters counters, Log log)
       throws IOException {
@@ -73,12 +73,12 @@
     this.counters = counters;
     this.log = log;
     temporary = folder.resolve("scratch-" + markers.ownNumber());
-    peersClaimsRemain = markers.ownNumber() > 1;
+    peerClaimsRemain = markers.ownNumber() > 1;
   }
 
   /** Sets how long claims outlast their window (us), for retries that are read late. */
-  void setRetentionUs(long fresh) {
-    retentionUs = fresh;
+  void setRetentionUs(long newRetentionUs) {
+    retentionUs = newRetentionUs;
   }
 
   @Override
@@ -201,8 +201,8 @@
     if (claim.isEmpty()) {
       return new NeverRan();
     }
-    boolean mayStillCome = markers.isAlive(claim.get().owner()) || Files.exists(resultFile(file));
-    return mayStillCome ? new Pending() : new NoResult();
+    boolean mayStillArrive = markers.isAlive(claim.get().owner()) || Files.exists(resultFile(file));
+    return mayStillArrive ? new Pending() : new NoResult();
   }
 
   /**
@@ -218,7 +218,7 @@
       }
     }
     try {
-      if (isOldest && (peersClaimsRemain || markers.processNumbers().size() > 1)) {
+      if (isOldest && (peerClaimsRemain || markers.processNumbers().size() > 1)) {
         expireClaimsOfDeadProcesses(nowUs);
       }
     } catch (IOException e) {
@@ -231,7 +231,7 @@
    * process has made since the other deleted its predecessor.
    */
   private void expireClaimsOfDeadProcesses(long nowUs) throws IOException {
-    peersClaimsRemain = false;
+    peerClaimsRemain = false;
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
       for (Path path : files) {
         String file = path.getFileName().toString();
@@ -239,7 +239,7 @@
           continue;
         }
         Optional<ClaimTarget> claim = readClaim(file);
-        peersClaimsRemain |= claim.isPresent();
+        peerClaimsRemain |= claim.isPresent();
         if (claim.isPresent()
             && hasExpired(claim.get().untilUs(), nowUs)
             && !markers.isAlive(claim.get().owner())) {
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -76,7 +76,7 @@
    * is notified after the call.
    */
   @Test
-  void callIsNotSentOnConnectionWhoseEndTheClientHasNotHandled() throws Exception {
+  void callIsNotSentOnClosedConnectionBeforeItsHandlerRuns() throws Exception {
     gate.run(
         () -> {
           call("00000000000000a1");
--- a/src/test/java/rosecleat/index/ReplyParserTest.java
+++ b/src/test/java/rosecleat/index/ReplyParserTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void hitIsCompleteWithItsBody() {
+  void hitIsReturnedOnceItsBodyIsComplete() {
     append(ID + " HIT 3\r\nab");
     assertTrue(parser.next().isEmpty());
     append("c\r\n");
@@ -56,7 +56,7 @@
         ID + " HIT 1\r\nabc",
         "00000000000000000000000000000000000000000000000000000000000000000"
       })
-  void malformedReplyEndsTheStream(String text) {
+  void nothingIsParsedAfterMalformedReply(String text) {
     append(text);
     assertTrue(parser.next().isEmpty());
     assertTrue(parser.malformed());
--- a/src/test/java/rosecleat/pool/InstancePoolTest.java
+++ b/src/test/java/rosecleat/pool/InstancePoolTest.java
@@ -13,48 +13,54 @@
 import rosecleat.pool.InstancePool.InstanceSpec;
 import rosecleat.pool.InstancePool.PooledInstance;
 
-/** Which instance is taken, as instances come, go, drain and fill. */
+/** Which instance is acquired, as instances come, go, drain and fill. */
 class InstancePoolTest {
   private final InstancePool pool = new InstancePool("here", new SplittableRandom(1));
 
-  private static InstanceSpec listed(String name, String zone, double weight, boolean takes) {
-    return new InstanceSpec(name, "10.0.0.1", 1, zone, weight, 2, takes);
+  private static InstanceSpec listed(
+      String name, String zone, double weight, boolean acceptsRequests) {
+    return new InstanceSpec(name, "10.0.0.1", 1, zone, weight, 2, acceptsRequests);
   }
 
   @Test
-  void ownZoneFirstThenOthersWhereItIsFull() {
+  void localZoneIsPreferredUntilItsInstancesAreFull() {
     pool.update(
         List.of(
             listed("a", "here", 1, true),
             listed("b", "there", 1, true),
             listed("c", "there", 1, true)));
-    List<PooledInstance> taken = new ArrayList<>();
+    List<PooledInstance> acquired = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      taken.add(pool.acquire(1));
+      acquired.add(pool.acquire(1));
     }
-    assertEquals("a", taken.get(0).name());
-    assertEquals("a", taken.get(1).name());
-    Map<String, Integer> out = new HashMap<>();
-    taken.forEach(place -> out.merge(place.name(), 1, Integer::sum));
-    assertTrue(out.get("a") <= 3 && out.get("b") + out.get("c") >= 3, out.toString());
-    taken.forEach(place -> pool.release(place, 1));
+    assertEquals("a", acquired.get(0).name());
+    assertEquals("a", acquired.get(1).name());
+    Map<String, Integer> requestsByInstance = new HashMap<>();
+    acquired.forEach(instance -> requestsByInstance.merge(instance.name(), 1, Integer::sum));
+    assertTrue(
+        requestsByInstance.get("a") <= 3
+            && requestsByInstance.get("b") + requestsByInstance.get("c") >= 3,
+        requestsByInstance.toString());
+    acquired.forEach(instance -> pool.release(instance, 1));
     assertEquals("a", pool.acquire(1).name());
   }
 
   @Test
-  void workByWeightNotCountDecides() {
+  void outstandingWorkPerWeightDecidesNotRequestCount() {
     pool.update(List.of(listed("small", "here", 1, true), listed("large", "here", 4, true)));
     pool.acquire(100); // the two choices are all there are: one has it now
     pool.acquire(100);
-    Map<String, Double> work = new HashMap<>();
+    Map<String, Double> workByInstance = new HashMap<>();
     for (int i = 0; i < 400; i++) {
-      work.merge(pool.acquire(1).name(), 1.0, Double::sum);
+      workByInstance.merge(pool.acquire(1).name(), 1.0, Double::sum);
     }
-    assertTrue(work.get("large") > 2 * work.getOrDefault("small", 0.0), work.toString());
+    assertTrue(
+        workByInstance.get("large") > 2 * workByInstance.getOrDefault("small", 0.0),
+        workByInstance.toString());
   }
 
   @Test
-  void drainedTakesNothingNewAndKeepsWhatItHas() {
+  void drainedInstanceGetsNoNewRequestsAndKeepsItsOutstandingWork() {
     pool.update(List.of(listed("a", "here", 1, true)));
     PooledInstance first = pool.acquire(5);
     pool.update(List.of(listed("a", "here", 1, false), listed("b", "here", 1, true)));
@@ -62,7 +68,7 @@
     pool.release(first, 5);
     assertEquals(0, first.outstanding());
     pool.update(List.of(listed("a", "here", 1, true)));
-    assertEquals(first, pool.acquire(1)); // the same place, with what is out at it
+    assertEquals(first, pool.acquire(1)); // the same instance, with what is out at it
     pool.update(List.of());
     assertTrue(pool.isEmpty());
     assertNull(pool.acquire(1));
--- a/src/test/java/rosecleat/registry/HttpResponseParserTest.java
+++ b/src/test/java/rosecleat/registry/HttpResponseParserTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void responseIsCompleteWithItsBody() {
+  void responseIsCompleteOnceItsBodyHasArrived() {
     assertEquals(Result.INCOMPLETE, parse("HTTP/1.1 503 Busy\r\nContent-"));
     assertEquals(Result.INCOMPLETE, parse("Length: 3\r\n\r\nab"));
     assertEquals(Result.COMPLETE, parse("c"));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void closeIsReportedAndForgottenByTheNextResponse() {
+  void connectionCloseIsReportedAndClearedByReset() {
     assertEquals(Result.COMPLETE, parse("HTTP/1.1 204 x\r\nCONNECTION: Close\r\n\r\n"));
     assertTrue(parser.connectionCloses());
     parser.reset();
@@ -55,7 +55,7 @@
         "HTTP/1.1 204 x\r\nContent-Length: -1\r\n",
         "HTTP/1.1 204 x\r\nContent-Length: 10000\r\n"
       })
-  void otherBytesAreMalformed(String text) {
+  void malformedResponseIsRejected(String text) {
     assertEquals(Result.MALFORMED, parse(text));
   }
 }
--- a/src/test/java/rosecleat/registry/RegistryClientTest.java
+++ b/src/test/java/rosecleat/registry/RegistryClientTest.java
@@ -52,18 +52,18 @@
 
   /** The connection has ended, and the client learns of it only after it is told to drain. */
   @Test
-  void reportIsNotSentOnConnectionWhoseEndTheClientHasNotHandled() throws Exception {
+  void drainReportIsNotSentOnClosedConnectionBeforeItsHandlerRuns() throws Exception {
     gate.run(client::start);
     Await.until(() -> count("roster.reports") == 1);
     gate.hold();
     registry.cut();
     gate.settle();
     loop.execute(client::startDraining);
-    long leftNs = System.nanoTime();
+    long drainStartNs = System.nanoTime();
     gate.release();
     Await.until(() -> count("roster.reports") == 2);
     assertTrue(
-        System.nanoTime() - leftNs < 500_000_000,
+        System.nanoTime() - drainStartNs < 500_000_000,
         "the report waited for a response that could not come");
     assertEquals(0, count("roster.failed"));
     assertTrue(registry.reports.get(1).contains("off"), registry.reports.toString());
@@ -71,7 +71,7 @@
 
   /** The registry drops nodes that keep silent, so the repeat must not wait for its turn. */
   @Test
-  void failedReportIsRepeatedBeforeTheNextSecond() {
+  void failedReportIsRetriedBeforeNextInterval() {
     registry.mood = "503";
     gate.run(client::start);
     Await.until(() -> count("roster.failed") == 1);
--- a/src/test/java/rosecleat/runtime/CommandTrackerTest.java
+++ b/src/test/java/rosecleat/runtime/CommandTrackerTest.java
@@ -19,17 +19,17 @@
   }
 
   @Test
-  void onlyCommandsNotProvenToHaveArrivedAreInDoubt() {
+  void unacknowledgedCommandIsInDoubtAfterConnectionLoss() {
     tracker.sent(command("proven"));
-    long sentBeforeTheProof = tracker.sentCount();
+    long sentBeforeRequest = tracker.sentCount();
     tracker.sent(command("late"));
-    tracker.acknowledgeThrough(sentBeforeTheProof);
+    tracker.acknowledgeThrough(sentBeforeRequest);
     tracker.connectionLost();
     assertEquals(List.of("late"), runsInDoubt());
   }
 
   @Test
-  void answersOnOneConnectionProveNothingOfCommandsLostWithAnother() {
+  void acknowledgementOnNewConnectionDoesNotCoverCommandsOfLostConnection() {
     tracker.sent(command("lost"));
     tracker.connectionLost();
     tracker.sent(command("next"));
@@ -40,12 +40,12 @@
 
   /** An answer that proves an earlier command of a run proves nothing of its last one. */
   @Test
-  void laterCommandOfARunIsProvenByItself() {
+  void acknowledgementOfEarlierCommandDoesNotCoverLaterCommandOfSameRun() {
     tracker.sent(command("a"));
-    long sentBeforeTheProof = tracker.sentCount();
+    long sentBeforeRequest = tracker.sentCount();
     tracker.supersede("a");
     tracker.sent(command("a"));
-    tracker.acknowledgeThrough(sentBeforeTheProof);
+    tracker.acknowledgeThrough(sentBeforeRequest);
     tracker.connectionLost();
     assertEquals(List.of("a"), runsInDoubt());
   }
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void commandsStayInDoubtOverASecondLoss() {
+  void commandsStayInDoubtAfterSecondConnectionLoss() {
     tracker.sent(command("a"));
     tracker.connectionLost();
     tracker.connectionLost();
@@ -69,17 +69,17 @@
   }
 
   @Test
-  void resentIsReportedOnceAndForgottenByTheNextRound() {
-    tracker.resending("a");
+  void resentRunIsReportedOnceAndClearedByNextResolution() {
+    tracker.markResent("a");
     assertTrue(tracker.wasResent("a"));
     assertFalse(tracker.wasResent("a"));
-    tracker.resending("b");
+    tracker.markResent("b");
     tracker.takeInDoubt();
     assertFalse(tracker.wasResent("b"));
   }
 
   @Test
-  void queueIsBounded() {
+  void queueRejectsCommandsBeyondItsLimit() {
     for (int i = 0; i < 4_096; i++) {
       assertTrue(tracker.queue(command("run" + i)));
     }
--- a/src/test/java/rosecleat/runtime/RuntimeClientTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeClientTest.java
@@ -105,7 +105,7 @@
    * first.
    */
   @Test
-  void startLostByFirstOfTwoBrokenConnectionsIsSentAgain() {
+  void startLostOnFirstOfTwoBrokenConnectionsIsResent() {
     runtime.swallow = 1;
     start("00000000000000a1");
     Await.until(() -> runtime.swallow == 0);
@@ -122,7 +122,7 @@
 
   /** Guards a start that waited for a client: the one it goes by can break too. */
   @Test
-  void queuedStartLostByTheNextConnectionIsSentAgain() {
+  void queuedStartLostOnNextConnectionIsResent() {
     runtime.down();
     Await.until(() -> gate.call(() -> counters.get("runtime.unreached")) > 0);
     start("00000000000000a2");
@@ -139,7 +139,7 @@
    * unknown, is no suspect.
    */
   @Test
-  void startSentOnTheNewConnectionIsNotInDoubt() {
+  void startSentOnNewConnectionIsNotInDoubt() {
     runtime.swallow = 1;
     start("00000000000000a3");
     Await.until(() -> runtime.swallow == 0);
@@ -157,12 +157,12 @@
    * written before their request was read, however soon the connection breaks after that.
    */
   @Test
-  void startWrittenBeforeAnsweredGaugesIsNotInDoubt() {
+  void startSentBeforeAnsweredGaugesRequestIsNotInDoubt() {
     runtime.takes.put("balance-check", new int[] {60_000, 0});
     start("00000000000000a5");
     requestGauges();
     awaitCommands("gauges ", 1);
-    Await.until(() -> requestsOfGauges() == 2); // not before the first was answered
+    Await.until(() -> requestGaugesAndCountRequests() == 2); // not before the first was answered
     runtime.cut();
     awaitCommands("sync ", 2);
     start("00000000000000a6");
@@ -176,7 +176,7 @@
     gate.run(client::requestGauges);
   }
 
-  private long requestsOfGauges() {
+  private long requestGaugesAndCountRequests() {
     requestGauges();
     return commands("gauges ");
   }
--- a/src/test/java/rosecleat/runtime/RuntimeMessageTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeMessageTest.java
@@ -42,10 +42,10 @@
   }
 
   @Test
-  void unknownTypeAndAbsentFieldsMakeRemark() {
-    assertEquals(new RuntimeMessage(0, "", new RuntimeMessage.Remark()), parse("{}"));
+  void messageOfUnknownOrAbsentTypeIsIgnored() {
+    assertEquals(new RuntimeMessage(0, "", new RuntimeMessage.Ignored()), parse("{}"));
     assertEquals(
-        new RuntimeMessage(3, "", new RuntimeMessage.Remark()),
+        new RuntimeMessage(3, "", new RuntimeMessage.Ignored()),
         parse("{\"type\":\"note\",\"n\":3,\"job\":null,\"new\":true}"));
   }
 
@@ -61,7 +61,7 @@
         "{\"n\":one}",
         "{\"text\":\"\\u12\"}"
       })
-  void malformedLineIsNoMessage(String line) {
+  void malformedLineIsRejected(String line) {
     assertTrue(RuntimeMessage.parse(line).isEmpty());
   }
 }
--- a/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
+++ b/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
@@ -16,7 +16,7 @@
 
 /** What two processes may take of the limits of one node. */
 class PeerLoadReportsTest {
-  private static final ResourceAmounts WHOLE = new ResourceAmounts(10, 1_000, 100);
+  private static final ResourceAmounts LIMITS = new ResourceAmounts(10, 1_000, 100);
 
   @TempDir Path folder;
 
@@ -25,28 +25,29 @@
    * are counted.
    */
   @Test
-  void callsOfAnEndedProcessCountUntilTheirSpanIsOver() throws IOException {
-    PeerLoadReports old = new PeerLoadReports(folder, 1);
-    PeerLoadReports fresh = new PeerLoadReports(folder, 2);
-    fresh.read(1, 1);
+  void callsOfEndedProcessCountUntilTheirWindowIsOver() throws IOException {
+    PeerLoadReports predecessor = new PeerLoadReports(folder, 1);
+    PeerLoadReports successor = new PeerLoadReports(folder, 2);
+    successor.read(1, 1);
     assertEquals(
         ResourceAmounts.NONE,
-        fresh.grant(
-            WHOLE, ResourceAmounts.NONE, false, false, 1)); // the old one may take all as yet
+        successor.grant(
+            LIMITS, ResourceAmounts.NONE, false, false, 1)); // the old one may take all as yet
     assertEquals(
         new ResourceAmounts(9, 600, 60),
-        old.grant(WHOLE, new ResourceAmounts(8, 200, 20), true, false, 1));
-    old.write(List.of(8.0, 8.0, 7.5, 0.0));
-    fresh.read(1, 2);
+        predecessor.grant(LIMITS, new ResourceAmounts(8, 200, 20), true, false, 1));
+    predecessor.write(List.of(8.0, 8.0, 7.5, 0.0));
+    successor.read(1, 2);
     assertEquals(
-        new ResourceAmounts(1, 400, 40), fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 2));
+        new ResourceAmounts(1, 400, 40),
+        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 2));
     assertEquals(
         new ResourceAmounts(2, 1_000, 100),
-        fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 1_500_000)); // gone
+        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 1_500_000)); // gone
     assertEquals(
         new ResourceAmounts(2.5, 1_000, 100),
-        fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 2_900_000));
-    assertEquals(WHOLE, fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 4_100_000));
+        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 2_900_000));
+    assertEquals(LIMITS, successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 4_100_000));
   }
 
   /**
@@ -54,35 +55,47 @@
    * whole.
    */
   @Property(tries = 200, seed = "20261203")
-  void sumOfAllGrantsStaysWithinTheLimits(
+  void usageOfBothProcessesStaysWithinLimits(
       @ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps,
-      @ForAll @IntRange(max = 10) int had)
+      @ForAll @IntRange(max = 10) int initialCalls)
       throws IOException {
     Path shared = Files.createTempDirectory("loads");
-    PeerLoadReports old = new PeerLoadReports(shared, 1);
-    PeerLoadReports fresh = new PeerLoadReports(shared, 2);
-    double a = had;
-    double b = 0;
-    double mayA = WHOLE.calls();
-    double mayB = 0;
+    PeerLoadReports predecessor = new PeerLoadReports(shared, 1);
+    PeerLoadReports successor = new PeerLoadReports(shared, 2);
+    double predecessorCalls = initialCalls;
+    double successorCalls = 0;
+    double predecessorGrant = LIMITS.calls();
+    double successorGrant = 0;
     long now = 0;
     for (int step : steps) {
       now++;
       switch (step) {
-        case 0 -> mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, false, now).calls();
+        case 0 ->
+            predecessorGrant =
+                predecessor
+                    .grant(LIMITS, new ResourceAmounts(predecessorCalls, 0, 0), true, false, now)
+                    .calls();
         case 1 -> {
-          mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, true, now).calls();
-          old.write(List.of(a));
+          predecessorGrant =
+              predecessor
+                  .grant(LIMITS, new ResourceAmounts(predecessorCalls, 0, 0), true, true, now)
+                  .calls();
+          predecessor.write(List.of(predecessorCalls));
         }
         case 2 -> {
-          fresh.read(1, now);
-          mayB = fresh.grant(WHOLE, new ResourceAmounts(b, 0, 0), false, false, now).calls();
+          successor.read(1, now);
+          successorGrant =
+              successor
+                  .grant(LIMITS, new ResourceAmounts(successorCalls, 0, 0), false, false, now)
+                  .calls();
         }
-        case 3 -> a = Math.max(a, mayA);
-        case 4 -> b = Math.max(b, mayB);
-        default -> a /= 2;
+        case 3 -> predecessorCalls = Math.max(predecessorCalls, predecessorGrant);
+        case 4 -> successorCalls = Math.max(successorCalls, successorGrant);
+        default -> predecessorCalls /= 2;
       }
-      assertTrue(a + b <= WHOLE.calls() + 1e-9, a + " and " + b);
+      assertTrue(
+          predecessorCalls + successorCalls <= LIMITS.calls() + 1e-9,
+          predecessorCalls + " and " + successorCalls);
     }
     Files.deleteIfExists(shared.resolve("load-1"));
     Files.delete(shared);
--- a/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
+++ b/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
@@ -45,12 +45,12 @@
   }
 
   @Test
-  void claimedKeyGivesThePeerItsResultByteForByte() {
+  void peerReadsResultOfClaimedKeyUnchanged() {
     assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.claim("k", BODY, 10));
-    IdempotencyClaims.OwnedByPeer others =
+    IdempotencyClaims.OwnedByPeer ownedByPeer =
         assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, secondClaims.claim("k", BODY, 20));
-    assertArrayEquals(BODY, others.digest());
-    assertEquals(10, others.untilUs());
+    assertArrayEquals(BODY, ownedByPeer.digest());
+    assertEquals(10, ownedByPeer.untilUs());
     assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.status("k"));
     assertEquals(new IdempotencyClaims.Pending(), secondClaims.peerRun("k"));
     firstClaims.completed("k", new byte[0]); // an empty result is one
@@ -71,7 +71,7 @@
    * ever.
    */
   @Test
-  void claimOfADeadOwnerStaysAndHasNoResult() throws IOException {
+  void claimOfDeadOwnerStaysWithoutResult() throws IOException {
     firstClaims.claim("k", BODY, 10);
     first.close();
     assertEquals(new IdempotencyClaims.NoResult(), secondClaims.peerRun("k"));
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void claimsAreBoundedAndFast() {
+  void claimsAreLimitedInNumberAndTakeUnderOneMillisecondEach() {
     long start = System.nanoTime();
     for (int i = 0; i < 8_192; i++) {
       assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.claim("k" + i, BODY, i));
--- a/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
+++ b/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
@@ -35,7 +35,7 @@
  * links and locks. The files under {@code written-by-a6781e5} were written by that commit.
  */
 class TakeoverFilesTest {
-  private static final Path WRITTEN =
+  private static final Path EARLIER_VERSION_FILES =
       Path.of("src/test/resources/rosecleat/takeover/written-by-a6781e5");
 
   /** The end of the first claim's window; each further claim ends a microsecond later (us). */
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void todaysClassesWriteTheNamesAndBytesOfTheEarlierVersion() throws IOException {
+  void namesAndBytesMatchFilesOfEarlierVersion() throws IOException {
     try (TakeoverCoordinator first = process();
         TakeoverCoordinator second = process()) {
       writeAsTwoProcesses(first, second);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void filesOfLiveEarlierProcessesAreRead() throws IOException {
+  void filesOfLiveProcessesOfEarlierVersionAreRead() throws IOException {
     restore(shared);
     try (FileChannel one = lock("process-1");
         FileChannel two = lock("process-2");
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void earlierSuccessorIsSeenToLiveAndToServe() throws IOException {
+  void successorOfEarlierVersionIsDetectedAsAliveAndServing() throws IOException {
     try (TakeoverCoordinator first = process()) {
       assertFalse(first.successorTakesOver());
       copy("process-2");
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void filesOfDeadEarlierProcessesAreReadAndRemoved() throws IOException {
+  void filesOfDeadProcessesOfEarlierVersionAreReadAndRemoved() throws IOException {
     restore(shared);
     try (TakeoverCoordinator third = process()) {
       assertFalse(third.predecessorIsAlive());
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void processFileIsLockedForAsLongAsTheProcessLives() throws IOException {
+  void processFileStaysLockedUntilProcessCloses() throws IOException {
     TakeoverCoordinator first = process();
     try (FileChannel probe = FileChannel.open(file("process-1"), StandardOpenOption.WRITE)) {
       assertThrows(OverlappingFileLockException.class, probe::tryLock);
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void drainFileComesAndGoesAsOperatorsSay() throws IOException {
+  void drainFileFollowsOperatorCommands() throws IOException {
     try (TakeoverCoordinator first = process()) {
       first.setDrained(true);
       assertEquals(0, Files.size(file("drained")));
@@ -199,10 +199,10 @@
   }
 
   private static void readClaim(IdempotencyClaims claims, String key, byte[] digest, long untilUs) {
-    IdempotencyClaims.OwnedByPeer others =
+    IdempotencyClaims.OwnedByPeer ownedByPeer =
         assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, claims.status(key), key);
-    assertArrayEquals(digest, others.digest(), key);
-    assertEquals(untilUs, others.untilUs(), key);
+    assertArrayEquals(digest, ownedByPeer.digest(), key);
+    assertEquals(untilUs, ownedByPeer.untilUs(), key);
   }
 
   private static byte[] digest() {
@@ -228,18 +228,18 @@
   }
 
   private void copy(String name) throws IOException {
-    Files.copy(WRITTEN.resolve("files/rosecleat").resolve(name), file(name));
+    Files.copy(EARLIER_VERSION_FILES.resolve("files/rosecleat").resolve(name), file(name));
   }
 
   /** Puts the files of the earlier version into a folder, symbolic links too. */
   private static void restore(Path target) throws IOException {
-    Path files = WRITTEN.resolve("files");
+    Path files = EARLIER_VERSION_FILES.resolve("files");
     try (Stream<Path> all = Files.walk(files)) {
       for (Path each : all.filter(path -> !path.equals(files)).toList()) {
         Files.copy(each, target.resolve(files.relativize(each).toString()));
       }
     }
-    for (String line : Files.readAllLines(WRITTEN.resolve("symbolic-links.txt"))) {
+    for (String line : Files.readAllLines(EARLIER_VERSION_FILES.resolve("symbolic-links.txt"))) {
       String[] words = line.split(" ");
       Path link = target.resolve("rosecleat").resolve(words[0]);
       Files.createSymbolicLink(link, Path.of(words[1]));
