--- a/src/main/java/rosecleat/runtime/CommandTracker.java
+++ b/src/main/java/rosecleat/runtime/CommandTracker.java
@@ -8,39 +8,45 @@
 import java.util.Set;
 
 /**
- * Tracks the last command of each run until it is proven to have arrived, across connections: the
- * runtime has shown an effect of it, or has answered a request for gauges that was written behind
- * it on the same connection. A command is in one of these places:
+ * Tracks the last command of each run until the runtime has acknowledged it, across connections. A
+ * command counts as acknowledged when the runtime has reported an effect of it, or has answered a
+ * request for gauges that was written after it on the same connection. A command is in one of these
+ * states:
  *
  * <ul>
- *   <li>queued: not sent, as there was no connection; it goes first on the next one;
- *   <li>unacknowledged: sent on the current connection, and not yet proven to have arrived;
+ *   <li>queued: not sent, because there was no connection; it is sent first on the next one;
+ *   <li>unacknowledged: sent on the current connection and not acknowledged yet;
  *   <li>in doubt: unacknowledged when an earlier connection ended, which may have lost it.
  * </ul>
  *
- * <p>For the loop alone.
+ * <p>Used on the event loop only.
  */
 final class CommandTracker {
-  /** Bounds the memory that commands for an unreachable runtime take. */
+  /** Maximum number of queued commands; bounds their memory while the runtime is unreachable. */
   private static final int MAX_QUEUED = 4_096;
 
   private final ArrayDeque<RunCommand> queued = new ArrayDeque<>();
   private final Map<String, RunCommand> unacknowledged = new LinkedHashMap<>();
   private final Map<String, RunCommand> inDoubt = new LinkedHashMap<>();
 
-  /** Runs whose command was sent again; the runtime rejects it where it had arrived before. */
+  /**
+   * Runs whose last command was sent a second time; the runtime rejects the second one if the first
+   * one had arrived.
+   */
   private final Set<String> resentRuns = new HashSet<>();
 
-  /** How many commands were sent, on all connections. */
+  /** Number of commands sent so far, on all connections. */
   private long sentCount;
 
-  /** Forgets all earlier commands of a run, as a new one takes their place. */
+  /**
+   * Discards the unacknowledged or in-doubt command of a run, because a new command replaces it.
+   */
   void supersede(String runId) {
     resentRuns.remove(runId);
     acknowledge(runId);
   }
 
-  /** Queues a command for the next connection; false where too many are queued already. */
+  /** Queues a command for the next connection; returns false if the queue is full. */
   boolean queue(RunCommand command) {
     return queued.size() < MAX_QUEUED && queued.add(command);
   }
@@ -49,7 +55,7 @@
     return !queued.isEmpty();
   }
 
-  /** Returns the command that was queued first; there must be one. */
+  /** Returns the oldest queued command; the queue must not be empty. */
   RunCommand firstQueued() {
     return queued.element();
   }
@@ -58,26 +64,27 @@
     queued.remove();
   }
 
-  /** Records that a command was sent on the current connection. */
+  /** Records that a command has been sent on the current connection. */
   void sent(RunCommand command) {
     sentCount++;
     unacknowledged.put(command.runId(), command.withSequence(sentCount));
   }
 
-  /** How many commands were sent so far, for {@link #acknowledgeThrough}. */
+  /** Returns the number of commands sent so far, for {@link #acknowledgeThrough}. */
   long sentCount() {
     return sentCount;
   }
 
-  /** Records that the last command of a run has arrived. */
+  /** Records that the last command of a run has arrived at the runtime. */
   void acknowledge(String runId) {
     unacknowledged.remove(runId);
     inDoubt.remove(runId);
   }
 
   /**
-   * Records that the first so many commands have arrived, as far as they were sent on the current
-   * connection: what was written behind them there was answered, and a connection keeps its order.
+   * Records that all commands up to a sequence number have arrived, if they were sent on the
+   * current connection: the runtime has answered a request written after them there, and a
+   * connection preserves order. Commands that were in doubt before stay in doubt.
    */
   void acknowledgeThrough(long sequence) {
     unacknowledged.values().removeIf(command -> command.sequence() <= sequence);
@@ -88,8 +95,7 @@
   }
 
   /**
-   * Records that no further command goes by the current connection: those that are not proven to
-   * have arrived may be lost with it.
+   * Records that the current connection has ended: its unacknowledged commands may have been lost.
    */
   void connectionLost() {
     unacknowledged.values().forEach(this::putInDoubt);
@@ -105,8 +111,8 @@
   }
 
   /**
-   * Removes and returns the commands in doubt, in the order in which they were sent; earlier
-   * repeats are forgotten.
+   * Removes and returns the commands in doubt, in the order in which they were sent, and clears the
+   * record of earlier resends.
    */
   List<RunCommand> takeInDoubt() {
     resentRuns.clear();
@@ -115,12 +121,12 @@
     return commands;
   }
 
-  /** Records that the last command of a run is sent a second time. */
+  /** Records that the last command of a run is being sent a second time. */
   void markResent(String runId) {
     resentRuns.add(runId);
   }
 
-  /** Returns whether the last command of a run was sent a second time, and forgets it. */
+  /** Returns whether the last command of a run was sent a second time, and clears that record. */
   boolean wasResent(String runId) {
     return resentRuns.remove(runId);
   }
--- a/src/main/java/rosecleat/runtime/FlatJsonObject.java
+++ b/src/main/java/rosecleat/runtime/FlatJsonObject.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * A flat JSON object as the runtime's protocol uses it: fields of text or numbers, and at most one
- * list of numbers. Absent fields have default values, so that unknown messages can be passed over.
+ * A flat JSON object as used by the runtime's protocol: text or number fields, and at most one list
+ * of numbers. Absent fields have default values, so that messages of unknown type can be ignored.
  */
 final class FlatJsonObject {
   private static final double MICROS_PER_MILLI = 1000;
@@ -21,24 +21,29 @@
     numbers = list;
   }
 
-  /** Returns a field's text, empty where the field is absent. */
+  /** Returns a field's text; empty if the field is absent. */
   String text(String name) {
     return fields.getOrDefault(name, "");
   }
 
-  /** Returns a field's whole number, 0 where the field is absent or no number. */
+  /**
+   * Returns a numeric field truncated to a whole number; 0 if the field is absent or not a number.
+   */
   long wholeNumber(String name) {
     double value = number(name);
     return Double.isNaN(value) ? 0 : (long) value;
   }
 
-  /** Returns a duration given in milliseconds, in microseconds; 0 where there is none. */
+  /**
+   * Returns a duration field, which is in milliseconds, in microseconds; 0 if it is absent or not a
+   * number.
+   */
   long millisAsMicros(String name) {
     double value = number(name);
     return Double.isNaN(value) ? 0 : Math.round(MICROS_PER_MILLI * value);
   }
 
-  /** Returns the list of numbers, empty where there is none. */
+  /** Returns the list of numbers; empty if there is none. */
   double[] numbers() {
     return numbers;
   }
--- a/src/main/java/rosecleat/runtime/FlatJsonParser.java
+++ b/src/main/java/rosecleat/runtime/FlatJsonParser.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * Parses one line into a {@link FlatJsonObject}. Written by hand for the few forms that the
- * protocol has: messages are small and frequent, and a general parser costs a starting node time.
+ * Parses one line into a {@link FlatJsonObject}. Handwritten for the few forms of the protocol:
+ * messages are small and frequent, and a general-purpose parser would lengthen the start of a node.
  */
 final class FlatJsonParser {
-  /** The most numbers kept of a list; those beyond overwrite the first. */
+  /** Maximum number of list elements stored; further elements overwrite the first ones. */
   private static final int MAX_NUMBERS = 16;
 
-  /** What {@link #peekOrEnd} returns behind the last character. */
+  /** Returned by {@link #peekOrEnd} after the last character. */
   private static final char END = 0;
 
   private static final int HEX_RADIX = 16;
@@ -27,14 +27,14 @@
     this.text = text;
   }
 
-  /** Parses a line; empty where it is no such object. */
+  /** Parses a line; returns empty if it is malformed. */
   static Optional<FlatJsonObject> parse(String line) {
     FlatJsonParser parser = new FlatJsonParser(line);
     try {
       parser.parseObject();
       return Optional.of(parser.object);
     } catch (IllegalArgumentException | StringIndexOutOfBoundsException e) {
-      return Optional.empty(); // malformed input is expected, and the caller's to report
+      return Optional.empty(); // malformed input is expected; the caller reports it
     }
   }
 
@@ -49,7 +49,7 @@
       parseValue(name);
     } while (skipSeparator('}'));
     if (peekOrEnd() != END) {
-      throw new IllegalArgumentException("text after the object");
+      throw new IllegalArgumentException("unexpected text after the object");
     }
   }
 
@@ -64,10 +64,10 @@
   private void parseLiteral(String name) {
     String word = parseWord();
     if (word.equals("null")) {
-      return; // like an absent field
+      return; // equivalent to an absent field
     }
     if (!word.equals("true") && !word.equals("false")) {
-      Double.parseDouble(word); // a NumberFormatException is an IllegalArgumentException
+      Double.parseDouble(word); // throws NumberFormatException, an IllegalArgumentException
     }
     object.put(name, word);
   }
@@ -100,7 +100,8 @@
     expect('"');
     int end = text.indexOf('"', position);
     int escape = text.indexOf('\\', position);
-    if (escape < 0 || escape > end) { // the usual case: base64 needs no escapes but for a slash
+    // the usual case: of all base64 characters, only the slash may be escaped
+    if (escape < 0 || escape > end) {
       String plain = text.substring(position, end);
       position = end + 1;
       return plain;
@@ -135,19 +136,19 @@
     };
   }
 
-  /** Skips a comma (true) or the end of the object or list (false). */
+  /** Skips a comma and returns true, or skips the end of the object or list and returns false. */
   private boolean skipSeparator(char end) {
     char next = peek();
     position++;
     if (next != ',' && next != end) {
-      throw new IllegalArgumentException("a comma is missing");
+      throw new IllegalArgumentException("expected a comma or the end of the object or list");
     }
     return next == ',';
   }
 
   private void expect(char expected) {
     if (peek() != expected) {
-      throw new IllegalArgumentException("no " + expected);
+      throw new IllegalArgumentException("expected " + expected);
     }
     position++;
   }
@@ -155,7 +156,7 @@
   private char peek() {
     char next = peekOrEnd();
     if (next == END) {
-      throw new IllegalArgumentException("too short");
+      throw new IllegalArgumentException("line ends inside the object");
     }
     return next;
   }
--- a/src/main/java/rosecleat/runtime/KeepAlive.java
+++ b/src/main/java/rosecleat/runtime/KeepAlive.java
@@ -1,19 +1,20 @@
 package rosecleat.runtime;
 
 /**
- * Decides when gauges are requested, and when a connection on which they were requested and nothing
- * came is taken for dead. For the loop alone; times are microseconds of the node's clock.
+ * Decides when to request gauges, and when a connection is considered dead because nothing has been
+ * received on it although gauges were requested. Used on the event loop only; times are
+ * microseconds of the node's clock.
  */
 final class KeepAlive {
-  /** An unanswered request for gauges is repeated after this time. */
+  /** Time after which an unanswered request for gauges is repeated. */
   private static final long REQUEST_TIMEOUT_US = 200_000;
 
-  /** An established connection that brings nothing for this time is dead. */
+  /** Time without received data after which an established connection is considered dead. */
   private static final long SILENCE_TIMEOUT_US = 3_000_000;
 
   /**
-   * A longer gap between polls shows that this process itself was suspended: what came meanwhile
-   * has not been read yet.
+   * A longer gap between two polls shows that this process itself was suspended, so that data
+   * received meanwhile has not been read yet.
    */
   private static final long SUSPENSION_GAP_US = 500_000;
 
@@ -22,7 +23,7 @@
   private long lastRequestUs;
   private boolean requestPending;
 
-  /** Records that a new connection is used, on which no gauges were requested. */
+  /** Records that a new connection is in use, on which no gauges have been requested. */
   void connectionReplaced() {
     requestPending = false;
   }
--- a/src/main/java/rosecleat/runtime/RunCommand.java
+++ b/src/main/java/rosecleat/runtime/RunCommand.java
@@ -5,21 +5,23 @@
  *
  * @param runId the run
  * @param line the encoded command
- * @param recovery what to do where a broken connection may have lost it
- * @param sequence its position among all commands sent; 0 where it was not sent yet
+ * @param recovery what to do if a broken connection may have lost the command
+ * @param sequence the command's position among all commands sent; 0 if it has not been sent
  */
 record RunCommand(String runId, String line, Recovery recovery, long sequence) {
-  /** What to do about a command where nothing proves whether it has arrived. */
+  /** What to do with a command if it is unknown whether it has arrived. */
   enum Recovery {
-    /** Send it again: the runtime may receive it twice without harm. */
+    /** Send the command again: receiving it twice has no further effect. */
     RESEND,
-    /** End the run as one that may have executed: a repeat could execute it twice. */
+    /** End the run as one that may have executed: repeating the command could execute it twice. */
     END_RUN,
-    /** Cancel the run: a repeat could be taken for something else. */
+    /**
+     * Cancel the run: the runtime could apply a repeated command to a different downstream call.
+     */
     CANCEL_RUN
   }
 
-  /** A command that was not sent yet. */
+  /** Creates a command that has not been sent. */
   RunCommand(String runId, String line, Recovery recovery) {
     this(runId, line, recovery, 0);
   }
--- a/src/main/java/rosecleat/runtime/RuntimeClient.java
+++ b/src/main/java/rosecleat/runtime/RuntimeClient.java
@@ -14,17 +14,19 @@
 import rosecleat.net.EventLoop;
 
 /**
- * Runs requests in the machine's runtime: commands out, messages in, over one connection that is
- * made again whenever it is lost. A new connection begins with the number of the last message read,
- * so that each is applied exactly once. Commands that may be lost with a connection are sent again
- * where that is harmless; gauges that are answered prove that all commands written before have
- * arrived. For the loop alone.
+ * Runs requests in the machine's runtime: sends commands and receives messages over one connection,
+ * which is re-established whenever it is lost. A new connection begins with the number of the last
+ * message read, so that each message is applied exactly once. Commands that may have been lost with
+ * a connection are sent again if repeating them has no further effect. An answer to a request for
+ * gauges acknowledges all commands written before the request. Used on the event loop only.
  */
 public final class RuntimeClient implements Runner {
-  /** Begins the references of requests for gauges; the number of commands sent before follows. */
+  /**
+   * Prefix of the reference of a request for gauges; the number of commands sent before it follows.
+   */
   private static final String ACKNOWLEDGEMENT_REFERENCE_PREFIX = "g";
 
-  /** The reference of the request whose answer shows that all missed messages were read. */
+  /** Reference of the request whose answer shows that all missed messages have been read. */
   private static final String RESUME_REFERENCE = "resumed";
 
   private final EventLoop loop;
@@ -36,10 +38,10 @@
   private final CommandTracker commands = new CommandTracker();
   private final KeepAlive keepAlive = new KeepAlive();
 
-  /** The number of the last message read. */
+  /** Sequence number of the last message read. */
   private long lastSequence;
 
-  /** Creates a client of the runtime at an address; {@link #connect} connects it. */
+  /** Creates a client of the runtime at an address; {@link #connect} establishes the connection. */
   public RuntimeClient(
       EventLoop loop, InetSocketAddress address, Core core, LongSupplier clock, Log log) {
     this.loop = loop;
@@ -50,15 +52,16 @@
     link = new RuntimeLink(loop, address, counters, log, new LinkHandler());
   }
 
-  /** Connects, and connects again whenever the connection is lost. */
+  /** Connects, and reconnects whenever the connection is lost. */
   public void connect() {
     link.connect();
   }
 
   /**
-   * Changes the runtime's address. The connection in use gets no further command, but its messages
-   * are read until the new one is established and the old one has proven which commands arrived;
-   * the runs go on, and the new connection brings all messages that the old one did not.
+   * Changes the runtime's address. No further commands are sent on the current connection, but its
+   * messages are read until the new connection is established and the runtime has acknowledged the
+   * commands sent on the old one. Runs in progress continue, and the new connection delivers all
+   * messages that the old one did not.
    */
   public void setAddress(InetSocketAddress address) {
     link.setAddress(address);
@@ -96,9 +99,10 @@
   /**
    * {@inheritDoc}
    *
-   * <p>A start that may be lost with a connection is sent again, once all earlier messages were
-   * read, only where the request may run twice: for a run that goes on, the runtime ignores it, but
-   * one that ended between that reading and the repeat runs a second time.
+   * <p>A start that a broken connection may have lost is sent again only if the request may run
+   * twice, and only after all missed messages have been read. The runtime ignores a repeated start
+   * of a run that is in progress, but a run that ends after those messages were read and before the
+   * repeated start arrives is executed a second time.
    */
   @Override
   public void start(Request request, DeliveryGuarantee guarantee, long deadlineUs) {
@@ -108,8 +112,8 @@
             ? RunCommand.Recovery.RESEND
             : RunCommand.Recovery.END_RUN;
     if (!send(request.id(), line, recovery)) {
-      loop.execute( // reported like any other end, not inside this call
-          () -> core.runEnded(request.id(), RunResult.UNREACHABLE, 0));
+      // reported asynchronously like any other end, not inside this call
+      loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, 0));
     }
   }
 
@@ -121,8 +125,9 @@
   /**
    * {@inheritDoc}
    *
-   * <p>A reply names no call. One that may be lost is not sent again: the run may wait for its next
-   * call by then, and would take it for the reply to that.
+   * <p>A reply does not name its call, so a reply that may have been lost is not sent again: the
+   * run may be waiting for its next call by then, and would accept the repeated reply for that
+   * call.
    */
   @Override
   public void completeCall(String id, byte[] reply) {
@@ -149,27 +154,28 @@
     }
   }
 
-  /** Requests the gauges; their answer proves that the commands sent so far have arrived. */
+  /** Requests the gauges; their arrival acknowledges all commands sent so far. */
   private void requestAcknowledgement() {
     link.write(
         RuntimeCommandEncoder.requestGauges(
             ACKNOWLEDGEMENT_REFERENCE_PREFIX + commands.sentCount()));
   }
 
-  /** The runs go on, and a new connection brings the messages about them. */
+  /** Aborts the connection. The runs continue, and the new connection delivers their messages. */
   private void abortSilentConnection(long now) {
     counters.add("runtime.silent");
     log.warn(
-        "the runtime has been silent for "
+        "connection to the runtime aborted: nothing received for "
             + keepAlive.silenceUs(now) / 1000
-            + " ms: its link is made anew");
+            + " ms");
     keepAlive.received(now);
     link.abort("the runtime is silent");
   }
 
   /**
-   * Sends a command, or queues it for the next connection: it has not been sent, so sending it then
-   * is no repeat. False where it is neither, as too many are queued.
+   * Sends a command, or queues it for the next connection. A queued command has not been sent
+   * before, so sending it later is not a resend. Returns false if the command is neither sent nor
+   * queued, because the queue is full.
    */
   private boolean send(String runId, String line, RunCommand.Recovery recovery) {
     counters.add("runtime.commands");
@@ -185,7 +191,10 @@
     return true;
   }
 
-  /** Sends a command on the connection in use; false, with no byte sent, where it has ended. */
+  /**
+   * Sends a command on the connection in use; returns false, with no byte sent, if the connection
+   * has ended.
+   */
   private boolean sendNow(RunCommand command) {
     if (!link.write(command.line())) {
       return false;
@@ -194,18 +203,21 @@
     return true;
   }
 
-  /** Handles one line; one that can't be read is skipped, and the connection is used on. */
+  /** Handles one line. A malformed line is skipped, and the connection stays in use. */
   private void handleLine(String line) {
     Optional<RuntimeMessage> message = RuntimeMessage.parse(line);
     if (message.isEmpty()) {
       counters.add("runtime.unread");
-      log.warn("the runtime sent what is no message: " + line);
+      log.warn("runtime sent a malformed message: " + line);
     } else if (advanceSequence(message.get())) {
       dispatch(message.get());
     }
   }
 
-  /** Returns false where the message was handled on an earlier connection. */
+  /**
+   * Records the message's sequence number; returns false if the message was handled before, on an
+   * earlier connection.
+   */
   private boolean advanceSequence(RuntimeMessage message) {
     long sequence = message.sequence();
     if (sequence <= 0) {
@@ -216,7 +228,8 @@
       return false;
     }
     lastSequence = sequence;
-    commands.acknowledge(message.runId()); // the run has moved on: its last command arrived
+    // the message is about the run's progress, so the run's last command has arrived
+    commands.acknowledge(message.runId());
     return true;
   }
 
@@ -238,7 +251,7 @@
   private void handleReady(RuntimeMessage.Ready message) {
     link.markReady();
     log.info(
-        "the runtime is up, " + message.state() + ", since " + message.uptimeUs() / 1000 + " ms");
+        "runtime is ready: " + message.state() + ", up for " + message.uptimeUs() / 1000 + " ms");
     core.start(this, message.cold(), message.uptimeUs());
     if (commands.hasInDoubt()) {
       link.write(RuntimeCommandEncoder.requestGauges(RESUME_REFERENCE));
@@ -263,7 +276,7 @@
     if (body.isPresent()) {
       core.callRequested(message.runId(), message.sequence(), body.get());
     } else {
-      core.resumeRejected(message.runId()); // the run waits for a call that can't be made
+      core.resumeRejected(message.runId()); // the run waits for a call that cannot be made
     }
   }
 
@@ -278,18 +291,18 @@
     core.gaugesReceived(message.values());
   }
 
-  /** How many commands the answer to a request for gauges proves to have arrived. */
+  /** Returns how many commands an answer to a request for gauges acknowledges. */
   private static long acknowledgedCount(String reference) {
     try {
       return Long.parseLong(reference.substring(ACKNOWLEDGEMENT_REFERENCE_PREFIX.length()));
     } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
-      return 0; // none of our references: it proves nothing
+      return 0; // not a reference of this client, so it acknowledges no command
     }
   }
 
   /**
-   * Resolves the commands in doubt, once all messages missed between connections were read, and the
-   * runs in question still show no effect of them.
+   * Resolves the commands in doubt once all messages missed between connections have been read and
+   * have shown no effect of these commands.
    */
   private void resolveCommandsInDoubt() {
     for (RunCommand command : commands.takeInDoubt()) {
@@ -297,7 +310,8 @@
         case RESEND -> resend(command);
         case END_RUN -> {
           counters.add("runtime.unproven");
-          // ended now: nothing more will prove whether it runs
+          // no later message will show whether the run executes, so it is ended now
+
           core.runEnded(command.runId(), RunResult.INTERRUPTED, 0);
         }
         case CANCEL_RUN -> {
@@ -313,32 +327,32 @@
     counters.add("runtime.resent");
     commands.markResent(command.runId());
     if (!sendNow(command)) {
-      commands.putInDoubt(command); // this connection has ended too
+      commands.putInDoubt(command); // this connection has ended as well
     }
   }
 
   private void handleCommandRejected(String runId, String command) {
-    log.warn("the runtime did not carry out " + command + " for " + runId);
+    log.warn("runtime rejected command " + command + " for run " + runId);
     if (commands.wasResent(runId)) {
-      return; // the command had arrived before, by the connection that broke
+      return; // the first command had arrived, on the connection that broke
     }
     commands.acknowledge(runId);
     switch (command) {
       case "start" -> core.startRejected(runId);
       case "give", "omit" -> core.resumeRejected(runId);
       default -> {
-        // the cancellation of a run that has ended
+        // a cancellation of a run that has already ended
       }
     }
   }
 
-  /** Decodes a payload; empty, and counted, where it is malformed. */
+  /** Decodes a base64 payload; returns empty and counts the message if the payload is malformed. */
   private Optional<byte[]> decode(String encoded) {
     try {
       return Optional.of(Base64.getDecoder().decode(encoded));
     } catch (IllegalArgumentException e) {
       counters.add("runtime.unread");
-      log.warn("the runtime sent a body that is no base64");
+      log.warn("runtime sent a malformed payload: not valid base64");
       return Optional.empty();
     }
   }
--- a/src/main/java/rosecleat/runtime/RuntimeCommandEncoder.java
+++ b/src/main/java/rosecleat/runtime/RuntimeCommandEncoder.java
@@ -3,11 +3,14 @@
 import java.util.Base64;
 import rosecleat.core.Request;
 
-/** Encodes commands to the runtime as lines of JSON, without the line's end. */
+/** Encodes commands to the runtime as lines of JSON, without the line terminator. */
 final class RuntimeCommandEncoder {
   private RuntimeCommandEncoder() {}
 
-  /** The first message on a connection: asks for all notices after the last one read. */
+  /**
+   * Encodes the first message on a connection, which requests all numbered messages after the last
+   * one read.
+   */
   static String sync(long lastSequence) {
     return "{\"type\":\"sync\",\"n\":" + lastSequence + "}";
   }
@@ -34,7 +37,7 @@
     return "{\"type\":\"omit\",\"job\":\"" + id + "\",\"n\":" + callNumber + "}";
   }
 
-  /** Asks for the gauges; they come with the same reference. */
+  /** Encodes a request for the gauges; the answer has the same reference. */
   static String requestGauges(String reference) {
     return "{\"type\":\"gauges\",\"ref\":\"" + reference + "\"}";
   }
--- a/src/main/java/rosecleat/runtime/RuntimeLink.java
+++ b/src/main/java/rosecleat/runtime/RuntimeLink.java
@@ -15,37 +15,37 @@
 import rosecleat.net.LineBuffer;
 
 /**
- * Keeps one connection to the runtime: connects, connects again whenever the connection is lost,
- * and moves to a new address. On a move the former connection is used up in order: it is replaced
- * once it has proven which commands arrived by it, or after {@link #ACKNOWLEDGEMENT_TIMEOUT_US}.
- * For the loop alone.
+ * Maintains one connection to the runtime: connects, reconnects whenever the connection is lost,
+ * and moves to a new address. On a move, the connection to the former address is replaced once the
+ * runtime has acknowledged the commands sent on it, or after {@link #ACKNOWLEDGEMENT_TIMEOUT_US}.
+ * Used on the event loop only.
  */
 final class RuntimeLink {
   private static final long CONNECT_TIMEOUT_US = 2_000_000;
   private static final long RECONNECT_DELAY_US = 100_000;
   private static final int MAX_LINE_BYTES = 1 << 20;
 
-  /** After this time without a proof, a move goes on without it. */
+  /** Time after which a move to a new address proceeds without an acknowledgement. */
   private static final long ACKNOWLEDGEMENT_TIMEOUT_US = 500_000;
 
   private static final ConnectionLimits LIMITS =
       new ConnectionLimits(16 << 10, 1 << 20, 4 << 20, 10_000_000);
 
-  /** Receives what happens on the link, on the loop. */
+  /** Receives the events of the link, on the event loop. */
   interface Handler {
-    /** A new connection is in use, with nothing written to it. */
+    /** A new connection is in use, and nothing has been written to it. */
     void connected();
 
-    /** A line has arrived on the connection in use. */
+    /** A line has been received on the connection in use. */
     void received(String line);
 
-    /** The connection in use has ended or is replaced: what was written to it may be lost. */
+    /** The connection in use has ended or is being replaced: what was written to it may be lost. */
     void lost();
 
-    /** Whether it is unknown which of the commands written to the connection in use arrived. */
+    /** Returns whether some commands written to the connection in use are unacknowledged. */
     boolean needsAcknowledgement();
 
-    /** Asks for the proof on the connection in use. */
+    /** Requests an acknowledgement of all commands written to the connection in use. */
     void requestAcknowledgement();
   }
 
@@ -55,13 +55,19 @@
   private final Handler handler;
   private final Connector connector;
 
-  /** The connection in use; null while there is none. */
+  /** The connection in use; null if there is none. */
   private Connection connection;
 
-  /** The connection to a new address that waits for the proof; null while none does. */
+  /**
+   * The connection to a new address, while it waits for the acknowledgement of the commands sent on
+   * the connection in use; null otherwise.
+   */
   private Connection successor;
 
-  /** Whether the runtime has answered on the connection in use, which takes commands. */
+  /**
+   * Whether the runtime has sent its readiness on the connection in use, which then accepts
+   * commands.
+   */
   private boolean ready;
 
   RuntimeLink(
@@ -89,13 +95,16 @@
     connect();
   }
 
-  /** Writes a line; false, with no byte sent, where no connection takes it. */
+  /** Writes a line; returns false, with no byte sent, if no connection accepts it. */
   boolean write(String line) {
     return connection != null
         && connection.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.ISO_8859_1)));
   }
 
-  /** Records that the runtime has answered on the connection in use. */
+  /**
+   * Records that the runtime has sent its readiness on the connection in use. While a move to a new
+   * address is pending, the link stays closed to commands.
+   */
   void markReady() {
     ready = successor == null;
   }
@@ -105,12 +114,12 @@
     return ready;
   }
 
-  /** Aborts the connection in use, which is made again. */
+  /** Aborts the connection in use; a new one is established. */
   void abort(String reason) {
     connection.abort(reason);
   }
 
-  /** Goes on with a move that waits for the proof, where it has come. */
+  /** Completes a pending move to a new address if all commands have been acknowledged. */
   void acknowledgementReceived() {
     if (successor != null && !handler.needsAcknowledgement()) {
       use(successor);
@@ -160,13 +169,13 @@
     ready = false;
     if (previous != null) {
       handler.lost();
-      previous.closeGracefully(); // what it still brings comes again on the new one
+      previous.closeGracefully(); // unread messages are sent again on the new connection
     }
     established.start(new MessageReader(established));
     handler.connected();
   }
 
-  /** Reads the messages of one connection for as long as it is the one in use. */
+  /** Reads the messages of one connection while it is the connection in use. */
   private final class MessageReader implements ConnectionHandler {
     private final Connection source;
     private final LineBuffer lines = new LineBuffer(MAX_LINE_BYTES);
@@ -200,11 +209,11 @@
   }
 
   /**
-   * Reconnects at once, as the runtime goes on meanwhile; a connection that was never ready must
-   * not be made again in a busy loop.
+   * Reconnects at once, because the runtime continues to work meanwhile. After a connection that
+   * was never ready, reconnects with a delay to avoid a busy loop.
    */
   private void reconnectAfter(Failure failure) {
-    log.warn("the link to the runtime ended: " + failure.message());
+    log.warn("connection to the runtime ended: " + failure.message());
     boolean wasReady = ready;
     connection = null;
     ready = false;
--- a/src/main/java/rosecleat/runtime/RuntimeMessage.java
+++ b/src/main/java/rosecleat/runtime/RuntimeMessage.java
@@ -6,17 +6,17 @@
 /**
  * A message from the runtime.
  *
- * @param sequence the number of the notice, which the runtime repeats on a new connection until it
- *     was read; 0 for messages that are not repeated
- * @param runId the run it is about; empty for none
- * @param body what the message says
+ * @param sequence the sequence number of the message, which the runtime sends again on a new
+ *     connection until it has been read; 0 for messages that are not sent again
+ * @param runId the run that the message is about; empty if there is none
+ * @param body the type-specific content
  */
 record RuntimeMessage(long sequence, String runId, Body body) {
-  /** What a message says. Payloads are in base64, as they came. */
+  /** The type-specific content of a message. Payloads are in base64, as received. */
   sealed interface Body {}
 
   /**
-   * The runtime is up; all notices that were not read follow.
+   * The runtime is ready; all numbered messages that have not been read follow.
    *
    * @param state {@code cold} or {@code warm}
    * @param uptimeUs how long the runtime has been up, in microseconds
@@ -30,19 +30,19 @@
   /** A run has ended after {@code tookUs} microseconds. */
   record RunEnded(RunResult result, String encodedResult, long tookUs) implements Body {}
 
-  /** A run is paused until its downstream call has a reply. */
+  /** A run is paused until it receives the reply to its downstream call. */
   record CallRequested(String encodedBody) implements Body {}
 
-  /** The gauges, with the reference of the request for them. */
+  /** Values of the gauges, with the reference of the request for them. */
   record Gauges(String reference, double[] values) implements Body {}
 
-  /** A command was not carried out. */
+  /** The runtime did not execute a command. */
   record CommandRejected(String command) implements Body {}
 
-  /** A message that needs no handling. */
+  /** A message that requires no handling, such as one of an unknown type. */
   record Ignored() implements Body {}
 
-  /** Parses a line; empty where it is no message. */
+  /** Parses a line; returns empty if it is malformed. */
   static Optional<RuntimeMessage> parse(String line) {
     Optional<FlatJsonObject> parsed = FlatJsonParser.parse(line);
     if (parsed.isEmpty()) {
--- a/src/main/java/rosecleat/runtime/RuntimeMessageWarmup.java
+++ b/src/main/java/rosecleat/runtime/RuntimeMessageWarmup.java
@@ -7,8 +7,9 @@
 import rosecleat.net.LineBuffer;
 
 /**
- * Warms up the code that reads messages: encodes made-up messages and reads them back in memory as
- * a connection does, so that a starting node's first real messages meet compiled code.
+ * Warms up the code that reads messages: encodes synthetic messages and reads them back in memory
+ * in the way a connection does, so that a starting node handles its first real messages with
+ * compiled code.
  */
 public final class RuntimeMessageWarmup {
   private static final int MAX_LINE_BYTES = 1 << 16;
@@ -17,9 +18,9 @@
   private long sequence;
 
   /**
-   * Writes a message of the given type and payload and reads it back.
+   * Encodes a message of the given type and payload and reads it back.
    *
-   * @return the payload; null where the message can't be read
+   * @return the payload; null if the message cannot be read
    */
   public byte[] roundTrip(String type, String runId, byte[] payload) {
     sequence++;
--- a/src/main/java/rosecleat/runtime/UnavailableRunner.java
+++ b/src/main/java/rosecleat/runtime/UnavailableRunner.java
@@ -9,13 +9,13 @@
 
 /**
  * The runner of a node that has no runtime, only backends: every run ends as unreachable, so
- * nothing executes.
+ * nothing is executed.
  */
 public final class UnavailableRunner implements Runner {
   private final EventLoop loop;
   private final Core core;
 
-  /** Creates the runner of a core; ends are reported on the loop. */
+  /** Creates a runner that reports the end of runs to the core, on the event loop. */
   public UnavailableRunner(EventLoop loop, Core core) {
     this.loop = loop;
     this.core = core;
--- a/src/main/java/rosecleat/runtime/package-info.java
+++ b/src/main/java/rosecleat/runtime/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The client of the machine's runtime, the process that executes requests.
+ * Client of the machine's runtime, the process that executes runs.
  *
- * <p>The protocol is one JSON object a line, in both directions. Messages of the runtime are
- * numbered and repeated on a new connection until they were read; commands are not, so {@link
- * rosecleat.runtime.CommandTracker} keeps those that a broken connection may have lost.
+ * <p>The protocol is one JSON object per line, in both directions. The runtime numbers its messages
+ * and sends them again on a new connection until they have been read. Commands are not numbered, so
+ * {@link rosecleat.runtime.CommandTracker} stores those that a broken connection may have lost.
  *
- * <p>All state belongs to the loop's thread and lives in memory only. Uses {@code rosecleat.net}
- * for connections and reports to {@code rosecleat.core}; knows nothing of the policy or of the
- * front ends. Begin with {@link rosecleat.runtime.RuntimeClient}.
+ * <p>All state belongs to the event loop's thread and is in memory only. The package uses {@code
+ * rosecleat.net} for connections and reports to {@code rosecleat.core}; it does not depend on the
+ * policy or the front ends. Start reading at {@link rosecleat.runtime.RuntimeClient}.
  */
 package rosecleat.runtime;
--- a/src/test/java/rosecleat/harness/ProcessExitTest.java
+++ b/src/test/java/rosecleat/harness/ProcessExitTest.java
@@ -68,8 +68,7 @@
             .replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"")
             .replace("\"sockets\":1024", "\"sockets\":" + DESCRIPTORS);
     ServeProcess node = ServeProcess.start(folder, "node", config, DESCRIPTORS);
-    Await.until(
-        () -> node.log().contains("listens on") && node.log().contains("the runtime is up"));
+    Await.until(() -> node.log().contains("listens on") && node.log().contains("runtime is ready"));
     return node;
   }
 
--- a/src/test/java/rosecleat/node/DescriptorLimitTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -74,7 +74,7 @@
       process = process(descriptors, runtime.port(), index.port(), registryPort, listen);
       await(
           "it does not listen",
-          () -> log().contains("listens on") && log().contains("the runtime is up"));
+          () -> log().contains("listens on") && log().contains("runtime is ready"));
       openIdleConnections(2 * descriptors, listen);
       try (RespClient balancer = new RespClient(listen, null)) {
         assertEquals("OK", answer(balancer, "balance-check"));
@@ -117,7 +117,7 @@
       process = process(descriptors, runtime.port(), index.port(), registry.port(), listen);
       await(
           "it does not listen",
-          () -> log().contains("listens on") && log().contains("the runtime is up"));
+          () -> log().contains("listens on") && log().contains("runtime is ready"));
       int places = DescriptorBudget.of(descriptors, 0, TestSite.CALLS_OUT, false).balancers();
       openIdleConnections(8 * places, listen);
       long sentNs = System.nanoTime();
--- a/src/test/java/rosecleat/runtime/CommandTrackerTest.java
+++ b/src/test/java/rosecleat/runtime/CommandTrackerTest.java
@@ -38,7 +38,9 @@
     assertEquals(List.of("lost"), runsInDoubt());
   }
 
-  /** An answer that proves an earlier command of a run proves nothing of its last one. */
+  /**
+   * An acknowledgement of an earlier command of a run must not count for the run's last command.
+   */
   @Test
   void acknowledgementOfEarlierCommandDoesNotCoverLaterCommandOfSameRun() {
     tracker.sent(command("a"));
--- a/src/test/java/rosecleat/runtime/RuntimeClientTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeClientTest.java
@@ -26,8 +26,8 @@
 import rosecleat.policy.Idempotency;
 
 /**
- * Commands that cross the end of their client, and of the one after it, on a clock of the test's
- * own.
+ * Commands sent while one or two successive connections to the runtime break, on a clock that the
+ * test controls.
  */
 class RuntimeClientTest {
   private final Log log = new Log(System.err);
@@ -101,15 +101,16 @@
   }
 
   /**
-   * That the second connection broke much later does not prove that the start had arrived by the
-   * first.
+   * Guards against a start that is lost on the first of two connections and counted as arrived: the
+   * second connection breaks much later, which does not prove that the start arrived on the first
+   * one.
    */
   @Test
   void startLostOnFirstOfTwoBrokenConnectionsIsResent() {
     runtime.swallow = 1;
     start("00000000000000a1");
     Await.until(() -> runtime.swallow == 0);
-    runtime.readyAfterMs = 3_600_000; // the second connection is never ready
+    runtime.readyAfterMs = 3_600_000; // the second connection does not become ready
     runtime.cut();
     Await.until(() -> syncs() == 2);
     now.addAndGet(5_000_000);
@@ -120,7 +121,10 @@
     assertEquals(1, runtime.startsOf("00000000000000a1"));
   }
 
-  /** Guards a start that waited for a client: the one it goes by can break too. */
+  /**
+   * Guards against losing a start that was queued without a connection: the connection on which it
+   * is then sent can break as well.
+   */
   @Test
   void queuedStartLostOnNextConnectionIsResent() {
     runtime.down();
@@ -135,8 +139,8 @@
   }
 
   /**
-   * Guards keyed starts: one sent by the new client, while what the old one swallowed is still
-   * unknown, is no suspect.
+   * Guards starts with an idempotency key: a start sent on the new connection is not in doubt,
+   * although it is still unknown which commands were lost with the old connection.
    */
   @Test
   void startSentOnNewConnectionIsNotInDoubt() {
@@ -145,7 +149,8 @@
     Await.until(() -> runtime.swallow == 0);
     runtime.down();
     Await.until(() -> gate.call(() -> counters.get("runtime.unreached")) > 0);
-    start("00000000000000a4"); // goes out with the new client, before that tells what had arrived
+    // sent on the new connection before its messages show which earlier commands arrived
+    start("00000000000000a4");
     runtime.up();
     Await.until(() -> runtime.started("00000000000000a3") && runtime.started("00000000000000a4"));
     assertEquals(1, gate.call(() -> counters.get("runtime.resent")));
@@ -153,8 +158,8 @@
   }
 
   /**
-   * Lines of one connection arrive in order: gauges that were answered prove that every command
-   * written before their request was read, however soon the connection breaks after that.
+   * Lines of one connection arrive in order. Answered gauges therefore prove that every command
+   * written before the request was read, however soon the connection breaks afterwards.
    */
   @Test
   void startSentBeforeAnsweredGaugesRequestIsNotInDoubt() {
@@ -162,12 +167,13 @@
     start("00000000000000a5");
     requestGauges();
     awaitCommands("gauges ", 1);
-    Await.until(() -> requestGaugesAndCountRequests() == 2); // not before the first was answered
+    // the second request is sent only after the first was answered
+    Await.until(() -> requestGaugesAndCountRequests() == 2);
     runtime.cut();
     awaitCommands("sync ", 2);
     start("00000000000000a6");
     Await.until(() -> runtime.started("00000000000000a6"));
-    gate.run(() -> {}); // what was read with the synchronization is handled
+    gate.run(() -> {}); // messages read together with the synchronization are handled by now
     assertEquals(0, gate.call(() -> counters.get("runtime.resent")));
     assertEquals(1, commands("start 00000000000000a5"));
   }
--- a/src/test/java/rosecleat/soak/SoakNode.java
+++ b/src/test/java/rosecleat/soak/SoakNode.java
@@ -43,7 +43,7 @@
 
   void awaitServing() {
     Await.until(
-        () -> process.log().contains("listens on") && process.log().contains("the runtime is up"));
+        () -> process.log().contains("listens on") && process.log().contains("runtime is ready"));
   }
 
   void reload(String config) throws Exception {
