--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -20,24 +20,24 @@
 import rosecleat.net.EventLoop;
 
 /**
- * Calls the shared index over a small pool of connections, one call on each at a time. Each result
- * states what is proven: a call that was not sent never ran, one whose reply was malformed or cut
- * off may have. For the loop alone.
+ * Calls the shared index over a small pool of connections, with one call at a time on each. The
+ * result of a call states only what is proven: a call that was not sent never ran; a call whose
+ * reply was malformed or truncated may have run. Used on the event loop only.
  */
 public final class IndexClient implements DownstreamClient, IndexConnection.Listener {
   private static final long CONNECT_TIMEOUT_US = 1_000_000;
 
-  /** How long after its deadline a call without a reply is given up here (us). */
+  /** Time after its deadline at which a call without a reply times out in this process (us). */
   private static final long DEADLINE_MARGIN_US = 30_000;
 
   /**
-   * Connections that were idle for longer are not used again (us). The index closes idle
-   * connections, at times early, or forgets them and resets them at the next call; and that reset
-   * can't be told from one that takes the place of a reply.
+   * Connections idle for longer than this are not reused (us). The index closes idle connections,
+   * sometimes early, or discards their state and resets them at the next call; such a reset cannot
+   * be distinguished from one sent in place of a reply.
    */
   private static final long MAX_IDLE_US = 250_000;
 
-  /** The most connections until {@link #setMaxConnections} says otherwise. */
+  /** Maximum number of connections until {@link #setMaxConnections} is called. */
   private static final int DEFAULT_MAX_CONNECTIONS = 32;
 
   private final EventLoop loop;
@@ -46,13 +46,13 @@
   private final Counters counters;
   private final Map<String, PendingCall> calls = new HashMap<>();
 
-  /** Calls that were not sent, the oldest first. */
+  /** Calls that have not been sent, oldest first. */
   private final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
 
-  /** Connections without a call, the last used first. */
+  /** Connections without a call, most recently used first. */
   private final ArrayDeque<IndexConnection> idle = new ArrayDeque<>();
 
-  /** Null where there is no index. */
+  /** The index's address; null if there is no index. */
   private InetSocketAddress address;
 
   private Core core;
@@ -60,7 +60,7 @@
   private int openConnections;
   private int connecting;
 
-  /** Creates a client of the index at an address; null where there is none. */
+  /** Creates a client of the index at an address; null if there is no index. */
   public IndexClient(
       EventLoop loop, InetSocketAddress address, LongSupplier clock, Counters counters, Log log) {
     this.loop = loop;
@@ -70,12 +70,15 @@
     this.log = log;
   }
 
-  /** Sets the core to which results are reported; to be called before the first call. */
+  /** Sets the core that receives results; must be called before the first call. */
   public void setCore(Core newCore) {
     core = newCore;
   }
 
-  /** Changes the index's address, null for none; calls that were sent end where they are. */
+  /**
+   * Changes the index's address, null if there is none. Calls that have been sent finish on their
+   * connections to the former address.
+   */
   public void setAddress(InetSocketAddress newAddress) {
     if (Objects.equals(newAddress, address)) {
       return;
@@ -87,8 +90,8 @@
   }
 
   /**
-   * Sets the most connections; further calls wait for one. Those beyond a lower maximum are closed
-   * as their calls end.
+   * Sets the maximum number of connections; calls beyond it wait for a connection. If the maximum
+   * is lowered, excess connections are closed when their calls end.
    */
   public void setMaxConnections(int newMaximum) {
     maxConnections = newMaximum;
@@ -115,8 +118,8 @@
   }
 
   /**
-   * Takes the connection used last, of those that were not idle for too long and have not carried
-   * this request; empty for none.
+   * Takes the most recently used idle connection that was not idle for too long and has not carried
+   * a call of this request; returns empty if there is none.
    */
   private Optional<IndexConnection> takeIdle(String id) {
     long oldestUs = clock.getAsLong() - MAX_IDLE_US;
@@ -133,7 +136,10 @@
     return Optional.empty();
   }
 
-  /** Sends a call; one that its connection did not take never ran, and waits for another. */
+  /**
+   * Sends a call. A call that its connection did not accept never ran, and waits for another
+   * connection.
+   */
   private void send(IndexConnection connection, PendingCall call) {
     if (connection.send(call, clock.getAsLong())) {
       call.sentOn(connection);
@@ -164,7 +170,8 @@
   }
 
   /**
-   * Cancels a call at the index. Its connection goes too: the reply may never come, or come late.
+   * Cancels a call at the index and closes its connection, because the reply may never arrive or
+   * arrive late.
    */
   private void abandon(PendingCall call) {
     call.cancelTimeout();
@@ -187,7 +194,10 @@
     }
   }
 
-  /** Removes a call that gets its result; false where it has had one or was cancelled. */
+  /**
+   * Removes a call that is about to end with a result; returns false if it has ended or was
+   * cancelled before.
+   */
   private boolean remove(PendingCall call) {
     if (!calls.remove(call.id(), call)) {
       return false;
@@ -197,7 +207,7 @@
     return true;
   }
 
-  /** Opens connections for the calls that wait, up to the maximum. */
+  /** Opens connections for the waiting calls, up to the maximum. */
   private void openForWaitingCalls() {
     while (address != null
         && connecting < waiting.size()
@@ -237,18 +247,21 @@
   }
 
   /**
-   * Ends the oldest waiting call: a failed connect proves that it never ran. Where the address has
-   * changed meanwhile, the call is tried there.
+   * Ends the oldest waiting call as unreachable: a failed connect proves that it never ran. If the
+   * address has changed since the attempt began, the call is tried at the new address instead.
    */
   private void connectFailed(InetSocketAddress target, Failure failure) {
     if (target.equals(address) && !waiting.isEmpty()) {
-      log.warn("the index is not reached: " + failure.message());
+      log.warn("could not connect to the index: " + failure.message());
       complete(waiting.peek(), CallResult.UNREACHABLE);
     }
     openForWaitingCalls();
   }
 
-  /** Gives a free connection the oldest waiting call that it may carry. */
+  /**
+   * Sends the oldest waiting call that a free connection may carry, or else marks the connection
+   * idle.
+   */
   private void sendNextOrIdle(IndexConnection connection) {
     if (connection.exhausted()
         || !connection.address().equals(address)
@@ -285,7 +298,7 @@
     idle.remove(connection);
     if (call.isPresent()) {
       counters.add("index.lost");
-      log.warn("a call got no reply: " + reason);
+      log.warn("index call ended without a reply: " + reason);
       complete(call.get(), result);
     }
     openForWaitingCalls();
--- a/src/main/java/rosecleat/index/IndexConnection.java
+++ b/src/main/java/rosecleat/index/IndexConnection.java
@@ -12,31 +12,31 @@
 import rosecleat.net.ConnectionHandler;
 
 /**
- * One connection to the index, with one call on it at a time: what goes wrong on it affects no
- * other call. For the loop alone.
+ * One connection to the index, with one call at a time, so that a failure on it affects no other
+ * call. Used on the event loop only.
  */
 final class IndexConnection implements ConnectionHandler {
-  /** Receives what becomes of a connection, on the loop. */
+  /** Receives the events of a connection, on the event loop. */
   interface Listener {
     /**
-     * The call ended with its reply. The connection can carry another one, unless it is {@link
+     * The call ended with its reply. The connection can carry another call, unless it is {@link
      * #exhausted}.
      */
     void replied(IndexConnection connection, PendingCall call, CallResult result, byte[] body);
 
     /**
-     * The connection has ended without a readable reply to its call.
+     * The connection has ended without a valid reply to its call.
      *
-     * @param call the call it carried; empty for none
+     * @param call the call that the connection carried; empty if there was none
      */
     void lost(
         IndexConnection connection, Optional<PendingCall> call, CallResult result, String reason);
   }
 
-  /** Bounds the ids that are remembered. */
+  /** Maximum number of calls on one connection; bounds the number of stored ids. */
   private static final int MAX_CALLS_PER_CONNECTION = 200;
 
-  /** The most replies with other ids before the one that is awaited. */
+  /** Maximum number of replies with other ids before the awaited reply. */
   private static final int MAX_UNEXPECTED_REPLIES = 8;
 
   private final Connection connection;
@@ -45,7 +45,7 @@
   private final ReplyParser replies = new ReplyParser();
   private final Set<String> carriedIds = new HashSet<>();
 
-  /** The call whose reply is awaited; null for none. */
+  /** The call whose reply is awaited; null if there is none. */
   private PendingCall call;
 
   private long idleSinceUs;
@@ -58,22 +58,22 @@
     this.listener = listener;
   }
 
-  /** Returns the address to which it is connected. */
+  /** Returns the address to which the connection was made. */
   InetSocketAddress address() {
     return address;
   }
 
   /**
-   * Returns whether it can carry no further call; also where it has ended and the listener has not
-   * been notified yet.
+   * Returns whether this connection can carry no further call. This includes a connection that has
+   * ended and whose listener has not been notified yet.
    */
   boolean exhausted() {
     return ended || connection.isClosed() || carriedIds.size() >= MAX_CALLS_PER_CONNECTION;
   }
 
   /**
-   * Returns whether it carried a call of this request before: a late or second reply to that one
-   * could be taken for the reply to another call of the same request.
+   * Returns whether this connection has carried a call of this request before: a late or second
+   * reply to that call could be mistaken for the reply to another call of the same request.
    */
   boolean carried(String id) {
     return carriedIds.contains(id);
@@ -87,7 +87,7 @@
     idleSinceUs = nowUs;
   }
 
-  /** Sends a call; false, with no byte sent, where the connection has ended. */
+  /** Sends a call; returns false, with no byte sent, if the connection has ended. */
   boolean send(PendingCall next, long nowUs) {
     if (!connection.write(encode(next, nowUs))) {
       return false;
@@ -110,11 +110,12 @@
         .flip();
   }
 
-  /** Cancels its call and closes it; a reply that is in flight is dropped. */
+  /** Cancels the call in progress and closes the connection; a reply in flight is discarded. */
   void cancel() {
     ended = true;
     if (call == null) {
-      connection.abort("unused"); // nothing is in flight, and descriptors are few
+      // nothing is in flight, and the number of descriptors is limited
+      connection.abort("unused");
       return;
     }
     connection.write(ByteBuffer.wrap(ascii("STOP " + call.id() + "\r\n")));
@@ -131,7 +132,8 @@
       reply = replies.next();
     }
     if (replies.malformed()) {
-      end(CallResult.FAILED, "the index sent what is no reply"); // the call ran, its reply is lost
+      // the call ran, but its reply cannot be read
+      end(CallResult.FAILED, "the index sent what is no reply");
     }
   }
 
--- a/src/main/java/rosecleat/index/PendingCall.java
+++ b/src/main/java/rosecleat/index/PendingCall.java
@@ -2,22 +2,24 @@
 
 import java.util.concurrent.Future;
 
-/** One call that has no result yet. For the loop alone. */
+/** A call that has no result yet. Used on the event loop only. */
 final class PendingCall {
   private final String id;
   private final long untilUs;
   private final byte[] body;
 
-  /** The connection that carries the call; null while it waits for one, and was not sent. */
+  /**
+   * The connection that carries the call; null while the call waits for one and has not been sent.
+   */
   private IndexConnection connection;
 
   private Future<?> timeout;
 
   /**
-   * Creates a call that was not sent.
+   * Creates a call that has not been sent.
    *
-   * @param id the id of the request that makes it
-   * @param untilUs the Unix time in microseconds at which it times out
+   * @param id the id of the request that makes the call
+   * @param untilUs the Unix time in microseconds at which the call times out
    */
   PendingCall(String id, long untilUs, byte[] body) {
     this.id = id;
--- a/src/main/java/rosecleat/index/ReplyParser.java
+++ b/src/main/java/rosecleat/index/ReplyParser.java
@@ -8,30 +8,31 @@
 import rosecleat.net.TextSyntax;
 
 /**
- * Parses the replies of one connection. Strict: a reply that is not exactly as the protocol has it
- * makes the stream malformed, as nothing behind it can be relied on. For the loop alone.
+ * Parses the replies of one connection strictly: a reply that deviates from the protocol makes the
+ * whole stream malformed, because the position of the next reply is uncertain. Used on the event
+ * loop only.
  */
 final class ReplyParser {
-  /** One complete reply; the body is null but for {@link CallResult#OK}. */
+  /** A complete reply; the body is null unless the result is {@link CallResult#OK}. */
   record Reply(String id, CallResult result, byte[] body) {}
 
-  /** The longest body that is accepted; results have 4 KiB at the most. */
+  /** Maximum accepted length of a body; results have at most 4 KiB. */
   static final int MAX_BODY_BYTES = 64 << 10;
 
   private static final int MAX_LINE_BYTES = 64;
   private static final int ID_DIGITS = 16;
   private static final int MAX_LENGTH_DIGITS = 6;
 
-  /** CR LF behind a body. */
+  /** The CR LF after a body. */
   private static final int BODY_END_BYTES = 2;
 
   private final LineBuffer buffer =
       new LineBuffer(MAX_BODY_BYTES + BODY_END_BYTES + MAX_LINE_BYTES);
 
-  /** The id of the reply whose body is read. */
+  /** The id of the reply whose body is being read. */
   private String id;
 
-  /** The length of the body that is read; -1 between replies. */
+  /** The length of the body that is being read; -1 between replies. */
   private int bodyLength = -1;
 
   private boolean malformed;
@@ -41,12 +42,12 @@
     malformed |= !buffer.append(bytes);
   }
 
-  /** Returns whether the bytes are no reply; nothing more is parsed then. */
+  /** Returns whether the received bytes are malformed; nothing more is parsed then. */
   boolean malformed() {
     return malformed;
   }
 
-  /** Returns the next complete reply; empty where there is none or the stream is malformed. */
+  /** Returns the next complete reply; empty if there is none or the stream is malformed. */
   Optional<Reply> next() {
     if (malformed) {
       return Optional.empty();
@@ -66,8 +67,8 @@
   }
 
   /**
-   * Parses the first line of a reply. Returns a reply without a body; otherwise empty, with the
-   * length of the body noted or the stream malformed.
+   * Parses the first line of a reply. Returns the reply if it has no body. Otherwise returns empty,
+   * after setting the length of the body or marking the stream as malformed.
    */
   private Optional<Reply> parseHead(String[] words) {
     id = words[0];
--- a/src/main/java/rosecleat/pool/InstancePool.java
+++ b/src/main/java/rosecleat/pool/InstancePool.java
@@ -7,20 +7,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The instances of one service, and the work outstanding at each. Balances by the power of two
- * choices (Mitzenmacher 2001) over outstanding work by weight: this process's own zone first, other
- * zones once the choice has as many requests outstanding as its capacity. For one thread.
+ * The instances of one service and the outstanding work at each. Balances by the power of two
+ * choices (Mitzenmacher 2001) over outstanding work divided by weight. Prefers instances in the
+ * zone of this process; instances in other zones are considered once the chosen local instance has
+ * as many requests outstanding as its capacity. Used by one thread.
  */
 public final class InstancePool {
-  /** The capacity of an instance that does not declare one (requests at once). */
+  /** Capacity of an instance that does not declare one (concurrent requests). */
   public static final int DEFAULT_CAPACITY = 4;
 
   /**
-   * An instance as the routes list it.
+   * An instance as listed by the routes.
    *
    * @param weight its share of the work relative to the other instances, above 0
-   * @param capacity how many requests it works on at once; 0 where that is not declared
-   * @param acceptsRequests whether it acceptsRequests new requests
+   * @param capacity the number of requests it processes concurrently; 0 if not declared
+   * @param acceptsRequests whether it accepts new requests
    */
   public record InstanceSpec(
       String name,
@@ -31,7 +32,7 @@
       int capacity,
       boolean acceptsRequests) {}
 
-  /** An instance of the pool; its outstanding work stays with it while the routes change. */
+  /** An instance of the pool; its outstanding work is retained when the routes change. */
   public static final class PooledInstance {
     private final String name;
     private final String host;
@@ -47,22 +48,22 @@
       port = spec.port;
     }
 
-    /** The name, unique in its service. */
+    /** Returns the name, which is unique in its service. */
     public String name() {
       return name;
     }
 
-    /** The literal host of its address. */
+    /** Returns the host of the address as it is written in the routes. */
     public String host() {
       return host;
     }
 
-    /** The port of its address. */
+    /** Returns the port of the address. */
     public int port() {
       return port;
     }
 
-    /** The number of requests outstanding at it. */
+    /** Returns the number of outstanding requests. */
     public int outstanding() {
       return outstanding;
     }
@@ -75,7 +76,7 @@
       return outstanding >= capacity;
     }
 
-    /** Its load by weight, were so much work added. */
+    /** Returns the load per weight that would result from adding this work. */
     private double loadWith(double workUs) {
       return (outstandingWorkUs + workUs) / weight;
     }
@@ -87,15 +88,16 @@
   private List<PooledInstance> local = List.of();
   private List<PooledInstance> remote = List.of();
 
-  /** An empty pool; {@code zone} is this process's own. */
+  /** Creates an empty pool; {@code zone} is the zone of this process. */
   public InstancePool(String zone, RandomGenerator random) {
     this.zone = zone;
     this.random = random;
   }
 
   /**
-   * Replaces the instances. One that keeps its name and address keeps its outstanding work; one
-   * that accepts no requests is kept, so that it may accept some again.
+   * Replaces the instances. An instance that keeps its name and address retains its outstanding
+   * work; an instance that accepts no requests stays in the pool, so that it may accept requests
+   * again.
    */
   public void update(List<InstanceSpec> specs) {
     Map<String, PooledInstance> updated = new HashMap<>();
@@ -118,12 +120,12 @@
     remote = List.copyOf(remoteInstances);
   }
 
-  /** Whether no instance accepts requests. */
+  /** Returns whether no instance accepts requests. */
   public boolean isEmpty() {
     return local.isEmpty() && remote.isEmpty();
   }
 
-  /** The sum of the capacities of all instances that accept requests. */
+  /** Returns the sum of the capacities of all instances that accept requests. */
   public int capacity() {
     return capacityOf(local) + capacityOf(remote);
   }
@@ -137,8 +139,8 @@
   }
 
   /**
-   * Chooses an instance for a request of so much work and books that there, until {@link #release};
-   * null where none accepts requests.
+   * Chooses an instance for a request with this much work and adds the work to the instance until
+   * {@link #release}; returns null if no instance accepts requests.
    */
   public PooledInstance acquire(double workUs) {
     PooledInstance chosen = choose(workUs);
@@ -165,15 +167,15 @@
     return remoteIsBetter ? remoteChoice : localChoice;
   }
 
-  /** Ends a request and takes its work off the instance. */
+  /** Ends a request and subtracts its work from the instance. */
   public void release(PooledInstance instance, double workUs) {
     instance.outstanding--;
-    // an idle instance has no work, so that rounding errors do not add up
+    // an idle instance has no work, so that rounding errors do not accumulate
     instance.outstandingWorkUs =
         instance.outstanding == 0 ? 0 : Math.max(0, instance.outstandingWorkUs - workUs);
   }
 
-  /** Of two instances at random the one with less load; null where there are none. */
+  /** Returns the less loaded of two randomly chosen instances; null if there are none. */
   private PooledInstance lessLoadedOfTwo(List<PooledInstance> instances, double workUs) {
     if (instances.size() < 2) {
       return instances.isEmpty() ? null : instances.get(0);
--- a/src/main/java/rosecleat/registry/HttpResponseParser.java
+++ b/src/main/java/rosecleat/registry/HttpResponseParser.java
@@ -5,18 +5,18 @@
 import rosecleat.net.LineBuffer;
 
 /**
- * Parses the HTTP/1.1 responses of one connection, as far as the registry needs them: the status, a
- * body of stated length, which is skipped, and whether the connection closes. Interim responses
- * (1xx) are skipped. For the loop alone.
+ * Parses the parts of the HTTP/1.1 responses of one connection that the registry client needs: the
+ * status, a body of stated length, which is skipped, and whether the connection closes. Interim
+ * responses (1xx) are skipped. Used on the event loop only.
  */
 final class HttpResponseParser {
-  /** What {@link #parse} has come to. */
+  /** The state of the response after {@link #parse}. */
   enum Result {
     /** More bytes are needed. */
     INCOMPLETE,
     /** A final response is complete. */
     COMPLETE,
-    /** The bytes are no HTTP. */
+    /** The bytes are not valid HTTP. */
     MALFORMED
   }
 
@@ -27,19 +27,19 @@
 
   private final LineBuffer lines = new LineBuffer(MAX_BUFFERED_BYTES);
 
-  /** 0 until the status line is parsed. */
+  /** The response's status; 0 until the status line is parsed. */
   private int status;
 
   private int contentLength;
   private boolean headComplete;
   private boolean connectionCloses;
 
-  /** Appends received bytes; false where too many are buffered. */
+  /** Appends received bytes; returns false if the buffer limit is exceeded. */
   boolean append(ByteBuffer bytes) {
     return lines.append(bytes) && !lines.lineTooLong();
   }
 
-  /** Begins with a new response; bytes that are buffered belong to it. */
+  /** Starts a new response; bytes already buffered belong to it. */
   void reset() {
     status = 0;
     contentLength = 0;
@@ -47,7 +47,7 @@
     connectionCloses = false;
   }
 
-  /** Parses what is buffered of the current response. */
+  /** Parses the buffered bytes of the current response. */
   Result parse() {
     while (!headComplete) {
       String line = lines.readLine();
@@ -66,7 +66,7 @@
     return status;
   }
 
-  /** Returns whether the peer closes the connection behind the response. */
+  /** Returns whether the peer closes the connection after the response. */
   boolean connectionCloses() {
     return connectionCloses;
   }
--- a/src/main/java/rosecleat/registry/RegistryClient.java
+++ b/src/main/java/rosecleat/registry/RegistryClient.java
@@ -14,23 +14,23 @@
 import rosecleat.net.EventLoop;
 
 /**
- * Reports this node to the registry of nodes once a second over HTTP/1.1, on one connection for as
- * long as it lasts. A report that failed is repeated before the second is over, as the registry
- * drops nodes that keep silent. Nothing waits for a report: the node serves and drains without its
- * registry. For the loop alone.
+ * Reports this node to the service registry once a second over HTTP/1.1, on one connection for as
+ * long as it stays open. A failed report is retried within the same second, because the registry
+ * removes nodes that stop reporting. Nothing waits for a report: the node serves and drains without
+ * its registry. Used on the event loop only.
  */
 public final class RegistryClient {
   private static final long REPORT_INTERVAL_US = 1_000_000;
 
-  /** The time for a response, and for a connect. */
+  /** Timeout of a response, and of a connection attempt. */
   private static final long RESPONSE_TIMEOUT_US = 900_000;
 
   private static final long RETRY_DELAY_US = 200_000;
 
-  /** The report that this node drains is retried sooner than the others. */
+  /** Retry delay of the drain report, which is retried sooner than other reports. */
   private static final long DRAINING_RETRY_DELAY_US = 100_000;
 
-  /** How long the report that this node drains waits for the response to an earlier one. */
+  /** Maximum time that the drain report waits for the response to an earlier report. */
   private static final long DRAINING_REPORT_MAX_WAIT_US = 100_000;
 
   private static final int STATUS_NO_CONTENT = 204;
@@ -41,7 +41,7 @@
   private final Log log;
   private final Connector connector;
 
-  /** The connection in use, and the parser of what it brings; null while there is none. */
+  /** The connection in use, and the parser of its responses; null if there is none. */
   private Connection connection;
 
   private HttpResponseParser responses;
@@ -49,12 +49,14 @@
   private boolean awaitingResponse;
   private boolean draining;
 
-  /** Whether another report is due as soon as the one in progress has ended. */
+  /** Whether another report is due as soon as the one in progress ends. */
   private boolean followUpDue;
 
   private Future<?> responseTimeout;
 
-  /** Creates a client for the node of this name; nothing is reported while the address is null. */
+  /**
+   * Creates a client for the node with this name; nothing is reported while the address is null.
+   */
   public RegistryClient(
       EventLoop loop, InetSocketAddress address, String name, Counters counters, Log log) {
     this.loop = loop;
@@ -66,19 +68,22 @@
             loop, address, RESPONSE_TIMEOUT_US, ConnectionLimits.SMALL, new ReportingHandler());
   }
 
-  /** Reports now, and every second from now on. */
+  /** Reports at once, and every second from now on. */
   public void start() {
     report();
     loop.schedule(REPORT_INTERVAL_US, this::start);
   }
 
-  /** Reports at once, and from now on, that this node drains. */
+  /** Reports that this node drains, at once and in all later reports. */
   public void startDraining() {
     draining = true;
     report();
   }
 
-  /** Changes the registry's address, null for none; the former one gets no further report. */
+  /**
+   * Changes the registry's address, null if there is none; the former registry receives no further
+   * report.
+   */
   public void setAddress(InetSocketAddress address) {
     if (!connector.setAddress(address)) {
       return;
@@ -91,7 +96,8 @@
     if (awaitingResponse) {
       reportEnded(true);
     }
-    report(); // within the second after which the registry would drop this node
+    // must happen within a second, after which the registry would remove this node
+    report();
   }
 
   private void report() {
@@ -109,7 +115,7 @@
     }
   }
 
-  /** Bounds how long the report that this node drains waits for the one in progress. */
+  /** Limits how long the drain report waits for the report in progress. */
   private void reportDrainingSoon() {
     followUpDue = true;
     Connection used = connection;
@@ -147,7 +153,7 @@
     }
   }
 
-  /** Schedules one retry at a time. */
+  /** Schedules a retry, unless one is scheduled. */
   private void scheduleRetry() {
     if (retryScheduled) {
       return;
@@ -163,7 +169,7 @@
         });
   }
 
-  /** Reads the responses of one connection for as long as it is the one in use. */
+  /** Reads the responses of one connection while it is the connection in use. */
   private final class ResponseReader implements ConnectionHandler {
     private final Connection source;
 
@@ -174,7 +180,7 @@
     @Override
     public void received(ByteBuffer bytes) {
       if (connection != source) {
-        return; // a response that nothing waits for any more
+        return; // no report waits for this response any more
       }
       if (!responses.append(bytes)) {
         source.abort("the roster sent too much");
@@ -199,7 +205,8 @@
   private void sendReport() {
     Connection used = connection;
     if (!used.write(encodeReport())) {
-      connection = null; // it has ended, which is still to be reported: connect again at once
+      // the connection has ended but its handler has not been notified yet: reconnect at once
+      connection = null;
       report();
       return;
     }
@@ -231,7 +238,7 @@
       case COMPLETE -> handleResponse(source);
       case MALFORMED -> source.abort("the roster sent no HTTP");
       default -> {
-        // incomplete: more bytes will come, or the timeout
+        // incomplete: more bytes arrive, or the report times out
       }
     }
   }
@@ -241,10 +248,15 @@
     boolean accepted = status == STATUS_NO_CONTENT;
     counters.add(accepted ? "roster.reports" : "roster.failed");
     if (!accepted) {
-      log.warn("the roster answered " + status);
+      log.warn(
+          "service registry rejected a report: status "
+              + status
+              + ", expected "
+              + STATUS_NO_CONTENT);
     }
     if (responses.connectionCloses() || !accepted) {
-      connection = null; // what follows another response is not worth reading
+      // nothing more is read on a connection that closes or on which a report was rejected
+      connection = null;
       source.closeGracefully();
     }
     reportEnded(accepted);
--- a/src/main/java/rosecleat/registry/package-info.java
+++ b/src/main/java/rosecleat/registry/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The client of the registry of nodes, the list from which balancers learn which nodes exist.
+ * Client of the service registry, from which balancers learn which nodes exist.
  *
- * <p>One report a second says whether this node is on duty or drains; the registry drops nodes that
- * keep silent. The settings key, the HTTP path and the counters of this package say {@code roster},
- * which is the service's name on the wire.
+ * <p>One report a second states whether this node is on duty or drains; the registry removes nodes
+ * that stop reporting. The settings key, the HTTP path and the counters of this package use {@code
+ * roster}, the name of the service on the wire.
  *
- * <p>All state belongs to the loop's thread. Uses {@code rosecleat.net} for connections and {@code
- * rosecleat.core} for counters. Begin with {@link rosecleat.registry.RegistryClient}.
+ * <p>All state belongs to the event loop's thread. The package uses {@code rosecleat.net} for
+ * connections and {@code rosecleat.core} for counters. Start reading at {@link
+ * rosecleat.registry.RegistryClient}.
  */
 package rosecleat.registry;
--- a/src/main/java/rosecleat/runtime/RuntimeClient.java
+++ b/src/main/java/rosecleat/runtime/RuntimeClient.java
@@ -311,7 +311,6 @@
         case END_RUN -> {
           counters.add("runtime.unproven");
           // no later message will show whether the run executes, so it is ended now
-
           core.runEnded(command.runId(), RunResult.INTERRUPTED, 0);
         }
         case CANCEL_RUN -> {
--- a/src/main/java/rosecleat/takeover/ClaimTarget.java
+++ b/src/main/java/rosecleat/takeover/ClaimTarget.java
@@ -6,7 +6,7 @@
 import rosecleat.net.TextSyntax;
 
 /**
- * A claim of an idempotency key, as the target of its symbolic link says it: {@code
+ * A claim of an idempotency key, as encoded in the target of its symbolic link: {@code
  * owner:untilUs:digest}.
  *
  * @param owner the number of the process that owns the claim
@@ -17,12 +17,12 @@
   private static final String SEPARATOR = ":";
   private static final int PARTS = 3;
 
-  /** A process number has at most this many digits, so that it fits an int. */
+  /** Maximum number of digits of a process number, so that it fits an int. */
   private static final int MAX_OWNER_DIGITS = 9;
 
   private static final HexFormat HEX = HexFormat.of();
 
-  /** Parses a link's target; empty where it does not name a claim. */
+  /** Parses a link's target; returns empty if it does not encode a claim. */
   static Optional<ClaimTarget> parse(Path target) {
     String[] parts = target.toString().split(SEPARATOR, -1);
     long owner = parts.length == PARTS ? TextSyntax.parseNumber(parts[0], MAX_OWNER_DIGITS) : -1;
--- a/src/main/java/rosecleat/takeover/NoPeers.java
+++ b/src/main/java/rosecleat/takeover/NoPeers.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import rosecleat.core.IdempotencyClaims;
 
-/** The coordinator of a node that shares no folder: it is always its only process. */
+/** The coordinator of a node without a shared folder, whose only process is this one. */
 final class NoPeers implements TakeoverCoordinator {
   private boolean drained;
 
--- a/src/main/java/rosecleat/takeover/PeerLoadReports.java
+++ b/src/main/java/rosecleat/takeover/PeerLoadReports.java
@@ -12,30 +12,34 @@
 import java.util.stream.Collectors;
 
 /**
- * Load reports by which the processes of a node share its limits: each writes the part it has
- * granted itself to a file. A process may take what no predecessor has granted itself. While a
- * successor lives it keeps what it uses and a part of what is free, and never raises its grant
- * again, so that a report which is read late errs on the safe side.
+ * Load reports by which the processes of a node share its limits: each process writes the share
+ * that it has granted itself to a file. A process may use what no predecessor has granted itself.
+ * While a successor is alive, a process grants itself its usage and a share of the free amounts,
+ * and never raises its grant, so that a report that is read late overstates the grant rather than
+ * understating it.
  *
- * <p>The limit on calls is a mean over a span of time, so the calls of a process that has ended
- * count until that span is over. A report therefore lists how the calls of its process fall away,
- * second by second.
+ * <p>The limit on calls is a mean over a time window, so the calls of a process that has ended
+ * count until that window is over. A report therefore lists how the counted calls of its process
+ * decrease, second by second.
  */
 final class PeerLoadReports {
   private static final String REPORT_PREFIX = "load-";
   private static final double SECOND_US = 1_000_000;
 
-  /** The part of the free amounts that a process beside a successor grants itself. */
+  /** Share of the free amounts that a serving process grants itself while a successor is alive. */
   private static final double FREE_SHARE_WHILE_SERVING = 0.5;
 
-  /** The same once that process shuts down. */
+  /**
+   * Share of the free amounts that a process grants itself beside a successor once it shuts down.
+   */
   private static final double FREE_SHARE_WHILE_SHUTTING_DOWN = 0.125;
 
   /**
    * The last report of a peer process.
    *
-   * @param grant what the peer granted itself; null where it has reported nothing yet
-   * @param remainingCalls its calls that still count, by seconds since its last sign of life
+   * @param grant the amounts that the peer granted itself; null if it has reported nothing yet
+   * @param remainingCalls the peer's calls that still count, by seconds since it was last seen
+   *     alive
    * @param seenAtUs when the peer was last seen alive
    */
   private record Report(ResourceAmounts grant, List<Double> remainingCalls, long seenAtUs) {
@@ -45,7 +49,7 @@
       return new Report(grant, remainingCalls, nowUs);
     }
 
-    /** The seconds from the last sign of life to a poll of all peers. */
+    /** Returns the seconds from when the peer was last seen alive to a poll of all peers. */
     double secondsSinceSeen(long polledAtUs) {
       return (polledAtUs - seenAtUs) / SECOND_US;
     }
@@ -65,7 +69,7 @@
     this.ownNumber = ownNumber;
   }
 
-  /** Reads the report of a live peer; one that cannot be read leaves the last one in force. */
+  /** Reads the report of a live peer; if it cannot be read, the previous report stays in force. */
   void read(int peer, long nowUs) {
     try {
       reports.put(
@@ -87,10 +91,10 @@
   }
 
   /**
-   * Grants this process its part of the node's limits.
+   * Grants this process its share of the node's limits.
    *
    * @param limits the limits of the node
-   * @param inUse what this process uses
+   * @param inUse the amounts that this process uses
    * @param hasSuccessor whether a successor is alive
    * @param shuttingDown whether this process shuts down
    * @param polledAtUs when the peers were last polled
@@ -112,7 +116,10 @@
     return ownGrant;
   }
 
-  /** Adds up the grants of live predecessors and the calls of dead peers that still count. */
+  /**
+   * Returns the sum of the grants of live predecessors and the calls of dead peers that still
+   * count.
+   */
   private ResourceAmounts takenByPeers(ResourceAmounts limits, long polledAtUs) {
     reports.values().removeIf(report -> report.hasExpired(polledAtUs));
     ResourceAmounts sum = ResourceAmounts.NONE;
@@ -122,7 +129,7 @@
         double calls = report.remainingCalls.get((int) report.secondsSinceSeen(polledAtUs));
         sum = sum.plus(new ResourceAmounts(calls, 0, 0));
       } else if (entry.getKey() < ownNumber) {
-        // a predecessor that has reported nothing yet may take everything
+        // a predecessor that has reported nothing yet may use all limits
         sum = sum.plus(report.grant == null ? limits : report.grant);
       }
     }
@@ -130,9 +137,9 @@
   }
 
   /**
-   * Writes the report of this process, whole or not at all.
+   * Writes the report of this process atomically.
    *
-   * @param remainingCalls its calls that count now and after each further second without new ones
+   * @param remainingCalls its calls that count now and after each further second without new calls
    */
   void write(List<Double> remainingCalls) throws IOException {
     String calls = remainingCalls.stream().map(String::valueOf).collect(Collectors.joining(" "));
--- a/src/main/java/rosecleat/takeover/ProcessMarkers.java
+++ b/src/main/java/rosecleat/takeover/ProcessMarkers.java
@@ -14,25 +14,28 @@
 import rosecleat.net.TextSyntax;
 
 /**
- * Marker files of the node's processes: each process creates a numbered file and holds a lock on it
- * while it lives. The operating system releases the lock however the process ends, so a process is
- * alive if and only if its marker is locked; the mere existence of a marker proves nothing. Numbers
- * only grow: a process with a smaller number is a predecessor, one with a larger number a
- * successor.
+ * Marker files of the node's processes: each process creates a numbered file and keeps it locked
+ * while it is alive. The operating system releases the lock however the process ends, so a process
+ * is alive if and only if its marker is locked; the mere existence of a marker proves nothing.
+ * Numbers only increase: a process with a smaller number is a predecessor, one with a larger number
+ * a successor.
  */
 final class ProcessMarkers implements AutoCloseable {
   private static final String PROCESS_PREFIX = "process-";
   private static final String SERVING_PREFIX = "serves-";
   private static final String LEAVING_PREFIX = "leaves-";
 
-  /** A process number has at most this many digits, so that it fits an int. */
+  /** Maximum number of digits of a process number, so that it fits an int. */
   private static final int MAX_DIGITS = 9;
 
   private final Path folder;
   private final int ownNumber;
   private final FileChannel ownMarker;
 
-  /** Creates and locks the marker of this process, numbered after all markers in the folder. */
+  /**
+   * Creates and locks the marker of this process, with a number above those of all markers in the
+   * folder.
+   */
   ProcessMarkers(Path folder) throws IOException {
     this.folder = folder;
     int candidate = processNumbers().stream().mapToInt(number -> number).max().orElse(0);
@@ -44,7 +47,7 @@
             FileChannel.open(
                 processFile(candidate), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
       } catch (FileAlreadyExistsException e) {
-        // another process has just taken this number: the next one is tried
+        // another process has just taken this number: try the next one
       }
     }
     ownNumber = candidate;
@@ -75,19 +78,20 @@
   /** Returns whether the process of a number is alive. */
   boolean isAlive(int number) {
     if (number == ownNumber) {
-      return true; // its file is never opened twice: closing the second channel frees the lock
+      // this process must not open its own marker again: closing a second channel releases the lock
+      return true;
     }
     try (FileChannel probe = FileChannel.open(processFile(number), StandardOpenOption.WRITE);
         FileLock lock = probe.tryLock()) {
       return lock == null;
     } catch (OverlappingFileLockException e) {
-      return true; // this very virtual machine holds the lock
+      return true; // this Java virtual machine owns the lock
     } catch (IOException e) {
       return false; // the marker has been removed
     }
   }
 
-  /** Announces that this process accepts clients. */
+  /** Announces to the peers that this process accepts clients. */
   void markServing() throws IOException {
     Files.write(servingFile(ownNumber), new byte[0]);
   }
@@ -97,12 +101,15 @@
     return Files.exists(servingFile(number));
   }
 
-  /** Announces that this process was told to leave; for any thread. */
+  /**
+   * Announces to the peers that this process has been asked to shut down; may be called from any
+   * thread.
+   */
   void markLeaving() throws IOException {
     Files.write(leavingFile(ownNumber), new byte[0]);
   }
 
-  /** Returns whether the process of a number has announced that it leaves. */
+  /** Returns whether the process of a number has announced that it has been asked to shut down. */
   boolean isLeaving(int number) {
     return Files.exists(leavingFile(number));
   }
@@ -126,7 +133,7 @@
     return folder.resolve(SERVING_PREFIX + number);
   }
 
-  /** Releases the lock, which shows this process as dead to its peers. */
+  /** Releases the lock, after which peers regard this process as dead. */
   @Override
   public void close() throws IOException {
     ownMarker.close();
--- a/src/main/java/rosecleat/takeover/ResourceAmounts.java
+++ b/src/main/java/rosecleat/takeover/ResourceAmounts.java
@@ -3,21 +3,21 @@
 /**
  * Amounts of the resources whose limits the processes of a node share.
  *
- * @param calls calls to dependencies, as a mean over the span of the call limit
+ * @param calls downstream calls, as a mean over the window of the call limit
  * @param memoryKb memory of admitted requests (KB)
- * @param running requests that run at once
+ * @param running requests that run concurrently
  */
 public record ResourceAmounts(double calls, double memoryKb, double running) {
-  /** Nothing of any resource. */
+  /** Zero of each resource. */
   public static final ResourceAmounts NONE = new ResourceAmounts(0, 0, 0);
 
-  /** Returns the sum of both amounts. */
+  /** Returns the sum of these and the other amounts. */
   public ResourceAmounts plus(ResourceAmounts other) {
     return new ResourceAmounts(
         calls + other.calls, memoryKb + other.memoryKb, running + other.running);
   }
 
-  /** Returns what remains without the other amounts, never less than zero of a resource. */
+  /** Returns these amounts less the other amounts, at least zero for each resource. */
   public ResourceAmounts minus(ResourceAmounts other) {
     return new ResourceAmounts(
         Math.max(0, calls - other.calls),
--- a/src/main/java/rosecleat/takeover/SharedFolderCoordinator.java
+++ b/src/main/java/rosecleat/takeover/SharedFolderCoordinator.java
@@ -9,15 +9,15 @@
 import rosecleat.log.Log;
 
 /**
- * Coordinates the processes of a node through files in a folder that all of them see. A file that
- * cannot be read or written is logged and leaves the last known state in force.
+ * Coordinates the processes of a node through files in a folder that all of them can access. If a
+ * file cannot be read or written, the failure is logged and the last known state stays in force.
  */
 final class SharedFolderCoordinator implements TakeoverCoordinator {
   private static final String FOLDER = "rosecleat";
   private static final String DRAINED = "drained";
   private static final String CLAIMS = "keys";
 
-  /** The least time between two removals of what has expired (us). */
+  /** Minimum time between two removals of expired claims and files of dead processes (us). */
   private static final long EXPIRY_PERIOD_US = 1_000_000;
 
   private final Log log;
@@ -41,10 +41,7 @@
     loadReports = new PeerLoadReports(folder, markers.ownNumber());
     poll(0);
     if (predecessorIsAlive) {
-      log.info(
-          "this is process "
-              + markers.ownNumber()
-              + " of its node, and takes over from an older one");
+      log.info("process " + markers.ownNumber() + " of this node takes over from a predecessor");
     }
   }
 
@@ -62,7 +59,7 @@
         }
       }
     } catch (IOException e) {
-      log.warn("the other processes of this node can't be seen: " + e);
+      log.warn("could not read the state of peer processes: " + e);
     }
   }
 
@@ -105,7 +102,7 @@
       try {
         loadReports.write(remainingCalls);
       } catch (IOException e) {
-        log.warn("other processes can't be told what this one takes: " + e);
+        log.warn("could not write the load report of this process: " + e);
       }
     }
     return grant;
@@ -142,7 +139,7 @@
     try {
       markers.markServing();
     } catch (IOException e) {
-      log.warn("the older process can't be told that this one serves: " + e);
+      log.warn("could not write the serving marker of this process: " + e);
     }
   }
 
@@ -151,7 +148,7 @@
     try {
       markers.markLeaving();
     } catch (IOException e) {
-      log.warn("older processes can't be told that this one leaves: " + e);
+      log.warn("could not write the leaving marker of this process: " + e);
     }
   }
 
@@ -170,7 +167,7 @@
         Files.deleteIfExists(drainFile);
       }
     } catch (IOException e) {
-      log.warn("other processes can't be told what operators said: " + e);
+      log.warn("could not update the drain marker of this node: " + e);
     }
   }
 
@@ -189,7 +186,7 @@
     try {
       markers.close();
     } catch (IOException e) {
-      log.warn("the mark of this process could not be closed: " + e);
+      log.warn("could not close marker file of this process: " + e);
     }
   }
 }
--- a/src/main/java/rosecleat/takeover/SymlinkClaims.java
+++ b/src/main/java/rosecleat/takeover/SymlinkClaims.java
@@ -22,37 +22,37 @@
 /**
  * Claims of idempotency keys as files in a folder that the processes of a node share.
  *
- * <p>A claim is a symbolic link named by the key's hash; its target names owner, end of the window
- * and digest of the body ({@link ClaimTarget}). Creating a link is atomic, succeeds for one process
- * alone and takes no page of memory. The result of the run is a file beside the link, put there by
- * an atomic move. Both are removed once no retry can ask for them any more.
+ * <p>A claim is a symbolic link named by the key's hash; its target states the owner, the end of
+ * the window and the digest of the body ({@link ClaimTarget}). Creating a link is atomic, succeeds
+ * in only one process and uses no memory page. The result of the run is a file beside the link, put
+ * in place by an atomic move. Both are removed once no retry can refer to them any more.
  */
 final class SymlinkClaims implements IdempotencyClaims {
   /**
-   * Claims of this process at a time: files count as memory of the node. Beyond that no request
-   * with an idempotency key is started.
+   * Maximum number of claims of this process at a time, because files count towards the memory of
+   * the node. Beyond it, no request with an idempotency key is started.
    */
   private static final int MAX_CLAIMS = 8_192;
 
   /**
-   * Results kept at a time, some 4 KB each. Where one had to be dropped, retries at another process
-   * fail rather than run again.
+   * Maximum number of results retained at a time, about 4 KB each. After a result has been dropped,
+   * retries at another process fail rather than run again.
    */
   private static final int MAX_RESULTS = 2_048;
 
-  /** How long claims outlast their window unless told otherwise (us). */
+  /** Time for which claims are retained after their window, unless set otherwise (us). */
   private static final long DEFAULT_RETENTION_US = 3_000_000;
 
   private static final String RESULT_SUFFIX = ".result";
 
-  /** The first byte of a file with a result: an empty result and no result differ by it. */
+  /** First byte of a file with a result; it distinguishes an empty result from no result. */
   private static final byte RESULT_MARK = '+';
 
   private static final byte[] NO_RESULT = new byte[0];
 
   private static final HexFormat HEX = HexFormat.of();
 
-  /** A claim of this process in the order in which claims were made. */
+  /** The expiry of a claim of this process; kept in the order in which the claims were made. */
   private record Expiry(String file, long untilUs) {}
 
   private final Path folder;
@@ -76,7 +76,7 @@
     peerClaimsRemain = markers.ownNumber() > 1;
   }
 
-  /** Sets how long claims outlast their window (us), for retries that are read late. */
+  /** Sets how long claims are retained after their window (us), for retries that are read late. */
   void setRetentionUs(long newRetentionUs) {
     retentionUs = newRetentionUs;
   }
@@ -109,7 +109,7 @@
       return status(readClaim(file));
     } catch (IOException e) {
       counters.add("claims.failed");
-      log.warn("a key could not be claimed: " + e);
+      log.warn("could not claim an idempotency key: " + e);
       return new Unclaimed();
     }
     ownedUntilUs.put(file, untilUs);
@@ -123,7 +123,8 @@
       Files.createSymbolicLink(folder.resolve(file), target);
       return;
     }
-    // this process owns the key from an earlier window: no peer may take it in between
+    // this process owns the key from an earlier window: the link is replaced atomically, so that no
+    // peer can claim the key in between
     Files.deleteIfExists(resultFile(file));
     Files.createSymbolicLink(temporary, target);
     Files.move(temporary, folder.resolve(file), StandardCopyOption.ATOMIC_MOVE);
@@ -170,7 +171,7 @@
       Files.move(temporary, resultFile(file), StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
       counters.add("claims.failed");
-      log.warn("a result could not be shared: " + e);
+      log.warn("could not write the result of a claimed key: " + e);
     }
   }
 
@@ -195,7 +196,10 @@
     }
   }
 
-  /** The owner may write its result and end while this runs, so its lock is probed first. */
+  /**
+   * Returns the state of a run whose result file did not exist. The owner may write its result and
+   * end while this method runs, so its lock is probed before the result file.
+   */
   private PeerRun peerRunWithoutResult(String file) {
     Optional<ClaimTarget> claim = readClaim(file);
     if (claim.isEmpty()) {
@@ -206,12 +210,13 @@
   }
 
   /**
-   * Removes the expired claims of this process, and those of dead ones where no predecessor lives.
+   * Removes the expired claims of this process and, if no predecessor is alive, those of dead
+   * processes.
    */
   void expire(long nowUs, boolean isOldest) {
     while (!expiries.isEmpty() && hasExpired(expiries.peek().untilUs, nowUs)) {
       Expiry expired = expiries.remove();
-      // otherwise the key was claimed again for a later window, or released
+      // if the values differ, the key was claimed again for a later window or released
       if (ownedUntilUs.remove(expired.file, expired.untilUs)) {
         resultFiles.remove(expired.file);
         delete(expired.file);
@@ -222,13 +227,14 @@
         expireClaimsOfDeadProcesses(nowUs);
       }
     } catch (IOException e) {
-      log.warn("old claims could not be listed: " + e);
+      log.warn("could not list claims of dead processes: " + e);
     }
   }
 
   /**
-   * Only the oldest live process does this: with two of them, one could delete a claim that a third
-   * process has made since the other deleted its predecessor.
+   * Removes the expired claims of dead processes. Only the oldest live process does this: with two
+   * processes doing it, one could delete a claim that a third process has made after the other had
+   * deleted its expired predecessor.
    */
   private void expireClaimsOfDeadProcesses(long nowUs) throws IOException {
     peerClaimsRemain = false;
@@ -258,7 +264,7 @@
       Files.deleteIfExists(folder.resolve(file));
       Files.deleteIfExists(resultFile(file));
     } catch (IOException e) {
-      log.warn("a claim could not be taken away: " + e);
+      log.warn("could not delete a claim: " + e);
     }
   }
 
@@ -279,7 +285,7 @@
       return HEX.formatHex(
           MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // each Java platform has it
+      throw new IllegalStateException(e); // every Java platform provides SHA-256
     }
   }
 }
--- a/src/main/java/rosecleat/takeover/TakeoverCoordinator.java
+++ b/src/main/java/rosecleat/takeover/TakeoverCoordinator.java
@@ -10,14 +10,14 @@
 
 /**
  * The peer processes of this node: predecessors, which started earlier, and successors, which take
- * over from it. What the methods return was true at the last {@link #poll}. For the event loop
- * only, except for {@link #successorTakesOver} and {@link #markLeaving}.
+ * over from this process. The methods return the state as of the last {@link #poll}. For the event
+ * loop only, except for {@link #successorTakesOver} and {@link #markLeaving}.
  */
 public interface TakeoverCoordinator extends AutoCloseable {
   /**
    * Joins the processes that share a folder; without a folder there are no peers.
    *
-   * @throws IOException where the folder cannot be used
+   * @throws IOException if the folder cannot be used
    */
   static TakeoverCoordinator join(Optional<Path> sharedFolder, Counters counters, Log log)
       throws IOException {
@@ -26,16 +26,16 @@
         : new SharedFolderCoordinator(sharedFolder.get(), counters, log);
   }
 
-  /** Looks up the state of all peers, and removes what dead ones have left behind. */
+  /** Reads the state of all peers, and removes expired claims and the files of dead peers. */
   void poll(long nowUs);
 
   /**
-   * Grants this process its part of the node's limits as of the last poll, and reports it to the
+   * Grants this process its share of the node's limits as of the last poll, and reports it to the
    * peers.
    *
    * @param limits the limits of the node
-   * @param inUse what this process uses
-   * @param remainingCalls its calls that count now and after each further second without new ones
+   * @param inUse the amounts that this process uses
+   * @param remainingCalls its calls that count now and after each further second without new calls
    * @param shuttingDown whether this process shuts down
    */
   ResourceAmounts grant(
@@ -51,33 +51,36 @@
   boolean predecessorIsAlive();
 
   /**
-   * Returns whether a successor is alive that was not told to leave itself, looked up at the time
-   * of the call; for any thread.
+   * Returns whether a successor is alive that has not been asked to shut down itself, as of the
+   * time of the call; may be called from any thread.
    */
   boolean successorTakesOver();
 
   /** Returns whether a successor is alive and accepts clients. */
   boolean successorIsServing();
 
-  /** Announces that this process accepts clients. */
+  /** Announces to the peers that this process accepts clients. */
   void markServing();
 
-  /** Announces that this process was told to leave, so that it takes over from none; any thread. */
+  /**
+   * Announces to the peers that this process has been asked to shut down, so that it takes over
+   * from none of them; may be called from any thread.
+   */
   void markLeaving();
 
-  /** Returns whether operators have drained this node, through whichever of its processes. */
+  /** Returns whether operators have drained this node, through any of its processes. */
   boolean isDrained();
 
-  /** Drains this node on behalf of operators, or puts it into service again. */
+  /** Drains this node, or returns it to service, at the request of operators. */
   void setDrained(boolean drained);
 
-  /** Sets how long claims outlast their window (us), for retries that are read late. */
+  /** Sets how long claims are retained after their window (us), for retries that are read late. */
   void setClaimRetentionUs(long retentionUs);
 
   /** Returns the claims of idempotency keys that this process shares with its peers. */
   IdempotencyClaims claims();
 
-  /** Shows this process as ended to its peers. */
+  /** Releases this process's marker, after which peers regard this process as dead. */
   @Override
   void close();
 }
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -22,7 +22,7 @@
 import rosecleat.net.MonotonicClock;
 import rosecleat.policy.PolicyEngine;
 
-/** A call that meets the end of the connection on which it would be sent. */
+/** Calls made while the connection on which they would be sent is ending. */
 class IndexClientTest {
   private final Log log = new Log(System.err);
   private final FakeIndex index = new FakeIndex();
@@ -72,8 +72,8 @@
 
   /**
    * A call that was not sent never ran, and must not count as interrupted. The end of the idle
-   * connection and the call reach the loop in one turn: the connection has ended, and its handler
-   * is notified after the call.
+   * connection and the call reach the event loop in the same iteration: the connection has ended,
+   * but its handler is notified only after the call.
    */
   @Test
   void callIsNotSentOnClosedConnectionBeforeItsHandlerRuns() throws Exception {
@@ -91,7 +91,7 @@
     assertEquals(
         0,
         gate.call(() -> counters.get("index.lost")),
-        "a call that was never sent counts as cut off");
+        "a call that was never sent counts as interrupted");
     assertEquals(2, gate.call(() -> counters.get("index.calls")));
     assertEquals(2, gate.call(() -> counters.get("index.connections")));
   }
--- a/src/test/java/rosecleat/pool/InstancePoolTest.java
+++ b/src/test/java/rosecleat/pool/InstancePoolTest.java
@@ -13,7 +13,7 @@
 import rosecleat.pool.InstancePool.InstanceSpec;
 import rosecleat.pool.InstancePool.PooledInstance;
 
-/** Which instance is acquired, as instances come, go, drain and fill. */
+/** Choice of an instance as instances are added, removed, drained and filled. */
 class InstancePoolTest {
   private final InstancePool pool = new InstancePool("here", new SplittableRandom(1));
 
@@ -48,7 +48,8 @@
   @Test
   void outstandingWorkPerWeightDecidesNotRequestCount() {
     pool.update(List.of(listed("small", "here", 1, true), listed("large", "here", 4, true)));
-    pool.acquire(100); // the two choices are all there are: one has it now
+    // both instances are compared each time, and the one of larger weight receives both requests
+    pool.acquire(100);
     pool.acquire(100);
     Map<String, Double> workByInstance = new HashMap<>();
     for (int i = 0; i < 400; i++) {
@@ -68,7 +69,7 @@
     pool.release(first, 5);
     assertEquals(0, first.outstanding());
     pool.update(List.of(listed("a", "here", 1, true)));
-    assertEquals(first, pool.acquire(1)); // the same instance, with what is out at it
+    assertEquals(first, pool.acquire(1)); // the same instance, with its outstanding work
     pool.update(List.of());
     assertTrue(pool.isEmpty());
     assertNull(pool.acquire(1));
--- a/src/test/java/rosecleat/registry/RegistryClientTest.java
+++ b/src/test/java/rosecleat/registry/RegistryClientTest.java
@@ -16,7 +16,10 @@
 import rosecleat.net.EventLoop;
 import rosecleat.net.LoopGate;
 
-/** Reports that meet the end of their connection, a failing registry, and interim responses. */
+/**
+ * Reports whose connection ends, whose registry fails, or which are answered with interim
+ * responses.
+ */
 class RegistryClientTest {
   private final Log log = new Log(System.err);
   private final FakeRegistry registry = new FakeRegistry();
@@ -50,7 +53,10 @@
     return gate.call(() -> counters.get(name));
   }
 
-  /** The connection has ended, and the client learns of it only after it is told to drain. */
+  /**
+   * Guards against a drain report that waits for a response on a dead connection: the connection
+   * has ended, but its handler is notified only after draining starts.
+   */
   @Test
   void drainReportIsNotSentOnClosedConnectionBeforeItsHandlerRuns() throws Exception {
     gate.run(client::start);
@@ -69,7 +75,10 @@
     assertTrue(registry.reports.get(1).contains("off"), registry.reports.toString());
   }
 
-  /** The registry drops nodes that keep silent, so the repeat must not wait for its turn. */
+  /**
+   * The registry removes nodes that stop reporting, so a retry must not wait for the next regular
+   * report.
+   */
   @Test
   void failedReportIsRetriedBeforeNextInterval() {
     registry.mood = "503";
@@ -78,7 +87,8 @@
     long failedNs = System.nanoTime();
     registry.mood = "204";
     Await.until(() -> count("roster.reports") == 1);
-    assertTrue(System.nanoTime() - failedNs < 600_000_000, "it waited for the next second");
+    assertTrue(
+        System.nanoTime() - failedNs < 600_000_000, "the retry waited for the next regular report");
   }
 
   @Test
--- a/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
+++ b/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
@@ -14,25 +14,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What two processes may take of the limits of one node. */
+/** Division of one node's limits between two processes. */
 class PeerLoadReportsTest {
   private static final ResourceAmounts LIMITS = new ResourceAmounts(10, 1_000, 100);
 
   @TempDir Path folder;
 
   /**
-   * Guards the shared index: what a process that is gone took is still in the span over which calls
-   * are counted.
+   * Guards against overloading the shared index: calls of a process that has ended are still within
+   * the window over which calls are counted.
    */
   @Test
   void callsOfEndedProcessCountUntilTheirWindowIsOver() throws IOException {
     PeerLoadReports predecessor = new PeerLoadReports(folder, 1);
     PeerLoadReports successor = new PeerLoadReports(folder, 2);
     successor.read(1, 1);
+    // the predecessor may use all limits until it has reported
     assertEquals(
-        ResourceAmounts.NONE,
-        successor.grant(
-            LIMITS, ResourceAmounts.NONE, false, false, 1)); // the old one may take all as yet
+        ResourceAmounts.NONE, successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 1));
     assertEquals(
         new ResourceAmounts(9, 600, 60),
         predecessor.grant(LIMITS, new ResourceAmounts(8, 200, 20), true, false, 1));
@@ -41,9 +40,10 @@
     assertEquals(
         new ResourceAmounts(1, 400, 40),
         successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 2));
+    // the predecessor has ended
     assertEquals(
         new ResourceAmounts(2, 1_000, 100),
-        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 1_500_000)); // gone
+        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 1_500_000));
     assertEquals(
         new ResourceAmounts(2.5, 1_000, 100),
         successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 2_900_000));
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Whatever is read how late, and though each takes all it may at once: together they keep to the
-   * whole.
+   * The usage of both processes together stays within the limits, however late reports are read and
+   * even if each process uses its whole grant at once.
    */
   @Property(tries = 200, seed = "20261203")
   void usageOfBothProcessesStaysWithinLimits(
--- a/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
+++ b/src/test/java/rosecleat/takeover/SymlinkClaimsTest.java
@@ -53,7 +53,7 @@
     assertEquals(10, ownedByPeer.untilUs());
     assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.status("k"));
     assertEquals(new IdempotencyClaims.Pending(), secondClaims.peerRun("k"));
-    firstClaims.completed("k", new byte[0]); // an empty result is one
+    firstClaims.completed("k", new byte[0]); // an empty result is a result
     assertArrayEquals(
         new byte[0],
         assertInstanceOf(IdempotencyClaims.Completed.class, secondClaims.peerRun("k")).result());
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Guards what a killed process may have run: nobody runs it again, and nobody waits for it for
-   * ever.
+   * Guards runs that may have executed in a killed process: no process runs them again or waits for
+   * them forever.
    */
   @Test
   void claimOfDeadOwnerStaysWithoutResult() throws IOException {
@@ -79,7 +79,8 @@
   }
 
   /**
-   * Guards the node's memory, which files take part of: what has lapsed goes, a dead owner's too.
+   * Guards the node's memory, which includes files: expired claims are removed, also those of a
+   * dead owner.
    */
   @Test
   void expiredClaimsAreRemovedAndRenewedOnesStay() throws IOException {
@@ -88,7 +89,7 @@
     firstClaims.claim("old", BODY, 10);
     firstClaims.completed("old", new byte[] {7});
     firstClaims.claim("anew", BODY, 10);
-    firstClaims.claim("anew", BODY, 30); // the next window of one key
+    firstClaims.claim("anew", BODY, 30); // the next window of the same key
     firstClaims.claim("dead", BODY, 10);
     firstClaims.expire(16, true);
     assertInstanceOf(IdempotencyClaims.Unclaimed.class, secondClaims.status("old"));
@@ -97,7 +98,8 @@
         assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, secondClaims.status("anew"))
             .untilUs());
     first.close();
-    secondClaims.expire(34, false); // an older process may live: not this one's to delete
+    // an older process may be alive, so this process does not delete the claim
+    secondClaims.expire(34, false);
     assertInstanceOf(IdempotencyClaims.OwnedByPeer.class, secondClaims.status("anew"));
     secondClaims.expire(36, true);
     assertInstanceOf(IdempotencyClaims.Unclaimed.class, secondClaims.status("anew"));
@@ -119,8 +121,10 @@
     assertArrayEquals(
         BODY,
         assertInstanceOf(IdempotencyClaims.Completed.class, secondClaims.peerRun("k4")).result());
-    assertEquals(new IdempotencyClaims.Pending(), secondClaims.peerRun("k5"), "its run goes on");
-    assertTrue(System.nanoTime() - start < 8_192 * 1_000_000L, "a claim takes over a millisecond");
+    assertEquals(
+        new IdempotencyClaims.Pending(), secondClaims.peerRun("k5"), "the run is in progress");
+    assertTrue(
+        System.nanoTime() - start < 8_192 * 1_000_000L, "a claim takes more than a millisecond");
     firstClaims.expire(10_000_000, true);
     assertInstanceOf(IdempotencyClaims.Owned.class, firstClaims.claim("more", BODY, 10));
   }
--- a/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
+++ b/src/test/java/rosecleat/takeover/TakeoverFilesTest.java
@@ -38,7 +38,7 @@
   private static final Path EARLIER_VERSION_FILES =
       Path.of("src/test/resources/rosecleat/takeover/written-by-a6781e5");
 
-  /** The end of the first claim's window; each further claim ends a microsecond later (us). */
+  /** The end of the first claim's window; each further claim ends one microsecond later (us). */
   private static final long UNTIL_US = 1_760_000_000_000_000L;
 
   private static final ResourceAmounts LIMITS = new ResourceAmounts(10.5, 196_608, 100);
@@ -153,7 +153,7 @@
     }
   }
 
-  /** The calls that made the files of the earlier version. */
+  /** Repeats the calls that produced the files of the earlier version. */
   private static void writeAsTwoProcesses(TakeoverCoordinator first, TakeoverCoordinator second) {
     first.markServing();
     second.markServing();
@@ -178,7 +178,10 @@
     second.claims().claim("of-the-second", digest(), UNTIL_US + 6);
   }
 
-  /** Reads all claims of the earlier version that do not depend on whether their owners live. */
+  /**
+   * Reads all claims of the earlier version whose state does not depend on whether their owners are
+   * alive.
+   */
   private static void readClaims(IdempotencyClaims claims) {
     readClaim(claims, "served", digest(), UNTIL_US);
     readClaim(claims, "served-empty", digest(), UNTIL_US + 1);
@@ -231,7 +234,7 @@
     Files.copy(EARLIER_VERSION_FILES.resolve("files/rosecleat").resolve(name), file(name));
   }
 
-  /** Puts the files of the earlier version into a folder, symbolic links too. */
+  /** Restores the files of the earlier version, including symbolic links, in a folder. */
   private static void restore(Path target) throws IOException {
     Path files = EARLIER_VERSION_FILES.resolve("files");
     try (Stream<Path> all = Files.walk(files)) {
@@ -246,7 +249,7 @@
     }
   }
 
-  /** What stands under a folder: each path with its kind and its bytes or target. */
+  /** Returns the contents of a folder: each path with its kind and its bytes or link target. */
   private static Map<String, String> snapshot(Path folder) throws IOException {
     Map<String, String> snapshot = new TreeMap<>();
     try (Stream<Path> all = Files.walk(folder)) {
