--- a/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
+++ b/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
@@ -60,42 +60,39 @@
       @ForAll @IntRange(max = 10) int initialCalls)
       throws IOException {
     Path shared = Files.createTempDirectory("loads");
-    PeerLoadReports predecessor = new PeerLoadReports(shared, 1);
-    PeerLoadReports successor = new PeerLoadReports(shared, 2);
-    double predecessorCalls = initialCalls;
-    double successorCalls = 0;
-    double predecessorGrant = LIMITS.calls();
-    double successorGrant = 0;
+    PeerLoadReports first = new PeerLoadReports(shared, 1);
+    PeerLoadReports second = new PeerLoadReports(shared, 2);
+    double firstCalls = initialCalls;
+    double secondCalls = 0;
+    double firstGrant = LIMITS.calls();
+    double secondGrant = 0;
     long now = 0;
     for (int step : steps) {
       now++;
       switch (step) {
         case 0 ->
-            predecessorGrant =
-                predecessor
-                    .grant(LIMITS, new ResourceAmounts(predecessorCalls, 0, 0), true, false, now)
+            firstGrant =
+                first
+                    .grant(LIMITS, new ResourceAmounts(firstCalls, 0, 0), true, false, now)
                     .calls();
         case 1 -> {
-          predecessorGrant =
-              predecessor
-                  .grant(LIMITS, new ResourceAmounts(predecessorCalls, 0, 0), true, true, now)
-                  .calls();
-          predecessor.write(List.of(predecessorCalls));
+          firstGrant =
+              first.grant(LIMITS, new ResourceAmounts(firstCalls, 0, 0), true, true, now).calls();
+          first.write(List.of(firstCalls));
         }
         case 2 -> {
-          successor.read(1, now);
-          successorGrant =
-              successor
-                  .grant(LIMITS, new ResourceAmounts(successorCalls, 0, 0), false, false, now)
+          second.read(1, now);
+          secondGrant =
+              second
+                  .grant(LIMITS, new ResourceAmounts(secondCalls, 0, 0), false, false, now)
                   .calls();
         }
-        case 3 -> predecessorCalls = Math.max(predecessorCalls, predecessorGrant);
-        case 4 -> successorCalls = Math.max(successorCalls, successorGrant);
-        default -> predecessorCalls /= 2;
+        case 3 -> firstCalls = Math.max(firstCalls, firstGrant);
+        case 4 -> secondCalls = Math.max(secondCalls, secondGrant);
+        default -> firstCalls /= 2;
       }
       assertTrue(
-          predecessorCalls + successorCalls <= LIMITS.calls() + 1e-9,
-          predecessorCalls + " and " + successorCalls);
+          firstCalls + secondCalls <= LIMITS.calls() + 1e-9, firstCalls + " and " + secondCalls);
     }
     Files.deleteIfExists(shared.resolve("load-1"));
     Files.delete(shared);
