--- a/src/main/java/rosecleat/takeover/SymlinkClaims.java
+++ b/src/main/java/rosecleat/takeover/SymlinkClaims.java
@@ -22,37 +22,37 @@
 /**
  * Claims of idempotency keys as files in a folder that the processes of a node share.
  *
- * <p>A claim is a symbolic link named by the key's hash; its target names owner, end of the window
- * and digest of the body ({@link ClaimTarget}). Creating a link is atomic, succeeds for one process
- * alone and takes no page of memory. The result of the run is a file beside the link, put there by
- * an atomic move. Both are removed once no retry can ask for them any more.
+ * <p>A claim is a symbolic link named by the key's hash; its target states the owner, the end of
+ * the window and the digest of the body ({@link ClaimTarget}). Creating a link is atomic, succeeds
+ * in only one process and uses no memory page. The result of the run is a file beside the link, put
+ * in place by an atomic move. Both are removed once no retry can refer to them any more.
  */
 final class SymlinkClaims implements IdempotencyClaims {
   /**
-   * Claims of this process at a time: files count as memory of the node. Beyond that no request
-   * with an idempotency key is started.
+   * Maximum number of claims of this process at a time, because files count towards the memory of
+   * the node. Beyond it, no request with an idempotency key is started.
    */
   private static final int MAX_CLAIMS = 8_192;
 
   /**
-   * Results kept at a time, some 4 KB each. Where one had to be dropped, retries at another process
-   * fail rather than run again.
+   * Maximum number of results retained at a time, about 4 KB each. After a result has been dropped,
+   * retries at another process fail rather than run again.
    */
   private static final int MAX_RESULTS = 2_048;
 
-  /** How long claims outlast their window unless told otherwise (us). */
+  /** Time for which claims are retained after their window, unless set otherwise (us). */
   private static final long DEFAULT_RETENTION_US = 3_000_000;
 
   private static final String RESULT_SUFFIX = ".result";
 
-  /** The first byte of a file with a result: an empty result and no result differ by it. */
+  /** First byte of a file with a result; it distinguishes an empty result from no result. */
   private static final byte RESULT_MARK = '+';
 
   private static final byte[] NO_RESULT = new byte[0];
 
   private static final HexFormat HEX = HexFormat.of();
 
-  /** A claim of this process in the order in which claims were made. */
+  /** The expiry of a claim of this process; kept in the order in which the claims were made. */
   private record Expiry(String file, long untilUs) {}
 
   private final Path folder;
@@ -64,7 +64,7 @@
   private final ArrayDeque<Expiry> expiries = new ArrayDeque<>();
   private final ArrayDeque<String> resultFiles = new ArrayDeque<>();
   private long retentionUs = DEFAULT_RETENTION_US;
-  private boolean peersClaimsRemain;
+  private boolean peerClaimsRemain;
 
   SymlinkClaims(Path folder, ProcessMarkers markers, Counters counters, Log log)
       throws IOException {
@@ -73,12 +73,12 @@
     this.counters = counters;
     this.log = log;
     temporary = folder.resolve("scratch-" + markers.ownNumber());
-    peersClaimsRemain = markers.ownNumber() > 1;
+    peerClaimsRemain = markers.ownNumber() > 1;
   }
 
-  /** Sets how long claims outlast their window (us), for retries that are read late. */
-  void setRetentionUs(long fresh) {
-    retentionUs = fresh;
+  /** Sets how long claims are retained after their window (us), for retries that are read late. */
+  void setRetentionUs(long newRetentionUs) {
+    retentionUs = newRetentionUs;
   }
 
   @Override
@@ -109,7 +109,7 @@
       return status(readClaim(file));
     } catch (IOException e) {
       counters.add("claims.failed");
-      log.warn("a key could not be claimed: " + e);
+      log.warn("could not claim an idempotency key: " + e);
       return new Unclaimed();
     }
     ownedUntilUs.put(file, untilUs);
@@ -123,7 +123,8 @@
       Files.createSymbolicLink(folder.resolve(file), target);
       return;
     }
-    // this process owns the key from an earlier window: no peer may take it in between
+    // this process owns the key from an earlier window: the link is replaced atomically, so that no
+    // peer can claim the key in between
     Files.deleteIfExists(resultFile(file));
     Files.createSymbolicLink(temporary, target);
     Files.move(temporary, folder.resolve(file), StandardCopyOption.ATOMIC_MOVE);
@@ -170,7 +171,7 @@
       Files.move(temporary, resultFile(file), StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
       counters.add("claims.failed");
-      log.warn("a result could not be shared: " + e);
+      log.warn("could not write the result of a claimed key: " + e);
     }
   }
 
@@ -195,43 +196,48 @@
     }
   }
 
-  /** The owner may write its result and end while this runs, so its lock is probed first. */
+  /**
+   * Returns the state of a run whose result file did not exist. The owner may write its result and
+   * end while this method runs, so its lock is probed before the result file.
+   */
   private PeerRun peerRunWithoutResult(String file) {
     Optional<ClaimTarget> claim = readClaim(file);
     if (claim.isEmpty()) {
       return new NeverRan();
     }
-    boolean mayStillCome = markers.isAlive(claim.get().owner()) || Files.exists(resultFile(file));
-    return mayStillCome ? new Pending() : new NoResult();
+    boolean mayStillArrive = markers.isAlive(claim.get().owner()) || Files.exists(resultFile(file));
+    return mayStillArrive ? new Pending() : new NoResult();
   }
 
   /**
-   * Removes the expired claims of this process, and those of dead ones where no predecessor lives.
+   * Removes the expired claims of this process and, if no predecessor is alive, those of dead
+   * processes.
    */
   void expire(long nowUs, boolean isOldest) {
     while (!expiries.isEmpty() && hasExpired(expiries.peek().untilUs, nowUs)) {
       Expiry expired = expiries.remove();
-      // otherwise the key was claimed again for a later window, or released
+      // if the values differ, the key was claimed again for a later window or released
       if (ownedUntilUs.remove(expired.file, expired.untilUs)) {
         resultFiles.remove(expired.file);
         delete(expired.file);
       }
     }
     try {
-      if (isOldest && (peersClaimsRemain || markers.processNumbers().size() > 1)) {
+      if (isOldest && (peerClaimsRemain || markers.processNumbers().size() > 1)) {
         expireClaimsOfDeadProcesses(nowUs);
       }
     } catch (IOException e) {
-      log.warn("old claims could not be listed: " + e);
+      log.warn("could not list claims of dead processes: " + e);
     }
   }
 
   /**
-   * Only the oldest live process does this: with two of them, one could delete a claim that a third
-   * process has made since the other deleted its predecessor.
+   * Removes the expired claims of dead processes. Only the oldest live process does this: with two
+   * processes doing it, one could delete a claim that a third process has made after the other had
+   * deleted its expired predecessor.
    */
   private void expireClaimsOfDeadProcesses(long nowUs) throws IOException {
-    peersClaimsRemain = false;
+    peerClaimsRemain = false;
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
       for (Path path : files) {
         String file = path.getFileName().toString();
@@ -239,7 +245,7 @@
           continue;
         }
         Optional<ClaimTarget> claim = readClaim(file);
-        peersClaimsRemain |= claim.isPresent();
+        peerClaimsRemain |= claim.isPresent();
         if (claim.isPresent()
             && hasExpired(claim.get().untilUs(), nowUs)
             && !markers.isAlive(claim.get().owner())) {
@@ -258,7 +264,7 @@
       Files.deleteIfExists(folder.resolve(file));
       Files.deleteIfExists(resultFile(file));
     } catch (IOException e) {
-      log.warn("a claim could not be taken away: " + e);
+      log.warn("could not delete a claim: " + e);
     }
   }
 
@@ -279,7 +285,7 @@
       return HEX.formatHex(
           MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // each Java platform has it
+      throw new IllegalStateException(e); // every Java platform provides SHA-256
     }
   }
 }
--- a/src/test/java/rosecleat/node/DescriptorLimitTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -74,7 +74,7 @@
       process = process(descriptors, runtime.port(), index.port(), registryPort, listen);
       await(
           "node does not listen",
-          () -> log().contains("listens on") && log().contains("the runtime is up"));
+          () -> log().contains("listens on") && log().contains("runtime is ready"));
       openIdleConnections(2 * descriptors, listen);
       try (RespClient balancer = new RespClient(listen, null)) {
         assertEquals("OK", answer(balancer, "balance-check"));
@@ -118,7 +118,7 @@
       process = process(descriptors, runtime.port(), index.port(), registry.port(), listen);
       await(
           "node does not listen",
-          () -> log().contains("listens on") && log().contains("the runtime is up"));
+          () -> log().contains("listens on") && log().contains("runtime is ready"));
       int maxConnections =
           DescriptorBudget.of(descriptors, 0, TestSite.CALLS_OUT, false).balancers();
       openIdleConnections(8 * maxConnections, listen);
