--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -63,7 +63,7 @@
         cluster.link = (from, to) -> from % parts == to % parts;
       }
       case 2 -> cluster.link = (from, to) -> from != peer.index; // hears all, is not heard
-      case 3 -> peer.pause((1 + cluster.random.nextInt(12)) * SimulatedCluster.PERIOD);
+      case 3 -> peer.pause((1 + cluster.random.nextInt(12)) * SimulatedCluster.PERIOD_US);
       case 4 -> {
         if (cluster.running().size() > 2) {
           peer.crash();
@@ -82,7 +82,7 @@
   @Test
   void viewsAreSettledWronglyNoLongerThanDetectionTakes() {
     for (long seed = 1; seed <= 20; seed++) {
-      SimulatedCluster cluster = new SimulatedCluster(20, seed).acquainted();
+      SimulatedCluster cluster = new SimulatedCluster(20, seed).startedWithFullViews();
       cluster.run(10);
       assertTrue(cluster.allSettled());
       MemberId id = cluster.peers.get(7).protocol.localId();
@@ -118,7 +118,7 @@
 
   @Test
   void aRestartWithAnEarlierClockIsTakenForTheLaterStart() {
-    SimulatedCluster cluster = new SimulatedCluster(4, 9).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(4, 9).startedWithFullViews();
     SimulatedCluster.Peer restarted = cluster.peers.get(3);
     long formerEpoch = restarted.protocol.localId().epoch();
     restarted.crash();
@@ -136,7 +136,7 @@
   /** Records become equal everywhere, also after a partition, and expire with their owners. */
   @Test
   void recordsConvergeAndExpireWithTheirOwners() {
-    SimulatedCluster cluster = new SimulatedCluster(12, 4).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(12, 4).startedWithFullViews();
     cluster.link = (from, to) -> from % 2 == to % 2;
     cluster.run(20);
     cluster.peers.forEach(peer -> publishVersions(cluster, peer));
@@ -170,7 +170,7 @@
   /** Whatever comes, nothing is thrown, and nobody is held for dead on its ground. */
   @Test
   void malformedAndForgedMessagesOnlyAddToCounters() {
-    SimulatedCluster cluster = new SimulatedCluster(6, 2).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(6, 2).startedWithFullViews();
     SimulatedCluster.Peer victim = cluster.peers.get(0);
     SimulatedCluster.Peer other = cluster.peers.get(1);
     Random random = new Random(3);
@@ -207,7 +207,7 @@
 
   private static byte[] validDatagram(SimulatedCluster cluster, SimulatedCluster.Peer peer) {
     peer.protocol.publish("x", "", new byte[10], 1_000, cluster.nowUs);
-    peer.protocol.onTimer(cluster.nowUs + SimulatedCluster.PERIOD);
+    peer.protocol.onTimer(cluster.nowUs + SimulatedCluster.PERIOD_US);
     byte[] valid = null;
     for (Effect effect : peer.protocol.drainEffects()) {
       valid = effect instanceof Effect.SendDatagram send ? send.payload() : valid;
@@ -263,7 +263,7 @@
         new LocalNode(CLUSTER, new MemberId("a", 1), new Endpoint("10.0.0.1", 1), "", List.of());
     MembershipProtocol protocol =
         new MembershipProtocol(
-            local, Tuning.of(SimulatedCluster.PERIOD), new SplittableRandom(1), 1);
+            local, Tuning.of(SimulatedCluster.PERIOD_US), new SplittableRandom(1), 1);
     for (int i = 0; i < 5_000; i++) {
       Endpoint endpoint = new Endpoint("10.1." + i / 250 + "." + i % 250, 7);
       MemberUpdateMessage sender = aliveAt(new MemberId("m" + i, 1), endpoint);
--- a/src/test/java/rosecleat/fleet/SimulatedCluster.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -19,7 +19,7 @@
  */
 public final class SimulatedCluster {
   /** The protocol period (us). */
-  public static final long PERIOD = 1_000_000;
+  public static final long PERIOD_US = 1_000_000;
 
   private static final String CLUSTER = "test";
   private static final int PORT = 7_946;
@@ -163,7 +163,7 @@
   private long eventSequence;
 
   public SimulatedCluster(int size, long seed) {
-    this(size, seed, Tuning.of(PERIOD));
+    this(size, seed, Tuning.of(PERIOD_US));
   }
 
   public SimulatedCluster(int size, long seed, Tuning tuning) {
@@ -183,7 +183,7 @@
   }
 
   /** All start and know one another already, as after a long calm. */
-  public SimulatedCluster acquainted() {
+  public SimulatedCluster startedWithFullViews() {
     started(0);
     for (Peer peer : peers) {
       SyncFrame.Builder allMembers = SyncFrame.newBuilder().setCluster(CLUSTER);
@@ -313,7 +313,7 @@
 
   /** Lets so many periods pass. */
   public void run(double periods) {
-    long endUs = nowUs + (long) (periods * PERIOD);
+    long endUs = nowUs + (long) (periods * PERIOD_US);
     while (!events.isEmpty() && events.peek().atUs <= endUs) {
       Event event = events.poll();
       nowUs = event.atUs;
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -42,14 +42,14 @@
   }
 
   private static double crash(int size, long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(size, seed).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(size, seed).startedWithFullViews();
     cluster.run(cluster.random.nextDouble() * 2);
     MemberId id = crashOne(cluster);
     return cluster.runUntil(60, () -> cluster.allConsiderGone(id));
   }
 
   private static double settled(int size, long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(size, seed).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(size, seed).startedWithFullViews();
     MemberId id = crashOne(cluster);
     cluster.runUntil(60, () -> cluster.allConsiderGone(id));
     return cluster.runUntil(60, cluster::allSettled);
@@ -63,7 +63,7 @@
   }
 
   private static double heal(int size, long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(size, seed).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(size, seed).startedWithFullViews();
     cluster.link = (from, to) -> from % 2 == to % 2;
     cluster.run(30);
     cluster.link = (from, to) -> true;
@@ -71,7 +71,7 @@
   }
 
   private static void idle(int size) {
-    SimulatedCluster cluster = new SimulatedCluster(size, 1).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(size, 1).startedWithFullViews();
     cluster.run(20);
     cluster.messages = 0;
     cluster.bytes = 0;
@@ -109,8 +109,9 @@
   }
 
   private static FalseDeaths countFalseDeaths(boolean localHealth, long seed) {
-    Tuning tuning = new Tuning(SimulatedCluster.PERIOD, localHealth);
-    SimulatedCluster cluster = new SimulatedCluster(PAUSE_MEMBERS, seed, tuning).acquainted();
+    Tuning tuning = new Tuning(SimulatedCluster.PERIOD_US, localHealth);
+    SimulatedCluster cluster =
+        new SimulatedCluster(PAUSE_MEMBERS, seed, tuning).startedWithFullViews();
     cluster.loss = 0.05;
     FalseDeaths sum = new FalseDeaths(0, 0);
     boolean[][] heldForDead = new boolean[PAUSE_MEMBERS][PAUSE_MEMBERS];
@@ -126,8 +127,8 @@
     for (int i = 0; i < PAUSING_MEMBERS; i++) {
       SimulatedCluster.Peer peer = cluster.peers.get(i);
       if (cluster.nowUs > peer.pausedUntilUs && cluster.random.nextInt(8) == 0) {
-        long extraUs = cluster.random.nextLong(4 * SimulatedCluster.PERIOD);
-        peer.pause(SimulatedCluster.PERIOD + extraUs);
+        long extraUs = cluster.random.nextLong(4 * SimulatedCluster.PERIOD_US);
+        peer.pause(SimulatedCluster.PERIOD_US + extraUs);
       }
     }
   }
