--- a/src/main/java/rosecleat/fleet/AntiEntropy.java
+++ b/src/main/java/rosecleat/fleet/AntiEntropy.java
@@ -58,7 +58,7 @@
 
   /** Once a period: opens a sync that is due. */
   void onPeriod(long round, long nowUs) {
-    boolean alone = context.members().othersCount() == 0;
+    boolean alone = context.members().activePeerCount() == 0;
     if (alone && hasSeeds()) {
       startSync(seeds.get((int) (round % seeds.size())), SyncReason.SEED, nowUs);
     } else if (round % Tuning.SYNC_INTERVAL_PERIODS == 0 && hasSeeds()) {
--- a/src/main/java/rosecleat/fleet/Dissemination.java
+++ b/src/main/java/rosecleat/fleet/Dissemination.java
@@ -62,7 +62,7 @@
   }
 
   int usualTransmissions() {
-    return Tuning.transmissions(context.members().othersCount() + 1);
+    return Tuning.transmissions(context.members().activePeerCount() + 1);
   }
 
   /** Drops what is queued on a member's state. */
--- a/src/main/java/rosecleat/fleet/FailureDetector.java
+++ b/src/main/java/rosecleat/fleet/FailureDetector.java
@@ -184,7 +184,7 @@
     }
     context.effects().count(MembershipCounter.PROBE_FAILED);
     if (probe.purpose == Probe.Purpose.VERIFICATION) {
-      if (target.lastHeardUs < nowUs - 2 * context.periodUs()) {
+      if (target.lastMessageUs < nowUs - 2 * context.periodUs()) {
         listener.deathVerified(target, nowUs);
       }
       return;
@@ -192,7 +192,7 @@
     if (probe.purpose == Probe.Purpose.DETECTION && probe.nacks < probe.relaysAsked) {
       localHealth.adjust(1); // relays sent no nack either: it may be this process that is cut off
     }
-    if (target.lastHeardUs < nowUs - context.periodUs()) {
+    if (target.lastMessageUs < nowUs - context.periodUs()) {
       listener.targetUnresponsive(target, nowUs);
     }
   }
@@ -223,7 +223,7 @@
       sender.send(probe.requester.endpoint(), sender.newDatagram().setAck(ack));
     } else if (probe.purpose == Probe.Purpose.DETECTION) {
       localHealth.adjust(-1);
-      probe.target.lastHeardUs = nowUs;
+      probe.target.lastMessageUs = nowUs;
     }
   }
 
--- a/src/main/java/rosecleat/fleet/Gossip.java
+++ b/src/main/java/rosecleat/fleet/Gossip.java
@@ -20,9 +20,9 @@
 
   /** Runs a round; more members are told at a time where many updates are queued. */
   void runRound(long nowUs) {
-    refutations.sendSome();
+    refutations.sendBatch();
     long queuedBytes = dissemination.queuedBytes();
-    if (queuedBytes > 0 && context.members().othersCount() > 0) {
+    if (queuedBytes > 0 && context.members().activePeerCount() > 0) {
       long fanout = Tuning.GOSSIP_FANOUT + queuedBytes / Tuning.MAX_DATAGRAM_BYTES;
       sendTo((int) Math.min(Tuning.MAX_GOSSIP_FANOUT, fanout));
     }
--- a/src/main/java/rosecleat/fleet/Member.java
+++ b/src/main/java/rosecleat/fleet/Member.java
@@ -24,7 +24,7 @@
   long stateSinceUs;
 
   /** When something last came from the member itself. */
-  long lastHeardUs = LONG_AGO;
+  long lastMessageUs = LONG_AGO;
 
   /** The hashes of the members whose probes of it failed, while it is suspected. */
   Set<Long> witnesses = Set.of();
--- a/src/main/java/rosecleat/fleet/MemberList.java
+++ b/src/main/java/rosecleat/fleet/MemberList.java
@@ -55,7 +55,7 @@
   }
 
   /** How many others are active. */
-  int othersCount() {
+  int activePeerCount() {
     return ring.size();
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Makes room for a new member by the one that has been gone longest; false where none is. */
-  boolean removeLongestGone() {
+  boolean removeLongestInactive() {
     Member longest = null;
     for (Member member : inactive) {
       if (longest == null || member.stateSinceUs < longest.stateSinceUs) {
--- a/src/main/java/rosecleat/fleet/MemberReaper.java
+++ b/src/main/java/rosecleat/fleet/MemberReaper.java
@@ -26,7 +26,7 @@
     for (Member member : List.copyOf(context.members().inactive())) {
       if (isExpired(member, nowUs)) {
         context.members().remove(member);
-        selfUpdates.forgetNameConflict(member.id);
+        selfUpdates.clearNameConflict(member.id);
         context.effects().viewChanged();
       }
     }
--- a/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
@@ -8,7 +8,7 @@
  */
 final class MemberUpdateHandler {
   /** A member that was heard of within so many periods is verified before it is held for dead. */
-  private static final int RECENTLY_HEARD_PERIODS = 2;
+  private static final int RECENT_MESSAGE_PERIODS = 2;
 
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -81,21 +81,21 @@
     boolean same = update.incarnation() == member.incarnation;
     if (same
         && member.state == MemberState.ALIVE
-        && (source == MemberUpdate.Source.SYNC || wasHeardRecently(member, nowUs))) {
+        && (source == MemberUpdate.Source.SYNC || hasRecentMessage(member, nowUs))) {
       verifyDeath(member, nowUs);
     } else if ((newer && member.state != MemberState.LEFT) || (same && member.state.isActive())) {
-      markGone(member, MemberState.DEAD, update.incarnation(), nowUs);
+      markInactive(member, MemberState.DEAD, update.incarnation(), nowUs);
     }
   }
 
-  private boolean wasHeardRecently(Member member, long nowUs) {
-    return nowUs - member.lastHeardUs < RECENTLY_HEARD_PERIODS * context.periodUs();
+  private boolean hasRecentMessage(Member member, long nowUs) {
+    return nowUs - member.lastMessageUs < RECENT_MESSAGE_PERIODS * context.periodUs();
   }
 
   private void onLeft(Member member, MemberUpdate update, long nowUs) {
     if (update.incarnation() > member.incarnation
         || (update.incarnation() == member.incarnation && member.state != MemberState.LEFT)) {
-      markGone(member, MemberState.LEFT, update.incarnation(), nowUs);
+      markInactive(member, MemberState.LEFT, update.incarnation(), nowUs);
     }
   }
 
@@ -140,7 +140,7 @@
   }
 
   /** Marks a member dead or left. */
-  void markGone(Member member, MemberState state, long incarnation, long nowUs) {
+  void markInactive(Member member, MemberState state, long incarnation, long nowUs) {
     boolean wasActive = member.state.isActive();
     context
         .members()
@@ -169,7 +169,7 @@
 
   private void join(MemberUpdate update, MemberUpdate.Source source, long nowUs) {
     MemberList members = context.members();
-    if (members.size() >= Tuning.MAX_MEMBERS && !members.removeLongestGone()) {
+    if (members.size() >= Tuning.MAX_MEMBERS && !members.removeLongestInactive()) {
       context.effects().count(MembershipCounter.MEMBERS_FULL);
       return;
     }
--- a/src/main/java/rosecleat/fleet/MembershipProtocol.java
+++ b/src/main/java/rosecleat/fleet/MembershipProtocol.java
@@ -80,7 +80,7 @@
 
     @Override
     public void deathVerified(Member target, long nowUs) {
-      memberUpdates.markGone(target, MemberState.DEAD, target.incarnation, nowUs);
+      memberUpdates.markInactive(target, MemberState.DEAD, target.incarnation, nowUs);
     }
   }
 
--- a/src/main/java/rosecleat/fleet/MessageReceiver.java
+++ b/src/main/java/rosecleat/fleet/MessageReceiver.java
@@ -42,7 +42,7 @@
       return;
     }
     Member sender = handleSender(from, nowUs);
-    noteReport(sender, from, datagram.getViewDigest(), nowUs);
+    storeReportedDigest(sender, from, datagram.getViewDigest(), nowUs);
     handleMembers(datagram.getMembersList(), MemberUpdate.Source.GOSSIP, nowUs);
     datagram.getRecordsList().forEach(each -> records.receive(each, nowUs));
     handleBody(from.endpoint(), datagram, nowUs);
@@ -94,16 +94,16 @@
     memberUpdates.handle(from, MemberUpdate.Source.GOSSIP, nowUs);
     Member sender = context.members().get(from.id());
     if (sender != null && sender != context.self()) {
-      sender.lastHeardUs = nowUs;
+      sender.lastMessageUs = nowUs;
       if (sender.state.isActive()) {
-        convergence.heardFromActive(nowUs);
+        convergence.onMessageFromActiveMember(nowUs);
       }
     }
     return sender;
   }
 
   /** Notes the digest that a sender reports; one that is held for dead here may refute that. */
-  private void noteReport(Member sender, MemberUpdate from, long digest, long nowUs) {
+  private void storeReportedDigest(Member sender, MemberUpdate from, long digest, long nowUs) {
     if (sender == null || sender == context.self()) {
       return;
     }
--- a/src/main/java/rosecleat/fleet/RefutationRequests.java
+++ b/src/main/java/rosecleat/fleet/RefutationRequests.java
@@ -11,7 +11,7 @@
  */
 final class RefutationRequests {
   private static final int MAX_QUEUED = 4_096;
-  private static final int MAX_IN_ONE_ROUND = 12;
+  private static final int MAX_REQUESTS_PER_ROUND = 12;
 
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -50,8 +50,8 @@
   }
 
   /** Pings the next few members that are still listed. */
-  void sendSome() {
-    for (int sent = 0; sent < MAX_IN_ONE_ROUND && !queue.isEmpty(); sent++) {
+  void sendBatch() {
+    for (int sent = 0; sent < MAX_REQUESTS_PER_ROUND && !queue.isEmpty(); sent++) {
       Member member = queue.poll();
       queued.remove(member);
       if (context.members().get(member.id) == member && !context.isLeaving()) {
--- a/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
@@ -11,7 +11,7 @@
   private static final int MAX_NAME_CONFLICTS = 64;
 
   /** The next epoch is drawn from so many, since the other process moves on too. */
-  private static final int EPOCH_SPREAD = 1_000;
+  private static final int MAX_EPOCH_INCREMENT = 1_000;
 
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -51,7 +51,7 @@
         && update.state().isActive()
         && update.incarnation() >= self.incarnation) {
       context.effects().count(MembershipCounter.EPOCH_CONFLICT);
-      changeEpoch(self.id.epoch() + 1 + context.random().nextInt(EPOCH_SPREAD), nowUs);
+      changeEpoch(self.id.epoch() + 1 + context.random().nextInt(MAX_EPOCH_INCREMENT), nowUs);
       return;
     }
     boolean outdated =
@@ -106,7 +106,7 @@
   }
 
   /** Lets a name conflict be reported again, once the other process has been removed. */
-  void forgetNameConflict(MemberId id) {
+  void clearNameConflict(MemberId id) {
     nameConflicts.remove(id);
   }
 
--- a/src/main/java/rosecleat/fleet/SuspicionTracker.java
+++ b/src/main/java/rosecleat/fleet/SuspicionTracker.java
@@ -105,13 +105,13 @@
 
   /** Declares dead whom no timely refutation came from. */
   void expire(long nowUs) {
-    dropSettled();
+    removeResolved();
     for (Member member : List.copyOf(suspects)) {
       if (nowUs >= timeoutUs(member)) {
         declareDead(member, nowUs);
       }
     }
-    dropSettled();
+    removeResolved();
     scheduleTimeouts();
   }
 
@@ -139,12 +139,12 @@
 
   /** Extends all suspicions by the time that this process was paused. */
   void extendTimeouts(long pauseUs) {
-    dropSettled();
+    removeResolved();
     suspects.forEach(member -> member.suspicionStartUs += pauseUs);
     scheduleTimeouts();
   }
 
-  private void dropSettled() {
+  private void removeResolved() {
     suspects.removeIf(member -> member.state != MemberState.SUSPECT);
   }
 
@@ -153,11 +153,14 @@
    * one witness, logarithmically down to the shortest with all that are wanted.
    */
   private long timeoutUs(Member member) {
-    int others = context.members().othersCount();
-    int wanted = Math.max(0, Math.min(Tuning.SUSPICION_CONFIRMATIONS, others - 2));
-    int confirmations = Math.min(wanted, member.witnesses.size() - 1);
+    int others = context.members().activePeerCount();
+    int requiredConfirmations = Math.max(0, Math.min(Tuning.SUSPICION_CONFIRMATIONS, others - 2));
+    int confirmations = Math.min(requiredConfirmations, member.witnesses.size() - 1);
     long shortestUs = context.tuning().suspicionUs(others + 1);
-    double progress = wanted == 0 ? 1 : Math.log(confirmations + 1) / Math.log(wanted + 1);
+    double progress =
+        requiredConfirmations == 0
+            ? 1
+            : Math.log(confirmations + 1) / Math.log(requiredConfirmations + 1);
     double durationUs =
         shortestUs * (Tuning.MAX_SUSPICION_FACTOR - (Tuning.MAX_SUSPICION_FACTOR - 1) * progress);
     return member.suspicionStartUs + (long) (durationUs * localHealth.timeoutFactor(HEALTH_STEPS));
--- a/src/main/java/rosecleat/fleet/SyncFrames.java
+++ b/src/main/java/rosecleat/fleet/SyncFrames.java
@@ -47,7 +47,7 @@
   }
 
   /** The records that the other side, by its heads, lacks. */
-  List<RecordUpdateMessage> recordsMissingThere(List<RecordUpdateMessage> theirHeads) {
+  List<RecordUpdateMessage> recordsMissingAtPeer(List<RecordUpdateMessage> theirHeads) {
     Map<FleetRecord.Key, FleetRecord> theirs = new HashMap<>();
     for (RecordUpdateMessage head : theirHeads) {
       WireCodec.decode(head).ifPresent(update -> theirs.put(update.record().id(), update.record()));
@@ -62,11 +62,11 @@
   }
 
   /** The other side's heads of records that this member lacks. */
-  List<RecordUpdateMessage> headsMissingHere(List<RecordUpdateMessage> theirHeads) {
-    return theirHeads.stream().filter(this::isMissingHere).toList();
+  List<RecordUpdateMessage> headsMissingLocally(List<RecordUpdateMessage> theirHeads) {
+    return theirHeads.stream().filter(this::isMissingLocally).toList();
   }
 
-  private boolean isMissingHere(RecordUpdateMessage head) {
+  private boolean isMissingLocally(RecordUpdateMessage head) {
     FleetRecord theirs = WireCodec.decode(head).map(RecordUpdate::record).orElse(null);
     if (theirs == null) {
       return false;
--- a/src/main/java/rosecleat/fleet/SyncSession.java
+++ b/src/main/java/rosecleat/fleet/SyncSession.java
@@ -50,8 +50,8 @@
       return encode(
           frames
               .allMembers()
-              .addAllRecords(frames.recordsMissingThere(received.getHeadsList()))
-              .addAllRequestedHeads(frames.headsMissingHere(received.getHeadsList())));
+              .addAllRecords(frames.recordsMissingAtPeer(received.getHeadsList()))
+              .addAllRequestedHeads(frames.headsMissingLocally(received.getHeadsList())));
     }
     return null;
   }
--- a/src/main/java/rosecleat/fleet/transport/ExchangeConnection.java
+++ b/src/main/java/rosecleat/fleet/transport/ExchangeConnection.java
@@ -14,16 +14,20 @@
   private final SocketChannel channel;
   private final FrameChannel frames;
   private final boolean outbound;
-  private final int openedKind;
+  private final int outboundKind;
   private final long deadlineUs;
   private ExchangeSession session;
   private long lastProgressUs;
 
   private ExchangeConnection(
-      SocketChannel channel, boolean outbound, int openedKind, ExchangeSession session, long now) {
+      SocketChannel channel,
+      boolean outbound,
+      int outboundKind,
+      ExchangeSession session,
+      long now) {
     this.channel = channel;
     this.outbound = outbound;
-    this.openedKind = openedKind;
+    this.outboundKind = outboundKind;
     this.session = session;
     frames = new FrameChannel(channel);
     lastProgressUs = now;
@@ -55,7 +59,7 @@
 
   /** The kind of exchange that frames to the other side carry. */
   int kind() {
-    return outbound ? openedKind : frames.kind();
+    return outbound ? outboundKind : frames.kind();
   }
 
   /** The exchange, empty until the first frame of an inbound connection has come. */
--- a/src/main/java/rosecleat/fleet/transport/MembershipService.java
+++ b/src/main/java/rosecleat/fleet/transport/MembershipService.java
@@ -29,7 +29,7 @@
  */
 public final class MembershipService implements AutoCloseable {
   /** The kind of exchange that synchronizes members and records; others have other numbers. */
-  public static final int MEMBERS = 1;
+  public static final int MEMBERSHIP_EXCHANGE_KIND = 1;
 
   private static final int MAILBOX_CAPACITY = 4_096;
 
@@ -126,7 +126,7 @@
 
   /** Begins. */
   public void start() {
-    exchanges.registerResponder(MEMBERS, protocol::acceptSync);
+    exchanges.registerResponder(MEMBERSHIP_EXCHANGE_KIND, protocol::acceptSync);
     thread.start();
   }
 
@@ -299,7 +299,7 @@
       datagrams.send(send.destination(), send.payload());
     } else if (effect instanceof Effect.StartSync sync) {
       counters.add("meet." + sync.reason().counterName(), 1);
-      startExchange(MEMBERS, sync.peer(), protocol.openSync());
+      startExchange(MEMBERSHIP_EXCHANGE_KIND, sync.peer(), protocol.openSync());
     } else if (effect instanceof Effect.WriteLog entry) {
       writeLog(entry);
     } else if (effect instanceof Effect.IncrementCounter increment) {
--- a/src/test/java/rosecleat/fleet/DisseminationQueueTest.java
+++ b/src/test/java/rosecleat/fleet/DisseminationQueueTest.java
@@ -11,7 +11,7 @@
   private final DisseminationQueue<String> queue = new DisseminationQueue<>();
 
   @Test
-  void updatesSentLeastGoFirstAndOfThoseTheNewest() {
+  void leastTransmittedUpdatesGoFirstAndNewestAmongEquals() {
     queue.add("a", "a", 30, 2);
     assertEquals(List.of("a"), queue.take(30));
     queue.add("b", "b", 30, 2);
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void aNewerUpdateOnASubjectReplacesTheOlderOne() {
+  void newerUpdateReplacesOlderUpdateOfTheSameSubject() {
     queue.add("a", "old", 30, 5);
     queue.add("a", "new", 40, 1);
     assertEquals(40, queue.bytes());
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void anUpdateThatDoesNotFitStaysQueued() {
+  void updateThatDoesNotFitStaysQueued() {
     queue.add("large", "large", 100, 1);
     queue.add("small", "small", 30, 1);
     assertEquals(List.of("small"), queue.take(60));
--- a/src/test/java/rosecleat/fleet/LocalHealthTest.java
+++ b/src/test/java/rosecleat/fleet/LocalHealthTest.java
@@ -7,7 +7,7 @@
 /** The bounds of the score, and what it makes of a timeout. */
 class LocalHealthTest {
   @Test
-  void theScoreStaysWithinItsBounds() {
+  void scoreStaysWithinItsBounds() {
     LocalHealth health = new LocalHealth(new Tuning(1_000, true));
     health.adjust(-1);
     assertEquals(0, health.score());
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void aTimeoutIsTwiceAsLongAfterItsStepsUnlessLocalHealthIsOff() {
+  void timeoutDoublesAfterItsStepsUnlessLocalHealthIsOff() {
     LocalHealth on = new LocalHealth(new Tuning(1_000, true));
     on.adjust(4);
     assertEquals(2, on.timeoutFactor(4));
--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -21,7 +21,7 @@
   private static final String CLUSTER = "test";
 
   /** The largest datagram that may leave a member, with its checksum (bytes). */
-  private static final int MAX_SEALED_DATAGRAM_BYTES = 1_400;
+  private static final int MAX_DATAGRAM_WITH_CHECKSUM_BYTES = 1_400;
 
   /**
    * Loss, partitions, pauses, crashes, joins and restarts from a seed; then calm, and all views
@@ -29,7 +29,7 @@
    */
   @ParameterizedTest
   @CsvSource({"5, 60", "24, 24", "60, 6", "200, 1"})
-  void viewsConvergeAfterAnyFaults(int size, int seeds) {
+  void viewsConvergeAfterRandomFaults(int size, int seeds) {
     for (long seed = 1; seed <= seeds; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(size, seed).started(0, 1);
       cluster.run(cluster.random.nextInt(5));
@@ -42,7 +42,7 @@
       double periods = cluster.runUntil(120, () -> hasConverged(cluster));
       assertTrue(periods >= 0, "size " + size + " seed " + seed + ": " + cluster.counters);
       assertTrue(
-          cluster.largestDatagram <= MAX_SEALED_DATAGRAM_BYTES,
+          cluster.largestDatagram <= MAX_DATAGRAM_WITH_CHECKSUM_BYTES,
           "a datagram of " + cluster.largestDatagram + " bytes");
     }
   }
@@ -80,7 +80,7 @@
 
   /** How long a view may be settled wrongly after a crash, and how soon it is right again. */
   @Test
-  void viewsAreSettledWronglyNoLongerThanDetectionTakes() {
+  void viewsAreFalselySettledNoLongerThanDetectionTakes() {
     for (long seed = 1; seed <= 20; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(20, seed).startedWithFullViews();
       cluster.run(10);
@@ -102,7 +102,7 @@
 
   /** A failure that a seed shows can be played again: nothing draws from outside the seed. */
   @Test
-  void theSameSeedReplaysTheSameTrace() {
+  void equalSeedsReplayEqualTraces() {
     assertEquals(traceOf(5), traceOf(5));
     assertNotEquals(traceOf(5), traceOf(6));
   }
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void aRestartWithAnEarlierClockIsTakenForTheLaterStart() {
+  void restartWithAnEarlierClockIsRecognizedAsTheLaterStart() {
     SimulatedCluster cluster = new SimulatedCluster(4, 9).startedWithFullViews();
     SimulatedCluster.Peer restarted = cluster.peers.get(3);
     long formerEpoch = restarted.protocol.localId().epoch();
@@ -147,9 +147,9 @@
     assertFalse(second.publish("costs", "larger", tooLarge, 20_000, cluster.nowUs));
     cluster.run(5);
     cluster.link = (from, to) -> true;
-    assertTrue(cluster.runUntil(60, () -> allHoldRecords(cluster, 12 * 3 + 1)) >= 0);
+    assertTrue(cluster.runUntil(60, () -> allStoreRecords(cluster, 12 * 3 + 1)) >= 0);
     cluster.peers.get(11).crash();
-    double periods = cluster.runUntil(80, () -> allHoldRecords(cluster, 11 * 3 + 1));
+    double periods = cluster.runUntil(80, () -> allStoreRecords(cluster, 11 * 3 + 1));
     assertTrue(periods > 18, "expired after " + periods);
   }
 
@@ -162,40 +162,41 @@
     peer.run();
   }
 
-  private static boolean allHoldRecords(SimulatedCluster cluster, int count) {
+  private static boolean allStoreRecords(SimulatedCluster cluster, int count) {
     return cluster.running().stream()
         .allMatch(peer -> peer.protocol.recordsOfKind("costs").size() == count);
   }
 
   /** Whatever comes, nothing is thrown, and nobody is held for dead on its ground. */
   @Test
-  void malformedAndForgedMessagesOnlyAddToCounters() {
+  void malformedAndForgedMessagesOnlyIncrementCounters() {
     SimulatedCluster cluster = new SimulatedCluster(6, 2).startedWithFullViews();
     SimulatedCluster.Peer victim = cluster.peers.get(0);
     SimulatedCluster.Peer other = cluster.peers.get(1);
     Random random = new Random(3);
     victim.run();
-    sendGarbage(cluster, victim, random);
+    sendRandomBytes(cluster, victim, random);
     byte[] valid = validDatagram(cluster, victim);
     cluster.run(1);
     sendCorrupted(cluster, other, valid, random);
     Datagram.Builder forged = forgedDatagram(cluster);
-    other.protocol.onDatagram(sealed(forged), cluster.nowUs);
+    other.protocol.onDatagram(withChecksum(forged), cluster.nowUs);
     other.run();
-    double periods = cluster.runUntil(60, () -> cluster.viewsAgree() && listsAreSmall(cluster));
+    double periods =
+        cluster.runUntil(60, () -> cluster.viewsAgree() && memberListsAreSmall(cluster));
     assertTrue(periods >= 0, "they do not agree any more: " + cluster.counters);
-    other.protocol.onDatagram(sealed(forged.setCluster("other")), cluster.nowUs);
+    other.protocol.onDatagram(withChecksum(forged.setCluster("other")), cluster.nowUs);
     other.run();
     assertTrue(
         cluster.counters.get("garbage") > 1_000 && cluster.counters.get("foreign") >= 1,
         cluster.counters.toString());
   }
 
-  private static boolean listsAreSmall(SimulatedCluster cluster) {
+  private static boolean memberListsAreSmall(SimulatedCluster cluster) {
     return cluster.running().stream().allMatch(peer -> peer.protocol.memberCount() < 40);
   }
 
-  private static void sendGarbage(
+  private static void sendRandomBytes(
       SimulatedCluster cluster, SimulatedCluster.Peer victim, Random random) {
     for (int i = 0; i < 5_000; i++) {
       byte[] garbage = new byte[random.nextInt(300)];
@@ -253,12 +254,12 @@
     return WireCodec.encode(new MemberUpdate(id, endpoint, "", MemberState.ALIVE, 1, 0));
   }
 
-  private static byte[] sealed(Datagram.Builder datagram) {
+  private static byte[] withChecksum(Datagram.Builder datagram) {
     return Checksum.attach(datagram.build().toByteArray(), CLUSTER);
   }
 
   @Test
-  void membersAreListedUpToTheBoundAndRejectedBeyondIt() {
+  void membersBeyondTheMaximumAreRejected() {
     LocalNode local =
         new LocalNode(CLUSTER, new MemberId("a", 1), new Endpoint("10.0.0.1", 1), "", List.of());
     MembershipProtocol protocol =
@@ -267,7 +268,8 @@
     for (int i = 0; i < 5_000; i++) {
       Endpoint endpoint = new Endpoint("10.1." + i / 250 + "." + i % 250, 7);
       MemberUpdateMessage sender = aliveAt(new MemberId("m" + i, 1), endpoint);
-      protocol.onDatagram(sealed(Datagram.newBuilder().setCluster(CLUSTER).setFrom(sender)), 2);
+      protocol.onDatagram(
+          withChecksum(Datagram.newBuilder().setCluster(CLUSTER).setFrom(sender)), 2);
       if (i % 100 == 0) {
         protocol.drainEffects();
       }
--- a/src/test/java/rosecleat/fleet/RecordStoreTest.java
+++ b/src/test/java/rosecleat/fleet/RecordStoreTest.java
@@ -13,7 +13,7 @@
 /** Records that arrive in any order, and more than once. */
 class RecordStoreTest {
   @Property(tries = 200)
-  void anyOrderOfRecordsEndsTheSame(@ForAll @Size(min = 1, max = 12) List<Long> choices) {
+  void storeIsIndependentOfRecordOrder(@ForAll @Size(min = 1, max = 12) List<Long> choices) {
     List<FleetRecord> records = new ArrayList<>();
     choices.forEach(choice -> records.add(recordOf(choice)));
     RecordStore inOrder = new RecordStore();
