--- a/src/main/java/rosecleat/fleet/AntiEntropy.java
+++ b/src/main/java/rosecleat/fleet/AntiEntropy.java
@@ -3,11 +3,15 @@
 import java.util.List;
 
 /**
- * Decides when to open a push/pull synchronization, and with whom: to join by a seed, at regular
- * intervals, and when another member's digest keeps differing although gossip had time to mend it.
+ * Decides when this member opens a push/pull synchronization and with which peer: with a seed to
+ * join, with a random member at regular intervals, and with a member whose digest still differs
+ * after gossip had time to repair the difference.
  */
 final class AntiEntropy {
-  /** Periods that a digest may differ before a sync, without and with updates still queued. */
+  /**
+   * Periods for which digests may differ before a sync starts: the first while no member updates
+   * are queued for gossip, the second while some are.
+   */
   private static final int MISMATCH_PERIODS = 2;
 
   private static final int MISMATCH_PERIODS_WHILE_GOSSIPING = 3;
@@ -31,7 +35,7 @@
     return !seeds.isEmpty();
   }
 
-  /** Compares another member's digest of all that it holds with the own one. */
+  /** Compares another member's digest of its replicated state with this member's own. */
   void onPeerDigest(Member peer, long peerDigest, long nowUs) {
     if (peerDigest == context.syncDigest()) {
       mismatchSinceUs = ProtocolContext.NEVER;
@@ -49,14 +53,17 @@
     }
   }
 
-  /** A member is back, perhaps with what was written on its side of a partition. */
+  /**
+   * Permits a sync at once and schedules a periodic one within two periods: a returned member may
+   * have records that were written on its side of a partition.
+   */
   void onMemberReturned(long nowUs) {
     earliestNextUs = Math.min(earliestNextUs, nowUs);
     long delayUs = context.random().nextLong(2 * context.periodUs());
     nextPeriodicUs = Math.min(nextPeriodicUs, nowUs + delayUs);
   }
 
-  /** Once a period: opens a sync that is due. */
+  /** Opens the syncs that are due; called once a period. */
   void onPeriod(long round, long nowUs) {
     boolean alone = context.members().activePeerCount() == 0;
     if (alone && hasSeeds()) {
@@ -72,7 +79,7 @@
     }
   }
 
-  /** Joins the halves of a fleet that grew from two seeds. */
+  /** Joins the parts of a fleet that formed around different seeds. */
   private void syncWithUnknownSeed(long nowUs) {
     Endpoint seed = seeds.get(context.random().nextInt(seeds.size()));
     boolean known =
--- a/src/main/java/rosecleat/fleet/Checksum.java
+++ b/src/main/java/rosecleat/fleet/Checksum.java
@@ -5,16 +5,16 @@
 import java.util.Arrays;
 
 /**
- * A checksum under the cluster's name, put before each message. Guards against corruption and
- * against messages of another kind or cluster; it is no signature.
+ * A checksum, keyed by the cluster's name, that precedes each message. Detects corruption and
+ * messages of other kinds or clusters; it does not authenticate the sender.
  */
 public final class Checksum {
-  /** The bytes of a checksum. */
+  /** The length of a checksum in bytes. */
   public static final int BYTES = 8;
 
   private Checksum() {}
 
-  /** A message with its checksum before it. */
+  /** Returns the message preceded by its checksum. */
   public static byte[] attach(byte[] message, String cluster) {
     return ByteBuffer.allocate(BYTES + message.length)
         .putLong(of(message, cluster))
@@ -22,7 +22,7 @@
         .array();
   }
 
-  /** The message without its checksum; null where that does not match. */
+  /** Returns the message without its checksum, or null if the checksum does not match. */
   public static byte[] verify(byte[] bytes, String cluster) {
     if (bytes.length <= BYTES) {
       return null;
--- a/src/main/java/rosecleat/fleet/ConvergenceDetector.java
+++ b/src/main/java/rosecleat/fleet/ConvergenceDetector.java
@@ -1,25 +1,29 @@
 package rosecleat.fleet;
 
 /**
- * Whether a view has converged ("settled" to operators). It has, exactly, while all of these hold:
+ * Decides whether the view of this process has converged ("settled" to operators), which it has if
+ * all of these hold:
  *
  * <ol>
  *   <li>no member is suspected;
- *   <li>more than half of the members that did not leave are active: else this process may itself
- *       be cut off;
- *   <li>since this view last changed, {@link #MIN_AGREEING_MEMBERS} distinct members, or all others
- *       where they are fewer, have reported its very digest, each as its latest report, and none
- *       has reported another one within {@link #REPORT_VALIDITY_PERIODS} periods;
- *   <li>where others are active, something was heard of any of them within {@link
- *       #REPORT_VALIDITY_PERIODS} periods: each is pinged once a period at the least, so silence is
- *       a sign of being cut off, also for a process that is slow to suspect;
- *   <li>it has heard from another since it started, or tried every seed for {@link
- *       #JOIN_TIMEOUT_PERIODS} periods, or has no seeds.
+ *   <li>more than half of the members that did not leave are active: otherwise this process may
+ *       itself be partitioned from the fleet;
+ *   <li>since the view of this process last changed, {@link #MIN_AGREEING_MEMBERS} distinct
+ *       members, or all others if they are fewer, have reported an equal digest as their latest
+ *       report, and none has reported a different one within the last {@link
+ *       #REPORT_VALIDITY_PERIODS} periods;
+ *   <li>if other members are active, a message from any of them arrived within the last {@link
+ *       #REPORT_VALIDITY_PERIODS} periods: each member is pinged at least once a period, so a
+ *       longer gap indicates that this process is disconnected, even if it is slow to suspect
+ *       others;
+ *   <li>a message from an active member has arrived since this process started, or {@link
+ *       #JOIN_TIMEOUT_PERIODS} periods have passed since, or there are no seeds.
  * </ol>
  *
- * <p>After a change elsewhere it stays true wrongly until the change is received or suspected here:
- * for the time of detection at the most. It comes true again within some two periods of the last
- * change, which is how long it takes for that many members to be heard.
+ * <p>After a change on another process, the view stays falsely settled until this process receives
+ * the change or suspects the member: for the failure detection time at most. It settles again
+ * within about two periods of the last change, which is the time in which enough members report
+ * their digest.
  */
 final class ConvergenceDetector {
   static final int MIN_AGREEING_MEMBERS = 3;
@@ -39,7 +43,7 @@
     viewChangedUs = nowUs;
   }
 
-  /** Notes the digest of this process's own view. */
+  /** Records the digest of this process's own view. */
   void observe(long digest, long nowUs) {
     if (digest != viewDigest) {
       viewDigest = digest;
@@ -47,7 +51,7 @@
     }
   }
 
-  /** Notes that something came from an active member. */
+  /** Records the arrival of a message from an active member. */
   void onMessageFromActiveMember(long nowUs) {
     anyMessageReceived = true;
     lastMessageUs = nowUs;
--- a/src/main/java/rosecleat/fleet/DatagramSender.java
+++ b/src/main/java/rosecleat/fleet/DatagramSender.java
@@ -3,7 +3,9 @@
 import rosecleat.fleet.wire.Datagram;
 import rosecleat.fleet.wire.Ping;
 
-/** Builds datagrams of this member, adds queued updates and hands them out as effects. */
+/**
+ * Builds the datagrams of this member, piggybacks queued updates on them and emits them as effects.
+ */
 final class DatagramSender {
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -13,7 +15,10 @@
     this.dissemination = dissemination;
   }
 
-  /** A datagram that says who sends it and, by digests, what it holds. */
+  /**
+   * Returns a datagram with the sender's identity and the digests of its view and its replicated
+   * state.
+   */
   Datagram.Builder newDatagram() {
     Member self = context.self();
     return Datagram.newBuilder()
@@ -30,7 +35,10 @@
     context.effects().sendDatagram(destination, payload);
   }
 
-  /** Pings a member. One that is not held for alive is told so, so that it can refute it. */
+  /**
+   * Pings a member. A ping to a member that is not alive in this view includes its state (dead for
+   * one that has left), so that the member can refute it.
+   */
   void ping(Member target, int sequence) {
     Datagram.Builder datagram =
         newDatagram()
--- a/src/main/java/rosecleat/fleet/Dissemination.java
+++ b/src/main/java/rosecleat/fleet/Dissemination.java
@@ -4,20 +4,23 @@
 import rosecleat.fleet.wire.MemberUpdateMessage;
 
 /**
- * The updates that this member still has to pass on, and when the next gossip round is due. Updates
- * are piggybacked on every datagram, and a gossip round sends some that carry nothing else.
+ * The updates that this member still has to disseminate, and the time of the next gossip round.
+ * Updates are piggybacked on every datagram; gossip rounds send datagrams that carry updates only.
  */
 final class Dissemination {
-  /** Bytes of a datagram that its header may take, without updates. */
+  /** Bytes of a datagram that are reserved for all fields other than updates. */
   private static final int MAX_HEADER_BYTES = 360;
 
   /** Bytes that a field's tag and length add to an update. */
   private static final int FIELD_OVERHEAD_BYTES = 3;
 
-  /** Transmissions of an update that a sync has brought: most members have it already. */
+  /** Transmissions of an update that was received by a sync: most members have it already. */
   static final int SYNCED_TRANSMISSIONS = 2;
 
-  /** Updates on one suspicion by different witnesses are queued apart. */
+  /**
+   * The subject of a suspicion: suspicions of one member by different witnesses are queued
+   * separately.
+   */
   private record SuspicionKey(MemberId id, long witness) {}
 
   private final ProtocolContext context;
@@ -34,7 +37,10 @@
     broadcastSuspicion(member, 0, nowUs);
   }
 
-  /** Queues a member's state for so many transmissions. */
+  /**
+   * Queues a member's state for the given number of transmissions. A state without a witness (0)
+   * replaces all queued suspicions of the member.
+   */
   void broadcast(Member member, long witness, int transmissions, long nowUs) {
     MemberUpdateMessage update = WireCodec.encode(member, member.state, witness);
     if (witness == 0) {
@@ -53,7 +59,7 @@
     broadcast(member, witness, usualTransmissions(), nowUs);
   }
 
-  /** Queues a record, unless it is so large that it travels by sync alone. */
+  /** Queues a record, unless its size restricts it to syncs. */
   void broadcast(FleetRecord record) {
     if (record.payload().length <= Tuning.MAX_GOSSIP_RECORD_BYTES) {
       int bytes = WireCodec.encode(record, 0, true).getSerializedSize() + FIELD_OVERHEAD_BYTES;
@@ -65,7 +71,7 @@
     return Tuning.transmissions(context.members().activePeerCount() + 1);
   }
 
-  /** Drops what is queued on a member's state. */
+  /** Removes the queued update of a member's state. */
   void discard(MemberId id) {
     memberUpdates.remove(id);
   }
@@ -92,7 +98,10 @@
     return memberUpdates.bytes() + recordUpdates.bytes();
   }
 
-  /** Makes sure that a gossip round comes soon, at a random time. */
+  /**
+   * Schedules a gossip round at a random time within half a gossip interval, unless one is
+   * scheduled.
+   */
   void requestRound(long nowUs) {
     if (nextRoundUs == ProtocolContext.NEVER) {
       long maxDelayUs = context.periodUs() / Tuning.GOSSIP_ROUNDS_PER_PERIOD / 2;
@@ -104,7 +113,10 @@
     return nextRoundUs;
   }
 
-  /** Sets the timer after a round: again after the interval, or not until something is queued. */
+  /**
+   * Schedules the round after a completed one: after the gossip interval, or not until an update is
+   * queued if there is nothing more to send.
+   */
   void roundDone(boolean moreToSend, long nowUs) {
     nextRoundUs =
         moreToSend
--- a/src/main/java/rosecleat/fleet/DisseminationQueue.java
+++ b/src/main/java/rosecleat/fleet/DisseminationQueue.java
@@ -7,17 +7,19 @@
 import java.util.Map;
 
 /**
- * Updates that are to be sent a limited number of times each: those sent least go first, and of
- * those the newest. A newer update on the same subject replaces the older one. Bounded: the updates
- * sent most are dropped first.
+ * A queue of updates that are sent a limited number of times each: the least transmitted first, and
+ * the newest first among those transmitted equally often. A newer update of the same subject
+ * replaces the older one. The queue is bounded: the most transmitted updates are dropped first.
  */
 final class DisseminationQueue<T> {
   private static final int MAX_UPDATES = 8_192;
 
-  /** Updates that do not fit into a datagram are skipped, up to so many at a time. */
+  /** The number of updates that one call may skip because they do not fit into the datagram. */
   private static final int MAX_SKIPPED = 4;
 
-  /** No update takes less than this (bytes). */
+  /**
+   * A lower bound of an update's size (bytes); the search for updates ends when less space is left.
+   */
   private static final int MIN_UPDATE_BYTES = 24;
 
   private static final class QueuedUpdate<T> {
@@ -27,7 +29,7 @@
     final int maxTransmissions;
     int transmissions;
 
-    /** A removed update leaves its queue when its turn comes. */
+    /** Set on removal; the update leaves its queue only when it reaches the head. */
     boolean removed;
 
     QueuedUpdate(Object subject, T update, int bytes, int maxTransmissions) {
@@ -44,7 +46,7 @@
   private final Map<Object, QueuedUpdate<T>> bySubject = new HashMap<>();
   private long bytes;
 
-  /** Adds an update that takes so many bytes in a datagram. */
+  /** Adds an update that takes the given number of bytes in a datagram. */
   void add(Object subject, T update, int updateBytes, int maxTransmissions) {
     remove(subject);
     QueuedUpdate<T> queued = new QueuedUpdate<>(subject, update, updateBytes, maxTransmissions);
@@ -70,7 +72,7 @@
     return queues.get(transmissions);
   }
 
-  /** Sends nothing more on a subject. */
+  /** Removes the update of a subject. */
   void remove(Object subject) {
     QueuedUpdate<T> queued = bySubject.get(subject);
     if (queued != null) {
@@ -86,7 +88,10 @@
     }
   }
 
-  /** The updates that fit into so many bytes, each counted as transmitted once more. */
+  /**
+   * Returns the updates that fit into the given number of bytes, and counts one more transmission
+   * of each.
+   */
   List<T> take(int budgetBytes) {
     List<QueuedUpdate<T>> taken = new ArrayList<>();
     List<QueuedUpdate<T>> skipped = new ArrayList<>();
@@ -126,7 +131,7 @@
     return bySubject.isEmpty();
   }
 
-  /** The bytes of all queued updates. */
+  /** Returns the bytes of all queued updates. */
   long bytes() {
     return bytes;
   }
--- a/src/main/java/rosecleat/fleet/Effect.java
+++ b/src/main/java/rosecleat/fleet/Effect.java
@@ -1,22 +1,25 @@
 package rosecleat.fleet;
 
-/** What the protocol asks its driver to do; the driver carries effects out in their order. */
+/**
+ * An action that the protocol requests from its driver, or an event that it reports; the driver
+ * handles effects in their order.
+ */
 public sealed interface Effect {
-  /** Send a datagram. */
+  /** Requests to send a datagram. */
   record SendDatagram(Endpoint destination, byte[] payload) implements Effect {}
 
-  /** Open a push/pull synchronization with another member. */
+  /** Requests to open a push/pull synchronization with another member. */
   record StartSync(Endpoint peer, SyncReason reason) implements Effect {}
 
-  /** Write a line to the log. */
+  /** Requests to write a log line. */
   record WriteLog(boolean warning, String line) implements Effect {}
 
-  /** Add one to a counter. */
+  /** Requests to add one to a counter. */
   record IncrementCounter(MembershipCounter counter) implements Effect {}
 
-  /** The membership view has changed. */
+  /** Reports that the membership view has changed. */
   record ViewChanged() implements Effect {}
 
-  /** A record is new, has changed, or (with a null payload) has expired. */
+  /** Reports that a record is new, has changed, or (with a null payload) has expired. */
   record RecordChanged(FleetRecord record) implements Effect {}
 }
--- a/src/main/java/rosecleat/fleet/EffectQueue.java
+++ b/src/main/java/rosecleat/fleet/EffectQueue.java
@@ -3,9 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The effects since the driver last drained them, in their order. */
+/** The effects since the driver last drained them, in order. */
 final class EffectQueue {
-  /** Datagrams are dropped beyond this, which bounds memory while nobody drains the queue. */
+  /**
+   * Queue length from which datagrams are dropped: bounds memory if the driver does not drain the
+   * queue.
+   */
   private static final int MAX_QUEUED = 100_000;
 
   private final List<Effect> effects = new ArrayList<>();
--- a/src/main/java/rosecleat/fleet/Endpoint.java
+++ b/src/main/java/rosecleat/fleet/Endpoint.java
@@ -1,11 +1,13 @@
 package rosecleat.fleet;
 
-/** Where a process is reached: a literal host and a port. */
+/** The address of a process: a literal IP address and a port. */
 public record Endpoint(String host, int port) {
   private static final int MAX_HOST_LENGTH = 64;
   private static final int MAX_PORT = 0xffff;
 
-  /** Whether it can be dialled without asking a name service. */
+  /**
+   * Returns whether the endpoint is valid and can be connected to without a name service lookup.
+   */
   boolean isUsable() {
     return port > 0
         && port <= MAX_PORT
@@ -14,7 +16,7 @@
         && host.chars().allMatch(Endpoint::isLiteral);
   }
 
-  /** The characters of literal addresses; a percent sign begins a scope. */
+  /** Accepts the characters of literal addresses; a percent sign begins a scope. */
   private static boolean isLiteral(int character) {
     return (character >= '0' && character <= '9')
         || (character >= 'a' && character <= 'f')
--- a/src/main/java/rosecleat/fleet/ExchangeSession.java
+++ b/src/main/java/rosecleat/fleet/ExchangeSession.java
@@ -1,13 +1,17 @@
 package rosecleat.fleet;
 
-/** One side of an exchange over a connection: frames in turn, from the side that opened it. */
+/**
+ * One side of an exchange over a connection: the two sides send frames in turn, and the opener
+ * begins.
+ */
 public interface ExchangeSession {
   /**
-   * The next frame to send, given the other side's latest one (null for the opener's first); null
-   * where the exchange is complete.
+   * Returns the next frame to send, or null if the exchange is complete.
+   *
+   * @param received the latest frame of the other side; null for the opener's first frame
    */
   byte[] nextFrame(byte[] received, long nowUs);
 
-  /** The connection failed before the exchange was complete. */
+  /** Called when the connection failed before the exchange was complete. */
   default void aborted() {}
 }
--- a/src/main/java/rosecleat/fleet/FailureDetector.java
+++ b/src/main/java/rosecleat/fleet/FailureDetector.java
@@ -12,23 +12,28 @@
 import rosecleat.fleet.wire.PingRequest;
 
 /**
- * SWIM's failure detector: direct probes, indirect probes through relays where there is no answer,
- * and the answers to other members' probes. It reports failed probes to its listener and changes no
- * member's state itself.
+ * SWIM's failure detector: direct probes, indirect probes through relays if a direct one is not
+ * answered, and the answers to probes by other members. Reports failed probes to its listener and
+ * changes no member's state itself.
  */
 final class FailureDetector {
-  /** Hears of probes that failed. */
+  /** Receives the failures of probes. */
   interface Listener {
-    /** A member did not answer this process, and nothing was heard of it for a period. */
+    /**
+     * A member did not answer a probe of this process, and no message from it arrived for a period.
+     */
     void targetUnresponsive(Member target, long nowUs);
 
-    /** A member that others declared dead did not answer this process either. */
+    /**
+     * A member that others declared dead did not answer this process either, and no message from it
+     * arrived for two periods.
+     */
     void deathVerified(Member target, long nowUs);
   }
 
   private static final int MAX_PROBES = 64;
 
-  /** Steps of local health that double the timeout of a probe. */
+  /** Steps of the local health score that double the timeout of a probe. */
   private static final int HEALTH_STEPS = 2;
 
   private final ProtocolContext context;
@@ -47,29 +52,29 @@
     this.listener = listener;
   }
 
-  /** When {@link #runTimeouts} is due. */
+  /** Returns the time at which {@link #runTimeouts} is due. */
   long nextTimeoutUs() {
     return nextTimeoutUs;
   }
 
-  /** The number for a further ping. */
+  /** Returns the sequence number for the next ping. */
   int nextSequence() {
     return ++lastSequence;
   }
 
-  /** Whether no further probe can be begun. */
+  /** Returns whether the limit on outstanding probes is reached. */
   boolean isFull() {
     return probes.size() >= MAX_PROBES;
   }
 
-  /** Begins the regular probe of a member. */
+  /** Starts the regular probe of a member. */
   void probe(Member target, long nowUs) {
     long directUs = directTimeoutUs();
     long timeoutUs = (long) (context.periodUs() * localHealth.timeoutFactor(HEALTH_STEPS));
     probe(target, Probe.Purpose.DETECTION, nowUs + directUs, nowUs + timeoutUs);
   }
 
-  /** Begins a probe of a member that another one suspects. */
+  /** Starts a probe of a member that another one suspects. */
   void confirm(Member suspected, long nowUs) {
     long directUs = directTimeoutUs();
     probe(suspected, Probe.Purpose.CONFIRMATION, nowUs + directUs, nowUs + 2 * directUs);
@@ -90,7 +95,9 @@
     sender.ping(target, probe.sequence);
   }
 
-  /** Begins a probe of a member that another one declared dead; one at a time for each member. */
+  /**
+   * Starts a probe of a member that another one declared dead, unless such a probe is outstanding.
+   */
   void verifyDeath(Member member, long nowUs) {
     for (Probe probe : probes.values()) {
       if (probe.target == member && probe.purpose == Probe.Purpose.VERIFICATION) {
@@ -122,7 +129,7 @@
     nextTimeoutUs = Math.min(nextTimeoutUs, probe.nextTimeoutUs());
   }
 
-  /** Handles the probes whose time is over. */
+  /** Handles the probes whose direct or final timeout has passed. */
   void runTimeouts(long nowUs) {
     for (Probe probe : List.copyOf(probes.values())) {
       if (nowUs >= probe.endUs) {
@@ -136,7 +143,7 @@
     scheduleTimeouts();
   }
 
-  /** Extends all probes by the time that this process was paused. */
+  /** Extends the timeouts of all probes by the time for which this process was paused. */
   void extendTimeouts(long pauseUs) {
     for (Probe probe : probes.values()) {
       if (probe.directTimeoutUs != ProtocolContext.NEVER) {
@@ -154,7 +161,11 @@
     }
   }
 
-  /** Asks relays, in case only the path between this process and the target is broken. */
+  /**
+   * Sends a nack to the requester of a relayed probe. For a regular probe, requests indirect probes
+   * from relays, since possibly only the path between this process and the target is broken, and
+   * repeats the ping.
+   */
   private void directAnswerOverdue(Probe probe) {
     if (probe.purpose == Probe.Purpose.RELAY) {
       Nack.Builder nack = Nack.newBuilder().setSequence(probe.requester.sequence());
@@ -190,7 +201,8 @@
       return;
     }
     if (probe.purpose == Probe.Purpose.DETECTION && probe.nacks < probe.relaysAsked) {
-      localHealth.adjust(1); // relays sent no nack either: it may be this process that is cut off
+      // at least one relay sent no nack, so this process may itself be disconnected
+      localHealth.adjust(1);
     }
     if (target.lastMessageUs < nowUs - context.periodUs()) {
       listener.targetUnresponsive(target, nowUs);
@@ -204,7 +216,7 @@
     }
     Datagram.Builder answer = sender.newDatagram();
     if (ping.hasTarget() && !WireCodec.decode(ping.getTarget()).equals(context.self().id)) {
-      // for an earlier start at this address: the answer's header says who is here now
+      // the ping is for another start at this address: the answer's header identifies this start
       context.effects().count(MembershipCounter.PING_FOR_OTHER_START);
       sender.send(from, answer);
       return;
@@ -212,7 +224,10 @@
     sender.send(from, answer.setAck(Ack.newBuilder().setSequence(ping.getSequence())));
   }
 
-  /** Ends a probe that was answered; an overdue answer counts only by the sender's header. */
+  /**
+   * Ends the probe that an ack answers. An ack that arrives after the probe's end has no effect;
+   * the header of its datagram alone shows that the sender is alive.
+   */
   void onAck(int sequence, long nowUs) {
     Probe probe = probes.remove(sequence);
     if (probe == null) {
@@ -227,7 +242,7 @@
     }
   }
 
-  /** Notes that a relay had no answer from the target either. */
+  /** Records that a relay received no answer from the target either. */
   void onNack(int sequence) {
     Probe probe = probes.get(sequence);
     if (probe != null && probe.purpose != Probe.Purpose.RELAY) {
--- a/src/main/java/rosecleat/fleet/Gossip.java
+++ b/src/main/java/rosecleat/fleet/Gossip.java
@@ -1,6 +1,8 @@
 package rosecleat.fleet;
 
-/** Gossip rounds: refutation requests, and datagrams that carry queued updates alone. */
+/**
+ * Runs gossip rounds: each sends refutation requests, and datagrams that carry queued updates only.
+ */
 final class Gossip {
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -18,7 +20,7 @@
     this.sender = sender;
   }
 
-  /** Runs a round; more members are told at a time where many updates are queued. */
+  /** Runs a gossip round; its fanout grows with the bytes of the queued updates. */
   void runRound(long nowUs) {
     refutations.sendBatch();
     long queuedBytes = dissemination.queuedBytes();
@@ -29,7 +31,7 @@
     dissemination.roundDone(queuedBytes > 0 || !refutations.isEmpty(), nowUs);
   }
 
-  /** Sends queued updates to so many members at random. */
+  /** Sends queued updates to the given number of random members. */
   void sendTo(int members) {
     for (Member other : context.members().sample(members, null)) {
       sender.send(other.endpoint, sender.newDatagram());
--- a/src/main/java/rosecleat/fleet/Hash.java
+++ b/src/main/java/rosecleat/fleet/Hash.java
@@ -1,8 +1,8 @@
 package rosecleat.fleet;
 
 /**
- * A 64-bit hash that is the same in every process: FNV-1a with SplitMix64's finalizer. It does not
- * guard against chosen collisions.
+ * A 64-bit hash that is equal in every process: FNV-1a with SplitMix64's finalizer. It is not
+ * resistant to deliberately constructed collisions.
  */
 final class Hash {
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -10,7 +10,7 @@
 
   private Hash() {}
 
-  /** The hash of bytes under a seed. */
+  /** Returns the hash of bytes under a seed. */
   static long of(byte[] bytes, long seed) {
     long hash = FNV_OFFSET_BASIS ^ mix(seed);
     for (byte each : bytes) {
@@ -19,7 +19,7 @@
     return mix(hash);
   }
 
-  /** SplitMix64's finalizer: each bit of the result depends on all bits of the value. */
+  /** Applies SplitMix64's finalizer: each bit of the result depends on all bits of the value. */
   static long mix(long value) {
     long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/src/main/java/rosecleat/fleet/LocalNode.java
+++ b/src/main/java/rosecleat/fleet/LocalNode.java
@@ -6,9 +6,9 @@
  * The identity of this process in its fleet.
  *
  * @param cluster the cluster's name; messages of another cluster are rejected
- * @param id this start of this process
- * @param endpoint where other members reach this process
- * @param zone the failure domain, empty where there is none
+ * @param id the identity of this start of the process
+ * @param endpoint the address at which other members reach this process
+ * @param zone the failure domain, empty if there is none
  * @param seeds members to contact while no other member is known
  */
 public record LocalNode(
