--- a/src/main/java/rosecleat/fleet/Member.java
+++ b/src/main/java/rosecleat/fleet/Member.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * The state that is held of one member. The state, incarnation and endpoint change only within
- * {@link MemberList#change}, which keeps the digests right.
+ * The state of one member as this process has it. State, incarnation and endpoint change only
+ * within {@link MemberList#change}, which updates the digests.
  */
 final class Member {
   private static final int MAX_WITNESSES = 4 * Tuning.SUSPICION_CONFIRMATIONS;
 
-  /** A time before all others, with room to subtract from it. */
+  /** A time before all others; half of the range leaves room to subtract without overflow. */
   private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
   final MemberId id;
@@ -20,19 +20,25 @@
   MemberState state;
   long incarnation;
 
-  /** Since when it is in its state. */
+  /** The time at which the member entered its current state. */
   long stateSinceUs;
 
-  /** When something last came from the member itself. */
+  /** The time at which the latest message from the member itself arrived. */
   long lastMessageUs = LONG_AGO;
 
-  /** The hashes of the members whose probes of it failed, while it is suspected. */
+  /**
+   * The witnesses of the suspicion: hashes of the members whose probes of this member failed; empty
+   * unless it is suspected.
+   */
   Set<Long> witnesses = Set.of();
 
-  /** When its suspicion began, shifted by the time that this process was paused since. */
+  /**
+   * The time at which the suspicion began, plus the time for which this process has been paused
+   * since.
+   */
   long suspicionStartUs;
 
-  /** The digest of its view that it reported last, and when. */
+  /** The digest of the member's view that it reported last, and the time of that report. */
   long reportedDigest;
 
   long reportedUs = LONG_AGO;
@@ -53,7 +59,10 @@
     this.stateSinceUs = nowUs;
   }
 
-  /** Adds a witness of the suspicion; false where it is known, or there are enough. */
+  /**
+   * Adds a witness of the suspicion; returns false if the witness is already recorded or the
+   * maximum is reached.
+   */
   boolean addWitness(long witness) {
     if (witnesses.isEmpty()) {
       witnesses = new HashSet<>();
@@ -65,12 +74,15 @@
     witnesses = Set.of();
   }
 
-  /** Its part of the digest of the active members. */
+  /** Returns this member's part of the digest of the active members. */
   long viewDigestPart() {
     return state.isActive() ? Hash.mix(hash ^ endpoint.hashCode()) : 0;
   }
 
-  /** Its part of the digest of all that is held of the active members. */
+  /**
+   * Returns this member's part of the digest of the active members with their incarnations and
+   * states.
+   */
   long syncDigestPart() {
     return state.isActive() ? Hash.mix(hash + 31 * incarnation + 7919L * state.wireValue()) : 0;
   }
--- a/src/main/java/rosecleat/fleet/MemberList.java
+++ b/src/main/java/rosecleat/fleet/MemberList.java
@@ -11,17 +11,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All known members, dead ones with them: by identity, by name, as a ring of the active others, and
- * as the shuffled order in which they are probed.
+ * All known members, including the dead ones and those that left: indexed by identity and by name,
+ * with a ring of the other active members and the shuffled order in which they are probed.
  */
 final class MemberList {
   private final Map<MemberId, Member> byId = new HashMap<>();
   private final Map<String, List<Member>> byName = new HashMap<>();
 
-  /** Active others by hash: each member probes the next one in every period. */
+  /**
+   * The other active members by hash: each member probes its successor on this ring in every
+   * period.
+   */
   private final TreeMap<Long, Member> ring = new TreeMap<>();
 
-  /** Active others in the order of the current probe round; may hold some that have gone. */
+  /**
+   * The other active members in the order of the current probe round; may contain members that are
+   * no longer active.
+   */
   private final List<Member> probeOrder = new ArrayList<>();
 
   private final List<Member> inactive = new ArrayList<>();
@@ -36,12 +42,12 @@
     this.random = random;
   }
 
-  /** The member of an identity; null where it is not known. */
+  /** Returns the member with an identity, or null if it is unknown. */
   Member get(MemberId id) {
     return byId.get(id);
   }
 
-  /** All starts under a name. */
+  /** Returns all starts under a name. */
   List<Member> named(String name) {
     return byName.getOrDefault(name, List.of());
   }
@@ -54,17 +60,17 @@
     return byId.size();
   }
 
-  /** How many others are active. */
+  /** Returns the number of other active members. */
   int activePeerCount() {
     return ring.size();
   }
 
-  /** The digest of the active members. */
+  /** Returns the digest of the active members. */
   long viewDigest() {
     return viewDigest;
   }
 
-  /** The digest of the active members with their states and incarnations. */
+  /** Returns the digest of the active members with their states and incarnations. */
   long syncDigest() {
     return syncDigest;
   }
@@ -76,7 +82,7 @@
     insert(member);
   }
 
-  /** Changes a member's state, incarnation or endpoint. */
+  /** Changes a member's state, incarnation or endpoint, and updates the digests and the indexes. */
   void change(Member member, Runnable change) {
     boolean wasActive = member.state.isActive();
     toggleDigests(member);
@@ -99,7 +105,10 @@
     }
   }
 
-  /** Makes room for a new member by the one that has been gone longest; false where none is. */
+  /**
+   * Makes space for a new member by removing the one that has been inactive longest; returns false
+   * if there is none.
+   */
   boolean removeLongestInactive() {
     Member longest = null;
     for (Member member : inactive) {
@@ -113,7 +122,7 @@
     return longest != null;
   }
 
-  /** Adds a member's parts to the digests, or takes them out again. */
+  /** Adds a member's parts to the digests, or removes them: the digests are XOR sums. */
   private void toggleDigests(Member member) {
     viewDigest ^= member.viewDigestPart();
     syncDigest ^= member.syncDigestPart();
@@ -126,12 +135,15 @@
     if (!member.state.isActive()) {
       inactive.add(member);
     } else if (ring.put(member.hash, member) == null) {
-      // SWIM: a new member gets a random place in the round
+      // SWIM: a new member is inserted at a random position of the probe round
       probeOrder.add(random.nextInt(probeOrder.size() + 1), member);
     }
   }
 
-  /** Takes a member out; its place in the round goes when its turn comes. */
+  /**
+   * Removes a member from the ring or the inactive list; its entry in the probe round is removed
+   * when it is reached.
+   */
   private void withdraw(Member member, boolean wasActive) {
     if (wasActive) {
       ring.remove(member.hash, member);
@@ -140,7 +152,9 @@
     }
   }
 
-  /** The next active member on the ring after a hash; null where there is none. */
+  /**
+   * Returns the next active member on the ring after a hash, or null if no other member is active.
+   */
   Member ringSuccessor(long hash) {
     if (ring.isEmpty()) {
       return null;
@@ -149,7 +163,10 @@
     return next != null ? next.getValue() : ring.firstEntry().getValue();
   }
 
-  /** The next member of the probe round, each once in a round; null where there is none. */
+  /**
+   * Returns the next member of the probe round, in which each occurs once, or null if no other
+   * member is active.
+   */
   Member nextInProbeRound() {
     while (!probeOrder.isEmpty()) {
       if (nextProbe >= probeOrder.size()) {
@@ -171,7 +188,7 @@
   private void beginProbeRound() {
     nextProbe = 0;
     if (probeOrder.size() > ring.size()) {
-      // some came back before their earlier place in the round had gone
+      // members that returned before their former entry was removed are listed twice
       probeOrder.clear();
       probeOrder.addAll(ring.values());
       if (probeOrder.isEmpty()) {
@@ -192,7 +209,7 @@
     }
   }
 
-  /** Up to so many active others at random; {@code excluded} may be null. */
+  /** Returns up to {@code count} random other active members; {@code excluded} may be null. */
   List<Member> sample(int count, Member excluded) {
     List<Member> chosen = new ArrayList<>(count);
     int wanted = Math.min(count, ring.size());
@@ -209,12 +226,15 @@
     return chosen;
   }
 
-  /** A member at random of those that are dead or have left; null where there is none. */
+  /** Returns a random member that is dead or has left, or null if there is none. */
   Member randomInactive() {
     return inactive.isEmpty() ? null : inactive.get(random.nextInt(inactive.size()));
   }
 
-  /** Whether more than half of the members that did not leave are active. */
+  /**
+   * Returns whether more than half of the members that did not leave are active; dead starts that a
+   * later start of their name replaced are not counted.
+   */
   boolean hasActiveMajority() {
     int active = ring.size() + 1;
     int dead = 0;
@@ -226,7 +246,7 @@
     return 2 * active > active + dead;
   }
 
-  /** Whether no later start of its name is known. */
+  /** Returns whether no later start under the member's name is known. */
   boolean isLatestStart(Member member) {
     for (Member other : named(member.id.name())) {
       if (other.id.epoch() > member.id.epoch()) {
@@ -236,7 +256,7 @@
     return true;
   }
 
-  /** The members that are dead or have left. */
+  /** Returns the members that are dead or have left. */
   List<Member> inactive() {
     return inactive;
   }
--- a/src/main/java/rosecleat/fleet/MemberReaper.java
+++ b/src/main/java/rosecleat/fleet/MemberReaper.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Removes members that have been gone for long, now and then. */
+/** Periodically removes members that have been dead, or have left, for long enough. */
 final class MemberReaper {
-  /** Rounds between two runs. */
+  /** Protocol rounds between two runs. */
   private static final int INTERVAL_ROUNDS = 16;
 
   private final ProtocolContext context;
@@ -18,7 +18,7 @@
     this.selfUpdates = selfUpdates;
   }
 
-  /** Once a period: removes whom it is time to forget. */
+  /** Removes the members whose retention has ended; called once a period. */
   void onPeriod(long round, long nowUs) {
     if (round % INTERVAL_ROUNDS != 0) {
       return;
@@ -32,7 +32,10 @@
     }
   }
 
-  /** Dead members are kept while a partition is suspected: they may be on its other side. */
+  /**
+   * Returns whether a member's retention has ended. Dead members are retained while a partition is
+   * suspected, since they may be alive on its other side; replaced starts are not.
+   */
   private boolean isExpired(Member member, long nowUs) {
     long periods = (nowUs - member.stateSinceUs) / context.periodUs();
     if (member.state == MemberState.LEFT) {
--- a/src/main/java/rosecleat/fleet/MemberState.java
+++ b/src/main/java/rosecleat/fleet/MemberState.java
@@ -6,15 +6,18 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The state of a member; a later one overrides an earlier one of the same incarnation. */
+/**
+ * The state of a member; of two states with the same incarnation, the later in this order overrides
+ * the earlier.
+ */
 public enum MemberState {
-  /** It answers. */
+  /** The member answers probes. */
   ALIVE(0),
-  /** A probe of it failed, and it may still refute the suspicion. */
+  /** A probe of the member failed; the member may still refute the suspicion. */
   SUSPECT(1),
-  /** It did not refute a suspicion in time. */
+  /** The member did not refute a suspicion in time. */
   DEAD(2),
-  /** It left gracefully. */
+  /** The member left gracefully. */
   LEFT(3);
 
   private static final Map<Integer, MemberState> BY_WIRE_VALUE =
@@ -27,17 +30,17 @@
     this.wireValue = wireValue;
   }
 
-  /** Its number in the wire's enumeration, of which digests are made too. */
+  /** Returns the state's number in the wire enumeration, which is also an input of the digests. */
   int wireValue() {
     return wireValue;
   }
 
-  /** The state with a number of the wire's enumeration; empty where there is none. */
+  /** Returns the state with a number of the wire enumeration, or empty if there is none. */
   static Optional<MemberState> ofWireValue(int wireValue) {
     return Optional.ofNullable(BY_WIRE_VALUE.get(wireValue));
   }
 
-  /** Whether it counts among the members that are there. */
+  /** Returns whether a member in this state belongs to the active members. */
   public boolean isActive() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/src/main/java/rosecleat/fleet/MemberUpdate.java
+++ b/src/main/java/rosecleat/fleet/MemberUpdate.java
@@ -1,9 +1,9 @@
 package rosecleat.fleet;
 
 /**
- * What a message says of a member, with all fields within their bounds.
+ * A member's state as a message reports it, with all fields validated.
  *
- * @param witness of a suspicion: the hash of the member whose probe failed, otherwise 0
+ * @param witness for a suspicion, the hash of the member whose probe failed; otherwise 0
  */
 record MemberUpdate(
     MemberId id,
@@ -12,11 +12,11 @@
     MemberState state,
     long incarnation,
     long witness) {
-  /** How an update came. */
+  /** The way by which an update arrived. */
   enum Source {
-    /** With a datagram, as one of a few recent updates. */
+    /** In a datagram, as one of a few recent updates. */
     GOSSIP,
-    /** With a push/pull synchronization, as part of all that another member holds. */
+    /** In a push/pull synchronization, as part of the other member's whole list. */
     SYNC
   }
 }
--- a/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
@@ -3,11 +3,14 @@
 import java.util.List;
 
 /**
- * Merges what others say of members into the member list. States are ordered by incarnation, then
- * alive, suspect, dead, left, so that any order of delivery ends the same.
+ * Merges updates from other members into the member list. States are ordered by incarnation, then
+ * alive, suspect, dead, left, so that the result does not depend on the order of delivery.
  */
 final class MemberUpdateHandler {
-  /** A member that was heard of within so many periods is verified before it is held for dead. */
+  /**
+   * A member from which a message arrived within so many periods is probed before a reported death
+   * is accepted.
+   */
   private static final int RECENT_MESSAGE_PERIODS = 2;
 
   private final ProtocolContext context;
@@ -99,13 +102,16 @@
     }
   }
 
-  /** Asks a member that is held for dead here to refute that. */
+  /** Requests a refutation from a member that is dead in this view. */
   void requestRefutation(Member member, long nowUs) {
     refutations.add(member);
     refutations.requestRound(nowUs);
   }
 
-  /** Another member declares dead what is alive here: it is probed before that is believed. */
+  /**
+   * Probes a member that is alive in this view before the death reported by another member is
+   * accepted.
+   */
   private void verifyDeath(Member member, long nowUs) {
     if (detector.isFull()) {
       requestRefutation(member, nowUs);
@@ -205,7 +211,7 @@
     return member.id + " at " + member.endpoint + zone + " has joined";
   }
 
-  /** Ends earlier starts at a member's address: two processes can't have it. */
+  /** Marks earlier starts at a member's address dead: two processes cannot share an address. */
   private void replaceEarlierStarts(Member latest, long nowUs) {
     for (Member other : List.copyOf(context.members().named(latest.id.name()))) {
       if (other != context.self()
--- a/src/main/java/rosecleat/fleet/MembershipProtocol.java
+++ b/src/main/java/rosecleat/fleet/MembershipProtocol.java
@@ -6,17 +6,17 @@
 import rosecleat.fleet.wire.MemberUpdateMessage;
 
 /**
- * One member's part in the membership protocol: SWIM's failure detector and gossip, Lifeguard's
- * local health, push/pull anti-entropy, and the records that members share. It does no input or
- * output: it is driven by {@link #onTimer}, {@link #onDatagram} and {@link ExchangeSession}s, and
- * what is to be done comes out of {@link #drainEffects}. Its clock (us) never goes back and need
- * not be the time of day. For one thread.
+ * One member's side of the membership protocol: SWIM's failure detector and gossip, Lifeguard's
+ * local health, push/pull anti-entropy, and the records that members replicate. The protocol does
+ * no input or output: {@link #onTimer}, {@link #onDatagram} and {@link ExchangeSession}s drive it,
+ * and {@link #drainEffects} returns the resulting actions. Its clock (us) never goes back and need
+ * not be the time of day. Not thread-safe: all calls come from one thread.
  */
 public final class MembershipProtocol {
-  /** Steps of local health that double the period. */
+  /** Steps of the local health score that double the period. */
   private static final int PERIOD_HEALTH_STEPS = 4;
 
-  /** A pause of this process costs so much local health. */
+  /** Steps by which a pause of this process worsens its local health score. */
   private static final int PAUSE_HEALTH_PENALTY = 2;
 
   private final ProtocolContext context;
@@ -37,13 +37,13 @@
   private long round;
   private long nextPeriodUs;
 
-  /** When this member was created; its first timer is due then. */
+  /** The time at which this member was created; its first timer is due then. */
   private final long startUs;
 
   private boolean timersStarted;
   private boolean wasSettled;
 
-  /** A member that knows itself alone. */
+  /** Creates a member that knows of no other member. */
   public MembershipProtocol(LocalNode local, Tuning tuning, RandomGenerator random, long nowUs) {
     context = new ProtocolContext(local, tuning, random, nowUs);
     localHealth = new LocalHealth(tuning);
@@ -67,7 +67,7 @@
     partitions = new PartitionDetector(context);
     reaper = new MemberReaper(context, partitions, selfUpdates);
     startUs = nowUs;
-    // a random phase: processes that start together must not fall in step
+    // a random phase prevents processes that start together from running in step
     nextPeriodUs = nowUs + random.nextLong(tuning.periodUs());
   }
 
@@ -84,23 +84,25 @@
     }
   }
 
-  /** What is to be done since this was last called, in order. */
+  /** Returns and clears the effects since the last call, in order. */
   public List<Effect> drainEffects() {
     return context.effects().drain();
   }
 
-  /** The identity of this process; its epoch may change. */
+  /** Returns the identity of this process; its epoch may change. */
   public MemberId localId() {
     return context.self().id;
   }
 
-  /** This process as it is announced to others. */
+  /** Returns the update by which this process announces itself to others. */
   public MemberUpdateMessage selfUpdate() {
     Member self = context.self();
     return WireCodec.encode(self, self.state, 0);
   }
 
-  /** The endpoint of another member that is alive, or empty where there is none of the name. */
+  /**
+   * Returns the endpoint of another member with a name that is alive, or empty if there is none.
+   */
   public Optional<Endpoint> endpointOf(String name) {
     for (Member member : context.members().named(name)) {
       if (member != context.self() && member.state == MemberState.ALIVE) {
@@ -110,48 +112,50 @@
     return Optional.empty();
   }
 
-  /** The number of known members, dead ones with them. */
+  /** Returns the number of known members, including the dead ones and those that left. */
   public int memberCount() {
     return context.members().size();
   }
 
-  /** Lifeguard's local health score: 0 for healthy, up to {@link Tuning#MAX_LOCAL_HEALTH}. */
+  /**
+   * Returns Lifeguard's local health score: 0 for healthy, up to {@link Tuning#MAX_LOCAL_HEALTH}.
+   */
   public int localHealth() {
     return localHealth.score();
   }
 
-  /** The state of a member, or empty where it is not known. */
+  /** Returns the state of a member, or empty if it is unknown. */
   public Optional<MemberState> stateOf(MemberId id) {
     return Optional.ofNullable(context.members().get(id)).map(member -> member.state);
   }
 
-  /** The digest of the active members; equal where their views are equal. */
+  /** Returns the digest of the active members; processes with equal views have equal digests. */
   public long digest() {
     return context.members().viewDigest();
   }
 
-  /** Whether the view is settled; see {@link ConvergenceDetector}. */
+  /** Returns whether the view is settled; see {@link ConvergenceDetector}. */
   public boolean isSettled(long nowUs) {
     convergence.observe(context.members().viewDigest(), nowUs);
     return convergence.isSettled(context.members(), antiEntropy.hasSeeds(), nowUs);
   }
 
-  /** The membership as it is known now. */
+  /** Returns the current membership view. */
   public MembershipView view(long nowUs) {
     return MembershipView.of(context.self().id, isSettled(nowUs), context.members());
   }
 
-  /** All records of a kind. */
+  /** Returns all records of a kind. */
   public List<FleetRecord> recordsOfKind(String kind) {
     return records.ofKind(kind);
   }
 
-  /** Writes a record of this process; false where it exceeds a limit. */
+  /** Writes a record of this process; returns false if it exceeds a limit. */
   public boolean publish(String kind, String key, byte[] payload, long ttlMs, long nowUs) {
     return records.publish(kind, key, payload, ttlMs, nowUs);
   }
 
-  /** Leaves gracefully: announces it, and sends that at once to some members. */
+  /** Leaves gracefully: announces the departure and sends it to some members at once. */
   public void leave(long nowUs) {
     if (context.isLeaving()) {
       return;
@@ -173,18 +177,18 @@
     return new SyncSession(context, receiver, true);
   }
 
-  /** Answers a push/pull synchronization that another member has opened. */
+  /** Answers a push/pull synchronization that another member opened. */
   public ExchangeSession acceptSync() {
     return new SyncSession(context, receiver, false);
   }
 
-  /** Handles a datagram; an invalid one only adds to a counter. */
+  /** Handles a datagram; an invalid one only increments a counter. */
   public void onDatagram(byte[] bytes, long nowUs) {
     context.setEventTimeUs(nowUs);
     receiver.onDatagram(bytes, nowUs);
   }
 
-  /** Runs all timers that are due; returns when to call again at the latest. */
+  /** Runs all timers that are due; returns the time of the next call at the latest. */
   public long onTimer(long nowUs) {
     context.setEventTimeUs(nowUs);
     compensateForPause(nowUs);
@@ -212,8 +216,9 @@
   }
 
   /**
-   * Guards other members against pauses of this process: what came meanwhile may not have been
-   * handled yet, so a pause counts for no probe and no suspicion.
+   * Prevents a pause of this process from causing false suspicions of others: messages that arrived
+   * meanwhile may not have been handled yet, so the pause does not count towards the timeouts of
+   * probes and suspicions.
    */
   private void compensateForPause(long nowUs) {
     long lateUs = nowUs - (timersStarted ? nextTimerUs() : startUs);
@@ -246,8 +251,8 @@
   }
 
   /**
-   * Probes the successor on the ring, so that somebody probes each member in every period, and the
-   * next member of the random round, which covers a successor that died with its prober.
+   * Probes the successor on the ring, so that each member is probed in every period, and the next
+   * member of the random round, which covers members whose predecessor on the ring died with them.
    */
   private void probeMembers(long nowUs) {
     MemberList members = context.members();
@@ -261,7 +266,10 @@
     }
   }
 
-  /** Lets one dead member know that it is held for dead, in case only a partition kept it apart. */
+  /**
+   * Requests a refutation from one random dead member, which may have been unreachable only because
+   * of a partition.
+   */
   private void requestRefutationOfDead() {
     MemberList members = context.members();
     Member inactive = members.randomInactive();
--- a/src/main/java/rosecleat/fleet/MembershipView.java
+++ b/src/main/java/rosecleat/fleet/MembershipView.java
@@ -7,12 +7,13 @@
 import java.util.Map;
 
 /**
- * What a process knows of its fleet at a moment; immutable, for any thread.
+ * An immutable snapshot of a process's view of its fleet; safe for any thread.
  *
  * @param self the identity of the process itself
  * @param settled whether the view has converged; see {@link ConvergenceDetector}
- * @param digest of the active members, equal where views are equal
- * @param members by name; a start that another of its name has replaced is left out
+ * @param digest the digest of the active members, equal where views are equal
+ * @param members the members by name and epoch; of each name the active starts, or the latest start
+ *     if none is active
  */
 public record MembershipView(
     MemberId self, boolean settled, long digest, List<MemberInfo> members) {
@@ -47,7 +48,7 @@
         member.id, member.endpoint, member.zone, member.state, member.incarnation);
   }
 
-  /** The number of members that are active. */
+  /** Returns the number of active members. */
   public long activeCount() {
     return members.stream().filter(member -> member.state().isActive()).count();
   }
--- a/src/main/java/rosecleat/fleet/MessageReceiver.java
+++ b/src/main/java/rosecleat/fleet/MessageReceiver.java
@@ -6,7 +6,7 @@
 import rosecleat.fleet.wire.MemberUpdateMessage;
 import rosecleat.fleet.wire.SyncFrame;
 
-/** Checks received messages and passes their parts to whom they concern. */
+/** Validates received messages and passes their parts to the components that handle them. */
 final class MessageReceiver {
   private final ProtocolContext context;
   private final MemberUpdateHandler memberUpdates;
@@ -52,7 +52,10 @@
     convergence.observe(context.members().viewDigest(), nowUs);
   }
 
-  /** Handles a frame of a synchronization (null where it is malformed); false if it is invalid. */
+  /**
+   * Handles a frame of a synchronization (null if it could not be decoded); returns false if it is
+   * invalid.
+   */
   boolean onExchange(SyncFrame frame, long nowUs) {
     if (frame == null || !frame.hasFrom()) {
       context.effects().count(MembershipCounter.MALFORMED_MESSAGE);
@@ -69,7 +72,9 @@
     return true;
   }
 
-  /** The sender of a message; empty, and counted, where the message is to be ignored. */
+  /**
+   * Returns the sender of a message; or counts the message and returns empty if it must be ignored.
+   */
   private Optional<MemberUpdate> acceptSender(MemberUpdateMessage from, String cluster) {
     Optional<MemberUpdate> sender = WireCodec.decode(from);
     if (sender.isEmpty()) {
@@ -82,14 +87,14 @@
     }
     Member self = context.self();
     if (sender.get().id().equals(self.id) && sender.get().endpoint().equals(self.endpoint)) {
-      // a seed list may hold this process's own address under another name of it
+      // a seed may be another address of this process itself
       context.effects().count(MembershipCounter.OWN_MESSAGE);
       return Optional.empty();
     }
     return sender;
   }
 
-  /** The sender speaks for itself; returns its member, null where it was not admitted. */
+  /** Handles the sender's update of itself; returns its member, or null if it was not admitted. */
   private Member handleSender(MemberUpdate from, long nowUs) {
     memberUpdates.handle(from, MemberUpdate.Source.GOSSIP, nowUs);
     Member sender = context.members().get(from.id());
@@ -102,7 +107,10 @@
     return sender;
   }
 
-  /** Notes the digest that a sender reports; one that is held for dead here may refute that. */
+  /**
+   * Records the digest that a sender reports, and requests a refutation from a sender that reports
+   * itself alive but is dead in this view.
+   */
   private void storeReportedDigest(Member sender, MemberUpdate from, long digest, long nowUs) {
     if (sender == null || sender == context.self()) {
       return;
@@ -133,7 +141,7 @@
       case NACK -> detector.onNack(datagram.getNack().getSequence());
       case PING_REQUEST -> detector.onPingRequest(from, datagram.getPingRequest(), nowUs);
       default -> {
-        // updates alone
+        // a datagram without a body carries updates only
       }
     }
   }
--- a/src/main/java/rosecleat/fleet/PartitionDetector.java
+++ b/src/main/java/rosecleat/fleet/PartitionDetector.java
@@ -1,6 +1,9 @@
 package rosecleat.fleet;
 
-/** Notices that half of the fleet or more is gone, so that this process may be cut off itself. */
+/**
+ * Detects that at least half of the fleet is dead in this view, so that this process may itself be
+ * partitioned from the rest.
+ */
 final class PartitionDetector {
   private final ProtocolContext context;
   private boolean suspected;
@@ -9,12 +12,12 @@
     this.context = context;
   }
 
-  /** Whether this process may be cut off from the rest of the fleet. */
+  /** Returns whether this process may be partitioned from the rest of the fleet. */
   boolean isPartitionSuspected() {
     return suspected;
   }
 
-  /** Compares the active members with all that did not leave. */
+  /** Compares the number of active members with that of all members that did not leave. */
   void update() {
     MemberList members = context.members();
     boolean now = !members.hasActiveMajority();
--- a/src/main/java/rosecleat/fleet/Probe.java
+++ b/src/main/java/rosecleat/fleet/Probe.java
@@ -2,35 +2,43 @@
 
 /** An outstanding ping. All times are by this process's clock. */
 final class Probe {
-  /** What a probe is for. */
+  /** The purpose of a probe. */
   enum Purpose {
-    /** The regular probe of a period, with indirect probes where there is no direct answer. */
+    /** The regular probe of a period, followed by indirect probes if there is no direct answer. */
     DETECTION,
     /** A probe of a member that another one suspects, to confirm the suspicion. */
     CONFIRMATION,
-    /** A probe of a member that another one declared dead, before that is believed. */
+    /** A probe of a member that another one declared dead, made before the death is accepted. */
     VERIFICATION,
     /** An indirect probe on behalf of another member. */
     RELAY
   }
 
-  /** Where the result of a relayed probe goes, and under which number. */
+  /**
+   * The member to which the result of a relayed probe is sent, and the sequence number that it
+   * gave.
+   */
   record Requester(Endpoint endpoint, int sequence) {}
 
   final int sequence;
   final Member target;
   final Purpose purpose;
 
-  /** Who asked for a {@link Purpose#RELAY}; null for any other purpose. */
+  /** The requester of a {@link Purpose#RELAY}; null for any other purpose. */
   final Requester requester;
 
-  /** When the direct answer is overdue; {@link ProtocolContext#NEVER} once that is handled. */
+  /**
+   * The time at which the direct answer is overdue; {@link ProtocolContext#NEVER} once that is
+   * handled.
+   */
   long directTimeoutUs;
 
-  /** When the probe has failed. */
+  /** The time at which the probe fails. */
   long endUs;
 
-  /** Members that were asked for an indirect probe, and those of them that answered nack. */
+  /**
+   * The members that were asked for an indirect probe, and those of them that answered with a nack.
+   */
   int relaysAsked;
 
   int nacks;
@@ -50,7 +58,7 @@
     this.endUs = endUs;
   }
 
-  /** When this probe needs attention next. */
+  /** Returns the earliest pending timeout of this probe. */
   long nextTimeoutUs() {
     return Math.min(directTimeoutUs, endUs);
   }
--- a/src/main/java/rosecleat/fleet/ProtocolContext.java
+++ b/src/main/java/rosecleat/fleet/ProtocolContext.java
@@ -4,11 +4,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What all parts of one member's protocol share: its settings, random source and effects, and the
- * state that it replicates: itself, the member list and the records.
+ * The state that all components of one member's protocol share: settings, random source, effects,
+ * and the replicated state, which is this member itself, the member list and the records.
  */
 final class ProtocolContext {
-  /** A timer that is not set. */
+  /** The time of a timer that is not set. */
   static final long NEVER = Long.MAX_VALUE;
 
   private final Tuning tuning;
@@ -62,7 +62,7 @@
     return self;
   }
 
-  /** Whether this process has announced that it leaves. */
+  /** Returns whether this process has announced that it leaves. */
   boolean isLeaving() {
     return leaving;
   }
@@ -71,7 +71,7 @@
     leaving = true;
   }
 
-  /** When the event that is being handled came: a timer, a datagram or a frame. */
+  /** Returns the arrival time of the event in progress: a timer, a datagram or a frame. */
   long eventTimeUs() {
     return eventTimeUs;
   }
@@ -80,17 +80,20 @@
     eventTimeUs = nowUs;
   }
 
-  /** A time up to a sixteenth shorter or longer, so that members do not fall in step. */
+  /**
+   * Returns a duration that is randomly up to a sixteenth shorter or longer, so that members do not
+   * run in step.
+   */
   long jitter(long durationUs) {
     return durationUs - durationUs / 16 + random.nextLong(Math.max(1, durationUs / 8));
   }
 
-  /** The digest of all that is replicated; equal on members that hold the same. */
+  /** Returns the digest of all replicated state; members with equal state have equal digests. */
   long syncDigest() {
     return Hash.mix(members.syncDigest() ^ Hash.mix(records.syncDigest()));
   }
 
-  /** Continues as a new start with another epoch; the member list is rebuilt around it. */
+  /** Continues as a new start with another epoch, and rebuilds the member list around it. */
   void changeEpoch(long epoch, long nowUs) {
     Member former = self;
     List<Member> others = members.all().stream().filter(member -> member != former).toList();
--- a/src/main/java/rosecleat/fleet/RecordReplicator.java
+++ b/src/main/java/rosecleat/fleet/RecordReplicator.java
@@ -6,15 +6,18 @@
 import java.util.Map;
 import rosecleat.fleet.wire.RecordUpdateMessage;
 
-/** Writes this process's records, and takes those of others from messages. */
+/** Writes this process's records, and merges received records of other processes. */
 final class RecordReplicator {
-  /** A forged version above this is not outbid: the version could overflow. */
+  /**
+   * Forged versions from this value on are not overridden with a greater one, since the version
+   * could overflow.
+   */
   private static final long MAX_OUTBID_VERSION = Long.MAX_VALUE / 4;
 
   private final ProtocolContext context;
   private final Dissemination dissemination;
 
-  /** The greatest version of each own record, written or forged. */
+  /** The greatest known version of each record of this process, whether written or forged. */
   private final Map<FleetRecord.Key, Long> ownVersions = new HashMap<>();
 
   RecordReplicator(ProtocolContext context, Dissemination dissemination) {
@@ -22,7 +25,7 @@
     this.dissemination = dissemination;
   }
 
-  /** Writes a record of this process; false where it exceeds a limit. */
+  /** Writes a record of this process; returns false if it exceeds a limit. */
   boolean publish(String kind, String key, byte[] payload, long ttlMs, long nowUs) {
     MemberId self = context.self().id;
     FleetRecord.Key id = new FleetRecord.Key(self.name(), kind, key);
@@ -39,7 +42,7 @@
     return true;
   }
 
-  /** The version of a record of this start, 0 where there is none. */
+  /** Returns the version of a record that this start wrote, or 0 if there is none. */
   private long storedVersion(FleetRecord.Key id) {
     return context
         .records()
@@ -49,7 +52,7 @@
         .orElse(0L);
   }
 
-  /** Writes all records of an earlier epoch of this process anew, under its current one. */
+  /** Rewrites all records of a former epoch of this process under its current epoch. */
   void republish(long formerEpoch, long nowUs) {
     String name = context.self().id.name();
     for (RecordStore.StoredRecord stored : List.copyOf(context.records().all())) {
@@ -60,7 +63,7 @@
     }
   }
 
-  /** Takes a record from a message, where it is newer than what is stored. */
+  /** Stores a received record if it is newer than the stored one. */
   void receive(RecordUpdateMessage message, long nowUs) {
     RecordUpdate update = WireCodec.decode(message).orElse(null);
     if (update == null) {
@@ -79,7 +82,10 @@
     }
   }
 
-  /** Nobody else writes under this start: a newer version is forged, and outbid. */
+  /**
+   * Handles a record under this start's identity. No other process writes these: a newer version
+   * than the stored one is forged, and is overridden with a greater version.
+   */
   private void receiveOwn(FleetRecord received, long nowUs) {
     FleetRecord own =
         context.records().find(received.id()).map(RecordStore.StoredRecord::record).orElse(null);
@@ -93,7 +99,9 @@
     }
   }
 
-  /** Drops the records whose owners have been gone for longer than their time to live. */
+  /**
+   * Removes the records whose owners have been inactive for longer than the record's time to live.
+   */
   void expire(long nowUs) {
     for (FleetRecord expired : context.records().expire(this::ownerIsActive, nowUs)) {
       context.effects().recordChanged(expired);
--- a/src/main/java/rosecleat/fleet/RecordStore.java
+++ b/src/main/java/rosecleat/fleet/RecordStore.java
@@ -11,18 +11,20 @@
 import rosecleat.fleet.wire.RecordUpdateMessage;
 
 /**
- * The records of all owners. Which version stays is decided by epoch and version alone, so that any
- * order of delivery ends the same. The time since an owner has gone travels with its records: they
- * expire everywhere at about the same time.
+ * The records of all owners. Epoch and version alone decide which version is retained, so that the
+ * result does not depend on the order of delivery. The time for which an owner has been inactive is
+ * sent with its records, so that they expire on all members at about the same time.
  */
 final class RecordStore {
-  /** Limits on the number and the bytes of all records, and on the number of one owner's. */
+  /**
+   * Limits on the number and the bytes of all records, and on the number of records of one owner.
+   */
   static final int MAX_RECORDS = 65_536;
 
   static final long MAX_BYTES = 32L << 20;
   static final int MAX_RECORDS_OF_OWNER = 1_024;
 
-  /** A record with the time at which its owner went. */
+  /** A record with the time at which its owner became inactive (dead, left or removed). */
   static final class StoredRecord {
     private static final long OWNER_ACTIVE = Long.MAX_VALUE;
 
@@ -37,12 +39,12 @@
       return record;
     }
 
-    /** How long the owner has been gone (ms); 0 while it is there. */
+    /** Returns how long the owner has been inactive (ms), or 0 while it is active. */
     long ownerGoneMs(long nowUs) {
       return ownerGoneUs == OWNER_ACTIVE ? 0 : Math.max(1, (nowUs - ownerGoneUs) / 1000);
     }
 
-    /** The record as a message, with or without its payload. */
+    /** Encodes the record as a message, with or without its payload. */
     RecordUpdateMessage encode(long nowUs, boolean withPayload) {
       return WireCodec.encode(record, ownerGoneMs(nowUs), withPayload);
     }
@@ -57,7 +59,7 @@
   private long bytes;
   private long syncDigest;
 
-  /** Stores a record; false where it is not newer, or exceeds a limit. */
+  /** Stores a record; returns false if it is not newer than the stored one, or exceeds a limit. */
   boolean store(FleetRecord record, long ownerGoneMs, long nowUs) {
     StoredRecord stored = byKey.get(record.id());
     if (stored != null && !record.newerThan(stored.record)) {
@@ -83,7 +85,10 @@
     return true;
   }
 
-  /** Another member may know for longer that the owner of the same version has gone. */
+  /**
+   * Adopts the earlier start of the owner's inactivity that another member reports for the same
+   * version, if the owner is inactive in this view too.
+   */
   private static void mergeOwnerGone(
       StoredRecord stored, FleetRecord record, long ownerGoneMs, long nowUs) {
     if (record.epoch() == stored.record.epoch()
@@ -106,7 +111,7 @@
         || bytes + size > MAX_BYTES;
   }
 
-  /** Adds a record to the bytes and the digest (sign 1), or takes it out (-1). */
+  /** Adds a record to the byte count and the digest (sign 1), or removes it from them (-1). */
   private void account(FleetRecord record, int sign) {
     bytes += (long) sign * record.payload().length;
     syncDigest ^= Hash.mix(record.id().hashCode() + 31 * record.epoch() + 7919 * record.version());
@@ -120,12 +125,12 @@
     return byKey.values();
   }
 
-  /** The digest of all keys with their versions. */
+  /** Returns the digest of all keys with their versions. */
   long syncDigest() {
     return syncDigest;
   }
 
-  /** Notes which owners have gone or are back; removes and returns what has expired. */
+  /** Updates which owners are inactive; removes and returns the expired records. */
   List<FleetRecord> expire(Predicate<FleetRecord> ownerIsActive, long nowUs) {
     List<FleetRecord> expired = new ArrayList<>();
     for (Iterator<StoredRecord> each = byKey.values().iterator(); each.hasNext(); ) {
--- a/src/main/java/rosecleat/fleet/RecordUpdate.java
+++ b/src/main/java/rosecleat/fleet/RecordUpdate.java
@@ -1,8 +1,8 @@
 package rosecleat.fleet;
 
 /**
- * What a message says of a record, with all fields within their bounds.
+ * A record as a message reports it, with all fields validated.
  *
- * @param ownerGoneMs how long its owner's start has been gone; 0 while it is there
+ * @param ownerGoneMs how long the record's owner has been inactive (ms); 0 while it is active
  */
 record RecordUpdate(FleetRecord record, long ownerGoneMs) {}
--- a/src/main/java/rosecleat/fleet/RefutationRequests.java
+++ b/src/main/java/rosecleat/fleet/RefutationRequests.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * Members that are held for dead here and may be alive: each is pinged and told so, and refutes it
- * if it can. This is how the sides of a healed partition find each other. Paced, a few in each
- * gossip round.
+ * A queue of members that are dead in this view but may be alive. Each is sent a ping that includes
+ * its recorded state, so that it can refute that. This is how the sides of a healed partition find
+ * each other. Each gossip round sends a limited number of requests.
  */
 final class RefutationRequests {
   private static final int MAX_QUEUED = 4_096;
@@ -31,14 +31,14 @@
     this.detector = detector;
   }
 
-  /** Queues a member for a coming gossip round. */
+  /** Queues a member for one of the next gossip rounds. */
   void add(Member member) {
     if (queue.size() < MAX_QUEUED && queued.add(member)) {
       queue.add(member);
     }
   }
 
-  /** Makes sure that a gossip round comes while members are queued. */
+  /** Schedules a gossip round if members are queued. */
   void requestRound(long nowUs) {
     if (!queue.isEmpty()) {
       dissemination.requestRound(nowUs);
@@ -49,7 +49,7 @@
     return queue.isEmpty();
   }
 
-  /** Pings the next few members that are still listed. */
+  /** Pings the next queued members that are still in the member list. */
   void sendBatch() {
     for (int sent = 0; sent < MAX_REQUESTS_PER_ROUND && !queue.isEmpty(); sent++) {
       Member member = queue.poll();
--- a/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
@@ -4,13 +4,16 @@
 import java.util.Set;
 
 /**
- * Handles what others say of this process and of its name: refutes a suspicion or death with a
- * greater incarnation, and takes a later epoch where another start has the same or a greater one.
+ * Handles updates on this process and on its name: refutes a suspicion or death with a greater
+ * incarnation, and adopts a later epoch if another start has the same or a greater one.
  */
 final class SelfUpdateHandler {
   private static final int MAX_NAME_CONFLICTS = 64;
 
-  /** The next epoch is drawn from so many, since the other process moves on too. */
+  /**
+   * The greatest increment to a new epoch; a random one makes it unlikely that the other process,
+   * which changes its epoch too, chooses the same.
+   */
   private static final int MAX_EPOCH_INCREMENT = 1_000;
 
   private final ProtocolContext context;
@@ -30,7 +33,7 @@
     this.localHealth = localHealth;
   }
 
-  /** Announces a change of this process itself, under a greater incarnation. */
+  /** Announces a change of this process itself under a greater incarnation. */
   void announce(Runnable change, long nowUs) {
     Member self = context.self();
     context
@@ -44,7 +47,7 @@
     dissemination.broadcast(self, nowUs);
   }
 
-  /** Handles an update on this very start. */
+  /** Handles an update on this start of the process. */
   void onUpdateOfSelf(MemberUpdate update, long nowUs) {
     Member self = context.self();
     if (!update.endpoint().equals(self.endpoint)
@@ -74,7 +77,7 @@
     Member self = context.self();
     if (update.endpoint().equals(self.endpoint)) {
       if (update.id().epoch() > self.id.epoch()) {
-        // the clock was set back since an earlier start: this start is the later one all the same
+        // the clock was set back since an earlier start; this start must have the later epoch
         context.effects().count(MembershipCounter.EPOCH_BEHIND);
         changeEpoch(update.id().epoch() + 1, nowUs);
       }
@@ -105,7 +108,7 @@
                 + "): both are kept apart");
   }
 
-  /** Lets a name conflict be reported again, once the other process has been removed. */
+  /** Allows a name conflict to be reported again once the other process has been removed. */
   void clearNameConflict(MemberId id) {
     nameConflicts.remove(id);
   }
--- a/src/main/java/rosecleat/fleet/SuspicionTracker.java
+++ b/src/main/java/rosecleat/fleet/SuspicionTracker.java
@@ -5,11 +5,12 @@
 import java.util.Set;
 
 /**
- * The members that are suspected. A suspicion begins with one witness; each further witness
- * shortens its timeout (Lifeguard), and a member that does not refute it in time is declared dead.
+ * The suspected members. A suspicion begins with one witness, a member whose probe failed. Each
+ * further witness shortens its timeout (Lifeguard), and a member that does not refute the suspicion
+ * in time is declared dead.
  */
 final class SuspicionTracker {
-  /** Steps of local health that double the timeout of a suspicion. */
+  /** Steps of the local health score that double the timeout of a suspicion. */
   private static final int HEALTH_STEPS = 4;
 
   private final ProtocolContext context;
@@ -30,12 +31,12 @@
     this.localHealth = localHealth;
   }
 
-  /** When {@link #expire} is due. */
+  /** Returns the time at which {@link #expire} is due. */
   long nextTimeoutUs() {
     return nextTimeoutUs;
   }
 
-  /** Begins a suspicion of a member, or adds a witness to one. */
+  /** Starts a suspicion of a member, or adds a witness to the current one. */
   void suspect(Member member, long incarnation, long witness, long nowUs) {
     if (member.state != MemberState.SUSPECT || incarnation > member.incarnation) {
       begin(member, incarnation, nowUs);
@@ -66,7 +67,9 @@
     context.effects().count(MembershipCounter.SUSPECTED);
   }
 
-  /** Tracks a new member that was learnt of as suspected. */
+  /**
+   * Tracks a member that was already suspected when this process first received an update of it.
+   */
   void track(Member member, long witness, long nowUs) {
     member.addWitness(witness);
     member.suspicionStartUs = nowUs;
@@ -84,8 +87,8 @@
   }
 
   /**
-   * Whether this process is among the few that probe a suspected member themselves. Chosen by
-   * rendezvous hashing, so that members need not agree on it.
+   * Returns whether this process is among the few that probe a suspected member themselves.
+   * Rendezvous hashing selects them without coordination between members.
    */
   private boolean shouldConfirm(Member suspected) {
     Member self = context.self();
@@ -103,7 +106,7 @@
     return true;
   }
 
-  /** Declares dead whom no timely refutation came from. */
+  /** Declares the members dead whose suspicions have timed out without a refutation. */
   void expire(long nowUs) {
     removeResolved();
     for (Member member : List.copyOf(suspects)) {
@@ -137,7 +140,7 @@
     effects.viewChanged();
   }
 
-  /** Extends all suspicions by the time that this process was paused. */
+  /** Extends all suspicions by the time for which this process was paused. */
   void extendTimeouts(long pauseUs) {
     removeResolved();
     suspects.forEach(member -> member.suspicionStartUs += pauseUs);
@@ -149,8 +152,9 @@
   }
 
   /**
-   * When a suspicion ends: from {@link Tuning#MAX_SUSPICION_FACTOR} times the shortest timeout with
-   * one witness, logarithmically down to the shortest with all that are wanted.
+   * Returns the time at which a suspicion ends. Its duration decreases logarithmically from {@link
+   * Tuning#MAX_SUSPICION_FACTOR} times the shortest timeout with one witness to the shortest
+   * timeout with all required confirmations.
    */
   private long timeoutUs(Member member) {
     int others = context.members().activePeerCount();
--- a/src/main/java/rosecleat/fleet/SyncFrames.java
+++ b/src/main/java/rosecleat/fleet/SyncFrames.java
@@ -7,7 +7,10 @@
 import rosecleat.fleet.wire.RecordUpdateMessage;
 import rosecleat.fleet.wire.SyncFrame;
 
-/** Builds the frames of a push/pull synchronization from what this member holds. */
+/**
+ * Builds the frames of a push/pull synchronization from this member's state. The head of a record
+ * is the record without its payload.
+ */
 final class SyncFrames {
   private final ProtocolContext context;
 
@@ -15,7 +18,7 @@
     this.context = context;
   }
 
-  /** A frame that says who sends it and, by a digest, what it holds. */
+  /** Returns a frame with the sender's identity and the digest of its replicated state. */
   SyncFrame.Builder header() {
     Member self = context.self();
     return SyncFrame.newBuilder()
@@ -24,7 +27,7 @@
         .setSyncDigest(context.syncDigest());
   }
 
-  /** A header with all members, dead ones with them. */
+  /** Returns a header with all other members, including the dead ones and those that left. */
   SyncFrame.Builder allMembers() {
     SyncFrame.Builder frame = header();
     for (Member member : context.members().all()) {
@@ -37,7 +40,7 @@
     return frame;
   }
 
-  /** All members, and all records without their payloads. */
+  /** Returns all other members and the heads of all records. */
   SyncFrame.Builder allMembersAndRecordHeads() {
     SyncFrame.Builder frame = allMembers();
     for (RecordStore.StoredRecord stored : context.records().all()) {
@@ -46,7 +49,7 @@
     return frame;
   }
 
-  /** The records that the other side, by its heads, lacks. */
+  /** Returns the records that are missing or older at the peer, according to the peer's heads. */
   List<RecordUpdateMessage> recordsMissingAtPeer(List<RecordUpdateMessage> theirHeads) {
     Map<FleetRecord.Key, FleetRecord> theirs = new HashMap<>();
     for (RecordUpdateMessage head : theirHeads) {
@@ -61,7 +64,7 @@
     return missing;
   }
 
-  /** The other side's heads of records that this member lacks. */
+  /** Returns the peer's heads of records that are missing or older here. */
   List<RecordUpdateMessage> headsMissingLocally(List<RecordUpdateMessage> theirHeads) {
     return theirHeads.stream().filter(this::isMissingLocally).toList();
   }
@@ -78,7 +81,7 @@
         .orElse(true);
   }
 
-  /** The records, with payloads, that the other side asked for by their heads. */
+  /** Returns the records, with payloads, whose heads the peer requested. */
   List<RecordUpdateMessage> requestedRecords(List<RecordUpdateMessage> heads) {
     List<RecordUpdateMessage> found = new ArrayList<>();
     for (RecordUpdateMessage head : heads) {
--- a/src/main/java/rosecleat/fleet/SyncReason.java
+++ b/src/main/java/rosecleat/fleet/SyncReason.java
@@ -1,12 +1,12 @@
 package rosecleat.fleet;
 
-/** Why a push/pull synchronization is opened, each with the name that its counter has. */
+/** The reason to open a push/pull synchronization, with the name of its counter. */
 public enum SyncReason {
-  /** To join by a seed, or to find the other half of a fleet that grew from two seeds. */
+  /** Joins through a seed, or merges the parts of a fleet that formed around different seeds. */
   SEED("seed"),
   /** Another member's digest has differed for some periods. */
   DIGEST_MISMATCH("differs"),
-  /** The regular anti-entropy interval is over. */
+  /** The regular anti-entropy interval has passed. */
   PERIODIC("turn");
 
   private final String counterName;
@@ -15,7 +15,7 @@
     this.counterName = counterName;
   }
 
-  /** The last part of the counter's name. */
+  /** Returns the last part of the counter's name. */
   public String counterName() {
     return counterName;
   }
--- a/src/main/java/rosecleat/fleet/SyncSession.java
+++ b/src/main/java/rosecleat/fleet/SyncSession.java
@@ -3,14 +3,14 @@
 import rosecleat.fleet.wire.SyncFrame;
 
 /**
- * One side of a push/pull synchronization, four frames at the most:
+ * One side of a push/pull synchronization of at most four frames:
  *
  * <ol>
  *   <li>the opener sends its digest;
- *   <li>the responder says that its own is the same, which ends the session, or sends all members
- *       and the heads of all records;
+ *   <li>the responder reports that its own digest is equal, which ends the session, or sends all
+ *       members and the heads of all records (records without their payloads);
  *   <li>the opener sends all members, the records that the responder lacks, and the heads of those
- *       that it lacks itself;
+ *       that the opener lacks;
  *   <li>the responder sends those records.
  * </ol>
  */
--- a/src/main/java/rosecleat/fleet/WireCodec.java
+++ b/src/main/java/rosecleat/fleet/WireCodec.java
@@ -11,15 +11,15 @@
 import rosecleat.fleet.wire.SyncFrame;
 
 /**
- * Members and records as messages and back. Decoding is empty where a name, host or number is out
- * of its bounds.
+ * Encodes members and records as messages and decodes them. Decoding returns empty if a name, host
+ * or number is out of bounds.
  */
 final class WireCodec {
 
-  /** The longest key of a record (characters). */
+  /** The maximum length of a record's key (characters). */
   private static final int MAX_KEY_LENGTH = 256;
 
-  /** The greatest epoch, incarnation and version, far from overflow. */
+  /** The greatest epoch, incarnation and version; small enough that increments cannot overflow. */
   private static final long MAX_NUMBER = 1L << 60;
 
   private static final long MAX_TTL_MS = 30L * 24 * 3_600_000;
@@ -127,7 +127,7 @@
     return Optional.of(new RecordUpdate(record, message.getOwnerGoneMs()));
   }
 
-  /** A datagram as it came, its checksum verified. */
+  /** Decodes a received datagram after verifying its checksum. */
   static Optional<Datagram> decodeDatagram(byte[] bytes, String cluster) {
     byte[] message = Checksum.verify(bytes, cluster);
     try {
@@ -137,7 +137,7 @@
     }
   }
 
-  /** A frame of a synchronization as it came, its checksum verified. */
+  /** Decodes a received frame of a synchronization after verifying its checksum. */
   static Optional<SyncFrame> decodeExchange(byte[] bytes, String cluster) {
     byte[] message = Checksum.verify(bytes, cluster);
     try {
