--- a/src/main/java/rosecleat/fleet/transport/Closeables.java
+++ b/src/main/java/rosecleat/fleet/transport/Closeables.java
@@ -1,6 +1,6 @@
 package rosecleat.fleet.transport;
 
-/** Closes what is of no use any more. */
+/** Closes resources that are no longer needed. */
 final class Closeables {
   private Closeables() {}
 
@@ -11,7 +11,7 @@
         resource.close();
       }
     } catch (Exception e) {
-      return; // nothing depends on it any more
+      return; // the resource is no longer used, so a failure has no consequence
     }
   }
 }
--- a/src/main/java/rosecleat/fleet/transport/CounterBuffer.java
+++ b/src/main/java/rosecleat/fleet/transport/CounterBuffer.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** Collects increments of counters, so that they are reported a few times a second only. */
+/** Collects counter increments, so that they are reported only a few times a second. */
 final class CounterBuffer {
   private final Map<String, Long> increments = new TreeMap<>();
 
@@ -20,7 +20,7 @@
     increments.merge(counterName, increment, Long::sum);
   }
 
-  /** Reports and forgets all increments. */
+  /** Reports all increments and clears them. */
   void flush(BiConsumer<String, Long> report) {
     increments.forEach(report);
     increments.clear();
--- a/src/main/java/rosecleat/fleet/transport/DatagramTransport.java
+++ b/src/main/java/rosecleat/fleet/transport/DatagramTransport.java
@@ -8,12 +8,12 @@
 import java.util.function.Consumer;
 import rosecleat.fleet.Endpoint;
 
-/** Sends datagrams under a rate limit, and receives them. */
+/** Sends datagrams under a rate limit, and receives datagrams. */
 final class DatagramTransport {
-  /** Datagrams that are handled before other sockets and timers get their turn. */
+  /** The number of datagrams that are handled before other sockets and timers are served. */
   private static final int MAX_RECEIVED_AT_ONCE = 512;
 
-  /** The limit on what is sent, however much there is to tell; also the largest burst. */
+  /** The rate limit for sending, which is also the largest burst. */
   private static final long MAX_BYTES_PER_SECOND = 8 << 20;
 
   private static final long US_PER_SECOND = 1_000_000;
@@ -25,7 +25,10 @@
   private long sendBudgetBytes = MAX_BYTES_PER_SECOND;
   private long budgetUpdatedUs;
 
-  /** A transport that receives into a buffer, which others may use between two calls. */
+  /**
+   * Creates a transport that receives into a buffer; the buffer may be shared, since its contents
+   * are not used between two calls.
+   */
   DatagramTransport(
       FleetSockets sockets, MonotonicClock clock, CounterBuffer counters, ByteBuffer buffer) {
     this.sockets = sockets;
@@ -34,7 +37,7 @@
     this.buffer = buffer;
   }
 
-  /** Sends a datagram; it is dropped, and counted, where the limit or the socket does not allow. */
+  /** Sends a datagram; drops and counts it if the rate limit or the socket does not permit it. */
   void send(Endpoint destination, byte[] payload) {
     refillBudget();
     if (sendBudgetBytes < payload.length) {
@@ -63,7 +66,7 @@
     budgetUpdatedUs = nowUs;
   }
 
-  /** Passes on what has come, up to a bound. */
+  /** Passes received datagrams to the handler, up to {@link #MAX_RECEIVED_AT_ONCE}. */
   void receive(Consumer<byte[]> handler) throws IOException {
     for (int received = 0; received < MAX_RECEIVED_AT_ONCE; received++) {
       buffer.clear();
@@ -72,7 +75,7 @@
           return;
         }
       } catch (PortUnreachableException e) {
-        continue; // of a datagram that was sent: its probe will time out
+        continue; // ICMP error for an earlier datagram; if it was a probe, that times out
       }
       buffer.flip();
       byte[] payload = new byte[buffer.remaining()];
--- a/src/main/java/rosecleat/fleet/transport/ExchangeConnection.java
+++ b/src/main/java/rosecleat/fleet/transport/ExchangeConnection.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 import rosecleat.fleet.ExchangeSession;
 
-/** A connection with the exchange on it. */
+/** A connection with the state of the exchange on it. */
 final class ExchangeConnection {
-  /** An exchange ends after so long without a byte, and after so long in all (us). */
+  /** An exchange is ended after this time without progress, or after this total time (us). */
   private static final long STALL_TIMEOUT_US = 3_000_000;
 
   private static final long MAX_DURATION_US = 60_000_000;
@@ -34,13 +34,13 @@
     deadlineUs = now + MAX_DURATION_US;
   }
 
-  /** A connection that this process opens for an exchange of a kind. */
+  /** Creates a connection that this process opens for an exchange of a kind. */
   static ExchangeConnection outbound(
       SocketChannel channel, int kind, ExchangeSession session, long nowUs) {
     return new ExchangeConnection(channel, true, kind, session, nowUs);
   }
 
-  /** A connection that was accepted; its first frame tells the kind of exchange. */
+  /** Creates an accepted connection; its first frame determines the kind of exchange. */
   static ExchangeConnection inbound(SocketChannel channel, long nowUs) {
     return new ExchangeConnection(channel, false, 0, null, nowUs);
   }
@@ -57,12 +57,12 @@
     return outbound;
   }
 
-  /** The kind of exchange that frames to the other side carry. */
+  /** Returns the kind of exchange that frames to the other side carry. */
   int kind() {
     return outbound ? outboundKind : frames.kind();
   }
 
-  /** The exchange, empty until the first frame of an inbound connection has come. */
+  /** Returns the exchange; empty until the first frame of an inbound connection has arrived. */
   Optional<ExchangeSession> session() {
     return Optional.ofNullable(session);
   }
--- a/src/main/java/rosecleat/fleet/transport/ExchangeManager.java
+++ b/src/main/java/rosecleat/fleet/transport/ExchangeManager.java
@@ -18,7 +18,7 @@
 import rosecleat.fleet.Endpoint;
 import rosecleat.fleet.ExchangeSession;
 
-/** The exchanges over TCP that this process has opened or accepted. */
+/** Manages the exchanges over TCP that this process has opened or accepted. */
 final class ExchangeManager {
   private static final int MAX_INBOUND = 16;
   private static final int MAX_OUTBOUND = 4;
@@ -31,7 +31,10 @@
   private final Map<Integer, Supplier<ExchangeSession>> responders = new HashMap<>();
   private final Map<SelectionKey, ExchangeConnection> connections = new HashMap<>();
 
-  /** A manager that reads into a buffer, and calls {@code afterFrame} when a frame was handled. */
+  /**
+   * Creates a manager that reads into the given buffer and calls {@code afterFrame} after each
+   * handled frame.
+   */
   ExchangeManager(
       Selector selector,
       MonotonicClock clock,
@@ -45,12 +48,12 @@
     this.afterFrame = afterFrame;
   }
 
-  /** Answers exchanges of a kind by the sessions that a supplier makes. */
+  /** Registers the supplier of sessions that answer exchanges of a kind. */
   void registerResponder(int kind, Supplier<ExchangeSession> responder) {
     responders.put(kind, responder);
   }
 
-  /** Opens an exchange; false where too many are open, or no connection can be made. */
+  /** Opens an exchange; returns false if too many are open or no connection can be opened. */
   boolean open(int kind, Endpoint peer, ExchangeSession session) {
     long outbound = connections.values().stream().filter(ExchangeConnection::isOutbound).count();
     if (outbound >= MAX_OUTBOUND) {
@@ -60,7 +63,7 @@
     try {
       channel = SocketChannel.open();
       channel.configureBlocking(false);
-      InetAddress host = InetAddress.getByName(peer.host()); // literal: asks no name service
+      InetAddress host = InetAddress.getByName(peer.host()); // literal: no name service lookup
       channel.connect(new InetSocketAddress(host, peer.port()));
       SelectionKey key = channel.register(selector, SelectionKey.OP_CONNECT);
       connections.put(key, ExchangeConnection.outbound(channel, kind, session, clock.nowUs()));
@@ -88,7 +91,7 @@
     connections.put(key, ExchangeConnection.inbound(channel, clock.nowUs()));
   }
 
-  /** Goes on with the exchange of a connection that is ready. */
+  /** Continues the exchange on a connection that is ready. */
   void onReady(SelectionKey key) {
     ExchangeConnection connection = connections.get(key);
     if (connection == null) {
@@ -105,7 +108,8 @@
         read(key, connection);
       }
     } catch (IOException | CancelledKeyException e) {
-      // the opener of an exchange closes it between two frames: that is no failure for the other
+      // the opener closes the connection between two frames, which completes the exchange for the
+      // accepting side
       boolean complete = !connection.isOutbound() && connection.frames().isIdle();
       counters.increment(
           complete ? TransportCounter.EXCHANGES_COMPLETED : TransportCounter.EXCHANGES_BROKEN);
@@ -160,7 +164,7 @@
     }
   }
 
-  /** Ends the exchanges that make no progress, or take too long. */
+  /** Aborts the exchanges that make no progress or exceed the total time. */
   void endStalled(long nowUs) {
     List<SelectionKey> stalled = new ArrayList<>();
     connections.forEach(
--- a/src/main/java/rosecleat/fleet/transport/FleetSockets.java
+++ b/src/main/java/rosecleat/fleet/transport/FleetSockets.java
@@ -11,9 +11,9 @@
 import rosecleat.log.Log;
 
 /**
- * The UDP and TCP sockets of a member, both at one address. While another process has the
- * configured port (during a takeover, or by mistake) a free port is used, and the configured one is
- * tried again regularly.
+ * The UDP and TCP sockets of a member, both on one address. While another process uses the
+ * configured port (during a takeover, or by mistake), a free port is used and binding the
+ * configured one is retried regularly.
  */
 final class FleetSockets {
   private static final long REBIND_INTERVAL_US = 500_000;
@@ -42,7 +42,7 @@
     return new Endpoint(address.getAddress().getHostAddress(), address.getPort());
   }
 
-  /** Opens both sockets, at a free port where the configured one is in use. */
+  /** Opens both sockets, on a free port if the configured one is in use. */
   void bind(long nowUs) throws IOException {
     try {
       open(listen);
@@ -82,7 +82,7 @@
     return ((InetSocketAddress) listener.getLocalAddress()).getPort();
   }
 
-  /** Opens both sockets at one address, or neither. */
+  /** Opens both sockets on one address, or neither. */
   private void open(InetSocketAddress address) throws IOException {
     ServerSocketChannel tcp = ServerSocketChannel.open();
     DatagramChannel udp = null;
@@ -105,12 +105,12 @@
     datagrams = udp;
   }
 
-  /** Whether the configured port is to be tried again. */
+  /** Returns whether the next attempt to bind the configured port is due. */
   boolean isRebindDue(long nowUs) {
     return onFreePort && nowUs >= nextRebindUs;
   }
 
-  /** Moves to the configured port; false where it is still in use. */
+  /** Moves to the configured port; returns false if it is still in use. */
   boolean rebind(long nowUs) {
     nextRebindUs = nowUs + REBIND_INTERVAL_US;
     ServerSocketChannel formerListener = listener;
@@ -127,7 +127,7 @@
     return true;
   }
 
-  /** Where other members reach this process now. */
+  /** Returns the endpoint at which other members currently reach this process. */
   Endpoint endpoint() {
     return endpoint;
   }
--- a/src/main/java/rosecleat/fleet/transport/FrameChannel.java
+++ b/src/main/java/rosecleat/fleet/transport/FrameChannel.java
@@ -7,11 +7,12 @@
 import java.util.Optional;
 
 /**
- * Frames on one connection: one byte for the kind of exchange, four bytes of length, the content. A
- * frame takes memory only as its bytes come, whatever length it declares.
+ * Reads and writes frames on one connection: one byte for the kind of exchange, four bytes of
+ * length, then the content. The buffer of a frame grows only as its bytes arrive, whatever length
+ * the frame declares.
  */
 final class FrameChannel {
-  /** The longest frame (bytes). */
+  /** The maximum length of a frame (bytes). */
   static final int MAX_FRAME_BYTES = 64 << 20;
 
   private static final int INITIAL_BUFFER_BYTES = 4 << 10;
@@ -30,20 +31,20 @@
     this.channel = channel;
   }
 
-  /** The kind of exchange that the latest frame belongs to. */
+  /** Returns the kind of exchange that the latest received frame belongs to. */
   int kind() {
     return kind;
   }
 
-  /** Whether no frame is received or written in part. */
+  /** Returns whether no frame is partly received or partly written. */
   boolean isIdle() {
     return frameBytes == NO_FRAME && header.position() == 0 && output == null;
   }
 
   /**
-   * Reads what has come; returns a complete frame, or empty where more must come.
+   * Reads available bytes; returns a frame once it is complete, otherwise empty.
    *
-   * @throws IOException where the connection ended, or a length is out of bounds
+   * @throws IOException if the connection ended or a frame's length is out of bounds
    */
   Optional<byte[]> read(ByteBuffer scratch) throws IOException {
     if (frameBytes == NO_FRAME && !readHeader()) {
@@ -66,7 +67,7 @@
     return Optional.of(frame);
   }
 
-  /** Reads on in the header; true once it is complete. */
+  /** Continues to read the header; returns true once it is complete. */
   private boolean readHeader() throws IOException {
     if (channel.read(header) < 0) {
       throw new IOException("ended");
@@ -96,7 +97,7 @@
     contentBytes = needed;
   }
 
-  /** Sets the frame that {@link #write} is to write. */
+  /** Sets the frame for {@link #write} to write. */
   void send(int frameKind, byte[] frame) {
     output =
         ByteBuffer.allocate(HEADER_BYTES + frame.length)
@@ -106,7 +107,7 @@
             .flip();
   }
 
-  /** Writes as much as the socket takes; true once all is written. */
+  /** Writes as much as the socket accepts; returns true once all is written. */
   boolean write() throws IOException {
     if (output != null) {
       channel.write(output);
--- a/src/main/java/rosecleat/fleet/transport/MembershipService.java
+++ b/src/main/java/rosecleat/fleet/transport/MembershipService.java
@@ -24,24 +24,30 @@
 import rosecleat.log.Log;
 
 /**
- * Runs the membership protocol over sockets. One thread owns the protocol and the sockets; others
- * submit tasks to it, by a bounded mailbox.
+ * Runs the membership protocol over sockets. One thread owns the protocol and the sockets; other
+ * threads submit tasks to it through a bounded mailbox.
  */
 public final class MembershipService implements AutoCloseable {
-  /** The kind of exchange that synchronizes members and records; others have other numbers. */
+  /**
+   * The kind number of exchanges that synchronize members and records; further kinds have other
+   * numbers.
+   */
   public static final int MEMBERSHIP_EXCHANGE_KIND = 1;
 
   private static final int MAILBOX_CAPACITY = 4_096;
 
-  /** Views and counters are reported no more often than this. */
+  /** The minimum interval between two reports of views and counters. */
   private static final long REPORT_INTERVAL_US = 50_000;
 
   private static final int BUFFER_BYTES = 64 << 10;
 
-  /** The golden ratio in 64 bits: spreads the hash of a name over a random seed. */
+  /**
+   * The 64-bit golden ratio constant, which distributes the hash of a name over all bits of a
+   * random seed.
+   */
   private static final long NAME_SEED_FACTOR = 0x9e3779b97f4a7c15L;
 
-  /** How a process takes part in its fleet. */
+  /** The configuration of a process's membership in its fleet. */
   public record Settings(
       String name,
       String cluster,
@@ -51,7 +57,7 @@
       List<InetSocketAddress> seeds,
       long periodUs) {}
 
-  /** Hears of changes on the service's own thread; must not block. */
+  /** Receives changes on the service's own thread; must not block. */
   public interface Listener {
     /** The membership view has changed. */
     void viewChanged(MembershipView view);
@@ -81,7 +87,7 @@
   private volatile MembershipView view;
   private volatile boolean stopping;
 
-  /** Opens the sockets; {@link #start} begins. */
+  /** Opens the sockets; {@link #start} starts the service. */
   public MembershipService(Settings settings, Listener listener, Log log) throws IOException {
     this.settings = settings;
     this.listener = listener;
@@ -98,7 +104,10 @@
     thread.setDaemon(true);
   }
 
-  /** A protocol whose epoch is the time of day (us), so that a later start has a greater one. */
+  /**
+   * Creates a protocol whose epoch is the time of day (us), so that a later start has a greater
+   * one.
+   */
   private MembershipProtocol newProtocol() {
     long epochUs =
         System.currentTimeMillis() * 1000 + Math.floorMod(System.nanoTime() / 1000, 1000);
@@ -114,33 +123,39 @@
         local, Tuning.of(settings.periodUs), new SplittableRandom(seed), nowUs());
   }
 
-  /** The service's clock (us). */
+  /** Returns the time of the service's clock (us). */
   public long nowUs() {
     return clock.nowUs();
   }
 
-  /** Answers exchanges of a further kind; before {@link #start}. */
+  /** Registers the responder for exchanges of a further kind; call before {@link #start}. */
   public void registerResponder(int kind, Supplier<ExchangeSession> responder) {
     exchanges.registerResponder(kind, responder);
   }
 
-  /** Begins. */
+  /** Starts the service's thread. */
   public void start() {
     exchanges.registerResponder(MEMBERSHIP_EXCHANGE_KIND, protocol::acceptSync);
     thread.start();
   }
 
-  /** The latest membership view; for any thread. */
+  /** Returns the latest membership view; safe for any thread. */
   public MembershipView view() {
     return view;
   }
 
-  /** Where other members reach this process; for any thread once it has started. */
+  /**
+   * Returns the endpoint at which other members reach this process; safe for any thread once the
+   * service has started.
+   */
   public Endpoint endpoint() {
     return sockets.endpoint();
   }
 
-  /** Submits a task for the service's thread; false where its mailbox is full. For any thread. */
+  /**
+   * Submits a task for the service's thread; returns false if its mailbox is full. Safe for any
+   * thread.
+   */
   public boolean submit(Consumer<MembershipProtocol> task) {
     boolean accepted = mailbox.offer(task);
     selector.wakeup();
@@ -148,14 +163,17 @@
   }
 
   /**
-   * Opens an exchange of a further kind; on the service's own thread. False where too many are
-   * open, or the peer is this process.
+   * Opens an exchange of a further kind; call on the service's own thread. Returns false if too
+   * many are open, no connection can be opened, or the peer is this process.
    */
   public boolean startExchange(int kind, Endpoint peer, ExchangeSession session) {
     return !peer.equals(sockets.endpoint()) && exchanges.open(kind, peer, session);
   }
 
-  /** Leaves gracefully and stops; waits for that up to a timeout (ms). For any thread. */
+  /**
+   * Leaves gracefully and stops; waits for the thread's end up to a timeout (ms). Safe for any
+   * thread.
+   */
   public void leaveAndStop(long timeoutMs) {
     submit(
         member -> {
@@ -191,7 +209,7 @@
     }
   }
 
-  /** Runs due timers, waits for sockets and tasks, and handles those. */
+  /** Runs due timers, waits for sockets and tasks, and handles these. */
   private void runOnce() throws IOException {
     long dueUs = Math.min(runTimers(), reportChanges());
     selector.select(waitMs(dueUs));
@@ -208,7 +226,7 @@
     }
   }
 
-  /** Returns when timers are due again; after a failure, in a period. */
+  /** Returns the time at which timers are due again; one period from now after a failure. */
   private long runTimers() {
     long dueUs = nowUs() + settings.periodUs;
     try {
@@ -221,7 +239,7 @@
   }
 
   private long waitMs(long dueUs) {
-    long maxWaitMs = settings.periodUs / 2_000; // half of a period
+    long maxWaitMs = settings.periodUs / 2_000; // half a period
     return Math.max(1, Math.min(TimeUnit.MICROSECONDS.toMillis(dueUs - nowUs()), maxWaitMs));
   }
 
@@ -239,7 +257,9 @@
     void run() throws IOException;
   }
 
-  /** Runs a step whose failure must not end the service, only the one message or connection. */
+  /**
+   * Runs a step whose failure affects one message or connection only and must not stop the service.
+   */
   private void runGuarded(Step step) {
     try {
       step.run();
@@ -272,7 +292,10 @@
     runEffects();
   }
 
-  /** Reports a changed view and counters, but not too often; returns when to call again. */
+  /**
+   * Reports a changed view and counters, at most once per report interval; returns the time of the
+   * next call.
+   */
   private long reportChanges() {
     long nowUs = nowUs();
     boolean changed = viewChanged || protocol.isSettled(nowUs) != view.settled();
@@ -289,7 +312,7 @@
     return Long.MAX_VALUE;
   }
 
-  /** Carries out what the protocol asks. */
+  /** Handles the effects that the protocol has queued. */
   private void runEffects() {
     protocol.drainEffects().forEach(this::runEffect);
   }
--- a/src/main/java/rosecleat/fleet/transport/MonotonicClock.java
+++ b/src/main/java/rosecleat/fleet/transport/MonotonicClock.java
@@ -1,6 +1,9 @@
 package rosecleat.fleet.transport;
 
-/** Microseconds since its creation, from 1; never goes back, whatever the time of day does. */
+/**
+ * A clock of microseconds since its creation, starting at 1; never goes back when the time of day
+ * changes.
+ */
 final class MonotonicClock {
   private final long originNs = System.nanoTime();
 
