--- a/src/test/java/rosecleat/fleet/DisseminationQueueTest.java
+++ b/src/test/java/rosecleat/fleet/DisseminationQueueTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order and number of transmissions of queued updates. */
+/** Tests the order and the number of transmissions of queued updates. */
 class DisseminationQueueTest {
   private final DisseminationQueue<String> queue = new DisseminationQueue<>();
 
--- a/src/test/java/rosecleat/fleet/EffectTrace.java
+++ b/src/test/java/rosecleat/fleet/EffectTrace.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A digest of all effects and frames of a simulation in their order: equal for equal runs. */
+/** A digest of all effects and frames of a simulation in order; equal runs have equal digests. */
 final class EffectTrace {
   private long digest;
 
--- a/src/test/java/rosecleat/fleet/LocalHealthTest.java
+++ b/src/test/java/rosecleat/fleet/LocalHealthTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The bounds of the score, and what it makes of a timeout. */
+/** Tests the bounds of the local health score and its effect on timeouts. */
 class LocalHealthTest {
   @Test
   void scoreStaysWithinItsBounds() {
--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -16,16 +16,16 @@
 import rosecleat.fleet.wire.MemberUpdateMessage;
 import rosecleat.fleet.wire.RecordUpdateMessage;
 
-/** Many members on virtual time: faults, and that the views converge again. */
+/** Runs many members on virtual time, injects faults and checks that the views converge again. */
 class MembershipProtocolTest {
   private static final String CLUSTER = "test";
 
-  /** The largest datagram that may leave a member, with its checksum (bytes). */
+  /** The largest datagram that a member may send, including its checksum (bytes). */
   private static final int MAX_DATAGRAM_WITH_CHECKSUM_BYTES = 1_400;
 
   /**
-   * Loss, partitions, pauses, crashes, joins and restarts from a seed; then calm, and all views
-   * must hold exactly who is there.
+   * Injects seeded loss, duplication, partitions, pauses, crashes and restarts while the members
+   * join. Once the faults end, all views must contain exactly the running members.
    */
   @ParameterizedTest
   @CsvSource({"5, 60", "24, 24", "60, 6", "200, 1"})
@@ -47,7 +47,7 @@
     }
   }
 
-  /** A minority can't be settled: it may be cut off. */
+  /** Views of a minority need not settle, since it may be partitioned from the rest. */
   private static boolean hasConverged(SimulatedCluster cluster) {
     boolean minority = 2 * cluster.running().size() <= cluster.peers.size();
     return cluster.viewsAgree() && (minority || cluster.allSettled());
@@ -62,7 +62,7 @@
         int parts = 2 + cluster.random.nextInt(2);
         cluster.link = (from, to) -> from % parts == to % parts;
       }
-      case 2 -> cluster.link = (from, to) -> from != peer.index; // hears all, is not heard
+      case 2 -> cluster.link = (from, to) -> from != peer.index; // receives, but cannot send
       case 3 -> peer.pause((1 + cluster.random.nextInt(12)) * SimulatedCluster.PERIOD_US);
       case 4 -> {
         if (cluster.running().size() > 2) {
@@ -78,7 +78,7 @@
     }
   }
 
-  /** How long a view may be settled wrongly after a crash, and how soon it is right again. */
+  /** Limits how long views stay falsely settled after a crash, and how soon they settle again. */
   @Test
   void viewsAreFalselySettledNoLongerThanDetectionTakes() {
     for (long seed = 1; seed <= 20; seed++) {
@@ -100,7 +100,10 @@
     return cluster.running().stream().noneMatch(peer -> peer.protocol.isSettled(cluster.nowUs));
   }
 
-  /** A failure that a seed shows can be played again: nothing draws from outside the seed. */
+  /**
+   * Guards against sources of randomness other than the seed, so that the failure of a seed can be
+   * reproduced.
+   */
   @Test
   void equalSeedsReplayEqualTraces() {
     assertEquals(traceOf(5), traceOf(5));
@@ -124,7 +127,7 @@
     restarted.crash();
     cluster.run(1);
     long nowUs = cluster.nowUs;
-    cluster.nowUs = 1; // the epoch is taken from this clock
+    cluster.nowUs = 1; // the new epoch is taken from this clock
     restarted.start(0);
     cluster.nowUs = nowUs;
     double periods =
@@ -133,7 +136,9 @@
     assertTrue(periods >= 0, "it is not seen as a later start");
   }
 
-  /** Records become equal everywhere, also after a partition, and expire with their owners. */
+  /**
+   * Records must become equal on all members, also after a partition, and expire with their owners.
+   */
   @Test
   void recordsConvergeAndExpireWithTheirOwners() {
     SimulatedCluster cluster = new SimulatedCluster(12, 4).startedWithFullViews();
@@ -141,7 +146,7 @@
     cluster.run(20);
     cluster.peers.forEach(peer -> publishVersions(cluster, peer));
     MembershipProtocol second = cluster.peers.get(1).protocol;
-    byte[] large = new byte[Tuning.MAX_RECORD_BYTES]; // too large for gossip, a sync brings it
+    byte[] large = new byte[Tuning.MAX_RECORD_BYTES]; // above the gossip limit: by sync only
     second.publish("costs", "large", large, 20_000, cluster.nowUs);
     byte[] tooLarge = new byte[Tuning.MAX_RECORD_BYTES + 1];
     assertFalse(second.publish("costs", "larger", tooLarge, 20_000, cluster.nowUs));
@@ -153,7 +158,7 @@
     assertTrue(periods > 18, "expired after " + periods);
   }
 
-  /** Three records, two of them in two versions. */
+  /** Publishes three records, two of them in two versions. */
   private static void publishVersions(SimulatedCluster cluster, SimulatedCluster.Peer peer) {
     for (int i = 0; i < 5; i++) {
       byte[] payload = {(byte) i, (byte) peer.index};
@@ -167,7 +172,10 @@
         .allMatch(peer -> peer.protocol.recordsOfKind("costs").size() == count);
   }
 
-  /** Whatever comes, nothing is thrown, and nobody is held for dead on its ground. */
+  /**
+   * Random, corrupted and forged messages must not cause an exception, and no member may stay dead
+   * in a view because of them.
+   */
   @Test
   void malformedAndForgedMessagesOnlyIncrementCounters() {
     SimulatedCluster cluster = new SimulatedCluster(6, 2).startedWithFullViews();
@@ -216,7 +224,7 @@
     return valid;
   }
 
-  /** One bit is flipped, and half of the datagrams are cut off besides. */
+  /** Sends datagrams with one flipped bit, half of which are also truncated. */
   private static void sendCorrupted(
       SimulatedCluster cluster, SimulatedCluster.Peer victim, byte[] valid, Random random) {
     for (int i = 0; i < 20_000 && valid != null; i++) {
@@ -229,7 +237,9 @@
     }
   }
 
-  /** Says that everybody is dead, and claims records in everybody's name. */
+  /**
+   * Returns a datagram that reports all members dead and contains records under all members' names.
+   */
   private static Datagram.Builder forgedDatagram(SimulatedCluster cluster) {
     Datagram.Builder forged =
         Datagram.newBuilder()
--- a/src/test/java/rosecleat/fleet/RecordStoreTest.java
+++ b/src/test/java/rosecleat/fleet/RecordStoreTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** Records that arrive in any order, and more than once. */
+/** Tests records that arrive in any order and more than once. */
 class RecordStoreTest {
   @Property(tries = 200)
   void storeIsIndependentOfRecordOrder(@ForAll @Size(min = 1, max = 12) List<Long> choices) {
@@ -28,7 +28,9 @@
     assertEquals(inOrder.all().size(), shuffled.all().size());
   }
 
-  /** A record of few owners, epochs and versions, so that many have one key. */
+  /**
+   * Returns a record with one of few owners, epochs and versions, so that many records share a key.
+   */
   private static FleetRecord recordOf(long choice) {
     String owner = "o" + Math.floorMod(choice, 2);
     long epoch = 1L + Math.floorMod(choice / 2, 2);
--- a/src/test/java/rosecleat/fleet/SimulatedCluster.java
+++ b/src/test/java/rosecleat/fleet/SimulatedCluster.java
@@ -14,8 +14,8 @@
 import rosecleat.fleet.wire.SyncFrame;
 
 /**
- * Many members on one virtual clock, with a network between them that loses, duplicates, delays and
- * partitions. All is drawn from one seed.
+ * Many members on one virtual clock, connected by a simulated network that loses, duplicates and
+ * delays messages and can be partitioned. All randomness comes from one seed.
  */
 public final class SimulatedCluster {
   /** The protocol period (us). */
@@ -24,10 +24,13 @@
   private static final String CLUSTER = "test";
   private static final int PORT = 7_946;
 
-  /** Bytes that the network adds to a datagram. */
+  /** Bytes that network headers add to a datagram. */
   private static final int NETWORK_HEADER_BYTES = 28;
 
-  /** Events that wait for a paused member; its sockets would drop more. */
+  /**
+   * The number of deliveries queued for a paused member; further ones are dropped, as full socket
+   * buffers would drop them.
+   */
   private static final int MAX_DELAYED_BY_PAUSE = 200;
 
   private static final long MIN_DELAY_US = 200;
@@ -35,7 +38,7 @@
 
   private record Event(long atUs, long sequence, Runnable action) {}
 
-  /** One member. */
+  /** One simulated member. */
   public final class Peer {
     public final int index;
     public MembershipProtocol protocol;
@@ -49,7 +52,7 @@
       this.index = index;
     }
 
-    /** Where the others reach it. */
+    /** Returns the endpoint at which other members reach this one. */
     public Endpoint endpoint() {
       return new Endpoint("10.0." + index / 250 + "." + index % 250, PORT);
     }
@@ -58,7 +61,7 @@
       return "z" + index % 3;
     }
 
-    /** Starts it anew, with the seeds of these numbers. */
+    /** Starts or restarts this member, with the members of the given indexes as seeds. */
     public void start(int... seeds) {
       List<Endpoint> seedEndpoints = new ArrayList<>();
       for (int seed : seeds) {
@@ -75,7 +78,7 @@
       crashed = true;
     }
 
-    /** Stands still for a while; what comes meanwhile is handled afterwards. */
+    /** Pauses this member for a duration; messages that arrive meanwhile are handled afterwards. */
     public void pause(long durationUs) {
       pausedUntilUs = nowUs + durationUs;
       SimulatedCluster.this.schedule(
@@ -94,7 +97,7 @@
       run();
     }
 
-    /** Runs due timers, and carries out the effects. */
+    /** Runs due timers and the resulting effects. */
     public void run() {
       if (crashed) {
         return;
@@ -122,7 +125,7 @@
           });
     }
 
-    /** Carries out what the protocol asks. */
+    /** Runs the effects that the protocol has queued. */
     public void runEffects() {
       for (Effect effect : protocol.drainEffects()) {
         trace.add(effect);
@@ -142,15 +145,15 @@
   public final Tuning tuning;
   public long nowUs = 1_000_000;
 
-  /** Counters of all members, by name. */
+  /** The sums of all members' counters by name. */
   public final Map<String, Long> counters = new TreeMap<>();
 
-  /** The probabilities that a datagram is lost, and that it is duplicated. */
+  /** The probabilities that a datagram is lost and that it is duplicated. */
   public double loss;
 
   public double duplication;
 
-  /** Whether something can pass from one member to another, by their numbers. */
+  /** Whether the network passes messages from one member to another, given by their indexes. */
   public BiPredicate<Integer, Integer> link = (from, to) -> true;
 
   public long messages;
@@ -176,13 +179,13 @@
     }
   }
 
-  /** All start at once, with these seeds. */
+  /** Starts all members at once with the given seeds. */
   public SimulatedCluster started(int... seeds) {
     peers.forEach(peer -> peer.start(seeds));
     return this;
   }
 
-  /** All start and know one another already, as after a long calm. */
+  /** Starts all members with complete views, as after a long run without faults. */
   public SimulatedCluster startedWithFullViews() {
     started(0);
     for (Peer peer : peers) {
@@ -209,7 +212,7 @@
         new MemberUpdate(id, peer.endpoint(), peer.zone(), MemberState.ALIVE, 1, 0));
   }
 
-  /** The digest of all datagrams, frames and other effects so far. */
+  /** Returns the digest of all datagrams, frames and other effects so far. */
   public long traceDigest() {
     return trace.digest();
   }
@@ -257,7 +260,9 @@
     }
   }
 
-  /** An exchange between two members, which ends when either is restarted. */
+  /**
+   * An exchange between two members, which ends when either crashes or the responder is restarted.
+   */
   private record Sync(
       Peer opener,
       ExchangeSession openerSession,
@@ -311,7 +316,7 @@
     }
   }
 
-  /** Lets so many periods pass. */
+  /** Advances virtual time by the given number of periods. */
   public void run(double periods) {
     long endUs = nowUs + (long) (periods * PERIOD_US);
     while (!events.isEmpty() && events.peek().atUs <= endUs) {
@@ -323,8 +328,8 @@
   }
 
   /**
-   * Runs until a condition holds, which is tried ten times a period; returns the periods that
-   * passed, or -1 after so many.
+   * Runs until a condition holds, which is checked ten times a period; returns the periods that
+   * passed, or -1 if the condition does not hold within {@code maxPeriods}.
    */
   public double runUntil(double maxPeriods, BooleanSupplier condition) {
     for (double waited = 0; waited <= maxPeriods; waited += 0.1) {
@@ -336,17 +341,17 @@
     return -1;
   }
 
-  /** The members that run. */
+  /** Returns the members that are running. */
   public List<Peer> running() {
     return peers.stream().filter(peer -> !peer.crashed && peer.protocol != null).toList();
   }
 
-  /** Whether the views of all running members are settled. */
+  /** Returns whether the views of all running members are settled. */
   public boolean allSettled() {
     return running().stream().allMatch(peer -> peer.protocol.isSettled(nowUs));
   }
 
-  /** Whether all running members hold exactly one another for active. */
+  /** Returns whether the view of each running member has exactly the running members as active. */
   public boolean viewsAgree() {
     List<Peer> running = running();
     if (running.isEmpty()) {
@@ -357,7 +362,7 @@
         && first.view(nowUs).activeCount() == running.size();
   }
 
-  /** Whether no running member holds another for active. */
+  /** Returns whether no running member has the given member as active. */
   public boolean allConsiderGone(MemberId id) {
     return running().stream()
         .noneMatch(peer -> peer.protocol.stateOf(id).filter(MemberState::isActive).isPresent());
