--- a/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
@@ -58,7 +58,7 @@
       case SUSPECT -> onSuspect(member, update, nowUs);
       case DEAD -> onDead(member, update, source, nowUs);
       case LEFT -> onLeft(member, update, nowUs);
-      default -> throw new IllegalStateException("state " + update.state());
+      default -> throw new IllegalStateException("unexpected member state " + update.state());
     }
   }
 
@@ -138,7 +138,7 @@
     EffectQueue effects = context.effects();
     effects.count(returned ? MembershipCounter.RETURNED : MembershipCounter.REFUTED);
     if (returned) {
-      effects.info(member.id + " at " + member.endpoint + " is there again");
+      effects.info(member.id + " at " + member.endpoint + " is alive again");
       antiEntropy.onMemberReturned(nowUs);
     }
     replaceEarlierStarts(member, nowUs);
@@ -168,7 +168,7 @@
       effects.info(member.id + " has left");
     } else {
       effects.count(MembershipCounter.REPORTED_DEAD);
-      effects.warn(member.id + " is dead, as others say");
+      effects.warn(member.id + " is dead: reported by other members");
     }
     effects.viewChanged();
   }
@@ -207,7 +207,7 @@
   }
 
   private static String joinLine(Member member) {
-    String zone = member.zone.isEmpty() ? "" : " in " + member.zone;
+    String zone = member.zone.isEmpty() ? "" : " in zone " + member.zone;
     return member.id + " at " + member.endpoint + zone + " has joined";
   }
 
--- a/src/main/java/rosecleat/fleet/PartitionDetector.java
+++ b/src/main/java/rosecleat/fleet/PartitionDetector.java
@@ -28,11 +28,11 @@
     EffectQueue effects = context.effects();
     if (now) {
       effects.warn(
-          "half of the fleet or more has gone: this process may be cut off, and forgets"
-              + " nobody for now");
+          "at least half of the fleet is dead: this process may be partitioned, dead members are"
+              + " retained for now");
       effects.count(MembershipCounter.PARTITION_SUSPECTED);
     } else {
-      effects.info("most of the fleet is there again");
+      effects.info("more than half of the fleet is active again");
       effects.count(MembershipCounter.PARTITION_HEALED);
     }
   }
--- a/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
@@ -103,9 +103,9 @@
                 + other.endpoint()
                 + " (epoch "
                 + other.id().epoch()
-                + "; this one has "
+                + ", this process has "
                 + context.self().id.epoch()
-                + "): both are kept apart");
+                + "): both stay separate members");
   }
 
   /** Allows a name conflict to be reported again once the other process has been removed. */
@@ -119,7 +119,7 @@
     dissemination.discard(former);
     dissemination.broadcast(context.self(), nowUs);
     records.republish(former.epoch(), nowUs);
-    context.effects().info("this is " + context.self().id + " now");
+    context.effects().info("identity of this process changed to " + context.self().id);
     context.effects().viewChanged();
   }
 }
--- a/src/main/java/rosecleat/fleet/SuspicionTracker.java
+++ b/src/main/java/rosecleat/fleet/SuspicionTracker.java
@@ -133,9 +133,8 @@
         member.id
             + " at "
             + member.endpoint
-            + " is dead: it did not answer "
-            + member.witnesses.size()
-            + " witnesses");
+            + " is dead: suspicion not refuted in time, witnesses: "
+            + member.witnesses.size());
     dissemination.broadcast(member, nowUs);
     effects.viewChanged();
   }
--- a/src/main/java/rosecleat/fleet/transport/FleetSockets.java
+++ b/src/main/java/rosecleat/fleet/transport/FleetSockets.java
@@ -55,13 +55,12 @@
       onFreePort = true;
       nextRebindUs = nowUs + REBIND_INTERVAL_US;
       log.warn(
-          "fleet: can't listen at "
+          "fleet: could not listen on "
               + listen
-              + " ("
-              + e.getMessage()
-              + "); listens at "
+              + ", reachable at "
               + endpoint
-              + " until that is free");
+              + " until that address is free: "
+              + e.getMessage());
     }
   }
 
--- a/src/main/java/rosecleat/fleet/transport/FrameChannel.java
+++ b/src/main/java/rosecleat/fleet/transport/FrameChannel.java
@@ -54,7 +54,7 @@
       scratch.clear().limit(Math.min(scratch.capacity(), frameBytes - contentBytes));
       int count = channel.read(scratch);
       if (count < 0) {
-        throw new IOException("ended in a frame");
+        throw new IOException("connection closed within a frame");
       }
       if (count == 0) {
         return Optional.empty();
@@ -70,7 +70,7 @@
   /** Continues to read the header; returns true once it is complete. */
   private boolean readHeader() throws IOException {
     if (channel.read(header) < 0) {
-      throw new IOException("ended");
+      throw new IOException("connection closed by the other side");
     }
     if (header.hasRemaining()) {
       return false;
@@ -80,7 +80,8 @@
     int length = header.getInt();
     header.clear();
     if (length < 0 || length > MAX_FRAME_BYTES) {
-      throw new IOException("a frame of " + length + " bytes");
+      throw new IOException(
+          "frame length of " + length + " bytes is not within 0 to " + MAX_FRAME_BYTES);
     }
     frameBytes = length;
     content = new byte[Math.min(length, INITIAL_BUFFER_BYTES)];
--- a/src/main/java/rosecleat/fleet/transport/MembershipService.java
+++ b/src/main/java/rosecleat/fleet/transport/MembershipService.java
@@ -201,7 +201,7 @@
         runOnce();
       }
     } catch (IOException | ClosedSelectorException e) {
-      log.warn("fleet: ends: " + e);
+      log.warn("fleet: membership service stopped after a failure: " + e);
     } finally {
       exchanges.close();
       sockets.close();
@@ -222,7 +222,7 @@
     exchanges.endStalled(nowUs);
     if (sockets.isRebindDue(nowUs) && sockets.rebind(nowUs)) {
       protocol.changeEndpoint(sockets.endpoint(), nowUs);
-      log.info("fleet: listens at " + sockets.endpoint() + " now");
+      log.info("fleet: sockets moved to the configured port, reachable at " + sockets.endpoint());
     }
   }
 
@@ -271,7 +271,8 @@
   private void onFailure(Exception failure) {
     counters.increment(TransportCounter.FAILURES);
     StackTraceElement[] trace = failure.getStackTrace();
-    log.warn("fleet: " + failure + (trace.length == 0 ? "" : " at " + trace[0]));
+    log.warn(
+        "fleet: event handling failed: " + failure + (trace.length == 0 ? "" : " at " + trace[0]));
   }
 
   private void onReady(SelectionKey key) throws IOException {
--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -40,10 +40,12 @@
       cluster.loss = 0;
       cluster.link = (from, to) -> true;
       double periods = cluster.runUntil(120, () -> hasConverged(cluster));
-      assertTrue(periods >= 0, "size " + size + " seed " + seed + ": " + cluster.counters);
+      assertTrue(
+          periods >= 0,
+          "views did not converge, size " + size + " seed " + seed + ": " + cluster.counters);
       assertTrue(
           cluster.largestDatagram <= MAX_DATAGRAM_WITH_CHECKSUM_BYTES,
-          "a datagram of " + cluster.largestDatagram + " bytes");
+          "largest datagram has " + cluster.largestDatagram + " bytes");
     }
   }
 
@@ -133,7 +135,7 @@
     double periods =
         cluster.runUntil(
             30, () -> restarted.protocol.localId().epoch() > formerEpoch && cluster.viewsAgree());
-    assertTrue(periods >= 0, "it is not seen as a later start");
+    assertTrue(periods >= 0, "restarted member is not recognized as a later start");
   }
 
   /**
@@ -155,7 +157,7 @@
     assertTrue(cluster.runUntil(60, () -> allStoreRecords(cluster, 12 * 3 + 1)) >= 0);
     cluster.peers.get(11).crash();
     double periods = cluster.runUntil(80, () -> allStoreRecords(cluster, 11 * 3 + 1));
-    assertTrue(periods > 18, "expired after " + periods);
+    assertTrue(periods > 18, "records expired after " + periods + " periods");
   }
 
   /** Publishes three records, two of them in two versions. */
@@ -192,7 +194,7 @@
     other.run();
     double periods =
         cluster.runUntil(60, () -> cluster.viewsAgree() && memberListsAreSmall(cluster));
-    assertTrue(periods >= 0, "they do not agree any more: " + cluster.counters);
+    assertTrue(periods >= 0, "views do not agree again: " + cluster.counters);
     other.protocol.onDatagram(withChecksum(forged.setCluster("other")), cluster.nowUs);
     other.run();
     assertTrue(
