--- a/src/main/java/rosecleat/fleet/MemberUpdate.java
+++ b/src/main/java/rosecleat/fleet/MemberUpdate.java
@@ -16,7 +16,7 @@
   enum Source {
     /** In a datagram, as one of a few recent updates. */
     GOSSIP,
-    /** In a push/pull synchronization, as part of the other member's whole list. */
+    /** In a push/pull synchronization, as part of the other member's complete list. */
     SYNC
   }
 }
--- a/src/main/java/rosecleat/fleet/MembershipProtocol.java
+++ b/src/main/java/rosecleat/fleet/MembershipProtocol.java
@@ -43,7 +43,7 @@
   private boolean timersStarted;
   private boolean wasSettled;
 
-  /** Creates a member that knows of no other member. */
+  /** Creates a member whose member list contains only the member itself. */
   public MembershipProtocol(LocalNode local, Tuning tuning, RandomGenerator random, long nowUs) {
     context = new ProtocolContext(local, tuning, random, nowUs);
     localHealth = new LocalHealth(tuning);
--- a/src/main/java/rosecleat/fleet/transport/DatagramTransport.java
+++ b/src/main/java/rosecleat/fleet/transport/DatagramTransport.java
@@ -13,7 +13,7 @@
   /** The number of datagrams that are handled before other sockets and timers are served. */
   private static final int MAX_RECEIVED_AT_ONCE = 512;
 
-  /** The rate limit for sending, which is also the largest burst. */
+  /** The send rate limit, whatever amount of updates is queued; also the largest burst. */
   private static final long MAX_BYTES_PER_SECOND = 8 << 20;
 
   private static final long US_PER_SECOND = 1_000_000;
--- a/src/main/java/rosecleat/fleet/transport/MembershipService.java
+++ b/src/main/java/rosecleat/fleet/transport/MembershipService.java
@@ -41,10 +41,7 @@
 
   private static final int BUFFER_BYTES = 64 << 10;
 
-  /**
-   * The 64-bit golden ratio constant, which distributes the hash of a name over all bits of a
-   * random seed.
-   */
+  /** The golden ratio in 64 bits: spreads the hash of a name over all bits of a random seed. */
   private static final long NAME_SEED_FACTOR = 0x9e3779b97f4a7c15L;
 
   /** The configuration of a process's membership in its fleet. */
