--- a/src/main/java/rosecleat/fleet/Gossip.java
+++ b/src/main/java/rosecleat/fleet/Gossip.java
@@ -1,6 +1,8 @@
 package rosecleat.fleet;
 
-/** Gossip rounds: refutation requests, and datagrams that carry queued updates alone. */
+/**
+ * Runs gossip rounds: each sends refutation requests, and datagrams that carry queued updates only.
+ */
 final class Gossip {
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -18,18 +20,18 @@
     this.sender = sender;
   }
 
-  /** Runs a round; more members are told at a time where many updates are queued. */
+  /** Runs a gossip round; its fanout grows with the bytes of the queued updates. */
   void runRound(long nowUs) {
-    refutations.sendSome();
+    refutations.sendBatch();
     long queuedBytes = dissemination.queuedBytes();
-    if (queuedBytes > 0 && context.members().othersCount() > 0) {
+    if (queuedBytes > 0 && context.members().activePeerCount() > 0) {
       long fanout = Tuning.GOSSIP_FANOUT + queuedBytes / Tuning.MAX_DATAGRAM_BYTES;
       sendTo((int) Math.min(Tuning.MAX_GOSSIP_FANOUT, fanout));
     }
     dissemination.roundDone(queuedBytes > 0 || !refutations.isEmpty(), nowUs);
   }
 
-  /** Sends queued updates to so many members at random. */
+  /** Sends queued updates to the given number of random members. */
   void sendTo(int members) {
     for (Member other : context.members().sample(members, null)) {
       sender.send(other.endpoint, sender.newDatagram());
--- a/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/MemberUpdateHandler.java
@@ -3,12 +3,15 @@
 import java.util.List;
 
 /**
- * Merges what others say of members into the member list. States are ordered by incarnation, then
- * alive, suspect, dead, left, so that any order of delivery ends the same.
+ * Merges updates from other members into the member list. States are ordered by incarnation, then
+ * alive, suspect, dead, left, so that the result does not depend on the order of delivery.
  */
 final class MemberUpdateHandler {
-  /** A member that was heard of within so many periods is verified before it is held for dead. */
-  private static final int RECENTLY_HEARD_PERIODS = 2;
+  /**
+   * A member from which a message arrived within so many periods is probed before a reported death
+   * is accepted.
+   */
+  private static final int RECENT_MESSAGE_PERIODS = 2;
 
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -55,7 +58,7 @@
       case SUSPECT -> onSuspect(member, update, nowUs);
       case DEAD -> onDead(member, update, source, nowUs);
       case LEFT -> onLeft(member, update, nowUs);
-      default -> throw new IllegalStateException("state " + update.state());
+      default -> throw new IllegalStateException("unexpected member state " + update.state());
     }
   }
 
@@ -81,31 +84,34 @@
     boolean same = update.incarnation() == member.incarnation;
     if (same
         && member.state == MemberState.ALIVE
-        && (source == MemberUpdate.Source.SYNC || wasHeardRecently(member, nowUs))) {
+        && (source == MemberUpdate.Source.SYNC || hasRecentMessage(member, nowUs))) {
       verifyDeath(member, nowUs);
     } else if ((newer && member.state != MemberState.LEFT) || (same && member.state.isActive())) {
-      markGone(member, MemberState.DEAD, update.incarnation(), nowUs);
+      markInactive(member, MemberState.DEAD, update.incarnation(), nowUs);
     }
   }
 
-  private boolean wasHeardRecently(Member member, long nowUs) {
-    return nowUs - member.lastHeardUs < RECENTLY_HEARD_PERIODS * context.periodUs();
+  private boolean hasRecentMessage(Member member, long nowUs) {
+    return nowUs - member.lastMessageUs < RECENT_MESSAGE_PERIODS * context.periodUs();
   }
 
   private void onLeft(Member member, MemberUpdate update, long nowUs) {
     if (update.incarnation() > member.incarnation
         || (update.incarnation() == member.incarnation && member.state != MemberState.LEFT)) {
-      markGone(member, MemberState.LEFT, update.incarnation(), nowUs);
+      markInactive(member, MemberState.LEFT, update.incarnation(), nowUs);
     }
   }
 
-  /** Asks a member that is held for dead here to refute that. */
+  /** Requests a refutation from a member that is dead in this view. */
   void requestRefutation(Member member, long nowUs) {
     refutations.add(member);
     refutations.requestRound(nowUs);
   }
 
-  /** Another member declares dead what is alive here: it is probed before that is believed. */
+  /**
+   * Probes a member that is alive in this view before the death reported by another member is
+   * accepted.
+   */
   private void verifyDeath(Member member, long nowUs) {
     if (detector.isFull()) {
       requestRefutation(member, nowUs);
@@ -132,7 +138,7 @@
     EffectQueue effects = context.effects();
     effects.count(returned ? MembershipCounter.RETURNED : MembershipCounter.REFUTED);
     if (returned) {
-      effects.info(member.id + " at " + member.endpoint + " is there again");
+      effects.info(member.id + " at " + member.endpoint + " is alive again");
       antiEntropy.onMemberReturned(nowUs);
     }
     replaceEarlierStarts(member, nowUs);
@@ -140,7 +146,7 @@
   }
 
   /** Marks a member dead or left. */
-  void markGone(Member member, MemberState state, long incarnation, long nowUs) {
+  void markInactive(Member member, MemberState state, long incarnation, long nowUs) {
     boolean wasActive = member.state.isActive();
     context
         .members()
@@ -162,14 +168,14 @@
       effects.info(member.id + " has left");
     } else {
       effects.count(MembershipCounter.REPORTED_DEAD);
-      effects.warn(member.id + " is dead, as others say");
+      effects.warn(member.id + " is dead: reported by other members");
     }
     effects.viewChanged();
   }
 
   private void join(MemberUpdate update, MemberUpdate.Source source, long nowUs) {
     MemberList members = context.members();
-    if (members.size() >= Tuning.MAX_MEMBERS && !members.removeLongestGone()) {
+    if (members.size() >= Tuning.MAX_MEMBERS && !members.removeLongestInactive()) {
       context.effects().count(MembershipCounter.MEMBERS_FULL);
       return;
     }
@@ -201,11 +207,11 @@
   }
 
   private static String joinLine(Member member) {
-    String zone = member.zone.isEmpty() ? "" : " in " + member.zone;
+    String zone = member.zone.isEmpty() ? "" : " in zone " + member.zone;
     return member.id + " at " + member.endpoint + zone + " has joined";
   }
 
-  /** Ends earlier starts at a member's address: two processes can't have it. */
+  /** Marks earlier starts at a member's address dead: two processes cannot share an address. */
   private void replaceEarlierStarts(Member latest, long nowUs) {
     for (Member other : List.copyOf(context.members().named(latest.id.name()))) {
       if (other != context.self()
--- a/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
+++ b/src/main/java/rosecleat/fleet/SelfUpdateHandler.java
@@ -4,14 +4,17 @@
 import java.util.Set;
 
 /**
- * Handles what others say of this process and of its name: refutes a suspicion or death with a
- * greater incarnation, and takes a later epoch where another start has the same or a greater one.
+ * Handles updates on this process and on its name: refutes a suspicion or death with a greater
+ * incarnation, and adopts a later epoch if another start has the same or a greater one.
  */
 final class SelfUpdateHandler {
   private static final int MAX_NAME_CONFLICTS = 64;
 
-  /** The next epoch is drawn from so many, since the other process moves on too. */
-  private static final int EPOCH_SPREAD = 1_000;
+  /**
+   * The greatest increment to a new epoch; a random one makes it unlikely that the other process,
+   * which changes its epoch too, chooses the same.
+   */
+  private static final int MAX_EPOCH_INCREMENT = 1_000;
 
   private final ProtocolContext context;
   private final Dissemination dissemination;
@@ -30,7 +33,7 @@
     this.localHealth = localHealth;
   }
 
-  /** Announces a change of this process itself, under a greater incarnation. */
+  /** Announces a change of this process itself under a greater incarnation. */
   void announce(Runnable change, long nowUs) {
     Member self = context.self();
     context
@@ -44,14 +47,14 @@
     dissemination.broadcast(self, nowUs);
   }
 
-  /** Handles an update on this very start. */
+  /** Handles an update on this start of the process. */
   void onUpdateOfSelf(MemberUpdate update, long nowUs) {
     Member self = context.self();
     if (!update.endpoint().equals(self.endpoint)
         && update.state().isActive()
         && update.incarnation() >= self.incarnation) {
       context.effects().count(MembershipCounter.EPOCH_CONFLICT);
-      changeEpoch(self.id.epoch() + 1 + context.random().nextInt(EPOCH_SPREAD), nowUs);
+      changeEpoch(self.id.epoch() + 1 + context.random().nextInt(MAX_EPOCH_INCREMENT), nowUs);
       return;
     }
     boolean outdated =
@@ -74,7 +77,7 @@
     Member self = context.self();
     if (update.endpoint().equals(self.endpoint)) {
       if (update.id().epoch() > self.id.epoch()) {
-        // the clock was set back since an earlier start: this start is the later one all the same
+        // the clock was set back since an earlier start; this start must have the later epoch
         context.effects().count(MembershipCounter.EPOCH_BEHIND);
         changeEpoch(update.id().epoch() + 1, nowUs);
       }
@@ -100,13 +103,13 @@
                 + other.endpoint()
                 + " (epoch "
                 + other.id().epoch()
-                + "; this one has "
+                + ", this process has "
                 + context.self().id.epoch()
-                + "): both are kept apart");
+                + "): both stay separate members");
   }
 
-  /** Lets a name conflict be reported again, once the other process has been removed. */
-  void forgetNameConflict(MemberId id) {
+  /** Allows a name conflict to be reported again once the other process has been removed. */
+  void clearNameConflict(MemberId id) {
     nameConflicts.remove(id);
   }
 
@@ -116,7 +119,7 @@
     dissemination.discard(former);
     dissemination.broadcast(context.self(), nowUs);
     records.republish(former.epoch(), nowUs);
-    context.effects().info("this is " + context.self().id + " now");
+    context.effects().info("identity of this process changed to " + context.self().id);
     context.effects().viewChanged();
   }
 }
