--- a/src/main/java/rosecleat/front/resp/RespConnection.java
+++ b/src/main/java/rosecleat/front/resp/RespConnection.java
@@ -35,7 +35,7 @@
   private static final long CLOSE_TIMEOUT_US = 1_000_000;
 
   /** How long the first byte, or the rest of a message, may take before any valid request. */
-  private static final long UNPROVEN_READ_TIMEOUT_US = 2_200_000;
+  private static final long INITIAL_READ_TIMEOUT_US = 2_200_000;
 
   /** The same once a valid request has come: the client is merely slow. */
   private static final long READ_TIMEOUT_US = 10_000_000;
@@ -129,7 +129,7 @@
     if (draining || idle) {
       requestClose(nowUs);
     }
-    closeIfClientDidNot(nowUs);
+    closeIfCloseRequestIgnored(nowUs);
     closeIfSlow(nowUs);
   }
 
@@ -147,7 +147,7 @@
         handle(message.get());
         message = parser.next(bytes);
       }
-      notePartialMessage();
+      trackPartialMessage();
     } catch (RespProtocolException e) {
       counters.add("resp.malformed");
       log.warn("a balancer's connection is closed: " + e.getMessage());
@@ -156,7 +156,7 @@
     }
   }
 
-  private void notePartialMessage() {
+  private void trackPartialMessage() {
     if (!parser.isMidMessage()) {
       partialMessageSinceUs = 0;
     } else if (partialMessageSinceUs == 0) {
@@ -289,7 +289,7 @@
     }
   }
 
-  private void closeIfClientDidNot(long nowUs) {
+  private void closeIfCloseRequestIgnored(long nowUs) {
     if (closeRequestedAtUs > 0
         && nowUs - closeRequestedAtUs > CLOSE_TIMEOUT_US
         && nowUs - lastActivityUs > CLOSE_TIMEOUT_US) {
@@ -305,10 +305,11 @@
     if (!inFlight.isEmpty() || partialMessageAbandoned || readingStopped || connection.isClosed()) {
       return;
     }
-    long timeoutUs = validRequestReceived ? READ_TIMEOUT_US : UNPROVEN_READ_TIMEOUT_US;
-    boolean silent = !messageReceived && nowUs - acceptedAtUs > timeoutUs;
-    boolean stalled = partialMessageSinceUs > 0 && nowUs - partialMessageSinceUs > timeoutUs;
-    if (silent || stalled) {
+    long timeoutUs = validRequestReceived ? READ_TIMEOUT_US : INITIAL_READ_TIMEOUT_US;
+    boolean firstMessageOverdue = !messageReceived && nowUs - acceptedAtUs > timeoutUs;
+    boolean partialMessageOverdue =
+        partialMessageSinceUs > 0 && nowUs - partialMessageSinceUs > timeoutUs;
+    if (firstMessageOverdue || partialMessageOverdue) {
       counters.add("resp.slow");
       closeGracefully();
     }
--- a/src/main/java/rosecleat/front/resp/RespParser.java
+++ b/src/main/java/rosecleat/front/resp/RespParser.java
@@ -35,7 +35,7 @@
   private final StringBuilder header = new StringBuilder();
   private State state = State.ARRAY_HEADER;
   private RespMessage message;
-  private int stringsMissing;
+  private int remainingStrings;
   private byte[] string;
   private int stringLength;
   private int stringBytesRead;
@@ -83,7 +83,7 @@
       throw new RespProtocolException(RespProtocolException.Kind.EMPTY_ARRAY, "an empty array");
     }
     message = new RespMessage();
-    stringsMissing = (int) length;
+    remainingStrings = (int) length;
     state = State.STRING_HEADER;
   }
 
@@ -162,8 +162,8 @@
   /** Adds the string to the message; true where it was the last one. */
   private boolean endString() {
     message.append(string);
-    stringsMissing--;
-    state = stringsMissing == 0 ? State.ARRAY_HEADER : State.STRING_HEADER;
-    return stringsMissing == 0;
+    remainingStrings--;
+    state = remainingStrings == 0 ? State.ARRAY_HEADER : State.STRING_HEADER;
+    return remainingStrings == 0;
   }
 }
--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -137,9 +137,9 @@
    * could be, from then on.
    */
   long nsUntilNothingInFlight() {
-    boolean quietAtShutdown = outputShutdownNs - lastActivityNs >= MAX_IN_FLIGHT_NS;
+    boolean idleAtShutdown = outputShutdownNs - lastActivityNs >= MAX_IN_FLIGHT_NS;
     long sinceNs =
-        state == State.HALF_CLOSED && !quietAtShutdown ? outputShutdownNs : lastActivityNs;
+        state == State.HALF_CLOSED && !idleAtShutdown ? outputShutdownNs : lastActivityNs;
     return sinceNs + MAX_IN_FLIGHT_NS - System.nanoTime();
   }
 
@@ -199,13 +199,13 @@
     try {
       channel.shutdownOutput();
     } catch (IOException | RuntimeException e) {
-      closeHere();
+      closeLocally();
       return;
     }
-    lingerTimeout = loop.schedule(LINGER_US, this::closeHere);
+    lingerTimeout = loop.schedule(LINGER_US, this::closeLocally);
   }
 
-  private void closeHere() {
+  private void closeLocally() {
     close(new Failure(Progress.SENT, FailureReason.CLOSED_LOCALLY), false);
   }
 
@@ -284,7 +284,7 @@
     }
     try {
       channel.write(
-          writeQueue.nextPiece(),
+          writeQueue.nextChunk(),
           null,
           new LoopCompletionHandler<Integer>(
               loop,
--- a/src/main/java/rosecleat/net/IdleConnectionEvictor.java
+++ b/src/main/java/rosecleat/net/IdleConnectionEvictor.java
@@ -28,16 +28,16 @@
   /** The shortest time to the next attempt, which bounds what attempts cost (ns). */
   private static final long MIN_RETRY_DELAY_NS = 1_000_000;
 
-  private int targetPlaces = 1;
+  private int targetSlots = 1;
   private long lastDemandNs = System.nanoTime() - DEMAND_WINDOW_NS;
   private long retryDelayNs = MAX_RETRY_DELAY_NS;
 
   /** Records that the maximum was reached, and adapts the number of places to free. */
   void recordDemand(int maxConnections) {
     long now = System.nanoTime();
-    targetPlaces =
+    targetSlots =
         now - lastDemandNs < DEMAND_WINDOW_NS
-            ? Math.min(1 + maxConnections / MAX_TARGET_DIVISOR, 2 * targetPlaces)
+            ? Math.min(1 + maxConnections / MAX_TARGET_DIVISOR, 2 * targetSlots)
             : 1;
     lastDemandNs = now;
   }
@@ -53,37 +53,37 @@
   boolean evict(Collection<Connection> open) {
     retryDelayNs = MAX_RETRY_DELAY_NS;
     int freed = 0;
-    int soonFree = 0;
+    int soonFreed = 0;
     List<Connection> idle = new ArrayList<>();
     for (Connection connection : List.copyOf(open)) {
       ConnectionUsage usage = connection.usage();
       if (connection.isClosed()) {
-        soonFree++;
-        abortOnceQuiet(connection);
-      } else if (usage == ConnectionUsage.UNUSED && isQuiet(connection)) {
+        soonFreed++;
+        abortOnceNothingInFlight(connection);
+      } else if (usage == ConnectionUsage.UNUSED && nothingInFlight(connection)) {
         freed++;
         close(connection);
       } else if (usage == ConnectionUsage.UNUSED) {
-        soonFree++;
-        retryOnceQuiet(connection);
+        soonFreed++;
+        retryOnceNothingInFlight(connection);
       } else if (usage == ConnectionUsage.IDLE) {
         idle.add(connection);
       }
     }
     idle.sort(Comparator.comparingLong(Connection::lastActivityNs));
-    freed += closeQuiet(idle, targetPlaces - freed);
-    if (freed + soonFree == 0) {
+    freed += closeIdle(idle, targetSlots - freed);
+    if (freed + soonFreed == 0) {
       return closeLongestIdle(idle);
     }
     return true;
   }
 
   /** Closes quiet connections, the longest idle first; returns how many. */
-  private int closeQuiet(List<Connection> idle, int limit) {
+  private int closeIdle(List<Connection> idle, int limit) {
     int closed = 0;
     for (Connection connection : idle) {
-      if (!isQuiet(connection)) {
-        retryOnceQuiet(connection);
+      if (!nothingInFlight(connection)) {
+        retryOnceNothingInFlight(connection);
       } else if (closed < limit) {
         close(connection);
         closed++;
@@ -94,7 +94,7 @@
 
   /** All are in use, or have been until a moment ago. */
   private boolean closeLongestIdle(List<Connection> idle) {
-    idle.subList(0, Math.min(idle.size(), targetPlaces)).forEach(this::close);
+    idle.subList(0, Math.min(idle.size(), targetSlots)).forEach(this::close);
     return !idle.isEmpty();
   }
 
@@ -105,22 +105,22 @@
 
   private void close(Connection connection) {
     connection.closeGracefully();
-    abortOnceQuiet(connection);
+    abortOnceNothingInFlight(connection);
   }
 
-  private void abortOnceQuiet(Connection connection) {
+  private void abortOnceNothingInFlight(Connection connection) {
     if (connection.lingersWithNothingInFlight()) {
       connection.abort("its place is needed");
     } else {
-      retryOnceQuiet(connection);
+      retryOnceNothingInFlight(connection);
     }
   }
 
-  private static boolean isQuiet(Connection connection) {
+  private static boolean nothingInFlight(Connection connection) {
     return connection.nsUntilNothingInFlight() <= 0;
   }
 
-  private void retryOnceQuiet(Connection connection) {
+  private void retryOnceNothingInFlight(Connection connection) {
     long delayNs = Math.max(MIN_RETRY_DELAY_NS, connection.nsUntilNothingInFlight());
     retryDelayNs = Math.min(retryDelayNs, delayNs);
   }
--- a/src/main/java/rosecleat/net/WriteQueue.java
+++ b/src/main/java/rosecleat/net/WriteQueue.java
@@ -9,7 +9,7 @@
    * The most bytes handed to the system at once: it copies each piece into a buffer outside the
    * heap.
    */
-  private static final int MAX_PIECE_BYTES = 16 << 10;
+  private static final int MAX_CHUNK_BYTES = 16 << 10;
 
   private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
   private int queuedBytes;
@@ -34,11 +34,11 @@
   }
 
   /** Returns a view of the next bytes to write; the queue must not be empty. */
-  ByteBuffer nextPiece() {
+  ByteBuffer nextChunk() {
     ByteBuffer first = buffers.element();
-    ByteBuffer piece = first.duplicate();
-    piece.limit(Math.min(first.limit(), first.position() + MAX_PIECE_BYTES));
-    return piece;
+    ByteBuffer chunk = first.duplicate();
+    chunk.limit(Math.min(first.limit(), first.position() + MAX_CHUNK_BYTES));
+    return chunk;
   }
 
   /** Takes {@code count} written bytes off the first buffer. */
--- a/src/test/java/rosecleat/admin/AdminServerTest.java
+++ b/src/test/java/rosecleat/admin/AdminServerTest.java
@@ -121,9 +121,9 @@
   @Test
   void clientsWithIncompleteRequestsDoNotBlockOthers() throws Exception {
     for (int i = 0; i < 20; i++) {
-      Socket silent = connect();
+      Socket incomplete = connect();
       if (i % 2 == 0) {
-        silent.getOutputStream().write("GET /v1/re".getBytes(StandardCharsets.UTF_8));
+        incomplete.getOutputStream().write("GET /v1/re".getBytes(StandardCharsets.UTF_8));
       }
     }
     ready = true;
--- a/src/test/java/rosecleat/admin/HttpRequestParserTest.java
+++ b/src/test/java/rosecleat/admin/HttpRequestParserTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void inputIsSeenFromTheFirstByteAndNoErrorIsReportedBeforeALineEnds() {
+  void inputIsDetectedFromFirstByteAndNoErrorIsReportedBeforeLineEnd() {
     HttpRequestParser parser = new HttpRequestParser();
     assertFalse(parser.hasInput());
     assertFalse(parser.feed(ByteBuffer.wrap(bytes("g"))));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void eachKindOfInvalidRequestHasItsError() {
+  void invalidRequestReportsItsErrorKind() {
     assertEquals(
         Optional.of(HttpRequestError.MALFORMED_REQUEST_LINE), errorOf("get / HTTP/1.1\r\n"));
     assertEquals(Optional.of(HttpRequestError.UNSUPPORTED_VERSION), errorOf("GET / HTTP/1.0\r\n"));
--- a/src/test/java/rosecleat/front/resp/ConnectionTimeoutTest.java
+++ b/src/test/java/rosecleat/front/resp/ConnectionTimeoutTest.java
@@ -36,30 +36,31 @@
   }
 
   @Test
-  void silentAndIncompleteConnectionsAreClosedWhileOneWithAValidRequestStays() throws Exception {
+  void connectionsWithoutValidRequestTimeOutAndOthersStayOpen() throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness = start(LONG_IDLE_TIMEOUT_US, UnavailableRunner::new, log);
         RespClient silent = new RespClient(harness.port(), null);
         RespClient incomplete = new RespClient(harness.port(), null);
-        RespClient proven = new RespClient(harness.port(), null)) {
+        RespClient active = new RespClient(harness.port(), null)) {
       incomplete.send(bytes("*5\r\n$2\r\nDO\r\n$1\r\n1\r\n"));
-      requestAndExpectRejection(proven, 1);
+      requestAndExpectRejection(active, 1);
       harness.awaitAtLeast(3, harness.frontend::openConnections);
       clock.addAndGet(2_100_000);
       harness.closeIdleConnections(false);
-      requestAndExpectRejection(proven, 2);
+      requestAndExpectRejection(active, 2);
       clock.addAndGet(200_000);
       harness.closeIdleConnections(false);
       assertNull(silent.read());
       assertNull(incomplete.read());
-      requestAndExpectRejection(proven, 3);
+      requestAndExpectRejection(active, 3);
       assertEquals(2, harness.core.counters().get("resp.slow"));
     }
   }
 
   /** Guards slow clients that have proven themselves, above all while they await a response. */
   @Test
-  void aProvenClientMaySendSlowlyAndIsNotClosedWhileItAwaitsAResponse() throws Exception {
+  void clientWithValidRequestHasLongerReadTimeoutAndStaysOpenWhileAwaitingResponse()
+      throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness =
             start(LONG_IDLE_TIMEOUT_US, (loop, core) -> new PendingRunner(), log);
@@ -94,7 +95,7 @@
 
   /** Guards slow clients: a connection with an incomplete message is not asked to close. */
   @Test
-  void aConnectionInTheMiddleOfAMessageIsNotIdle() throws Exception {
+  void connectionWithPartialMessageIsNotIdle() throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness = start(50_000, UnavailableRunner::new, log);
         RespClient slow = new RespClient(harness.port(), null);
@@ -117,7 +118,7 @@
    * comes, until the node gives up waiting for it.
    */
   @Test
-  void anIncompleteMessageMayBeFinishedAfterTheClientWasAskedToClose() throws Exception {
+  void partialMessageCanBeCompletedAfterCloseRequest() throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness = start(LONG_IDLE_TIMEOUT_US, UnavailableRunner::new, log);
         RespClient slow = new RespClient(harness.port(), null);
--- a/src/test/java/rosecleat/front/resp/ReadBufferSizeTest.java
+++ b/src/test/java/rosecleat/front/resp/ReadBufferSizeTest.java
@@ -11,7 +11,7 @@
   /** Guards a small heap from the read buffers of many connections. */
   @ParameterizedTest
   @CsvSource({"12, 28", "12, 960", "40, 448", "40, 960", "40, 4000"})
-  void allBuffersTogetherTakeAnEighthOfTheHeapAtMost(long heapMib, int maxConnections) {
+  void readBuffersTogetherTakeAtMostAnEighthOfTheHeap(long heapMib, int maxConnections) {
     int bytes = readBufferBytes(heapMib, maxConnections);
     assertTrue(
         (long) bytes * maxConnections <= (heapMib << 20) / 8,
@@ -20,7 +20,7 @@
 
   @ParameterizedTest
   @CsvSource({"40, 1, 8192", "12, 60000, 1024"})
-  void theSizeHasLowerAndUpperBounds(long heapMib, int maxConnections, int expectedBytes) {
+  void readBufferSizeHasLowerAndUpperBounds(long heapMib, int maxConnections, int expectedBytes) {
     assertEquals(expectedBytes, readBufferBytes(heapMib, maxConnections));
   }
 
--- a/src/test/java/rosecleat/front/resp/RequestDecoderTest.java
+++ b/src/test/java/rosecleat/front/resp/RequestDecoderTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aValidMessageIsDecodedByTheIndexesOfTheCatalog() {
+  void validMessageIsDecodedWithCatalogIndexes() {
     Request request = decoded("DO", "1", "balance-check", VALID, "body");
     assertEquals("00000000000000a1", request.id());
     assertEquals(1_764_576_000_123_000L, request.arrivedAtUs());
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void theBodyMayBeMissing() {
+  void bodyMayBeAbsent() {
     assertEquals(0, decoded("DO", "1", "balance-check", VALID).body().length);
   }
 
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aMessageOfAnotherShapeHasTheErrorOfItsPart() {
+  void malformedMessageReportsTheInvalidPart() {
     assertEquals(new RequestError(Kind.MISSING_CLASS_OR_FIELDS), errorOf("DO", "1"));
     assertEquals(
         new RequestError(Kind.MISSING_CLASS_OR_FIELDS), errorOf("DO", "1", "balance-check", null));
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void theFirstInvalidFieldIsReported() {
+  void firstInvalidFieldIsReported() {
     assertEquals(new RequestError(Kind.MISSING_FIELD, "id"), errorOfFields("kb=1"));
     assertEquals(
         new RequestError(Kind.INVALID_FIELD, "id"), errorOfFields(VALID.replace("a1", "A1")));
--- a/src/test/java/rosecleat/front/resp/RespConnectionModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespConnectionModelTest.java
@@ -52,12 +52,12 @@
     long lastTag;
 
     /** Takes a request out of those that run. */
-    String end(long tag) {
+    String removeRunning(long tag) {
       return running.remove(tag);
     }
 
-    void expect(long tag, String wordAndBody) {
-      expectedResponses.add(tag + " " + wordAndBody);
+    void expect(long tag, String statusAndBody) {
+      expectedResponses.add(tag + " " + statusAndBody);
     }
   }
 
@@ -157,20 +157,20 @@
   }
 
   private void complete(Model model, long tag) {
-    String id = model.end(tag);
+    String id = model.removeRunning(tag);
     reportEnd(id, RunResult.OK, "result of " + id);
     model.expect(tag, "OK result of " + id);
   }
 
   private void fail(Model model, long tag) {
     RunResult result = random.nextBoolean() ? RunResult.FAILED : RunResult.INTERRUPTED;
-    reportEnd(model.end(tag), result, null);
+    reportEnd(model.removeRunning(tag), result, null);
     model.expect(tag, "FAILED ");
   }
 
   /** A cancelled request gets no response, however its run ends. */
   private void cancel(Model model, long tag) throws Exception {
-    String id = model.end(tag);
+    String id = model.removeRunning(tag);
     client.send(RespClient.array("UNDO", tag));
     assertEquals("stop " + id, runner.nextCommand());
     reportEnd(id, random.nextBoolean() ? RunResult.CANCELLED : RunResult.OK, "too late");
@@ -274,8 +274,10 @@
     harness.onLoop(() -> true);
     client.send(RespClient.array("PING", HEALTH_CHECK_TAG, ""));
     List<String> responses = new ArrayList<>();
-    for (List<String> words = client.read(); !words.get(1).equals("UP"); words = client.read()) {
-      responses.add(words.get(0) + " " + words.get(1) + " " + words.get(3));
+    for (List<String> strings = client.read();
+        !strings.get(1).equals("UP");
+        strings = client.read()) {
+      responses.add(strings.get(0) + " " + strings.get(1) + " " + strings.get(3));
     }
     responses.sort(null);
     model.expectedResponses.sort(null);
--- a/src/test/java/rosecleat/front/resp/RespParserTest.java
+++ b/src/test/java/rosecleat/front/resp/RespParserTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aMessageThatArrivesByteByByteIsParsedOnce() throws RespProtocolException {
+  void messageReceivedByteByByteIsParsedOnce() throws RespProtocolException {
     List<RespMessage> messages = new ArrayList<>();
     for (String character : "*2\r\n$2\r\nDO\r\n$0\r\n\r\n".split("")) {
       assertTrue(messages.isEmpty());
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aStringOverTheLimitIsAbsentAndTheRestIsParsed() throws RespProtocolException {
+  void stringOverLimitIsAbsentAndRestIsParsed() throws RespProtocolException {
     RespMessage message = parse("*2\r\n$9\r\n123456789\r\n$1\r\nx\r\n").orElseThrow();
     assertFalse(message.has(0));
     assertEquals("", message.text(0));
@@ -51,14 +51,14 @@
   }
 
   @Test
-  void partOfAHeaderCountsAsAnIncompleteMessage() throws RespProtocolException {
+  void partialHeaderCountsAsIncompleteMessage() throws RespProtocolException {
     assertFalse(parser.isMidMessage());
     assertEquals(Optional.empty(), parse("*"));
     assertTrue(parser.isMidMessage());
   }
 
   @Test
-  void eachKindOfMalformedInputHasItsError() {
+  void malformedInputReportsItsErrorKind() {
     assertEquals(Kind.EMPTY_ARRAY, errorOf("*0\r\n"));
     assertEquals(Kind.HEADER_TOO_LONG, errorOf("*" + "1".repeat(30)));
     assertEquals(Kind.MALFORMED_HEADER, errorOf("GET / HTTP/1.1\r\n"));
--- a/src/test/java/rosecleat/log/LogTest.java
+++ b/src/test/java/rosecleat/log/LogTest.java
@@ -15,14 +15,14 @@
 /** The log: bounded, never blocking, one line an event. */
 class LogTest {
   @Test
-  void stuckStreamDropsLinesAndBlocksNoCaller() throws Exception {
-    CountDownLatch stuck = new CountDownLatch(1);
+  void blockedStreamDropsLinesWithoutBlockingCallers() throws Exception {
+    CountDownLatch unblocked = new CountDownLatch(1);
     OutputStream stream =
         new OutputStream() {
           @Override
           public void write(int b) {
             try {
-              stuck.await();
+              unblocked.await();
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             }
@@ -33,7 +33,7 @@
       log.info("line " + i);
     }
     assertTrue(log.dropped() >= 91, "dropped " + log.dropped()); // one is being written, eight wait
-    stuck.countDown();
+    unblocked.countDown();
     log.close();
   }
 
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -31,8 +31,8 @@
   private boolean responsePending;
 
   /**
-   * Echoes bytes, except "q", whose response is pending until {@link #answer}, and "c", which
-   * closes the connection.
+   * Echoes bytes, except "q", whose response is pending until {@link #completePendingResponse}, and
+   * "c", which closes the connection.
    */
   private final class Echo implements ConnectionHandler {
     private final Connection connection;
@@ -51,12 +51,12 @@
     @Override
     public void received(ByteBuffer bytes) {
       while (bytes.hasRemaining()) {
-        byte word = bytes.get();
-        responsePending |= word == 'q';
-        if (word == 'c') {
+        byte command = bytes.get();
+        responsePending |= command == 'q';
+        if (command == 'c') {
           connection.closeGracefully();
-        } else if (word != 'q') {
-          connection.write(ByteBuffer.wrap(new byte[] {word}));
+        } else if (command != 'q') {
+          connection.write(ByteBuffer.wrap(new byte[] {command}));
         }
       }
     }
@@ -68,7 +68,7 @@
     }
   }
 
-  private void answer() {
+  private void completePendingResponse() {
     gate.call(
         () -> {
           responsePending = false;
@@ -109,7 +109,7 @@
 
   /** The loop has not been notified of the message when it closes the connection. */
   @Test
-  void messageThatArrivedBeforeTheCloseIsAnswered() throws Exception {
+  void messageReceivedBeforeCloseIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       gate.hold();
       closeGracefully(); // the loop runs this first,
@@ -123,7 +123,7 @@
 
   /** Both come in the same bytes, and the handler is about to read the message. */
   @Test
-  void messageBehindTheReasonToCloseIsAnswered() throws Exception {
+  void messageAfterCloseCommandInSameReadIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write(new byte[] {'c', 'x'});
       assertEquals('x', peer.getInputStream().read());
@@ -132,14 +132,14 @@
   }
 
   @Test
-  void closeWaitsForPendingResponseAndReceivesMeanwhile() throws Exception {
+  void gracefulCloseWaitsForPendingResponseAndStillReceives() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('q');
       gate.settle();
       closeGracefully();
       peer.getOutputStream().write('y');
       assertEquals('y', peer.getInputStream().read());
-      answer();
+      completePendingResponse();
       assertEquals('a', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
     }
@@ -147,7 +147,7 @@
 
   /** A reset could lose the response, so the bytes are read all the same. */
   @Test
-  void bytesAfterTheShutdownAreDroppedAndResetNothing() throws Exception {
+  void bytesReceivedAfterOutputShutdownAreDroppedWithoutReset() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('z');
       gate.settle();
@@ -166,7 +166,7 @@
   }
 
   @Test
-  void secondCloseHasNoEffectAndNothingIsWrittenAfterTheShutdown() throws Exception {
+  void secondGracefulCloseHasNoEffectAndWriteAfterOutputShutdownIsRejected() throws Exception {
     try (Socket peer = connect()) {
       gate.call(
           () -> {
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void connectionToPeerThatNeverClosesEndsAfterTheLingerTime() throws Exception {
+  void halfClosedConnectionIsClosedAfterLingerTime() throws Exception {
     try (Socket peer = connect()) {
       closeGracefully();
       assertEquals(-1, peer.getInputStream().read());
@@ -195,7 +195,7 @@
 
   /** The connect has succeeded, but its handler must not be given a closed connection. */
   @Test
-  void timeoutHandledBeforeTheConnectFailsTheAttempt() throws Exception {
+  void connectTimeoutHandledBeforeCompletionFailsTheAttempt() throws Exception {
     CompletableFuture<String> outcome = new CompletableFuture<>();
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       gate.hold();
@@ -233,7 +233,7 @@
 
   /** The proof that a request was not sent depends on it. */
   @Test
-  void writeAfterTheEndIsRejected() throws Exception {
+  void writeAfterCloseIsRejected() throws Exception {
     connect().close();
     ended.get(5, TimeUnit.SECONDS);
     assertFalse(gate.call(() -> accepted.join().write(ByteBuffer.allocate(1))));
--- a/src/test/java/rosecleat/net/LineBufferTest.java
+++ b/src/test/java/rosecleat/net/LineBufferTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void lineIsTooLongBeyondTheMaximum() {
+  void lineBeyondMaximumLengthIsTooLong() {
     append("12345678");
     assertFalse(buffer.lineTooLong());
     append("9");
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void inputIsRejectedBeyondTheMaximumAndOneWholeInput() {
+  void appendBeyondMaximumPlusInputCapacityIsRejected() {
     assertTrue(append("12345678"));
     assertTrue(append("1234")); // 12 bytes, of 8 and 4
     assertFalse(append("1234")); // 16 bytes
--- a/src/test/java/rosecleat/net/ListenerTest.java
+++ b/src/test/java/rosecleat/net/ListenerTest.java
@@ -41,12 +41,12 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-      byte word = bytes.get();
+      byte value = bytes.get();
       usage =
-          word == 'b' || usage == ConnectionUsage.BUSY
+          value == 'b' || usage == ConnectionUsage.BUSY
               ? ConnectionUsage.BUSY
               : ConnectionUsage.IDLE;
-      connection.write(ByteBuffer.wrap(new byte[] {word}));
+      connection.write(ByteBuffer.wrap(new byte[] {value}));
     }
 
     @Override
@@ -73,8 +73,8 @@
     return socket;
   }
 
-  private static int echo(Socket socket, char word) throws IOException {
-    socket.getOutputStream().write(word);
+  private static int echo(Socket socket, char value) throws IOException {
+    socket.getOutputStream().write(value);
     return socket.getInputStream().read();
   }
 
@@ -89,7 +89,7 @@
 
   /** During an upgrade two processes listen at one address, and the old one closes. */
   @Test
-  void sharedAddressRejectsNoConnectionWhileOneOfTwoListenersCloses() throws Exception {
+  void closingOneOfTwoListenersOnSharedAddressResetsNoConnection() throws Exception {
     loop = new EventLoop(log);
     listener =
         new Listener(
@@ -171,11 +171,11 @@
       Socket busy = connect();
       assertEquals('b', echo(busy, 'b'));
       assertEquals('b', echo(connect(), 'b'));
-      Socket waits = connect();
-      waits.getOutputStream().write('x');
+      Socket queued = connect();
+      queued.getOutputStream().write('x');
       assertEquals(false, gate.call(() -> listener.closeAfterQuietPeriod(0)));
       busy.close();
-      assertEquals('x', waits.getInputStream().read());
+      assertEquals('x', queued.getInputStream().read());
       while (!gate.call(() -> listener.closeAfterQuietPeriod(0))) {
         Thread.yield();
       }
@@ -198,7 +198,7 @@
   }
 
   @Test
-  void placesOfPeersThatNeverCloseAreFreedInTime() throws Exception {
+  void slotsOfPeersThatNeverCloseAreFreedWithinFiveSeconds() throws Exception {
     int maxConnections = 64;
     listen(maxConnections);
     for (int i = 0; i < maxConnections; i++) {
--- a/src/test/java/rosecleat/net/LoopGate.java
+++ b/src/test/java/rosecleat/net/LoopGate.java
@@ -29,12 +29,12 @@
   /** Holds the loop; returns once it is held. */
   public void hold() {
     CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch mine = new CountDownLatch(1);
-    gate = mine;
+    CountDownLatch opened = new CountDownLatch(1);
+    gate = opened;
     loop.execute(
         () -> {
           held.countDown();
-          await(mine);
+          await(opened);
         });
     await(held);
   }
@@ -50,24 +50,24 @@
    * be selected together with the peers' events.
    */
   public void settle() throws Exception {
-    for (int turn = 0; turn < 2; turn++) {
-      CompletableFuture<Void> turned = new CompletableFuture<>();
+    for (int round = 0; round < 2; round++) {
+      CompletableFuture<Void> connected = new CompletableFuture<>();
       try (AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group())) {
         channel.connect(
             new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
             null,
             new CompletionHandler<Void, Void>() {
               @Override
-              public void completed(Void done, Void none) {
-                turned.complete(null);
+              public void completed(Void result, Void none) {
+                connected.complete(null);
               }
 
               @Override
               public void failed(Throwable e, Void none) {
-                turned.completeExceptionally(e);
+                connected.completeExceptionally(e);
               }
             });
-        turned.get(10, TimeUnit.SECONDS);
+        connected.get(10, TimeUnit.SECONDS);
         server.accept().close();
       }
     }
@@ -84,9 +84,9 @@
 
   /** Runs a task on the loop and returns its result. */
   public <T> T call(Supplier<T> task) {
-    CompletableFuture<T> done = new CompletableFuture<>();
-    loop.execute(() -> done.complete(task.get()));
-    return done.orTimeout(10, TimeUnit.SECONDS).join();
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.execute(() -> result.complete(task.get()));
+    return result.orTimeout(10, TimeUnit.SECONDS).join();
   }
 
   private static void await(CountDownLatch latch) {
--- a/src/test/java/rosecleat/net/MonotonicClockTest.java
+++ b/src/test/java/rosecleat/net/MonotonicClockTest.java
@@ -8,7 +8,7 @@
 
 class MonotonicClockTest {
   @Test
-  void timeNeverGoesBack() {
+  void timeNeverRunsBackwards() {
     Iterator<Long> wall = List.of(10L, 20L, 5L, 19L, 21L).iterator();
     MonotonicClock clock = new MonotonicClock(wall::next);
     assertEquals(
