--- a/src/main/java/rosecleat/admin/AdminOperations.java
+++ b/src/main/java/rosecleat/admin/AdminOperations.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * What the admin server can query and change of a node. The methods are called on the node's event
+ * Operations on a node that the admin server exposes. The methods are called on the node's event
  * loop and must not block.
  */
 public interface AdminOperations {
-  /** Whether this process can serve clients. */
+  /** Returns whether this process can serve clients. */
   boolean isReady();
 
-  /** Starts to drain: from now on health checks report the node as down. */
+  /** Starts draining the node: health checks report it as down from now on. */
   void drain();
 
-  /** Ends draining: from now on health checks report the node's true health. */
+  /** Ends draining: health checks report the node's actual health from now on. */
   void activate();
 
-  /** Returns the document at a path as ASCII JSON; empty where the path is unknown. */
+  /** Returns the document at a path as ASCII JSON; empty if the path is unknown. */
   default Optional<String> view(String path) {
     return Optional.empty();
   }
--- a/src/main/java/rosecleat/admin/AdminRouter.java
+++ b/src/main/java/rosecleat/admin/AdminRouter.java
@@ -1,8 +1,8 @@
 package rosecleat.admin;
 
-/** Executes requests: maps their paths to operations, and the results to responses. */
+/** Maps the path of a request to an operation, executes it and maps the result to a response. */
 final class AdminRouter {
-  /** Larger documents would not fit the write queue of a connection (bytes). */
+  /** Size limit of a document, since a larger one would exceed the write queue of a connection. */
   static final int MAX_VIEW_BYTES = 32 << 20;
 
   private static final String GET = "GET";
--- a/src/main/java/rosecleat/admin/AdminServer.java
+++ b/src/main/java/rosecleat/admin/AdminServer.java
@@ -14,25 +14,25 @@
 import rosecleat.net.Listener;
 
 /**
- * The listening address for operators and probes: HTTP/1.1, one request a connection.
+ * The HTTP/1.1 server for operators and health probes, which handles one request per connection.
  *
- * <p>A client that sends nothing, or an incomplete request, holds one of few connections for a
- * bounded time; when all are taken, the one that has been silent for longest is closed for the next
- * client. All work happens on the event loop.
+ * <p>A client that sends no request or an incomplete one occupies one of a few connections for a
+ * bounded time. At the maximum, the connection that has been idle for longest is closed to accept
+ * the next client. All work happens on the event loop.
  */
 public final class AdminServer {
   private static final int MAX_CONNECTIONS = 12;
 
-  /** File descriptors that the server may use: its connections and the listening socket. */
+  /** Most file descriptors that the server uses: its connections and the listening socket. */
   public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + 1;
 
-  /** A request must be complete this long after its connection was accepted. */
+  /** Time from accepting a connection until its request must be complete. */
   private static final long REQUEST_TIMEOUT_US = 6_000_000;
 
   private static final int READ_BUFFER_BYTES = 2 << 10;
   private static final int PAUSE_READING_ABOVE_BYTES = 8 << 10;
 
-  /** The largest view with the head of its response. */
+  /** Holds the largest document and the head of its response. */
   private static final int WRITE_QUEUE_BYTES = AdminRouter.MAX_VIEW_BYTES + (1 << 20);
 
   private static final long WRITE_STALL_TIMEOUT_US = 5_000_000;
@@ -48,9 +48,9 @@
   private final Listener listener;
 
   /**
-   * Starts to listen.
+   * Binds the address and starts to accept connections.
    *
-   * @throws IOException where the address cannot be bound
+   * @throws IOException if the address cannot be bound
    */
   public AdminServer(
       EventLoop loop,
@@ -66,7 +66,7 @@
     listener = new Listener(loop, address, MAX_CONNECTIONS, LIMITS, this::accept);
   }
 
-  /** Returns the port it listens on. */
+  /** Returns the local port. */
   public int port() {
     return listener.port();
   }
@@ -78,7 +78,7 @@
     connection.start(client);
   }
 
-  /** One connection with its one request. */
+  /** A client's connection and the single request on it. */
   private final class ClientConnection implements ConnectionHandler {
     private final Connection connection;
     private final HttpRequestParser parser = new HttpRequestParser();
@@ -95,13 +95,16 @@
       }
     }
 
-    /** An incomplete request can be repeated, so its connection may be closed for another one. */
+    /**
+     * Returns {@code IDLE} also for an incomplete request. The client can repeat it, so its
+     * connection may be closed for another client.
+     */
     @Override
     public ConnectionUsage usage() {
       return parser.hasInput() ? ConnectionUsage.IDLE : ConnectionUsage.UNUSED;
     }
 
-    /** Ignores whatever follows the first request. */
+    /** Handles the first request and ignores all bytes after it. */
     @Override
     public void received(ByteBuffer bytes) {
       if (!responded && parser.feed(bytes)) {
@@ -114,7 +117,11 @@
     }
 
     private HttpResponse rejectMalformed(HttpRequestError error) {
-      log.warn("a call to the operators' door can't be read: " + error.status().code());
+      log.warn(
+          "admin server rejected a malformed request with status "
+              + error.status().code()
+              + ": "
+              + error);
       return HttpResponse.error(error.status(), "this is no call that can be read");
     }
 
--- a/src/main/java/rosecleat/admin/HttpRequest.java
+++ b/src/main/java/rosecleat/admin/HttpRequest.java
@@ -1,9 +1,9 @@
 package rosecleat.admin;
 
 /**
- * A complete, well-formed request.
+ * A complete, well-formed HTTP request.
  *
- * @param method the method as sent, in upper case
- * @param target the path as sent, starting with a slash
+ * @param method the method, in upper case
+ * @param target the path, which starts with a slash
  */
 record HttpRequest(String method, String target) {}
--- a/src/main/java/rosecleat/admin/HttpRequestError.java
+++ b/src/main/java/rosecleat/admin/HttpRequestError.java
@@ -1,16 +1,20 @@
 package rosecleat.admin;
 
-/** Why bytes are not a request that the admin server accepts, and the status that answers each. */
+/**
+ * Reasons for which the admin server rejects a malformed request, with the status of the response.
+ */
 enum HttpRequestError {
   MALFORMED_REQUEST_LINE(HttpStatus.BAD_REQUEST),
   UNSUPPORTED_VERSION(HttpStatus.VERSION_NOT_SUPPORTED),
   MALFORMED_HEADER(HttpStatus.BAD_REQUEST),
   MALFORMED_CONTENT_LENGTH(HttpStatus.BAD_REQUEST),
   MISSING_HOST(HttpStatus.BAD_REQUEST),
-  /** Transfer codings are not implemented. */
+  /** The request has a Transfer-Encoding; transfer codings are not implemented. */
   TRANSFER_ENCODING(HttpStatus.NOT_IMPLEMENTED),
   BODY_TOO_LARGE(HttpStatus.CONTENT_TOO_LARGE),
-  /** Too many header lines, a line that is too long, or too many bytes in all. */
+  /**
+   * The head has too many lines, a line is too long, or the request has too many bytes in total.
+   */
   REQUEST_TOO_LARGE(HttpStatus.HEADER_FIELDS_TOO_LARGE);
 
   private final HttpStatus status;
--- a/src/main/java/rosecleat/admin/HttpRequestParser.java
+++ b/src/main/java/rosecleat/admin/HttpRequestParser.java
@@ -7,19 +7,19 @@
 import rosecleat.net.TextSyntax;
 
 /**
- * An incremental, strict parser of one HTTP/1.1 request. A body is read to its end and discarded,
- * since no operation needs one.
+ * An incremental, strict parser of one HTTP/1.1 request. A body is read and discarded, since no
+ * operation needs one.
  */
 final class HttpRequestParser {
-  /** The request line, the header lines and the empty line behind them. */
+  /** Most lines of a head: the request line, the header lines and the empty line at the end. */
   private static final int MAX_HEAD_LINES = 64;
 
-  /** The length limit of a line, and of the body (bytes). */
+  /** Size limit of a line and of the body. */
   private static final int MAX_LINE_OR_BODY_BYTES = 4 << 10;
 
   private static final int MAX_REQUEST_BYTES = 16 << 10;
 
-  /** Longer lengths are malformed rather than too large. */
+  /** A Content-Length with more digits counts as malformed instead of too large. */
   private static final int MAX_CONTENT_LENGTH_DIGITS = 9;
 
   private final LineBuffer buffer = new LineBuffer(MAX_LINE_OR_BODY_BYTES);
@@ -31,7 +31,7 @@
   private boolean hostSeen;
   private boolean headComplete;
 
-  /** Consumes all of the input; true once the request is complete or known to be invalid. */
+  /** Consumes all of the input; returns true once the request is complete or has proved invalid. */
   boolean feed(ByteBuffer input) {
     receivedBytes += input.remaining();
     if (receivedBytes > MAX_REQUEST_BYTES || !buffer.append(input)) {
@@ -51,17 +51,17 @@
     return bodyLength == 0 || buffer.readBlock(bodyLength) != null;
   }
 
-  /** Whether any byte of the request has been received. */
+  /** Returns whether any byte of the request has been received. */
   boolean hasInput() {
     return receivedBytes > 0;
   }
 
-  /** Returns why the request is invalid; empty while it is not. */
+  /** Returns why the request is invalid; empty if no error has been found so far. */
   Optional<HttpRequestError> error() {
     return Optional.ofNullable(error);
   }
 
-  /** Returns the request; only valid once {@link #feed} returned true without an error. */
+  /** Returns the request; valid only after {@link #feed} has returned true without an error. */
   HttpRequest request() {
     return request;
   }
@@ -95,7 +95,8 @@
 
   private Optional<HttpRequestError> parseHeader(String line) {
     int colon = line.indexOf(':');
-    // RFC 9112 forbids white space before the colon: servers that differ on it can be confused
+    // RFC 9112 forbids white space before the colon, since servers that interpret it differently
+    // enable request smuggling
     if (colon < 1 || !line.substring(0, colon).matches("[!-9;-~]+")) {
       return Optional.of(HttpRequestError.MALFORMED_HEADER);
     }
--- a/src/main/java/rosecleat/admin/HttpResponse.java
+++ b/src/main/java/rosecleat/admin/HttpResponse.java
@@ -5,29 +5,29 @@
 import java.util.Optional;
 
 /**
- * A response with a JSON body.
+ * An HTTP response with a JSON body.
  *
  * @param status the status code
  * @param body the body, ASCII only
- * @param allow the value of the {@code Allow} header, where the response has one
+ * @param allow the value of the {@code Allow} header; empty for a response without that header
  */
 record HttpResponse(HttpStatus status, String body, Optional<String> allow) {
   HttpResponse(HttpStatus status, String body) {
     this(status, body, Optional.empty());
   }
 
-  /** An error response, with the text as the body's {@code error} member. */
+  /** Returns an error response whose body has the text as its {@code error} member. */
   static HttpResponse error(HttpStatus status, String text) {
     return new HttpResponse(status, "{\"error\":\"" + text + "\"}");
   }
 
-  /** The error response to a method that the path does not support. */
+  /** Returns the error response to a method that the path does not support. */
   static HttpResponse methodNotAllowed(String supportedMethod) {
     HttpResponse response = error(HttpStatus.METHOD_NOT_ALLOWED, "not by this method");
     return new HttpResponse(response.status, response.body, Optional.of(supportedMethod));
   }
 
-  /** Returns the response as it goes onto the connection, which it closes. */
+  /** Encodes the response, with the header {@code Connection: close}. */
   ByteBuffer encode() {
     String head =
         "HTTP/1.1 "
--- a/src/main/java/rosecleat/log/Log.java
+++ b/src/main/java/rosecleat/log/Log.java
@@ -7,24 +7,28 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A logger that never blocks its callers: lines go through a bounded queue to one writer thread,
- * and lines that find the queue full are dropped and counted. Every method may be called from any
- * thread.
+ * A logger that never blocks its callers. Lines pass through a bounded queue to one writer thread;
+ * when the queue is full, further lines are dropped and counted. Thread-safe.
  */
 public final class Log implements AutoCloseable {
-  /** Lines that wait for the writer; at the longest line this bounds the queue's memory. */
+  /** Most lines in the queue; with the longest line this bounds the queue's memory. */
   private static final int QUEUE_CAPACITY = 1024;
 
-  /** Characters of a line; longer ones are cut, since callers may send text of any length. */
+  /**
+   * Most characters of a line. Longer lines are truncated, since a line may contain text of any
+   * length that a client has sent.
+   */
   public static final int MAX_LINE_CHARS = 400;
 
-  /** How long {@link #close()} waits for the writer. */
+  /** Time for which {@link #close()} waits for the writer thread. */
   private static final long CLOSE_TIMEOUT_MS = 200;
 
-  /** The writer's pause behind each line: a flood of lines is dropped here rather than written. */
+  /**
+   * Pause of the writer after each line, so that most lines of a flood are dropped, not written.
+   */
   private static final long WRITE_INTERVAL_MS = 2;
 
-  /** How often a writer without lines looks whether the log was closed. */
+  /** Interval at which the writer checks for the end of the log while the queue is empty. */
   private static final long POLL_INTERVAL_MS = 50;
 
   private static final char DELETE = 127;
@@ -33,17 +37,17 @@
   private final AtomicLong dropped = new AtomicLong();
   private final PrintStream out;
 
-  /** The thread that writes; null for a silent log. */
+  /** The writer thread; null for a silent log. */
   private final Thread writer;
 
   private volatile boolean closed;
 
-  /** Creates a log that writes to a stream, and starts its thread. */
+  /** Creates a log that writes to a stream, and starts its writer thread. */
   public Log(PrintStream out) {
     this(out, QUEUE_CAPACITY);
   }
 
-  /** Returns a log that discards every line and has no thread. */
+  /** Returns a log that discards all lines and has no writer thread. */
   public static Log silent() {
     return new Log();
   }
@@ -67,12 +71,12 @@
     enqueue("info", line);
   }
 
-  /** Logs a failure that the program has handled. */
+  /** Logs a failure from which the program has recovered. */
   public void warn(String line) {
     enqueue("warn", line);
   }
 
-  /** The number of lines dropped so far because the queue was full. */
+  /** Returns the number of lines dropped so far because the queue was full. */
   public long dropped() {
     return dropped.get();
   }
@@ -88,7 +92,7 @@
     }
   }
 
-  /** Replaces control characters, so that text from callers cannot forge a line of its own. */
+  /** Replaces control characters, so that text from clients cannot forge a separate log line. */
   private static String withoutControlCharacters(String text) {
     StringBuilder safe = new StringBuilder(text.length());
     text.chars().forEach(c -> safe.append(c < ' ' || c == DELETE ? '?' : (char) c));
@@ -101,7 +105,8 @@
         writeNextLine();
       }
       if (dropped.get() > 0) {
-        out.println(Instant.now() + " warn " + dropped.get() + " lines were dropped");
+        out.println(
+            Instant.now() + " warn " + dropped.get() + " log lines dropped: queue was full");
       }
       out.flush();
     } catch (InterruptedException e) {
@@ -120,13 +125,15 @@
     }
   }
 
-  /** Writes the lines that still wait, for 200 ms at most. */
+  /** Closes the log after writing the queued lines, for which it waits at most 200 ms. */
   @Override
   public void close() {
     close(CLOSE_TIMEOUT_MS);
   }
 
-  /** Writes the lines that still wait, for at most the timeout in milliseconds. */
+  /**
+   * Closes the log after writing the queued lines, for which it waits at most {@code timeoutMs}.
+   */
   public void close(long timeoutMs) {
     closed = true;
     if (writer == null) {
--- a/src/main/java/rosecleat/net/ConnectAttempt.java
+++ b/src/main/java/rosecleat/net/ConnectAttempt.java
@@ -9,9 +9,9 @@
 import rosecleat.core.Progress;
 
 /**
- * One attempt to connect, until its outcome is reported. The connect and its timeout may both
- * complete; whichever reaches the loop first decides, so that no handler is given a connection that
- * was closed meanwhile.
+ * One attempt to connect, from its start until its outcome is reported. The connect operation and
+ * its timeout may both complete. The event that the loop runs first determines the outcome, so that
+ * no handler receives a connection that the timeout has already closed.
  */
 final class ConnectAttempt {
   private final EventLoop loop;
@@ -32,7 +32,10 @@
     this.handler = handler;
   }
 
-  /** Opens a socket and begins to connect it; the outcome is always reported later, on the loop. */
+  /**
+   * Opens a socket and starts to connect it. The outcome is reported on the loop, never before this
+   * method returns.
+   */
   static void begin(
       EventLoop loop,
       InetSocketAddress address,
@@ -42,7 +45,7 @@
     AsynchronousSocketChannel channel;
     try {
       channel = AsynchronousSocketChannel.open(loop.group());
-    } catch (IOException | RuntimeException e) { // no descriptor left, or the group is closing
+    } catch (IOException | RuntimeException e) { // out of file descriptors, or the group is closing
       loop.execute(
           () ->
               handler.failed(
@@ -60,7 +63,7 @@
           null,
           new LoopCompletionHandler<Void>(
               loop, connected -> succeed(), cause -> fail(cause.getMessage())));
-    } catch (RuntimeException e) { // an address that can't be used
+    } catch (RuntimeException e) { // for example an unresolved address
       loop.execute(() -> fail(e.toString()));
     }
   }
@@ -78,7 +81,7 @@
     }
   }
 
-  /** Ends the attempt; false where it has ended before. */
+  /** Marks the attempt as completed; returns false if it had already been completed. */
   private boolean complete() {
     if (completed) {
       return false;
--- a/src/main/java/rosecleat/net/ConnectHandler.java
+++ b/src/main/java/rosecleat/net/ConnectHandler.java
@@ -2,11 +2,14 @@
 
 import rosecleat.core.Failure;
 
-/** Receives the outcome of {@link Connection#connect}: one call, on the loop. */
+/** Receives the outcome of {@link Connection#connect} in exactly one call on the event loop. */
 public interface ConnectHandler {
-  /** The connection is established; {@link Connection#start} begins to read from it. */
+  /**
+   * Called when the connection is established. The handler calls {@link Connection#start} to begin
+   * reading.
+   */
   void connected(Connection connection);
 
-  /** The connection was not established, and nothing was sent. */
+  /** Called when the connection could not be established; no byte has been sent. */
   void failed(Failure failure);
 }
--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -11,10 +11,10 @@
 import rosecleat.core.Progress;
 
 /**
- * One connection: at most one read and one write in progress, and a bounded queue of writes.
- * Everything but the bare completion handlers runs on the loop.
+ * A TCP connection with at most one read and one write in progress and a bounded write queue. All
+ * methods run on the event loop; completion handlers of the channel only post to it.
  *
- * <p>The states, each of which is entered at most once, in this order:
+ * <p>A connection enters each of these states at most once, in this order:
  *
  * <pre>
  *   OPEN ----closeGracefully----> CLOSING ----nothing pending----> HALF_CLOSED ----> CLOSED
@@ -25,20 +25,22 @@
  *
  * <ul>
  *   <li>{@code OPEN}: bytes are received and written.
- *   <li>{@code CLOSING}: the same, until no response is pending, nothing is queued and no received
- *       bytes await the loop; then the output is shut down.
- *   <li>{@code HALF_CLOSED}: the peer has been sent the end of the stream. What it still sends is
- *       read and dropped, as closing with unread bytes would reset the connection and the peer
- *       could lose its last response. Left when the peer closes, or after the linger time.
- *   <li>{@code CLOSED}: the socket is closed and the handler is notified, once.
+ *   <li>{@code CLOSING}: bytes are still received and written, until no response is pending, the
+ *       write queue is empty and no completed read waits for the loop. Then the output is shut
+ *       down.
+ *   <li>{@code HALF_CLOSED}: the output is shut down. Bytes that the peer still sends are read and
+ *       dropped, because closing a socket with unread bytes resets the connection and the peer
+ *       could lose its last response. This state ends when the peer closes or the linger time has
+ *       passed.
+ *   <li>{@code CLOSED}: the socket is closed, and the handler is notified once.
  * </ul>
  *
- * <p>{@link #close} alone enters {@code CLOSED}. {@link #closeGracefully} is the way to close a
- * peer's connection; {@link #abort} is for a peer that does not read, for one whose messages no
- * longer matter, and for connections of this process that carry nothing.
+ * <p>Only {@link #close} enters {@code CLOSED}. Connections accepted from a peer are normally
+ * closed with {@link #closeGracefully}. {@link #abort} is meant for peers that do not read, for
+ * peers whose messages no longer matter, and for unused connections that this process has opened.
  *
- * <p>Backpressure works by not reading: while more than {@link
- * ConnectionLimits#pauseReadAboveBytes} wait to be written, no read is started.
+ * <p>Backpressure: no read is started while more than {@link ConnectionLimits#pauseReadAboveBytes}
+ * are queued for writing.
  */
 public final class Connection {
   private enum State {
@@ -48,12 +50,12 @@
     CLOSED
   }
 
-  /** How long a half-closed connection waits for its peer to close (us). */
+  /** Time for which a half-closed connection waits for its peer to close. */
   private static final long LINGER_US = 1_000_000;
 
   /**
-   * The protocol bounds by 50 ms how long a request can be in flight when its connection ends; the
-   * rest is margin (ns).
+   * Longest time for which a request can be in flight when its connection ends: the protocol allows
+   * 50 ms, and 10 ms are margin.
    */
   static final long MAX_IN_FLIGHT_NS = 60_000_000;
 
@@ -63,14 +65,16 @@
   private final ByteBuffer input;
   private final WriteQueue writeQueue = new WriteQueue();
 
-  /** Absent until {@link #start}. */
+  /** Null until {@link #start}. */
   private ConnectionHandler handler;
 
   private boolean reading;
   private boolean writing;
   private State state = State.OPEN;
 
-  /** Set on the thread of the channels when a read completes, until the loop has handled it. */
+  /**
+   * Set on the I/O thread when a read completes, and cleared when the loop has handled the read.
+   */
   private volatile boolean readCompleted;
 
   private long lastActivityNs = System.nanoTime();
@@ -86,11 +90,11 @@
     try {
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     } catch (IOException | UnsupportedOperationException e) {
-      loop.log().info("a connection without TCP_NODELAY: " + e.getMessage());
+      loop.log().info("could not set TCP_NODELAY on a connection: " + e.getMessage());
     }
   }
 
-  /** Connects to an address; the outcome is reported to the handler once, on the loop. */
+  /** Connects to an address and reports the outcome to the handler once, on the loop. */
   public static void connect(
       EventLoop loop,
       InetSocketAddress address,
@@ -100,41 +104,41 @@
     ConnectAttempt.begin(loop, address, timeoutUs, limits, handler);
   }
 
-  /** Sets the handler and begins to read. */
+  /** Sets the handler and starts to read. */
   public void start(ConnectionHandler newHandler) {
     handler = newHandler;
     read();
   }
 
-  /** Returns whether nothing can be written any more: the output is shut down, or all is closed. */
+  /** Returns whether writing has ended: the output is shut down, or the connection is closed. */
   public boolean isClosed() {
     return state == State.HALF_CLOSED || state == State.CLOSED;
   }
 
-  /** Returns what would be lost by closing now. */
+  /** Returns what would be lost if the connection were closed now. */
   ConnectionUsage usage() {
     return handler == null || state != State.OPEN || !writeQueue.isEmpty()
         ? ConnectionUsage.BUSY
         : handler.usage();
   }
 
-  /** Returns when bytes were last read or written, by {@link System#nanoTime}. */
+  /** Returns the time of the last read or write, as {@link System#nanoTime} counts. */
   long lastActivityNs() {
     return lastActivityNs;
   }
 
   /**
-   * Returns whether it only lingers and nothing can be in flight any more: the output was shut down
-   * long enough ago, or at a time when the connection had long been quiet.
+   * Returns whether the connection is half-closed and no bytes from the peer can be in flight any
+   * more, because the output was shut down long enough ago or after a long enough idle period.
    */
   boolean lingersWithNothingInFlight() {
     return state == State.HALF_CLOSED && !readCompleted && nsUntilNothingInFlight() <= 0;
   }
 
   /**
-   * Returns how long it takes at least until nothing that the peer sent can be in flight: from the
-   * last activity on while the connection is open; where the output was shut down while something
-   * could be, from then on.
+   * Returns the least time until no bytes from the peer can be in flight; zero or less if none can
+   * be. The time counts from the last activity. If the output was shut down while bytes could still
+   * be in flight, the time counts from the shutdown.
    */
   long nsUntilNothingInFlight() {
     boolean idleAtShutdown = outputShutdownNs - lastActivityNs >= MAX_IN_FLIGHT_NS;
@@ -144,9 +148,11 @@
   }
 
   /**
-   * Queues bytes to be written.
+   * Queues bytes for writing. If they exceed the capacity of the write queue, the connection is
+   * closed.
    *
-   * @return false, with no byte sent, where the connection is closed or its queue has no room
+   * @return false if writing has ended or the bytes exceed the queue's capacity; none of them is
+   *     sent then
    */
   public boolean write(ByteBuffer bytes) {
     if (isClosed()) {
@@ -166,8 +172,8 @@
   }
 
   /**
-   * Closes once no response is pending and all that is queued has been written; until then bytes
-   * are received as before. May be called again, to no effect.
+   * Closes the connection once no response is pending and all queued bytes have been written. Until
+   * then bytes are still received. Further calls have no effect.
    */
   public void closeGracefully() {
     if (state == State.OPEN) {
@@ -176,7 +182,7 @@
     shutdownOutputWhenDrained();
   }
 
-  /** Closes at once: bytes that were not read or written are lost. */
+  /** Closes the connection immediately; unread and unwritten bytes are lost. */
   public void abort(String detail) {
     close(
         new Failure(
@@ -186,7 +192,10 @@
         false);
   }
 
-  /** Shuts the output down if nothing would be lost; called again after each read and write. */
+  /**
+   * Shuts the output down if the connection is closing and nothing would be lost. Called after each
+   * read and write.
+   */
   private void shutdownOutputWhenDrained() {
     if (state != State.CLOSING
         || !writeQueue.isEmpty()
@@ -220,12 +229,15 @@
     input.clear();
     try {
       channel.read(input, null, new ReadCompletionHandler());
-    } catch (RuntimeException e) { // the channel was closed meanwhile
+    } catch (RuntimeException e) { // the channel has been closed concurrently
       close(new Failure(Progress.SENT, FailureReason.READ_FAILED, e.toString()), false);
     }
   }
 
-  /** Marks the completion before it posts it, so that the output is not shut down in between. */
+  /**
+   * Sets {@link #readCompleted} before it posts the result, so that the output is not shut down
+   * while the result is queued on the loop.
+   */
   private final class ReadCompletionHandler extends LoopCompletionHandler<Integer> {
     ReadCompletionHandler() {
       super(
@@ -258,12 +270,13 @@
     if (state != State.HALF_CLOSED) {
       dispatchInput();
     }
-    readCompleted = false; // only now: the handler may close in the middle of the input
+    readCompleted =
+        false; // not earlier: the handler may call closeGracefully before its input ends
     read();
     shutdownOutputWhenDrained();
   }
 
-  /** Hands the input to the handler; an exception there ends this connection alone. */
+  /** Passes the input to the handler; an exception in the handler closes only this connection. */
   private void dispatchInput() {
     try {
       handler.received(input);
@@ -319,7 +332,7 @@
     writeTimeout = loop.schedule(limits.writeTimeoutUs(), () -> checkWriteProgress(writtenBefore));
   }
 
-  /** Closes the connection to a peer that took no byte for the whole timeout. */
+  /** Closes the connection if the peer has accepted no byte during the write timeout. */
   private void checkWriteProgress(long writtenBefore) {
     writeTimeout = null;
     if (state == State.CLOSED || writeQueue.isEmpty()) {
@@ -339,7 +352,7 @@
     }
   }
 
-  /** Enters {@code CLOSED}: the only way in which a connection ends. */
+  /** Enters {@code CLOSED}. Every connection ends through this method. */
   private void close(Failure failure, boolean endOfStream) {
     if (state == State.CLOSED) {
       return;
@@ -353,7 +366,7 @@
     closeQuietly(channel);
     if (handler != null) {
       loop.execute(
-          () -> handler.closed(failure, endOfStream)); // never inside the handler's own call
+          () -> handler.closed(failure, endOfStream)); // posted, so never within a handler's call
     }
   }
 
@@ -361,7 +374,7 @@
     try {
       channel.close();
     } catch (Exception e) {
-      // nothing is left to do with it
+      // there is no way to recover, and the channel is not used again
     }
   }
 }
--- a/src/main/java/rosecleat/net/ConnectionHandler.java
+++ b/src/main/java/rosecleat/net/ConnectionHandler.java
@@ -3,28 +3,32 @@
 import java.nio.ByteBuffer;
 import rosecleat.core.Failure;
 
-/** Receives the events of one {@link Connection}; every method is called on the loop. */
+/** Receives the events of one {@link Connection}. Every method is called on the event loop. */
 public interface ConnectionHandler {
-  /** Returns what would be lost by closing now; asked when a listener needs room for others. */
+  /**
+   * Returns what would be lost if the connection were closed now. A listener at its maximum calls
+   * this to choose the connections that it evicts.
+   */
   default ConnectionUsage usage() {
     return ConnectionUsage.BUSY;
   }
 
-  /**
-   * Returns whether a received message still awaits its response; a graceful close waits for it.
-   */
+  /** Returns whether a received message awaits its response; a graceful close waits for it. */
   default boolean hasPendingResponses() {
     return false;
   }
 
-  /** Handles received bytes; the buffer is reused, so all of it must be consumed or copied. */
+  /**
+   * Handles received bytes. The buffer is reused after the call, so the handler must consume or
+   * copy all of it.
+   */
   void received(ByteBuffer bytes);
 
   /**
-   * Handles the end of the connection; called once, and never from within a call of the handler
-   * into the connection.
+   * Handles the end of the connection. Called once, and never from within a call that the handler
+   * makes to the connection.
    *
-   * @param endOfStream whether the peer closed the connection in order
+   * @param endOfStream whether the peer closed the connection gracefully
    */
   void closed(Failure failure, boolean endOfStream);
 }
--- a/src/main/java/rosecleat/net/ConnectionUsage.java
+++ b/src/main/java/rosecleat/net/ConnectionUsage.java
@@ -2,10 +2,10 @@
 
 /** What would be lost if a connection were closed now. */
 public enum ConnectionUsage {
-  /** Nothing: not one complete message has been received. */
+  /** Nothing would be lost: no complete message has been received yet. */
   UNUSED,
-  /** Nothing: every message that was received has been answered. */
+  /** Nothing would be lost: every received message has been answered. */
   IDLE,
-  /** A message is being received, or a response is outstanding. */
+  /** A partly received message or an outstanding response would be lost. */
   BUSY
 }
--- a/src/main/java/rosecleat/net/Connector.java
+++ b/src/main/java/rosecleat/net/Connector.java
@@ -5,23 +5,30 @@
 import rosecleat.core.Failure;
 
 /**
- * Connects to one service whose address may change, with one attempt at a time. An attempt that
- * ends after the address has changed is reported as such, and its connection is closed with nothing
- * sent on it. When to retry is up to the handler. For the loop alone.
+ * Connects to one service whose address may change, with one attempt at a time. If the address has
+ * changed when an attempt ends, the handler is notified of that, and a connection to the former
+ * address is closed without a byte sent. The handler decides when to retry. All methods must be
+ * called on the event loop.
  */
 public final class Connector {
-  /** Receives the outcome of each attempt, on the loop; the next attempt may begin inside it. */
+  /**
+   * Receives the outcome of each attempt, on the event loop. Its methods may start the next
+   * attempt.
+   */
   public interface Handler {
-    /** Connected to the current address. */
+    /** Called when a connection to the current address is established. */
     void connected(Connection connection);
 
-    /** Connected, but to an address that has been replaced since; that connection is closed. */
+    /**
+     * Called when a connection was established to an address that has been replaced since the
+     * attempt started. That connection has been closed.
+     */
     void connectedToFormerAddress();
 
     /**
-     * Not connected.
+     * Called when no connection could be established.
      *
-     * @param addressChanged whether the attempt was for an address that has been replaced since
+     * @param addressChanged whether the address has been replaced since the attempt started
      */
     void failed(Failure failure, boolean addressChanged);
   }
@@ -31,12 +38,17 @@
   private final ConnectionLimits limits;
   private final Handler handler;
 
-  /** Null where there is no such service. */
+  /** Null if the service has no address. */
   private InetSocketAddress address;
 
   private boolean connecting;
 
-  /** Creates a connector; {@code address} may be null, until when nothing can be connected. */
+  /**
+   * Creates a connector.
+   *
+   * @param address the service's address; null if it is not known yet, in which case {@link
+   *     #setAddress} must be called before {@link #connect}
+   */
   public Connector(
       EventLoop loop,
       InetSocketAddress address,
@@ -50,15 +62,15 @@
     this.handler = handler;
   }
 
-  /** Returns the address of later attempts; null for none. */
+  /** Returns the address that the next attempt connects to, or null. */
   public InetSocketAddress address() {
     return address;
   }
 
   /**
-   * Sets the address of later attempts.
+   * Sets the address that later attempts connect to.
    *
-   * @return whether it differs from the one before
+   * @return whether it differs from the previous address
    */
   public boolean setAddress(InetSocketAddress newAddress) {
     boolean changed = !Objects.equals(newAddress, address);
@@ -71,7 +83,7 @@
     return connecting;
   }
 
-  /** Begins an attempt, unless one is in progress; the address must not be null. */
+  /** Starts an attempt unless one is in progress. The address must not be null. */
   public void connect() {
     if (connecting) {
       return;
--- a/src/main/java/rosecleat/net/EventLoop.java
+++ b/src/main/java/rosecleat/net/EventLoop.java
@@ -10,9 +10,9 @@
 import rosecleat.log.Log;
 
 /**
- * The one thread on which everything that touches the core runs. Completion handlers run on the
- * channel group's own thread, or on whichever thread started the operation, and only post here; so
- * no handler ever runs inside the code that started its operation.
+ * The single thread on which all code runs that accesses the core. Completion handlers of channels
+ * run on the channel group's thread, or on the thread that started the operation, and only post a
+ * task to the loop. Therefore no result is handled within the call that started its operation.
  */
 public final class EventLoop implements AutoCloseable {
   private final ScheduledThreadPoolExecutor executor;
@@ -20,9 +20,9 @@
   private final Log log;
 
   /**
-   * Starts a loop with its thread and its channel group.
+   * Creates a loop with its thread and its channel group.
    *
-   * @throws IOException where the channel group can't be opened
+   * @throws IOException if the channel group can't be opened
    */
   public EventLoop(Log log) throws IOException {
     this.log = log;
@@ -43,14 +43,14 @@
     return group;
   }
 
-  /** Returns the log for connections and listeners of this loop. */
+  /** Returns the log that the connections and listeners of this loop write to. */
   Log log() {
     return log;
   }
 
   /**
-   * Runs a task on the loop, after those already posted. Safe on any thread; dropped once the loop
-   * is closed, as every connection the task could be about is closed then.
+   * Runs a task on the loop after all tasks posted before. May be called from any thread. Once the
+   * loop is closed, tasks are dropped, since the connections they refer to are closed as well.
    */
   public void execute(Runnable task) {
     try {
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Runs a task on the loop after a delay in microseconds; cancel the future to call it off.
-   * Dropped once the loop is closed.
+   * Runs a task on the loop after a delay in microseconds, unless the returned future is cancelled
+   * before. Once the loop is closed, tasks are dropped.
    */
   public Future<?> schedule(long delayUs, Runnable task) {
     try {
@@ -72,35 +72,37 @@
     }
   }
 
-  /** Guards the loop: whatever a task throws ends that task alone. */
+  /** Runs a task and logs a runtime exception that it throws, so that the loop goes on. */
   private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      log.warn("a task failed: " + e + (trace.length == 0 ? "" : " at " + trace[0]));
+      log.warn(
+          "task on the event loop failed: " + e + (trace.length == 0 ? "" : " at " + trace[0]));
     }
   }
 
   /**
-   * Ends the loop and waits until its thread for sockets has left the system's call for their
-   * events: the end of a virtual machine waits up to 0.3 s for threads in such calls.
+   * Closes the loop and waits until the I/O thread has returned from the system call that waits for
+   * socket events. Otherwise the exit of the JVM would wait up to 0.3 s for a thread in such a
+   * call.
    *
-   * @return whether that thread has ended in time
+   * @return whether the I/O thread has ended within the timeout
    */
   public boolean close(long timeoutMs) throws InterruptedException {
     close();
     return group.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends the loop; channels still open are closed. */
+  /** Stops the loop and closes the channels that are still open. */
   @Override
   public void close() {
     executor.shutdownNow();
     try {
       group.shutdownNow();
     } catch (IOException e) {
-      log.warn("the channel group did not close: " + e.getMessage());
+      log.warn("could not close the channel group of the event loop: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/rosecleat/net/IdleConnectionEvictor.java
+++ b/src/main/java/rosecleat/net/IdleConnectionEvictor.java
@@ -6,33 +6,34 @@
 import java.util.List;
 
 /**
- * Frees places for new connections at a listener that has reached its maximum, by closing
- * connections that carry nothing: all that were never used, and where those are not enough, the
- * longest idle. How many idle ones it aims at doubles while places are taken again as fast as they
- * are freed.
+ * Frees connection slots of a listener that has reached its maximum by closing connections that
+ * carry no request. It closes all connections that were never used and, if that is not enough,
+ * those that have been idle for longest. The target number of slots to free doubles each time the
+ * maximum is reached again shortly after.
  *
- * <p>A connection that was never used and is young may be about to send its first request, and
- * stays. So each place is free again after the time in which bytes can be in flight ({@link
- * Connection#MAX_IN_FLIGHT_NS}), however many silent clients take it. For the loop alone.
+ * <p>A connection that has just been accepted may be about to send its first request and is not
+ * closed. A slot is therefore available again after the longest time for which bytes can be in
+ * flight ({@link Connection#MAX_IN_FLIGHT_NS}), however many clients connect without sending a
+ * request. All methods must be called on the event loop.
  */
 final class IdleConnectionEvictor {
-  /** At most one in so many of all places is aimed at. */
+  /** The target is at most one plus this part (1/4) of all slots. */
   private static final int MAX_TARGET_DIVISOR = 4;
 
-  /** Demand longer ago than this says nothing of how many places are needed now. */
+  /** If the maximum was last reached longer ago than this, the target starts again at one slot. */
   private static final long DEMAND_WINDOW_NS = 1_000_000_000;
 
-  /** The longest time to the next attempt: connections become idle at any time (ns). */
+  /** Longest delay before the next attempt, since connections may become idle at any time. */
   private static final long MAX_RETRY_DELAY_NS = 20_000_000;
 
-  /** The shortest time to the next attempt, which bounds what attempts cost (ns). */
+  /** Shortest delay before the next attempt, which bounds the CPU time that attempts take. */
   private static final long MIN_RETRY_DELAY_NS = 1_000_000;
 
   private int targetSlots = 1;
   private long lastDemandNs = System.nanoTime() - DEMAND_WINDOW_NS;
   private long retryDelayNs = MAX_RETRY_DELAY_NS;
 
-  /** Records that the maximum was reached, and adapts the number of places to free. */
+  /** Records that the maximum has been reached and adjusts the number of slots to free. */
   void recordDemand(int maxConnections) {
     long now = System.nanoTime();
     targetSlots =
@@ -43,12 +44,13 @@
   }
 
   /**
-   * Closes connections that carry nothing: every one that was never used and is not young, and idle
-   * ones until the target is met. Those of which bytes may be in flight are left alone while others
-   * will do: once they have been quiet, their places are free at once, while a place of one that is
-   * closed earlier stays taken until its peer can have learned of that.
+   * Closes connections that carry no request: all that were never used and have nothing in flight,
+   * and idle ones until the target is reached. Connections on which bytes may be in flight are
+   * closed only if no slot can be freed otherwise: waiting costs little, since the slot of a
+   * connection with nothing in flight is available immediately after the close, whereas the slot of
+   * one that is closed earlier remains occupied until the close can have reached its peer.
    *
-   * @return whether a place will be free
+   * @return whether at least one slot is or will become available
    */
   boolean evict(Collection<Connection> open) {
     retryDelayNs = MAX_RETRY_DELAY_NS;
@@ -78,7 +80,7 @@
     return true;
   }
 
-  /** Closes quiet connections, the longest idle first; returns how many. */
+  /** Closes idle connections with nothing in flight, the longest idle first; returns how many. */
   private int closeIdle(List<Connection> idle, int limit) {
     int closed = 0;
     for (Connection connection : idle) {
@@ -92,13 +94,13 @@
     return closed;
   }
 
-  /** All are in use, or have been until a moment ago. */
+  /** Closes the longest idle connections although bytes may still be in flight on them. */
   private boolean closeLongestIdle(List<Connection> idle) {
     idle.subList(0, Math.min(idle.size(), targetSlots)).forEach(this::close);
     return !idle.isEmpty();
   }
 
-  /** How long after {@link #evict} the next attempt may free more places (us). */
+  /** Returns the time after {@link #evict} at which another attempt may free more slots (us). */
   long retryDelayUs() {
     return retryDelayNs / 1_000;
   }
--- a/src/main/java/rosecleat/net/LineBuffer.java
+++ b/src/main/java/rosecleat/net/LineBuffer.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 
 /**
- * Splits a stream of bytes, however it is fragmented, into lines and into blocks of known length.
+ * Splits a stream of bytes, fragmented in any way, into lines and blocks of known length.
  *
- * <p>Memory is bounded: {@link #append} rejects bytes once more are buffered than the longest line
- * or block allows. For one thread.
+ * <p>Memory is bounded: {@link #append} rejects input that exceeds the longest line or block by
+ * more than the capacity of one input buffer. Not thread-safe.
  */
 public final class LineBuffer {
   private static final int INITIAL_CAPACITY = 1 << 10;
@@ -26,8 +26,8 @@
   /**
    * Appends all remaining bytes of {@code input}.
    *
-   * @return false, with nothing appended, where more would be buffered than the longest line or
-   *     block and one whole {@code input}
+   * @return false, with nothing appended, if the buffered bytes would exceed the longest line or
+   *     block plus the capacity of {@code input}
    */
   public boolean append(ByteBuffer input) {
     int count = input.remaining();
@@ -42,7 +42,7 @@
     return true;
   }
 
-  /** Moves the buffered bytes to the front of an array with room for {@code needed} bytes. */
+  /** Moves the buffered bytes to the start of an array of at least {@code needed} bytes. */
   private void compact(int needed) {
     byte[] target = needed > bytes.length ? new byte[Math.max(2 * bytes.length, needed)] : bytes;
     System.arraycopy(bytes, start, target, 0, size());
@@ -51,7 +51,7 @@
     bytes = target;
   }
 
-  /** Reads the next line without its end (LF or CR LF); null while it is incomplete. */
+  /** Reads the next line without its terminator (LF or CR LF); returns null if it is incomplete. */
   public String readLine() {
     for (int i = start; i < end; i++) {
       if (bytes[i] == '\n') {
@@ -64,7 +64,7 @@
     return null;
   }
 
-  /** Reads the next {@code length} bytes; null while they are not all there. */
+  /** Reads the next {@code length} bytes; returns null if fewer are buffered. */
   public byte[] readBlock(int length) {
     if (size() < length) {
       return null;
@@ -74,12 +74,12 @@
     return block;
   }
 
-  /** Returns how many bytes are buffered and unread. */
+  /** Returns the number of buffered bytes that have not been read. */
   public int size() {
     return end - start;
   }
 
-  /** Returns whether more bytes are buffered than a line may have. */
+  /** Returns whether more bytes are buffered than the maximum length of a line. */
   public boolean lineTooLong() {
     return size() > maxLength;
   }
--- a/src/main/java/rosecleat/net/Listener.java
+++ b/src/main/java/rosecleat/net/Listener.java
@@ -14,16 +14,16 @@
 
 /**
  * A listening socket that accepts connections up to a maximum. A failed accept is retried after a
- * short delay and never ends the listening. At the maximum, connections that carry nothing are
- * closed to make room, and the rest wait unaccepted in the system's backlog.
+ * short delay and never closes the socket. At the maximum, connections that carry no request are
+ * closed to free slots, and further connections wait in the operating system's backlog.
  *
- * <p>Everything but the bare completion handler runs on the loop.
+ * <p>All methods run on the event loop; the completion handler of the channel only posts to it.
  */
 public final class Listener {
   private static final int BACKLOG = 1024;
   private static final long ACCEPT_RETRY_DELAY_US = 20_000;
 
-  /** An accept that has been pending for so long found the backlog empty (ns). */
+  /** An accept that has been pending for longer than this has found the backlog empty. */
   private static final long BACKLOG_EMPTY_AFTER_NS = 5_000_000;
 
   private final EventLoop loop;
@@ -39,19 +39,19 @@
   private boolean closing;
   private boolean closed;
 
-  /** Set on the thread of the channels when an accept completes, until the loop has handled it. */
+  /** Set on the I/O thread when an accept completes, and cleared when the loop has handled it. */
   private volatile boolean acceptCompleted;
 
   private long acceptStartedNs;
   private long lastAcceptedNs = System.nanoTime();
 
   /**
-   * Listens at an address.
+   * Binds a socket to an address and starts to accept connections.
    *
-   * @param maxConnections the most connections that are open at a time
-   * @param acceptHandler is given each connection, on the loop, and must start it; it reports the
-   *     end of each to {@link #connectionClosed}
-   * @throws IOException where the address can't be bound
+   * @param maxConnections the most connections that may be open at a time
+   * @param acceptHandler receives each connection on the loop; must start it and report its end to
+   *     {@link #connectionClosed}
+   * @throws IOException if the address can't be bound
    */
   public Listener(
       EventLoop loop,
@@ -64,11 +64,12 @@
   }
 
   /**
-   * Listens at an address that several processes may share.
+   * Binds a socket to an address that several processes may share, and starts to accept
+   * connections.
    *
-   * @param reusePort whether another process may listen at the address too, and accept some of the
-   *     connections
-   * @throws IOException where the address can't be bound
+   * @param reusePort whether other processes may listen at the same address and accept a part of
+   *     the connections ({@code SO_REUSEPORT})
+   * @throws IOException if the address can't be bound
    */
   public Listener(
       EventLoop loop,
@@ -97,7 +98,7 @@
     loop.execute(this::accept);
   }
 
-  /** Returns the local port, -1 once the listener is closed. */
+  /** Returns the local port, or -1 once the listener is closed. */
   public int port() {
     try {
       return ((InetSocketAddress) server.getLocalAddress()).getPort();
@@ -106,13 +107,16 @@
     }
   }
 
-  /** Frees the place of a connection accepted here that has ended. */
+  /** Frees the slot of a connection that this listener accepted and that has ended. */
   public void connectionClosed(Connection connection) {
     open.remove(connection);
     resumeBelowMaximum();
   }
 
-  /** Sets the most connections open at a time; those in use beyond a lower maximum stay. */
+  /**
+   * Sets the most connections that may be open at a time. Connections in use beyond a lower maximum
+   * stay open.
+   */
   public void setMaxConnections(int newMaximum) {
     maxConnections = newMaximum;
     resumeBelowMaximum();
@@ -126,9 +130,9 @@
   }
 
   /**
-   * Goes on accepting until the backlog is empty, and closes at that instant: connections in the
-   * backlog of a socket that closes are reset, while later ones go to others that listen at the
-   * address. To be called again until it returns true.
+   * Closes the listener at an instant at which its backlog is empty, and accepts connections until
+   * then. Closing a socket resets the connections in its backlog, whereas later connections go to
+   * other processes that listen at the address. Must be called repeatedly until it returns true.
    *
    * @return whether the listener is closed
    */
@@ -144,9 +148,9 @@
   }
 
   /**
-   * Does the same as {@link #closeWhenBacklogEmpty}, begun once no connection has come for {@code
-   * quietUs} microseconds: closing would reset connections that the system has accepted and this
-   * process has not, with what they bring.
+   * Waits until no connection has been accepted for {@code quietUs} microseconds and then does the
+   * same as {@link #closeWhenBacklogEmpty}. Closing earlier would reset connections, with the
+   * requests on them, that the operating system has accepted and this process has not.
    *
    * @return whether the listener is closed
    */
@@ -173,17 +177,24 @@
     }
   }
 
-  /** Bounds the use of descriptors: further connections wait in the backlog. */
+  /** Stops accepting at the maximum, which bounds file descriptors, and tries to free slots. */
   private void pauseAtMaximum() {
     pausedAtMaximum = true;
     evictor.recordDemand(maxConnections);
     if (!evictor.evict(open)) {
-      log.warn(open.size() + " connections are open and in use, no more are accepted");
+      log.warn(
+          "listener accepts no more connections: "
+              + open.size()
+              + " are open and in use, maximum "
+              + maxConnections);
     }
     scheduleEviction();
   }
 
-  /** Retries while the maximum is reached: connections become idle, and some never close. */
+  /**
+   * Retries the eviction while the listener is at its maximum, since connections become idle later
+   * and some peers never close theirs.
+   */
   private void scheduleEviction() {
     if (evictionScheduled) {
       return;
@@ -209,7 +220,10 @@
     }
   }
 
-  /** Marks the completion before it posts it, so that the listener is not closed in between. */
+  /**
+   * Sets {@link #acceptCompleted} before it posts the result, so that the listener is not closed
+   * while the result is queued on the loop.
+   */
   private final class AcceptCompletionHandler
       extends LoopCompletionHandler<AsynchronousSocketChannel> {
     AcceptCompletionHandler() {
@@ -229,7 +243,7 @@
     accept();
   }
 
-  /** Accepts the whole backlog, and closes at the instant at which it is empty. */
+  /** Accepts all connections in the backlog and closes the listener as soon as it is empty. */
   private void acceptBacklogAndClose() {
     try {
       while (open.size() < maxConnections) {
@@ -238,7 +252,7 @@
         if (backlogEmpty) {
           close();
         }
-        if (next.isDone()) { // also one that came just before the close
+        if (next.isDone()) { // may also have completed just before the close
           handOver(next.get());
         }
         if (backlogEmpty) {
@@ -260,7 +274,7 @@
     try {
       acceptHandler.accept(connection);
     } catch (RuntimeException e) {
-      log.warn("a connection could not be taken: " + e);
+      log.warn("accepted connection could not be handled and is closed: " + e);
       connection.abort("it could not be taken");
       open.remove(connection);
     }
@@ -268,7 +282,11 @@
 
   private void retryAccept(Throwable cause) {
     if (!closed) {
-      log.warn("accept failed: " + cause.getMessage());
+      log.warn(
+          "accept failed, next attempt in "
+              + ACCEPT_RETRY_DELAY_US / 1_000
+              + " ms: "
+              + cause.getMessage());
       loop.schedule(ACCEPT_RETRY_DELAY_US, this::accept);
     }
   }
--- a/src/main/java/rosecleat/net/LoopCompletionHandler.java
+++ b/src/main/java/rosecleat/net/LoopCompletionHandler.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /**
- * A completion handler that only posts the result to the loop, whichever thread it is called on.
+ * A completion handler that posts the result to the event loop, on whichever thread it is called.
  */
 class LoopCompletionHandler<T> implements CompletionHandler<T, Void> {
   private final EventLoop loop;
--- a/src/main/java/rosecleat/net/TextSyntax.java
+++ b/src/main/java/rosecleat/net/TextSyntax.java
@@ -4,15 +4,15 @@
  * Parses and validates the short text fields that all wire formats share: numbers, hexadecimal ids
  * and names.
  *
- * <p>Written by hand rather than with regular expressions: on a process that has just started,
- * compiling and matching an expression for each field costs more than the rest of a request. All
- * methods are pure, and safe on any thread.
+ * <p>The parsers use no regular expressions: in a process that has just started, compiling and
+ * matching an expression for each field costs more than the rest of a request. All methods are pure
+ * and thread-safe.
  */
 public final class TextSyntax {
-  /** The digits of the longest number that {@link #parseNumber} reads without overflow. */
+  /** Digits of the longest number that {@link #parseNumber} can parse without overflow. */
   public static final int MAX_DIGITS = 18;
 
-  /** The digits on either side of a decimal point. */
+  /** Most digits on either side of a decimal point. */
   private static final int MAX_DECIMAL_DIGITS = 17;
 
   private static final int MAX_NAME_LENGTH = 64;
@@ -21,18 +21,18 @@
   private TextSyntax() {}
 
   /**
-   * Parses a whole number of 1 to {@code maxDigits} decimal digits.
+   * Parses an integer of 1 to {@code maxDigits} decimal digits without a sign.
    *
    * @param maxDigits at most {@link #MAX_DIGITS}
-   * @return the number, or -1 where the text is not one
+   * @return the number, or -1 if the text is malformed
    */
   public static long parseNumber(CharSequence text, int maxDigits) {
     return parseNumber(text, 0, text.length(), maxDigits);
   }
 
   /**
-   * Parses the characters of {@code text} from {@code start} to before {@code end} as {@link
-   * #parseNumber(CharSequence, int)} does.
+   * Parses the part of {@code text} from {@code start} to {@code end}, exclusive, in the same way
+   * as {@link #parseNumber(CharSequence, int)}.
    */
   public static long parseNumber(CharSequence text, int start, int end, int maxDigits) {
     if (end <= start || end - start > maxDigits) {
@@ -49,7 +49,7 @@
     return value;
   }
 
-  /** Parses a plain decimal number, with neither sign nor exponent; NaN where the text is none. */
+  /** Parses a decimal number without sign and exponent; returns NaN if the text is malformed. */
   public static double parseDecimal(String text) {
     int point = text.indexOf('.');
     boolean valid =
@@ -60,7 +60,7 @@
     return valid ? Double.parseDouble(text) : Double.NaN;
   }
 
-  /** Returns whether the text is {@code minDigits} to {@code maxDigits} lower-case hex digits. */
+  /** Returns whether the text has {@code minDigits} to {@code maxDigits} lower-case hex digits. */
   public static boolean isLowerHex(String text, int minDigits, int maxDigits) {
     if (text.length() < minDigits || text.length() > maxDigits) {
       return false;
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Returns whether the text is 1 to 64 letters, digits, hyphens and underscores: the syntax of
-   * names and of idempotency keys.
+   * Returns whether the text consists of 1 to 64 ASCII letters, digits, hyphens and underscores,
+   * which is the syntax of names and idempotency keys.
    */
   public static boolean isName(String text) {
     if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
--- a/src/main/java/rosecleat/net/WriteQueue.java
+++ b/src/main/java/rosecleat/net/WriteQueue.java
@@ -3,11 +3,11 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** The bytes of a connection that wait to be written, in order. For the loop alone. */
+/** A FIFO queue of a connection's unwritten bytes. All methods must be called on the event loop. */
 final class WriteQueue {
   /**
-   * The most bytes handed to the system at once: it copies each piece into a buffer outside the
-   * heap.
+   * Most bytes per write operation. The JDK copies each chunk into a buffer outside the heap, so
+   * this bounds the size of that buffer.
    */
   private static final int MAX_CHUNK_BYTES = 16 << 10;
 
@@ -28,7 +28,7 @@
     return queuedBytes;
   }
 
-  /** Returns how many bytes were written since the connection began. */
+  /** Returns the number of bytes written since the connection was established. */
   long writtenBytes() {
     return writtenBytes;
   }
@@ -41,7 +41,7 @@
     return chunk;
   }
 
-  /** Takes {@code count} written bytes off the first buffer. */
+  /** Removes {@code count} written bytes from the first buffer. */
   void written(int count) {
     queuedBytes -= count;
     writtenBytes += count;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Drops all that was not written. */
+  /** Discards all unwritten bytes. */
   void clear() {
     buffers.clear();
     queuedBytes = 0;
--- a/src/main/java/rosecleat/net/package-info.java
+++ b/src/main/java/rosecleat/net/package-info.java
@@ -1,14 +1,14 @@
 /**
- * Asynchronous sockets on one event loop: connections, listeners, the clock, and what the parsers
- * of all wire formats share.
+ * Asynchronous sockets on one event loop: connections, listeners, a clock, and helpers for the
+ * parsers of all wire formats.
  *
- * <p>All state belongs to the loop's thread. The thread of the channel group only posts completed
- * operations to the loop, with one exception: {@link rosecleat.net.Connection} and {@link
- * rosecleat.net.Listener} mark there that an operation has completed, so that neither is closed
- * while its result is on the way.
+ * <p>All state is confined to the loop's thread. The I/O thread of the channel group only posts
+ * completed operations to the loop, with one exception: on it, {@link rosecleat.net.Connection} and
+ * {@link rosecleat.net.Listener} set a flag that an operation has completed, so that neither is
+ * closed before the loop has handled the result.
  *
- * <p>Uses {@code rosecleat.core} for failures as values and {@code rosecleat.log}; knows no wire
- * format. Begin with {@link rosecleat.net.EventLoop} and the states of {@link
- * rosecleat.net.Connection}.
+ * <p>The package uses the failure values of {@code rosecleat.core} and {@code rosecleat.log}, and
+ * is independent of any wire format. Start reading with {@link rosecleat.net.EventLoop} and the
+ * states of {@link rosecleat.net.Connection}.
  */
 package rosecleat.net;
--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -194,7 +194,7 @@
     UwsgiClient.Reply none = ask(3);
     assertEquals(503, none.status());
     assertEquals("never-ran", none.header("X-Progress"));
-    assertFalse(site.logOf(2).contains("a task failed"), site.logOf(2));
+    assertFalse(site.logOf(2).contains("task on the event loop failed"), site.logOf(2));
   }
 
   /** Moves the traffic to the other backend; in some rounds the former one drains. */
--- a/src/test/java/rosecleat/soak/SoakOracle.java
+++ b/src/test/java/rosecleat/soak/SoakOracle.java
@@ -139,7 +139,8 @@
     if (!node.wrongEnd().isEmpty()) {
       violations.add("the process " + node.wrongEnd());
     }
-    for (String sign : List.of("Too many open files", "a task failed", "OutOfMemoryError")) {
+    for (String sign :
+        List.of("Too many open files", "task on the event loop failed", "OutOfMemoryError")) {
       if (node.log().contains(sign)) {
         violations.add("the log says: " + sign);
       }
