--- a/src/main/java/rosecleat/front/resp/DecodeResult.java
+++ b/src/main/java/rosecleat/front/resp/DecodeResult.java
@@ -2,7 +2,7 @@
 
 import rosecleat.core.Request;
 
-/** What became of decoding a message. */
+/** The outcome of decoding a message. */
 sealed interface DecodeResult {
   /** The message is a valid request. */
   record Decoded(Request request) implements DecodeResult {}
--- a/src/main/java/rosecleat/front/resp/InvalidRequestException.java
+++ b/src/main/java/rosecleat/front/resp/InvalidRequestException.java
@@ -1,12 +1,12 @@
 package rosecleat.front.resp;
 
-/** A message is not a valid request. Thrown and caught within the decoder. */
+/** Thrown if a message is not a valid request; caught within the decoder. */
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final transient RequestError error;
 
-  /** Creates the exception without a stack trace, since it is an expected outcome of decoding. */
+  /** Creates an exception without a stack trace, since invalid requests are an expected input. */
   InvalidRequestException(RequestError error) {
     super(error.description(), null, false, false);
     this.error = error;
--- a/src/main/java/rosecleat/front/resp/RequestCatalog.java
+++ b/src/main/java/rosecleat/front/resp/RequestCatalog.java
@@ -5,11 +5,11 @@
 import rosecleat.core.Runner;
 
 /**
- * The request classes and tenants that clients may name, and the runner that executes their
+ * The request classes and tenants that requests may refer to, and the runner that executes the
  * requests.
  *
- * @param classes the request classes by index; null at an index that is not in use
- * @param tenants the tenant names by index; null at an index that is not in use
- * @param runner what executes the requests
+ * @param classes the request classes by index; null at unused indexes
+ * @param tenants the tenant names by index; null at unused indexes
+ * @param runner executes the requests
  */
 public record RequestCatalog(List<RequestClass> classes, List<String> tenants, Runner runner) {}
--- a/src/main/java/rosecleat/front/resp/RequestDecoder.java
+++ b/src/main/java/rosecleat/front/resp/RequestDecoder.java
@@ -7,7 +7,10 @@
 import rosecleat.core.Responder;
 import rosecleat.net.TextSyntax;
 
-/** Decodes {@code DO} messages into the core's requests, by the classes and tenants in force. */
+/**
+ * Decodes {@code DO} messages into requests of the core, using the classes and tenants of a
+ * catalog.
+ */
 final class RequestDecoder {
   private static final int CLASS_INDEX = 2;
   private static final int FIELDS_INDEX = 3;
@@ -45,7 +48,7 @@
   }
 
   /**
-   * Decodes a message: class, fields and body, which may be absent.
+   * Decodes a message that consists of a class, fields and an optional body.
    *
    * @param responder receives the response to the request
    */
@@ -80,7 +83,7 @@
     return message.bytes(BODY_INDEX);
   }
 
-  /** Reads the fields in the order in which errors are reported: the first invalid one counts. */
+  /** Validates the fields in a fixed order; the error of the first invalid field is reported. */
   private Request request(int classIndex, RequestFields fields, byte[] body, Responder responder)
       throws InvalidRequestException {
     String id = fields.required("id");
@@ -119,7 +122,9 @@
         responder);
   }
 
-  /** A node without tenants serves all requests under one. */
+  /**
+   * Returns the index of the request's tenant; a node without tenants assigns all requests to 0.
+   */
   private int tenantIndex(RequestFields fields) throws InvalidRequestException {
     if (tenantIndexes.isEmpty()) {
       return 0;
--- a/src/main/java/rosecleat/front/resp/RequestError.java
+++ b/src/main/java/rosecleat/front/resp/RequestError.java
@@ -1,24 +1,24 @@
 package rosecleat.front.resp;
 
 /**
- * Why a message is not a request that can be served. The client is answered {@code FAILED}; the
- * description goes to the log.
+ * The reason for which a message is rejected as an invalid request. The client receives {@code
+ * FAILED}, and the description is logged.
  *
- * @param kind what is wrong
- * @param field the name of the field that it is about; empty where it is about none
+ * @param kind the kind of error
+ * @param field the name of the invalid or missing field; empty for errors of other kinds
  */
 record RequestError(Kind kind, String field) {
-  /** What is wrong with a message. */
+  /** The kinds of errors in a message. */
   enum Kind {
-    MISSING_CLASS_OR_FIELDS("it lacks a class or fields"),
-    BODY_TOO_LONG("its body is too long"),
-    UNKNOWN_CLASS("its class is unknown"),
-    MALFORMED_FIELDS("its fields are no pairs"),
+    MISSING_CLASS_OR_FIELDS("class or fields are missing or too long"),
+    BODY_TOO_LONG("body exceeds its size limit"),
+    UNKNOWN_CLASS("request class is unknown"),
+    MALFORMED_FIELDS("fields are not a list of unique name=value pairs"),
     MISSING_FIELD("field %s is missing"),
-    INVALID_FIELD("field %s is malformed or unknown"),
-    UNKNOWN_COMMAND("its word is unknown"),
-    DUPLICATE_TAG("its tag was used before"),
-    TOO_MANY_IN_FLIGHT("too many requests are open on its connection");
+    INVALID_FIELD("field %s has a malformed or unknown value"),
+    UNKNOWN_COMMAND("command is unknown"),
+    DUPLICATE_TAG("tag was used before or is too old"),
+    TOO_MANY_IN_FLIGHT("too many requests are in flight on the connection");
 
     private final String description;
 
@@ -31,7 +31,7 @@
     this(kind, "");
   }
 
-  /** Returns the error as it stands in the log. */
+  /** Returns the description that is logged. */
   String description() {
     return String.format(kind.description, field);
   }
--- a/src/main/java/rosecleat/front/resp/RequestFields.java
+++ b/src/main/java/rosecleat/front/resp/RequestFields.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import rosecleat.net.TextSyntax;
 
-/** The fields of a request, {@code name=value} pairs that are separated by commas. */
+/** The fields of a request: {@code name=value} pairs, separated by commas. */
 final class RequestFields {
   private final Map<String, String> values;
 
@@ -13,9 +13,9 @@
   }
 
   /**
-   * Parses the fields.
+   * Parses a list of fields.
    *
-   * @throws InvalidRequestException where a part is no pair, or a name stands twice
+   * @throws InvalidRequestException if an element is not a pair or a name occurs twice
    */
   static RequestFields parse(String text) throws InvalidRequestException {
     Map<String, String> values = new HashMap<>();
@@ -34,7 +34,7 @@
     return new RequestFields(values);
   }
 
-  /** Returns the value of a field that must be present. */
+  /** Returns the value of a required field. */
   String required(String name) throws InvalidRequestException {
     String value = values.get(name);
     if (value == null) {
@@ -43,17 +43,19 @@
     return value;
   }
 
-  /** Returns the value of a field, or a default where it is absent. */
+  /** Returns the value of a field, or the default if it is absent. */
   String optional(String name, String defaultValue) {
     return values.getOrDefault(name, defaultValue);
   }
 
-  /** Returns a required whole number of at most so many digits. */
+  /** Returns the value of a required field as an integer of at most {@code maxDigits} digits. */
   long requiredNumber(String name, int maxDigits) throws InvalidRequestException {
     return number(name, required(name), maxDigits);
   }
 
-  /** Returns a whole number of at most so many digits; 0 where the field is absent. */
+  /**
+   * Returns a field's value as an integer of at most {@code maxDigits} digits; 0 if it is absent.
+   */
   long optionalNumber(String name, int maxDigits) throws InvalidRequestException {
     return number(name, optional(name, "0"), maxDigits);
   }
@@ -65,7 +67,7 @@
     return number;
   }
 
-  /** Rejects the request as one with an invalid field unless a condition holds. */
+  /** Rejects the request because of the named field unless its value is valid. */
   static void check(String name, boolean valid) throws InvalidRequestException {
     if (!valid) {
       throw new InvalidRequestException(new RequestError(RequestError.Kind.INVALID_FIELD, name));
--- a/src/main/java/rosecleat/front/resp/RespConnection.java
+++ b/src/main/java/rosecleat/front/resp/RespConnection.java
@@ -18,11 +18,13 @@
 import rosecleat.net.TextSyntax;
 
 /**
- * The protocol on one client's connection: reads messages, submits requests to the core and writes
- * the responses, in the order in which they become known. For the event loop.
+ * Handles the protocol on one client's connection: reads messages, submits requests to the core and
+ * writes the responses in the order in which they become available. All methods must be called on
+ * the event loop.
  *
- * <p>A client that sends invalid messages is first asked to close the connection, then no longer
- * read. A connection that is closed here is closed gracefully: what was read before is answered.
+ * <p>If a client keeps sending invalid messages, it is first asked to close the connection, and
+ * later reading stops. This class always closes a connection gracefully, so requests that have been
+ * read are answered.
  */
 final class RespConnection implements ConnectionHandler {
   private static final int MAX_STRING_BYTES = 4 << 10;
@@ -31,22 +33,26 @@
   private static final int TAG_INDEX = 1;
   private static final int MAX_TAG_DIGITS = 18;
 
-  /** How long a client that was asked to close an unused connection has to do it. */
+  /** Time that a client has to close an unused connection after it was asked to. */
   private static final long CLOSE_TIMEOUT_US = 1_000_000;
 
-  /** How long the first byte, or the rest of a message, may take before any valid request. */
+  /**
+   * Time limit for the first message, and for the rest of an incomplete one, until the client has
+   * sent a valid request.
+   */
   private static final long INITIAL_READ_TIMEOUT_US = 2_200_000;
 
-  /** The same once a valid request has come: the client is merely slow. */
+  /** Time limit for the rest of an incomplete message of a client that has sent a valid request. */
   private static final long READ_TIMEOUT_US = 10_000_000;
 
   /**
-   * Errors in a row after which the client is asked to close. Not one, since a client that names an
-   * unknown class still sends requests of others.
+   * Consecutive errors after which the client is asked to close the connection. More than one is
+   * allowed, since a client that names an unknown class still sends valid requests of other
+   * classes.
    */
   private static final int MAX_CONSECUTIVE_ERRORS = 64;
 
-  /** Errors in a row after which nothing more is read. */
+  /** Consecutive errors after which reading stops. */
   private static final int STOP_READING_ERRORS = 2 * MAX_CONSECUTIVE_ERRORS;
 
   private final RespFrontend frontend;
@@ -61,29 +67,31 @@
   private final long acceptedAtUs;
   private long lastActivityUs;
 
-  /** When the message that is incomplete began; 0 where none is. */
+  /** Time at which the first bytes of an incomplete message were received; 0 if there is none. */
   private long partialMessageSinceUs;
 
-  /** When the client was asked to close; 0 while it was not. */
+  /** Time at which the client was asked to close the connection; 0 if it was not. */
   private long closeRequestedAtUs;
 
   private int consecutiveErrors;
   private boolean messageReceived;
   private boolean validRequestReceived;
 
-  /** The last message was a health check: such connections stay open however long they idle. */
+  /**
+   * Set if the last message was a health check; such connections are exempt from the idle timeout.
+   */
   private boolean usedForHealthChecks;
 
-  /** Nothing more is read; what was read before is still answered. */
+  /** Set once reading has stopped; requests read before are still answered. */
   private boolean readingStopped;
 
-  /** An incomplete message no longer keeps the connection open. */
+  /** Set once an incomplete message no longer delays the close of the connection. */
   private boolean partialMessageAbandoned;
 
   /**
-   * Creates the protocol state of a connection.
+   * Creates the handler of an accepted connection.
    *
-   * @param frontend the owner, which has the decoder in force and is told when the connection ends
+   * @param frontend provides the current decoder and is notified when the connection ends
    */
   RespConnection(
       RespFrontend frontend, Connection connection, Core core, LongSupplier clock, Log log) {
@@ -97,29 +105,31 @@
     lastActivityUs = acceptedAtUs;
   }
 
-  /** Returns the connection below. */
+  /** Returns the underlying connection. */
   Connection connection() {
     return connection;
   }
 
-  /** Whether part of a message has been received. */
+  /** Returns whether part of a message has been received. */
   boolean isMidMessage() {
     return parser.isMidMessage();
   }
 
-  /** Closes as soon as every request is answered, without waiting for the rest of a message. */
+  /**
+   * Closes once every request is answered, without waiting for the rest of an incomplete message.
+   */
   void closeGracefully() {
     partialMessageAbandoned = true;
     connection.closeGracefully();
   }
 
   /**
-   * Asks the client to close the connection where that is due, and closes it where a timeout has
-   * passed.
+   * Asks the client to close the connection if the node drains or the connection is idle, and
+   * closes it if a timeout has expired.
    *
-   * @param nowUs the time
-   * @param idleTimeoutUs how long the connection may be unused
-   * @param draining whether every client is asked to close
+   * @param nowUs the current time
+   * @param idleTimeoutUs the time for which the connection may be idle
+   * @param draining whether all clients are asked to close their connections
    */
   void checkTimeouts(long nowUs, long idleTimeoutUs, boolean draining) {
     boolean idle =
@@ -150,7 +160,7 @@
       trackPartialMessage();
     } catch (RespProtocolException e) {
       counters.add("resp.malformed");
-      log.warn("a balancer's connection is closed: " + e.getMessage());
+      log.warn("connection of a balancer is closed after malformed input: " + e.getMessage());
       readingStopped = true;
       requestCloseAndClose();
     }
@@ -164,7 +174,10 @@
     }
   }
 
-  /** An incomplete message counts: its client may be about to send the rest. */
+  /**
+   * Returns whether requests are in flight or a message is incomplete, whose rest the client may be
+   * about to send.
+   */
   @Override
   public boolean hasPendingResponses() {
     return !inFlight.isEmpty()
@@ -179,7 +192,7 @@
     return messageReceived ? ConnectionUsage.IDLE : ConnectionUsage.UNUSED;
   }
 
-  /** Cancels what is in flight, since nobody is left to receive the responses. */
+  /** Cancels the requests in flight, since no client is left to receive their responses. */
   @Override
   public void closed(Failure failure, boolean endOfStream) {
     frontend.connectionClosed(this);
@@ -191,9 +204,9 @@
 
   private void handle(RespMessage message) {
     long tag = TextSyntax.parseNumber(message.text(TAG_INDEX), MAX_TAG_DIGITS);
-    if (tag < 1) { // no response can be addressed to it, but the messages behind it may be valid
+    if (tag < 1) { // a response needs a tag; the messages after this one may still be valid
       counters.add("resp.malformed");
-      log.warn("a balancer's connection is closed: a message with no readable tag");
+      log.warn("connection of a balancer is closed: message has no valid tag");
       requestCloseAndClose();
       countError();
       return;
@@ -260,13 +273,16 @@
 
   private void rejectInvalid(long tag, RequestError error) {
     counters.add("resp.bad");
-    log.warn("request " + tag + " of a balancer failed: " + error.description());
+    log.warn("request of a balancer with tag " + tag + " is invalid: " + error.description());
     Response response = Response.invalidRequest(error.description());
     connection.write(RespEncoder.response(tag, response, core.loadAdvice()));
     countError();
   }
 
-  /** Protects the other clients from one that floods the event loop with invalid messages. */
+  /**
+   * Counts consecutive errors, which protects other clients from one that floods the event loop
+   * with invalid messages.
+   */
   private void countError() {
     consecutiveErrors++;
     if (consecutiveErrors == MAX_CONSECUTIVE_ERRORS) {
@@ -298,8 +314,9 @@
   }
 
   /**
-   * Protects connections and memory from clients that send nothing, or an incomplete message. A
-   * client with requests in flight is spared: it still awaits responses.
+   * Closes the connection of a client that has sent no message or an incomplete one for too long,
+   * since it occupies a connection and memory. A connection with requests in flight stays open,
+   * because its client awaits responses.
    */
   private void closeIfSlow(long nowUs) {
     if (!inFlight.isEmpty() || partialMessageAbandoned || readingStopped || connection.isClosed()) {
--- a/src/main/java/rosecleat/front/resp/RespEncoder.java
+++ b/src/main/java/rosecleat/front/resp/RespEncoder.java
@@ -5,23 +5,23 @@
 import rosecleat.core.Response;
 
 /**
- * Encodes what goes to clients as RESP2 arrays of bulk strings. Each response carries the node's
- * load advice, a number of 0 or more, or NaN where there is none to give.
+ * Encodes messages to clients as RESP2 arrays of bulk strings. Each response contains the node's
+ * load advice, a number of at least 0; it is omitted if the value passed is NaN.
  */
 final class RespEncoder {
   private static final byte[] EMPTY = new byte[0];
 
-  /** Load advice is written with four decimal places. */
+  /** Scale of load advice, which is written with four decimal places. */
   private static final int LOAD_ADVICE_SCALE = 10_000;
 
   private static final int US_PER_MS = 1_000;
 
-  /** Bytes that an array or string takes beside its content, at most. */
+  /** Most bytes that an array or a string takes in addition to its content. */
   private static final int OVERHEAD_BYTES = 16;
 
   private RespEncoder() {}
 
-  /** Encodes the request to close the connection, which has the tag 0. */
+  /** Encodes the message that asks the client to close the connection; its tag is 0. */
   static ByteBuffer bye() {
     return array(ascii("0"), ascii("BYE"));
   }
@@ -51,7 +51,9 @@
     return array(ascii(tag), ascii("BUSY"), ascii(fields), EMPTY);
   }
 
-  /** Formats by hand, since the default formatting of small numbers has an exponent. */
+  /**
+   * Formats the number without {@link Double#toString}, which uses an exponent for small numbers.
+   */
   private static String loadAdviceField(double loadAdvice) {
     if (Double.isNaN(loadAdvice)) {
       return "";
--- a/src/main/java/rosecleat/front/resp/RespFrontend.java
+++ b/src/main/java/rosecleat/front/resp/RespFrontend.java
@@ -14,19 +14,19 @@
 import rosecleat.net.Listener;
 
 /**
- * The frontend for clients that speak RESP2, the platform's load balancers: accepts their
- * connections and bounds what they use. Everything runs on the event loop.
+ * The frontend for RESP2 clients, the platform's load balancers. It accepts their connections and
+ * limits the resources that they use. All methods must be called on the event loop.
  */
 public final class RespFrontend {
   private static final int MIN_READ_BUFFER_BYTES = 1 << 10;
   private static final int MAX_READ_BUFFER_BYTES = 8 << 10;
 
-  /** The part of the heap that the read buffers of all connections may take together: 1/8. */
+  /** The read buffers of all connections together may take 1/8 of the heap. */
   private static final int READ_BUFFERS_HEAP_DIVISOR = 8;
 
   private static final int PAUSE_READING_ABOVE_BYTES = 64 << 10;
 
-  /** Holds the responses to as many requests as may be in flight on a connection. */
+  /** Holds the responses to the maximum number of requests in flight on a connection. */
   private static final int WRITE_QUEUE_BYTES = 256 << 10;
 
   private static final long WRITE_STALL_TIMEOUT_US = 5_000_000;
@@ -44,10 +44,10 @@
   /**
    * Creates a frontend that does not listen yet.
    *
-   * @param address where {@link #listen} listens; null for nowhere
-   * @param maxConnections connections that may be open at a time
-   * @param catalog what requests may name
-   * @param clock the Unix time in microseconds
+   * @param address the address that {@link #listen} binds; null to accept no connections
+   * @param maxConnections the most connections that may be open at a time
+   * @param catalog the classes and tenants that requests may refer to
+   * @param clock returns the Unix time in microseconds
    */
   public RespFrontend(
       EventLoop loop,
@@ -67,10 +67,10 @@
   }
 
   /**
-   * Starts to listen, unless it already does or has no address. Other processes of the node may
-   * listen at the same address.
+   * Starts to listen, unless the frontend already listens or has no address. Other processes of the
+   * node may listen at the same address.
    *
-   * @throws IOException where the address cannot be bound
+   * @throws IOException if the address cannot be bound
    */
   public void listen() throws IOException {
     if (listener == null && address != null) {
@@ -80,8 +80,9 @@
   }
 
   /**
-   * Returns the limits of each connection. The read buffers shrink with the number of connections,
-   * since those of a node with many descriptors could otherwise fill a small heap.
+   * Returns the limits of each connection. The size of the read buffers decreases with the number
+   * of connections, since the buffers of a node with many file descriptors could otherwise fill a
+   * small heap.
    */
   static ConnectionLimits connectionLimits(long heapBytes, int maxConnections) {
     long perConnection = heapBytes / READ_BUFFERS_HEAP_DIVISOR / Math.max(1, maxConnections);
@@ -94,7 +95,10 @@
         WRITE_STALL_TIMEOUT_US);
   }
 
-  /** Sets how many connections may be open; those beyond it that are in use stay open. */
+  /**
+   * Sets the most connections that may be open at a time. Connections in use beyond a lower maximum
+   * stay open.
+   */
   public void setMaxConnections(int newMaxConnections) {
     maxConnections = newMaxConnections;
     if (listener != null) {
@@ -102,12 +106,12 @@
     }
   }
 
-  /** Decodes the requests that arrive from now on by another catalog. */
+  /** Decodes requests that arrive from now on with another catalog. */
   public void reconfigure(RequestCatalog catalog) {
     decoder = new RequestDecoder(catalog);
   }
 
-  /** Returns the port it listens on. */
+  /** Returns the local port of the listener. */
   public int port() {
     return listener.port();
   }
@@ -123,34 +127,35 @@
   }
 
   /**
-   * Stops listening once no connection has come for a while and none waits to be accepted.
+   * Closes the listener once no connection has been accepted for a given time and the backlog is
+   * empty. Must be called repeatedly until it returns true.
    *
-   * @param quietUs how long no connection must have come, in microseconds
-   * @return whether it no longer listens
+   * @param quietUs the time without a new connection, in microseconds
+   * @return whether the listener is closed
    */
   public boolean closeListenerWhenQuiet(long quietUs) {
     return listener == null || listener.closeAfterQuietPeriod(quietUs);
   }
 
   /**
-   * Stops listening as soon as no connection waits to be accepted.
+   * Closes the listener once its backlog is empty. Must be called repeatedly until it returns true.
    *
-   * @return whether it no longer listens
+   * @return whether the listener is closed
    */
   public boolean closeListenerWhenEmpty() {
     return listener == null || listener.closeWhenBacklogEmpty();
   }
 
-  /** Closes every connection once its requests are answered; incomplete messages are dropped. */
+  /** Closes each connection once its requests are answered; incomplete messages are dropped. */
   public void closeConnections() {
     new ArrayList<>(connections).forEach(RespConnection::closeGracefully);
   }
 
   /**
-   * Closes the connections that have been idle or incomplete for too long, after asking their
-   * clients to.
+   * Asks the clients of idle connections to close them, and closes connections whose timeouts have
+   * expired.
    *
-   * @param draining whether the clients of all connections are asked to close them
+   * @param draining whether all clients are asked to close their connections
    */
   public void closeIdleConnections(boolean draining) {
     long nowUs = clock.getAsLong();
@@ -167,12 +172,12 @@
     connection.start(accepted);
   }
 
-  /** Returns the decoder in force, which a reload replaces. */
+  /** Returns the current decoder, which a reload replaces. */
   RequestDecoder decoder() {
     return decoder;
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a connection that has ended. */
   void connectionClosed(RespConnection closed) {
     connections.remove(closed);
     listener.connectionClosed(closed.connection());
--- a/src/main/java/rosecleat/front/resp/RespParser.java
+++ b/src/main/java/rosecleat/front/resp/RespParser.java
@@ -5,23 +5,23 @@
 import rosecleat.net.TextSyntax;
 
 /**
- * An incremental parser of RESP2 arrays of bulk strings. Memory for one message is bounded by the
- * limits on the array's and the strings' lengths.
+ * An incremental parser of RESP2 arrays of bulk strings. The limits on the lengths of the array and
+ * of its strings bound the memory for one message.
  */
 final class RespParser {
   private static final char ARRAY_TYPE = '*';
   private static final char STRING_TYPE = '$';
 
-  /** Strings in an array; a request has five. */
+  /** Most strings in an array; a request has five. */
   private static final int MAX_ARRAY_LENGTH = 8;
 
-  /** Bytes of a string that may be skipped; a longer one is a protocol error. */
+  /** Longest string that is skipped; a longer one is a protocol error. */
   private static final long MAX_SKIPPED_STRING_BYTES = 1 << 24;
 
   private static final int MAX_HEADER_CHARS = 24;
   private static final int MAX_LENGTH_DIGITS = 9;
 
-  /** Stands for the length in a header that is not complete yet. */
+  /** Returned in place of a length if the header is incomplete. */
   private static final long INCOMPLETE = -1;
 
   private enum State {
@@ -41,12 +41,12 @@
   private int stringBytesRead;
   private int terminatorBytesRead;
 
-  /** Creates a parser that skips strings over a length. */
+  /** Creates a parser that skips strings longer than {@code maxStringBytes}. */
   RespParser(int maxStringBytes) {
     this.maxStringBytes = maxStringBytes;
   }
 
-  /** Whether part of a message has been received. */
+  /** Returns whether part of a message has been received. */
   boolean isMidMessage() {
     return state != State.ARRAY_HEADER || header.length() > 0;
   }
@@ -54,8 +54,8 @@
   /**
    * Parses the next message.
    *
-   * @return the message; empty once the input is used up
-   * @throws RespProtocolException where the input is no message; the parser can't be used further
+   * @return the message; empty if the input ends before the message does
+   * @throws RespProtocolException if the input is malformed; the parser must not be used afterwards
    */
   Optional<RespMessage> next(ByteBuffer input) throws RespProtocolException {
     while (input.hasRemaining()) {
@@ -80,7 +80,7 @@
       return;
     }
     if (length == 0) {
-      throw new RespProtocolException(RespProtocolException.Kind.EMPTY_ARRAY, "an empty array");
+      throw new RespProtocolException(RespProtocolException.Kind.EMPTY_ARRAY, "array is empty");
     }
     message = new RespMessage();
     remainingStrings = (int) length;
@@ -107,7 +107,8 @@
       header.append(next);
       if (header.length() > MAX_HEADER_CHARS) {
         throw new RespProtocolException(
-            RespProtocolException.Kind.HEADER_TOO_LONG, "a line of a head is too long");
+            RespProtocolException.Kind.HEADER_TOO_LONG,
+            "header line is longer than " + MAX_HEADER_CHARS + " characters");
       }
     }
     return INCOMPLETE;
@@ -120,11 +121,13 @@
     header.setLength(0);
     if (length < 0) {
       throw new RespProtocolException(
-          RespProtocolException.Kind.MALFORMED_HEADER, "no " + type + " with a number");
+          RespProtocolException.Kind.MALFORMED_HEADER,
+          "header line is not " + type + " followed by a length");
     }
     if (length > max) {
       throw new RespProtocolException(
-          RespProtocolException.Kind.LENGTH_TOO_LARGE, length + " is too much behind " + type);
+          RespProtocolException.Kind.LENGTH_TOO_LARGE,
+          "length after " + type + " is " + length + ", maximum " + max);
     }
     return length;
   }
@@ -142,13 +145,14 @@
     }
   }
 
-  /** Reads the CR LF behind a string; true once both have been read. */
+  /** Reads the CR LF after a string; returns true once both bytes have been read. */
   private boolean readTerminator(ByteBuffer input) throws RespProtocolException {
     while (input.hasRemaining()) {
       char expected = terminatorBytesRead == 0 ? '\r' : '\n';
       if (input.get() != expected) {
         throw new RespProtocolException(
-            RespProtocolException.Kind.UNTERMINATED_STRING, "a string runs past its length");
+            RespProtocolException.Kind.UNTERMINATED_STRING,
+            "string is not followed by CR LF after its announced length");
       }
       terminatorBytesRead++;
       if (terminatorBytesRead == 2) {
@@ -159,7 +163,7 @@
     return false;
   }
 
-  /** Adds the string to the message; true where it was the last one. */
+  /** Appends the string to the message; returns true if it was the last one. */
   private boolean endString() {
     message.append(string);
     remainingStrings--;
--- a/src/main/java/rosecleat/front/resp/RespProtocolException.java
+++ b/src/main/java/rosecleat/front/resp/RespProtocolException.java
@@ -1,17 +1,20 @@
 package rosecleat.front.resp;
 
-/** The input is no RESP array of bulk strings, so nothing behind it on the stream can be parsed. */
+/**
+ * Thrown if the input is not a RESP array of bulk strings. The rest of the stream cannot be parsed
+ * then.
+ */
 final class RespProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with the input. */
+  /** The kinds of malformed input. */
   enum Kind {
     EMPTY_ARRAY,
     /** A header line is longer than any valid one. */
     HEADER_TOO_LONG,
-    /** A header line has another type byte, no number or another line end. */
+    /** A header line has a wrong type byte, no number or a wrong line terminator. */
     MALFORMED_HEADER,
-    /** An array or a string announces a length over the limit. */
+    /** The announced length of an array or a string exceeds the limit. */
     LENGTH_TOO_LARGE,
     /** A string is not followed by CR LF. */
     UNTERMINATED_STRING
@@ -19,7 +22,7 @@
 
   private final Kind kind;
 
-  /** Creates the exception without a stack trace, since it is an expected outcome of parsing. */
+  /** Creates an exception without a stack trace, since malformed input is an expected input. */
   RespProtocolException(Kind kind, String message) {
     super(message, null, false, false);
     this.kind = kind;
--- a/src/main/java/rosecleat/front/resp/RespWarmup.java
+++ b/src/main/java/rosecleat/front/resp/RespWarmup.java
@@ -8,8 +8,8 @@
 import rosecleat.core.RequestClass;
 
 /**
- * Exercises the code between the bytes of a request and the bytes of its response with synthetic
- * requests, so that it is compiled before clients come. Works in memory, without sockets.
+ * Runs synthetic requests through the parser, the decoder, the core and the encoder, so that this
+ * code is compiled before clients connect. Works in memory, without sockets.
  */
 public final class RespWarmup {
   private static final int MAX_STRING_BYTES = 4 << 10;
@@ -21,7 +21,7 @@
   private final RequestDecoder decoder;
   private final RequestCatalog catalog;
 
-  /** Creates a warm-up whose requests use the classes and tenants of a catalog. */
+  /** Creates a warm-up that uses the classes and tenants of a catalog for its requests. */
   public RespWarmup(RequestCatalog catalog) {
     this.catalog = catalog;
     decoder = new RequestDecoder(catalog);
@@ -30,9 +30,9 @@
   /**
    * Submits a synthetic request to a core.
    *
-   * @param number the number of the request, from 1 upward; its id and tag
-   * @param nowUs the time at which it arrives, in Unix microseconds
-   * @return false where the request could not be parsed
+   * @param number the number of the request, from 1 upwards, which is also its id and its tag
+   * @param nowUs the arrival time of the request, in Unix microseconds
+   * @return false if the request could not be parsed
    */
   public boolean submitRequest(Core core, int number, long nowUs) {
     try {
