--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -270,8 +270,8 @@
     if (state != State.HALF_CLOSED) {
       dispatchInput();
     }
-    readCompleted =
-        false; // not earlier: the handler may call closeGracefully before its input ends
+    // cleared only now, since the handler may call closeGracefully before the end of its input
+    readCompleted = false;
     read();
     shutdownOutputWhenDrained();
   }
--- a/src/test/java/rosecleat/admin/AdminServerTest.java
+++ b/src/test/java/rosecleat/admin/AdminServerTest.java
@@ -17,7 +17,7 @@
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 
-/** What the admin server responds, and that no client can block the others. */
+/** Responses of the admin server, and its protection against clients that block others. */
 class AdminServerTest {
   private final Log log = new Log(System.err);
   private final List<String> executed = new ArrayList<>();
@@ -64,7 +64,7 @@
 
   private Socket connect() throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port());
-    socket.setSoTimeout(5_000); // shorter than the timeout of a silent client
+    socket.setSoTimeout(5_000); // shorter than the server's request timeout
     clients.add(socket);
     return socket;
   }
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Guards clients against others that connect and send nothing, or an incomplete request, on all
-   * the connections that the server accepts.
+   * Clients that send nothing or an incomplete request occupy all connections that the server
+   * accepts. Complete requests of other clients must still be answered within 4 s.
    */
   @Test
   void clientsWithIncompleteRequestsDoNotBlockOthers() throws Exception {
@@ -133,6 +133,6 @@
     }
     assertTrue(
         System.nanoTime() - start < 4_000_000_000L,
-        "complete requests waited behind incomplete ones");
+        "20 complete requests beside incomplete ones took 4 s or longer");
   }
 }
--- a/src/test/java/rosecleat/admin/HttpRequestParserTest.java
+++ b/src/test/java/rosecleat/admin/HttpRequestParserTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The request parser by itself, without a connection. */
+/** The HTTP request parser, without a connection. */
 class HttpRequestParserTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -26,7 +26,7 @@
     return parser.error();
   }
 
-  /** A request is the same however its bytes are split into reads. */
+  /** The parsed request does not depend on how its bytes are split into reads. */
   @Property(tries = 200, seed = "20261201")
   void splittingTheInputDoesNotChangeTheRequest(
       @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 40) Integer> lengths) {
--- a/src/test/java/rosecleat/front/resp/ConnectionTimeoutTest.java
+++ b/src/test/java/rosecleat/front/resp/ConnectionTimeoutTest.java
@@ -21,7 +21,10 @@
 import rosecleat.policy.Idempotency;
 import rosecleat.runtime.UnavailableRunner;
 
-/** How long connections may be silent, idle or incomplete, by a clock that the tests set. */
+/**
+ * Timeouts of connections without a message, idle ones and those with an incomplete message, on a
+ * clock that the tests advance.
+ */
 class ConnectionTimeoutTest {
   private static final List<RequestClass> CLASSES =
       List.of(new RequestClass("balance-check", Idempotency.SAFE, false, 0, 1_000_000));
@@ -57,7 +60,10 @@
     }
   }
 
-  /** Guards slow clients that have proven themselves, above all while they await a response. */
+  /**
+   * A client that has sent a valid request may need up to 10 s for a message, and is not
+   * disconnected while it awaits a response.
+   */
   @Test
   void clientWithValidRequestHasLongerReadTimeoutAndStaysOpenWhileAwaitingResponse()
       throws Exception {
@@ -93,7 +99,7 @@
     }
   }
 
-  /** Guards slow clients: a connection with an incomplete message is not asked to close. */
+  /** A slow client with an incomplete message is not asked to close its connection as idle. */
   @Test
   void connectionWithPartialMessageIsNotIdle() throws Exception {
     try (Log log = new Log(System.err);
@@ -114,8 +120,8 @@
   }
 
   /**
-   * Guards an incomplete message of a client that was asked to close: it is served when the rest
-   * comes, until the node gives up waiting for it.
+   * A client that is asked to close its connection may still complete a message that it has begun.
+   * The message is served unless the node closes its connections first.
    */
   @Test
   void partialMessageCanBeCompletedAfterCloseRequest() throws Exception {
@@ -131,14 +137,14 @@
       harness.awaitAtLeast(2, harness.frontend::connectionsMidMessage);
       harness.closeIdleConnections(true);
       assertEquals("BYE", slow.read().get(1));
-      clock.addAndGet(1_100_000); // longer than the timeout of a connection without a message
+      clock.addAndGet(1_100_000); // longer than the close timeout of an unused connection
       harness.closeIdleConnections(true);
       slow.send(Arrays.copyOfRange(request, FIRST_BYTES, request.length));
       assertEquals("BUSY", slow.read().get(1));
       assertNull(slow.read());
       assertEquals("BYE", stalled.read().get(1));
       harness.runOnLoop(harness.frontend::closeConnections);
-      assertNull(stalled.read()); // closed in order, not reset
+      assertNull(stalled.read()); // end of stream, no reset
     }
   }
 
@@ -151,13 +157,13 @@
         "DO", tag, "balance-check", RespClient.fields(id, "small", 900, null), "b");
   }
 
-  /** The request is valid, and rejected since the core does not know of any cores to run it. */
+  /** Sends a valid request, which is rejected since the core has no CPU cores to run it. */
   private static void requestAndExpectRejection(RespClient client, int tag) throws Exception {
     client.send(request(tag, String.format("%016x", tag)));
     assertEquals("BUSY", client.answer().get(1));
   }
 
-  /** A runner that starts runs and never ends them. */
+  /** A runner whose runs never end by themselves. */
   private static final class PendingRunner implements Runner {
     @Override
     public void start(Request request, DeliveryGuarantee guarantee, long deadlineUs) {}
--- a/src/test/java/rosecleat/front/resp/FrontendHarness.java
+++ b/src/test/java/rosecleat/front/resp/FrontendHarness.java
@@ -15,7 +15,7 @@
 import rosecleat.log.Log;
 import rosecleat.net.EventLoop;
 
-/** A listening frontend with its core and event loop, for tests over real sockets. */
+/** A listening RESP frontend with a core and an event loop, for tests over real sockets. */
 final class FrontendHarness implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 100;
   private static final long TASK_TIMEOUT_S = 5;
@@ -27,7 +27,7 @@
   /**
    * Starts a frontend.
    *
-   * @param runner creates what executes the requests
+   * @param runner creates the runner that executes the requests
    */
   FrontendHarness(
       List<RequestClass> classes,
@@ -62,7 +62,7 @@
     return result.orTimeout(TASK_TIMEOUT_S, TimeUnit.SECONDS).join();
   }
 
-  /** Runs a task on the event loop and waits until it is done. */
+  /** Runs a task on the event loop and waits until it has completed. */
   void runOnLoop(Runnable task) {
     onLoop(
         () -> {
@@ -71,7 +71,7 @@
         });
   }
 
-  /** Waits until a number that is read on the event loop reaches a value. */
+  /** Waits until a number that is read on the event loop is at least {@code expected}. */
   void awaitAtLeast(int expected, IntSupplier number) {
     while (onLoop(number::getAsInt) < expected) {
       Thread.yield();
--- a/src/test/java/rosecleat/front/resp/ReadBufferSizeTest.java
+++ b/src/test/java/rosecleat/front/resp/ReadBufferSizeTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The size of the read buffers, by the heap's size in MiB and the number of connections. */
+/** The size of read buffers, given the size of the heap in MiB and the number of connections. */
 class ReadBufferSizeTest {
-  /** Guards a small heap from the read buffers of many connections. */
+  /** The read buffers of many connections must not fill a small heap. */
   @ParameterizedTest
   @CsvSource({"12, 28", "12, 960", "40, 448", "40, 960", "40, 4000"})
   void readBuffersTogetherTakeAtMostAnEighthOfTheHeap(long heapMib, int maxConnections) {
--- a/src/test/java/rosecleat/front/resp/RespConnectionModelTest.java
+++ b/src/test/java/rosecleat/front/resp/RespConnectionModelTest.java
@@ -32,7 +32,9 @@
 import rosecleat.net.MonotonicClock;
 import rosecleat.policy.Idempotency;
 
-/** A client's connection against a model of it: random steps, with the responses after each. */
+/**
+ * Compares a client's connection with a model: the responses are checked after each random step.
+ */
 class RespConnectionModelTest {
   private static final List<RequestClass> CLASSES =
       List.of(
@@ -41,17 +43,17 @@
           new RequestClass("card-load", Idempotency.KEYED, false, 4_000_000, 60_000_000));
   private static final long HEALTH_CHECK_TAG = 900_000;
 
-  /** What the model knows of the requests on the connection. */
+  /** The model's state of the requests on the connection. */
   private static final class Model {
-    /** The ids of the requests that run, by tag. */
+    /** The ids of the running requests by tag. */
     final Map<Long, String> running = new TreeMap<>();
 
-    /** The tag, word and body of each response that is due, in any order. */
+    /** Tag, status and body of each expected response, in any order. */
     final List<String> expectedResponses = new ArrayList<>();
 
     long lastTag;
 
-    /** Takes a request out of those that run. */
+    /** Removes a running request and returns its id. */
     String removeRunning(long tag) {
       return running.remove(tag);
     }
@@ -61,7 +63,7 @@
     }
   }
 
-  /** A runner that only records what it is told; the test reports how runs end. */
+  /** A runner that only records its calls; the test reports the ends of runs. */
   private static final class RecordingRunner implements Runner {
     final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
 
@@ -116,7 +118,7 @@
         check(model);
       }
       client.close();
-      for (String id : model.running.values()) { // the end of a connection cancels its requests
+      for (String id : model.running.values()) { // the close of a connection cancels its requests
         assertEquals("stop " + id, runner.nextCommand());
       }
     } finally {
@@ -129,7 +131,7 @@
     List<Long> running = new ArrayList<>(model.running.keySet());
     boolean starts = step <= 2;
     boolean ends = step >= 3 && step <= 6;
-    // the model knows no queue, so no more requests are sent than there are cores
+    // the model has no queue, so at most as many requests run as there are cores
     if ((starts && running.size() >= TestSite.CORES) || (ends && running.isEmpty())) {
       return;
     }
@@ -168,7 +170,7 @@
     model.expect(tag, "FAILED ");
   }
 
-  /** A cancelled request gets no response, however its run ends. */
+  /** A cancelled request receives no response, however its run ends. */
   private void cancel(Model model, long tag) throws Exception {
     String id = model.removeRunning(tag);
     client.send(RespClient.array("UNDO", tag));
@@ -211,9 +213,9 @@
   }
 
   /**
-   * Malformed bytes end this connection alone: nothing behind them is read, what was read before
-   * them is answered, and then the connection is closed in order. Sometimes the client closes it
-   * first: then its requests are cancelled.
+   * Malformed bytes end only the connection on which they are sent. Nothing after them is read, the
+   * requests before them are answered, and then the connection is closed gracefully. If the client
+   * closes the connection first, its requests are cancelled.
    */
   private void sendMalformedBytes(Model model) throws Exception {
     try (RespClient other = new RespClient(harness.port(), random)) {
@@ -225,7 +227,7 @@
                   "*1\r\n$-1\r\n")
               .get(random.nextInt(4));
       client.send(malformed.getBytes(StandardCharsets.UTF_8));
-      boolean isArrayWithoutTag = malformed.indexOf('y') >= 0; // what follows it can be read
+      boolean isArrayWithoutTag = malformed.indexOf('y') >= 0; // the parser can read what follows
       if (!isArrayWithoutTag) {
         client.send(
             RespClient.array("DO", ++model.lastTag, "balance-check", fields(newId()), "behind it"));
@@ -252,7 +254,7 @@
       cancellations.add(runner.nextCommand());
     }
     for (String id : model.running.values()) {
-      assertTrue(cancellations.contains("stop " + id), id + " runs on");
+      assertTrue(cancellations.contains("stop " + id), id + " was not cancelled");
       reportEnd(id, RunResult.CANCELLED, null);
     }
   }
@@ -266,10 +268,10 @@
           List.of(Long.toString(request.getKey()), "OK", result),
           List.of(response.get(0), response.get(1), response.get(3)));
     }
-    assertNull(client.read(), "the connection goes on");
+    assertNull(client.read(), "connection was not closed");
   }
 
-  /** A health check is answered last: all responses that were due come before it, and no others. */
+  /** Checks that exactly the expected responses arrive before the response to a health check. */
   private void check(Model model) throws Exception {
     harness.onLoop(() -> true);
     client.send(RespClient.array("PING", HEALTH_CHECK_TAG, ""));
@@ -283,7 +285,7 @@
     model.expectedResponses.sort(null);
     assertEquals(model.expectedResponses, responses);
     model.expectedResponses.clear();
-    assertNull(runner.commands.poll(), "a command that the model does not expect");
+    assertNull(runner.commands.poll(), "unexpected command to the runner");
     assertEquals(
         model.running.size(), (int) harness.onLoop(() -> (int) harness.core.awaitingResponse()));
   }
--- a/src/test/java/rosecleat/log/LogTest.java
+++ b/src/test/java/rosecleat/log/LogTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The log: bounded, never blocking, one line an event. */
+/** The log has a bounded queue, never blocks its callers and writes one line per event. */
 class LogTest {
   @Test
   void blockedStreamDropsLinesWithoutBlockingCallers() throws Exception {
@@ -32,17 +32,17 @@
     for (int i = 0; i < 100; i++) {
       log.info("line " + i);
     }
-    assertTrue(log.dropped() >= 91, "dropped " + log.dropped()); // one is being written, eight wait
+    assertTrue(log.dropped() >= 91, "dropped " + log.dropped()); // 1 is being written, 8 queued
     unblocked.countDown();
     log.close();
   }
 
-  /** Guards the start of a node: its warm-up logs to nowhere, and makes no thread for that. */
+  /** The warm-up of a starting node uses a silent log, which must not cost it a thread. */
   @Test
   void silentLogStartsNoThread() {
     List<Thread> before = threads();
     try (Log silent = Log.silent()) {
-      silent.info("unheard");
+      silent.info("discarded");
       List<Thread> more = new ArrayList<>(threads());
       more.removeAll(before);
       assertEquals(List.of(), more);
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -20,7 +20,10 @@
 import rosecleat.core.Progress;
 import rosecleat.log.Log;
 
-/** Ends of connections that coincide with what their peers do; the loop is held meanwhile. */
+/**
+ * Closing of connections while their peers send, connect or close. A {@link LoopGate} pauses the
+ * event loop, so that both happen in a defined order.
+ */
 class ConnectionTest {
   private final Log log = new Log(System.err);
   private EventLoop loop;
@@ -31,8 +34,8 @@
   private boolean responsePending;
 
   /**
-   * Echoes bytes, except "q", whose response is pending until {@link #completePendingResponse}, and
-   * "c", which closes the connection.
+   * Echoes each byte, except for two commands: the response to "q" is pending until {@link
+   * #completePendingResponse}, and "c" closes the connection gracefully.
    */
   private final class Echo implements ConnectionHandler {
     private final Connection connection;
@@ -107,13 +110,13 @@
     loop.execute(() -> accepted.join().closeGracefully());
   }
 
-  /** The loop has not been notified of the message when it closes the connection. */
+  /** The read has completed, but the loop closes the connection before it handles the result. */
   @Test
   void messageReceivedBeforeCloseIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       gate.hold();
-      closeGracefully(); // the loop runs this first,
-      peer.getOutputStream().write('x'); // and is notified of this after it
+      closeGracefully(); // the loop runs this task first
+      peer.getOutputStream().write('x'); // and the completed read of this byte second
       gate.settle();
       gate.release();
       assertEquals('x', peer.getInputStream().read());
@@ -121,7 +124,7 @@
     }
   }
 
-  /** Both come in the same bytes, and the handler is about to read the message. */
+  /** One read contains the close command and a message that the handler has not consumed yet. */
   @Test
   void messageAfterCloseCommandInSameReadIsAnswered() throws Exception {
     try (Socket peer = connect()) {
@@ -145,7 +148,7 @@
     }
   }
 
-  /** A reset could lose the response, so the bytes are read all the same. */
+  /** Closing with unread bytes would reset the connection, and the peer could lose the response. */
   @Test
   void bytesReceivedAfterOutputShutdownAreDroppedWithoutReset() throws Exception {
     try (Socket peer = connect()) {
@@ -157,10 +160,10 @@
       gate.settle();
       gate.run(() -> {});
       peer.getOutputStream()
-          .write("later".getBytes(UTF_8)); // a reset would fail this write, or the reading
+          .write("later".getBytes(UTF_8)); // after a reset this write or the next read would fail
       assertEquals('z', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
-      assertFalse(ended.isDone(), "it lingers until its peer closes");
+      assertFalse(ended.isDone(), "connection ended before its peer closed");
     }
     assertEquals(Progress.SENT, ended.get(5, TimeUnit.SECONDS).progress());
   }
@@ -175,7 +178,7 @@
             connection.closeGracefully();
             connection.closeGracefully();
             return connection.write(
-                ByteBuffer.wrap(new byte[] {'2'})); // the output is not shut down yet
+                ByteBuffer.wrap(new byte[] {'2'})); // the first byte is queued: output still open
           });
       assertEquals('1', peer.getInputStream().read());
       assertEquals('2', peer.getInputStream().read());
@@ -193,7 +196,10 @@
     }
   }
 
-  /** The connect has succeeded, but its handler must not be given a closed connection. */
+  /**
+   * The connect operation completes, but the loop runs the timeout first. The handler must not
+   * receive the connection that the timeout has closed.
+   */
   @Test
   void connectTimeoutHandledBeforeCompletionFailsTheAttempt() throws Exception {
     CompletableFuture<String> outcome = new CompletableFuture<>();
@@ -231,7 +237,7 @@
     }
   }
 
-  /** The proof that a request was not sent depends on it. */
+  /** A rejected write proves that a request was not sent, so that it may be sent again. */
   @Test
   void writeAfterCloseIsRejected() throws Exception {
     connect().close();
--- a/src/test/java/rosecleat/net/LineBufferTest.java
+++ b/src/test/java/rosecleat/net/LineBufferTest.java
@@ -57,8 +57,8 @@
   @Test
   void appendBeyondMaximumPlusInputCapacityIsRejected() {
     assertTrue(append("12345678"));
-    assertTrue(append("1234")); // 12 bytes, of 8 and 4
-    assertFalse(append("1234")); // 16 bytes
+    assertTrue(append("1234")); // 12 buffered bytes: the maximum of 8 plus the input's 4
+    assertFalse(append("1234")); // would be 16 bytes
     assertEquals(12, buffer.size());
   }
 }
--- a/src/test/java/rosecleat/net/ListenerTest.java
+++ b/src/test/java/rosecleat/net/ListenerTest.java
@@ -17,14 +17,14 @@
 import rosecleat.core.Failure;
 import rosecleat.log.Log;
 
-/** A listener at its maximum of connections, and one that closes. */
+/** Eviction of connections by a listener at its maximum, and closing of listeners. */
 class ListenerTest {
   private final Log log = new Log(System.err);
   private EventLoop loop;
   private Listener listener;
   private final List<Socket> clients = new ArrayList<>();
 
-  /** Echoes; a "b" makes its connection busy for good. */
+  /** Echoes each byte; after a "b" the connection is reported as busy until it ends. */
   private final class Echo implements ConnectionHandler {
     private final Connection connection;
     private ConnectionUsage usage = ConnectionUsage.UNUSED;
@@ -87,7 +87,10 @@
     log.close();
   }
 
-  /** During an upgrade two processes listen at one address, and the old one closes. */
+  /**
+   * During an upgrade two processes listen at the same address, and the old one closes its listener
+   * while clients connect.
+   */
   @Test
   void closingOneOfTwoListenersOnSharedAddressResetsNoConnection() throws Exception {
     loop = new EventLoop(log);
@@ -108,13 +111,13 @@
             1 << 20,
             ConnectionLimits.SMALL,
             Echo::new,
-            true); // is not told of closed connections
+            true); // Echo does not report closed connections to this listener
     boolean[] closed = new boolean[1];
     loop.schedule(50_000, () -> closeWhenBacklogEmpty(closed));
     int connections = 0;
     for (long end = System.nanoTime() + 300_000_000; System.nanoTime() < end; connections++) {
       try (Socket socket =
-          new Socket(address.getAddress(), address.getPort())) { // there is no quiet period
+          new Socket(address.getAddress(), address.getPort())) { // no pause between connections
         socket.setSoTimeout(5_000);
         assertEquals('x', echo(socket, 'x'), "rejected after " + connections);
       }
@@ -138,10 +141,10 @@
     Socket older = connect();
     assertEquals('x', echo(older, 'x'));
     Socket unused = connect();
-    Thread.sleep(300); // no longer young
-    assertEquals('x', echo(connect(), 'x')); // takes the last place: the unused one is evicted
+    Thread.sleep(300); // nothing can be in flight on the unused connection any more
+    assertEquals('x', echo(connect(), 'x')); // takes the last slot, so the unused one is evicted
     assertEquals(-1, unused.getInputStream().read());
-    assertEquals('x', echo(connect(), 'x')); // then the longest idle
+    assertEquals('x', echo(connect(), 'x')); // evicts the longest idle connection
     assertEquals(-1, older.getInputStream().read());
     assertEquals('x', echo(busy, 'x'));
   }
@@ -151,15 +154,15 @@
     listen(2);
     try (LoopGate gate = new LoopGate(loop)) {
       Socket first = connect();
-      Thread.sleep(300); // no longer young
+      Thread.sleep(300); // nothing can be in flight on the first connection any more
       gate.hold();
-      connect(); // takes the last place: the loop evicts before it learns
+      connect(); // takes the last slot, so the loop evicts the first connection
       gate.settle();
-      first.getOutputStream().write('x'); // of this
+      first.getOutputStream().write('x'); // the loop handles this byte after the eviction
       gate.settle();
       gate.release();
       assertEquals('x', first.getInputStream().read());
-      assertEquals(-1, first.getInputStream().read()); // closed to make room
+      assertEquals(-1, first.getInputStream().read()); // evicted
     }
   }
 
@@ -184,7 +187,10 @@
     }
   }
 
-  /** Its first bytes may be in flight, also where all other connections are in use. */
+  /**
+   * The first bytes on a new connection may be in flight, so it must not be evicted, even if all
+   * other connections are busy.
+   */
   @Test
   void youngUnusedConnectionIsNotEvicted() throws Exception {
     listen(2);
@@ -192,7 +198,7 @@
       assertEquals('b', echo(connect(), 'b'));
       Socket newcomer = connect();
       gate.settle();
-      gate.run(() -> {}); // it was accepted, and eviction was tried
+      gate.run(() -> {}); // now the connection is accepted, and the first eviction has run
       assertEquals('x', echo(newcomer, 'x'));
     }
   }
@@ -205,7 +211,7 @@
       connect();
     }
     long startNs = System.nanoTime();
-    for (int i = 0; i < maxConnections - 1; i++) { // the last place is always being freed
+    for (int i = 0; i < maxConnections - 1; i++) { // eviction always frees one more slot
       assertEquals('b', echo(connect(), 'b'));
     }
     assertTrue(
--- a/src/test/java/rosecleat/net/LoopGate.java
+++ b/src/test/java/rosecleat/net/LoopGate.java
@@ -12,21 +12,21 @@
 import java.util.function.Supplier;
 
 /**
- * Holds a loop while peers act, so that a test determines the order in which the loop learns of
- * what they did.
+ * Blocks an event loop while peers act, so that a test determines the order in which the loop
+ * handles the resulting events.
  */
 public final class LoopGate implements AutoCloseable {
   private final EventLoop loop;
   private final ServerSocket server;
   private CountDownLatch gate;
 
-  /** Creates a gate for a loop, open at first. */
+  /** Creates an open gate for a loop. */
   public LoopGate(EventLoop loop) throws IOException {
     this.loop = loop;
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   }
 
-  /** Holds the loop; returns once it is held. */
+  /** Blocks the loop, and returns once it is blocked. */
   public void hold() {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch opened = new CountDownLatch(1);
@@ -39,15 +39,16 @@
     await(held);
   }
 
-  /** Releases the loop, which runs all tasks posted meanwhile in their order. */
+  /** Releases the loop, which then runs the tasks posted in the meantime, in order. */
   public void release() {
     gate.countDown();
   }
 
   /**
-   * Returns once the thread of the channels has handled all that peers did before. It takes events
-   * in their order, so this waits for a connect of its own, and then for another, as the first may
-   * be selected together with the peers' events.
+   * Returns once the I/O thread has handled all events that peers caused before this call. The I/O
+   * thread handles events in the order in which it selects them. Therefore this method waits for a
+   * connect of its own, and then for a second one, since the first may be selected together with
+   * the peers' events.
    */
   public void settle() throws Exception {
     for (int round = 0; round < 2; round++) {
@@ -92,7 +93,7 @@
   private static void await(CountDownLatch latch) {
     try {
       if (!latch.await(10, TimeUnit.SECONDS)) {
-        throw new AssertionError("the loop was not held");
+        throw new AssertionError("event loop was not blocked or released within 10 s");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
