--- a/src/main/java/rosecleat/net/ConnectAttempt.java
+++ b/src/main/java/rosecleat/net/ConnectAttempt.java
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Opens a socket and starts to connect it. The outcome is reported on the loop, never before this
-   * method returns.
+   * Opens a socket and starts to connect it. The outcome is always reported in a later task on the
+   * loop.
    */
   static void begin(
       EventLoop loop,
--- a/src/main/java/rosecleat/net/IdleConnectionEvictor.java
+++ b/src/main/java/rosecleat/net/IdleConnectionEvictor.java
@@ -9,7 +9,7 @@
  * Frees connection slots of a listener that has reached its maximum by closing connections that
  * carry no request. It closes all connections that were never used and, if that is not enough,
  * those that have been idle for longest. The target number of slots to free doubles each time the
- * maximum is reached again shortly after.
+ * maximum is reached again within {@link #DEMAND_WINDOW_NS}.
  *
  * <p>A connection that has just been accepted may be about to send its first request and is not
  * closed. A slot is therefore available again after the longest time for which bytes can be in
@@ -20,7 +20,10 @@
   /** The target is at most one plus this part (1/4) of all slots. */
   private static final int MAX_TARGET_DIVISOR = 4;
 
-  /** If the maximum was last reached longer ago than this, the target starts again at one slot. */
+  /**
+   * If the maximum was last reached longer ago than this, the target starts again at one slot,
+   * since older demand does not indicate how many slots are needed now.
+   */
   private static final long DEMAND_WINDOW_NS = 1_000_000_000;
 
   /** Longest delay before the next attempt, since connections may become idle at any time. */
@@ -46,9 +49,9 @@
   /**
    * Closes connections that carry no request: all that were never used and have nothing in flight,
    * and idle ones until the target is reached. Connections on which bytes may be in flight are
-   * closed only if no slot can be freed otherwise: waiting costs little, since the slot of a
-   * connection with nothing in flight is available immediately after the close, whereas the slot of
-   * one that is closed earlier remains occupied until the close can have reached its peer.
+   * closed only if no slot can be freed otherwise. Once nothing is in flight on a connection, its
+   * slot is available immediately after the close, whereas the slot of one that is closed earlier
+   * remains occupied until the close can have reached its peer.
    *
    * @return whether at least one slot is or will become available
    */
