--- a/src/test/java/rosecleat/front/resp/ConnectionTimeoutTest.java
+++ b/src/test/java/rosecleat/front/resp/ConnectionTimeoutTest.java
@@ -21,7 +21,10 @@
 import rosecleat.policy.Idempotency;
 import rosecleat.runtime.UnavailableRunner;
 
-/** How long connections may be silent, idle or incomplete, by a clock that the tests set. */
+/**
+ * Timeouts of connections without a message, idle ones and those with an incomplete message, on a
+ * clock that the tests advance.
+ */
 class ConnectionTimeoutTest {
   private static final List<RequestClass> CLASSES =
       List.of(new RequestClass("balance-check", Idempotency.SAFE, false, 0, 1_000_000));
@@ -36,30 +39,34 @@
   }
 
   @Test
-  void silentAndIncompleteConnectionsAreClosedWhileOneWithAValidRequestStays() throws Exception {
+  void connectionsWithoutValidRequestTimeOutAndOthersStayOpen() throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness = start(LONG_IDLE_TIMEOUT_US, UnavailableRunner::new, log);
         RespClient silent = new RespClient(harness.port(), null);
         RespClient incomplete = new RespClient(harness.port(), null);
-        RespClient proven = new RespClient(harness.port(), null)) {
+        RespClient active = new RespClient(harness.port(), null)) {
       incomplete.send(bytes("*5\r\n$2\r\nDO\r\n$1\r\n1\r\n"));
-      requestAndExpectRejection(proven, 1);
+      requestAndExpectRejection(active, 1);
       harness.awaitAtLeast(3, harness.frontend::openConnections);
       clock.addAndGet(2_100_000);
       harness.closeIdleConnections(false);
-      requestAndExpectRejection(proven, 2);
+      requestAndExpectRejection(active, 2);
       clock.addAndGet(200_000);
       harness.closeIdleConnections(false);
       assertNull(silent.read());
       assertNull(incomplete.read());
-      requestAndExpectRejection(proven, 3);
+      requestAndExpectRejection(active, 3);
       assertEquals(2, harness.core.counters().get("resp.slow"));
     }
   }
 
-  /** Guards slow clients that have proven themselves, above all while they await a response. */
+  /**
+   * A client that has sent a valid request may need up to 10 s for a message, and is not
+   * disconnected while it awaits a response.
+   */
   @Test
-  void aProvenClientMaySendSlowlyAndIsNotClosedWhileItAwaitsAResponse() throws Exception {
+  void clientWithValidRequestHasLongerReadTimeoutAndStaysOpenWhileAwaitingResponse()
+      throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness =
             start(LONG_IDLE_TIMEOUT_US, (loop, core) -> new PendingRunner(), log);
@@ -92,9 +99,9 @@
     }
   }
 
-  /** Guards slow clients: a connection with an incomplete message is not asked to close. */
+  /** A slow client with an incomplete message is not asked to close its connection as idle. */
   @Test
-  void aConnectionInTheMiddleOfAMessageIsNotIdle() throws Exception {
+  void connectionWithPartialMessageIsNotIdle() throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness = start(50_000, UnavailableRunner::new, log);
         RespClient slow = new RespClient(harness.port(), null);
@@ -113,11 +120,11 @@
   }
 
   /**
-   * Guards an incomplete message of a client that was asked to close: it is served when the rest
-   * comes, until the node gives up waiting for it.
+   * A client that is asked to close its connection may still complete a message that it has begun.
+   * The message is served unless the node closes its connections first.
    */
   @Test
-  void anIncompleteMessageMayBeFinishedAfterTheClientWasAskedToClose() throws Exception {
+  void partialMessageCanBeCompletedAfterCloseRequest() throws Exception {
     try (Log log = new Log(System.err);
         FrontendHarness harness = start(LONG_IDLE_TIMEOUT_US, UnavailableRunner::new, log);
         RespClient slow = new RespClient(harness.port(), null);
@@ -130,14 +137,14 @@
       harness.awaitAtLeast(2, harness.frontend::connectionsMidMessage);
       harness.closeIdleConnections(true);
       assertEquals("BYE", slow.read().get(1));
-      clock.addAndGet(1_100_000); // longer than the timeout of a connection without a message
+      clock.addAndGet(1_100_000); // longer than the close timeout of an unused connection
       harness.closeIdleConnections(true);
       slow.send(Arrays.copyOfRange(request, FIRST_BYTES, request.length));
       assertEquals("BUSY", slow.read().get(1));
       assertNull(slow.read());
       assertEquals("BYE", stalled.read().get(1));
       harness.runOnLoop(harness.frontend::closeConnections);
-      assertNull(stalled.read()); // closed in order, not reset
+      assertNull(stalled.read()); // end of stream, no reset
     }
   }
 
@@ -150,13 +157,13 @@
         "DO", tag, "balance-check", RespClient.fields(id, "small", 900, null), "b");
   }
 
-  /** The request is valid, and rejected since the core does not know of any cores to run it. */
+  /** Sends a valid request, which is rejected since the core has no CPU cores to run it. */
   private static void requestAndExpectRejection(RespClient client, int tag) throws Exception {
     client.send(request(tag, String.format("%016x", tag)));
     assertEquals("BUSY", client.answer().get(1));
   }
 
-  /** A runner that starts runs and never ends them. */
+  /** A runner whose runs never end by themselves. */
   private static final class PendingRunner implements Runner {
     @Override
     public void start(Request request, DeliveryGuarantee guarantee, long deadlineUs) {}
