--- a/src/main/java/rosecleat/front/uwsgi/RequestTranslator.java
+++ b/src/main/java/rosecleat/front/uwsgi/RequestTranslator.java
@@ -21,8 +21,8 @@
   /** Caller ids of teams start here, above those of the platform's load balancers. */
   private static final int FIRST_CALLER_ID = 1_000_000;
 
-  private static final Pattern TIMEOUT_MS = Pattern.compile("([1-9][0-9]{0,8})?");
-  private static final Pattern IDEMPOTENCY_KEY = Pattern.compile("[0-9A-Za-z_-]{1,64}");
+  private static final Pattern TIMEOUT_MS_PATTERN = Pattern.compile("([1-9][0-9]{0,8})?");
+  private static final Pattern IDEMPOTENCY_KEY_PATTERN = Pattern.compile("[0-9A-Za-z_-]{1,64}");
   private static final long US_PER_MS = 1_000;
 
   private final Runner runtime;
@@ -115,11 +115,11 @@
     if (!operation.tenantIndexByTeam().containsKey(packet.var(names.team()))) {
       return invalid(RequestError.Kind.UNKNOWN_TEAM, "");
     }
-    if (!TIMEOUT_MS.matcher(packet.var(names.deadlineMs())).matches()) {
+    if (!TIMEOUT_MS_PATTERN.matcher(packet.var(names.deadlineMs())).matches()) {
       return invalid(RequestError.Kind.MALFORMED_TIMEOUT, names.deadlineMs());
     }
     if (operation.idempotent()
-        && !IDEMPOTENCY_KEY.matcher(packet.var(names.idempotencyKey())).matches()) {
+        && !IDEMPOTENCY_KEY_PATTERN.matcher(packet.var(names.idempotencyKey())).matches()) {
       return invalid(RequestError.Kind.MALFORMED_IDEMPOTENCY_KEY, names.idempotencyKey());
     }
     return Optional.empty();
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -246,7 +246,7 @@
       }
       counters.add("backend." + result.counterSuffix());
       long durationUs = clock.getAsLong() - startedAtUs;
-      lease.ifPresent(held -> held.release(result, durationUs, responseBytes));
+      lease.ifPresent(acquired -> acquired.release(result, durationUs, responseBytes));
       core.runEnded(request.id(), result, resultBody, durationUs);
     }
   }
--- a/src/main/java/rosecleat/simulator/BatchFrame.java
+++ b/src/main/java/rosecleat/simulator/BatchFrame.java
@@ -17,7 +17,7 @@
   /** A body longer than this cannot be a frame (bytes). */
   private static final int MAX_BODY_BYTES = 1 << 30;
 
-  private static final int FIRST_BUFFER_BYTES = 1 << 16;
+  private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
   private static final int BODY_LENGTH = 0;
   private static final int RECORD_COUNT = 4;
@@ -26,9 +26,10 @@
   private final InputStream input;
   private final ByteBuffer header =
       ByteBuffer.allocate(HEADER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-  private ByteBuffer body = ByteBuffer.allocate(FIRST_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+  private ByteBuffer body =
+      ByteBuffer.allocate(INITIAL_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
   private int bodyLength;
-  private int records;
+  private int recordCount;
 
   BatchFrame(InputStream input) {
     this.input = input;
@@ -41,18 +42,18 @@
    * @throws WireException where the input is not a batch
    */
   boolean readNext() throws IOException {
-    int got = input.readNBytes(header.array(), 0, HEADER_BYTES);
-    if (got == 0) {
+    int bytesRead = input.readNBytes(header.array(), 0, HEADER_BYTES);
+    if (bytesRead == 0) {
       return false;
     }
-    if (got < HEADER_BYTES) {
+    if (bytesRead < HEADER_BYTES) {
       throw new WireException("input ends inside a frame header");
     }
     long length = Integer.toUnsignedLong(header.getInt(BODY_LENGTH));
     long count = Integer.toUnsignedLong(header.getInt(RECORD_COUNT));
     checkSize(length, count);
     bodyLength = (int) length;
-    records = (int) count;
+    recordCount = (int) count;
     reserve(bodyLength);
     if (input.readNBytes(body.array(), 0, bodyLength) < bodyLength) {
       throw new WireException("input ends inside a frame");
@@ -85,8 +86,8 @@
   }
 
   /** The number of its records. */
-  int records() {
-    return records;
+  int recordCount() {
+    return recordCount;
   }
 
   /** Where a record begins in the body. */
@@ -123,13 +124,13 @@
   }
 
   /** Whether so many bytes can be read from an offset. */
-  boolean has(int at, int bytes) {
+  boolean hasBytes(int at, int bytes) {
     return at + bytes <= body.limit();
   }
 
   /** A text of the tail, whose offset and length stand at {@code at}. */
   String text(int at) {
-    long from = (long) records * RECORD_BYTES + unsigned32(at);
+    long from = (long) recordCount * RECORD_BYTES + unsigned32(at);
     long length = unsigned32(at + Integer.BYTES);
     if (from + length > bodyLength) {
       throw new WireException("offset outside the tail");
--- a/src/main/java/rosecleat/simulator/EventDecoder.java
+++ b/src/main/java/rosecleat/simulator/EventDecoder.java
@@ -9,18 +9,18 @@
 /** Decodes event records and hands them to a policy. Offsets count from the start of a record. */
 final class EventDecoder {
   /** A server starts. */
-  static final int ENLIST = 1000;
+  static final int SERVER_STARTED = 1000;
 
   /** A server is stopped. */
-  static final int STOP = 1080;
+  static final int SERVER_STOPPED = 1080;
 
-  private static final int ACCEPT = 1010;
-  private static final int SETTLED = 1020;
-  private static final int WANTS_CALL = 1030;
-  private static final int DOWNSTREAM = 1040;
-  private static final int TERMINATE_SOON = 1050;
-  private static final int EXPIRED = 1060;
-  private static final int TIMEOUT_FIRED = 1070;
+  private static final int REQUEST_ARRIVED = 1010;
+  private static final int RUN_ENDED = 1020;
+  private static final int CALL_NEEDED = 1030;
+  private static final int CALL_ENDED = 1040;
+  private static final int SERVER_DRAINING = 1050;
+  private static final int REQUEST_CANCELLED = 1060;
+  private static final int TIMER_FIRED = 1070;
 
   private static final int CODE = 0;
   private static final int SERVER = 2;
@@ -30,22 +30,22 @@
 
   private static final int SETTINGS = 12;
   private static final int OUTCOME = 12;
-  private static final int TOOK = 13;
+  private static final int DURATION = 13;
   private static final int GAUGES = 12;
 
-  private static final int CLASS = 12;
-  private static final int TENANT = 14;
+  private static final int CLASS_INDEX = 12;
+  private static final int TENANT_INDEX = 14;
   private static final int READ_KEY = 18;
   private static final int TIMEOUT = 26;
   private static final int RUN_TIME_HINT = 30;
   private static final int QUEUED_KB = 34;
   private static final int RANK = 38;
   private static final int FLAGS = 42;
-  private static final int CALLER = 44;
+  private static final int CALLER_ID = 44;
   private static final int AGE = 48;
-  private static final int ORIGINAL = 52;
+  private static final int ORIGINAL_ID = 52;
 
-  private static final int HINT_FLAG = 1;
+  private static final int RUN_TIME_HINT_FLAG = 1;
   private static final int RETRY_FLAG = 2;
   private static final int WRITE_FLAG = 4;
 
@@ -79,14 +79,14 @@
     long now = batch.clockUs();
     long id = batch.int64(record + FIRST_FIELD);
     switch (code(record)) {
-      case ACCEPT -> policy.arrived(now, request(record));
-      case SETTLED -> policy.ended(now, id, outcome(record), batch.unsigned32(record + TOOK));
-      case WANTS_CALL -> policy.callNeeded(now, id);
-      case DOWNSTREAM ->
-          policy.callEnded(now, id, outcome(record), batch.unsigned32(record + TOOK));
-      case TERMINATE_SOON -> policy.draining(now, batch.unsigned32(record + FIRST_FIELD));
-      case EXPIRED -> policy.cancelled(now, id);
-      case TIMEOUT_FIRED -> {
+      case REQUEST_ARRIVED -> policy.arrived(now, request(record));
+      case RUN_ENDED -> policy.ended(now, id, outcome(record), batch.unsigned32(record + DURATION));
+      case CALL_NEEDED -> policy.callNeeded(now, id);
+      case CALL_ENDED ->
+          policy.callEnded(now, id, outcome(record), batch.unsigned32(record + DURATION));
+      case SERVER_DRAINING -> policy.draining(now, batch.unsigned32(record + FIRST_FIELD));
+      case REQUEST_CANCELLED -> policy.cancelled(now, id);
+      case TIMER_FIRED -> {
         readGauges(record + GAUGES, gaugeNames);
         policy.timerFired(now, id, gauges);
       }
@@ -96,11 +96,11 @@
 
   private PolicyRequest request(int record) {
     int flags = batch.unsigned16(record + FLAGS);
-    boolean hasHint = (flags & HINT_FLAG) != 0;
+    boolean hasHint = (flags & RUN_TIME_HINT_FLAG) != 0;
     return new PolicyRequest(
         batch.int64(record + FIRST_FIELD),
-        batch.unsigned16(record + CLASS),
-        batch.int32(record + TENANT),
+        batch.unsigned16(record + CLASS_INDEX),
+        batch.int32(record + TENANT_INDEX),
         batch.int64(record + READ_KEY),
         batch.unsigned32(record + TIMEOUT),
         hasHint ? batch.unsigned32(record + RUN_TIME_HINT) : 0,
@@ -108,15 +108,15 @@
         batch.float32(record + RANK),
         (flags & RETRY_FLAG) != 0,
         (flags & WRITE_FLAG) != 0,
-        batch.unsigned32(record + CALLER),
+        batch.unsigned32(record + CALLER_ID),
         batch.unsigned32(record + AGE),
-        batch.int64(record + ORIGINAL));
+        batch.int64(record + ORIGINAL_ID));
   }
 
   private void readGauges(int at, List<String> names) {
     gauges.clear();
     int count = Math.min(batch.unsigned8(at), names.size());
-    if (!batch.has(at, 1 + Float.BYTES * count)) {
+    if (!batch.hasBytes(at, 1 + Float.BYTES * count)) {
       throw new WireException("gauges run past the frame");
     }
     for (int i = 0; i < count; i++) {
--- a/src/main/java/rosecleat/simulator/ReplyFrame.java
+++ b/src/main/java/rosecleat/simulator/ReplyFrame.java
@@ -17,31 +17,32 @@
 
   private static final int HEADER_BYTES = 8;
   private static final int RECORD_BYTES = 24;
-  private static final int FIRST_BUFFER_BYTES = 1 << 14;
-  private static final int FIRST_TAIL_BYTES = 256;
+  private static final int INITIAL_BUFFER_BYTES = 1 << 14;
+  private static final int INITIAL_TAIL_BYTES = 256;
   private static final int BODY_LENGTH = 0;
   private static final int RECORD_COUNT = 4;
   private static final int SERVER = 2;
   private static final int INTERNAL_ERROR = 1140;
   private static final long MAX_UNSIGNED_32 = 0xffffffffL;
 
-  private ByteBuffer frame = ByteBuffer.allocate(FIRST_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-  private byte[] tail = new byte[FIRST_TAIL_BYTES];
+  private ByteBuffer frame =
+      ByteBuffer.allocate(INITIAL_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+  private byte[] tail = new byte[INITIAL_TAIL_BYTES];
   private int tailLength;
-  private int records;
+  private int recordCount;
 
   /** Begins a new reply. */
   void clear() {
     Arrays.fill(frame.array(), 0, recordsEnd(), (byte) 0);
-    records = 0;
+    recordCount = 0;
     tailLength = 0;
   }
 
   /** Writes the reply and flushes it. */
   void send(OutputStream out) throws IOException {
     int end = recordsEnd();
-    frame.putInt(BODY_LENGTH, records * RECORD_BYTES + tailLength);
-    frame.putInt(RECORD_COUNT, records);
+    frame.putInt(BODY_LENGTH, recordCount * RECORD_BYTES + tailLength);
+    frame.putInt(RECORD_COUNT, recordCount);
     if (tailLength == 0) {
       out.write(frame.array(), 0, end);
     } else {
@@ -53,7 +54,7 @@
   }
 
   private int recordsEnd() {
-    return HEADER_BYTES + records * RECORD_BYTES;
+    return HEADER_BYTES + recordCount * RECORD_BYTES;
   }
 
   /** Reports an exception in the policy of a server. */
@@ -71,7 +72,7 @@
     }
     frame.putShort(record, (short) code);
     frame.putShort(record + SERVER, (short) server);
-    records++;
+    recordCount++;
     return record;
   }
 
--- a/src/main/java/rosecleat/simulator/SimulatorAdapter.java
+++ b/src/main/java/rosecleat/simulator/SimulatorAdapter.java
@@ -53,7 +53,7 @@
   void serve() throws IOException {
     while (batch.readNext()) {
       reply.clear();
-      for (int i = 0; i < batch.records(); i++) {
+      for (int i = 0; i < batch.recordCount(); i++) {
         handle(batch.recordOffset(i));
       }
       reply.send(out);
@@ -63,8 +63,8 @@
   private void handle(int record) {
     int serverId = events.server(record);
     switch (events.code(record)) {
-      case EventDecoder.ENLIST -> start(serverId, record);
-      case EventDecoder.STOP -> servers.remove(serverId);
+      case EventDecoder.SERVER_STARTED -> start(serverId, record);
+      case EventDecoder.SERVER_STOPPED -> servers.remove(serverId);
       default -> dispatch(serverId, record);
     }
   }
--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -58,7 +58,7 @@
     @Override
     public PolicyEvents create(PolicySettings s, long seed, PolicyActions actions) {
       settings = s;
-      calls.add("make " + seed);
+      calls.add("create " + seed);
       return (PolicyEvents)
           Proxy.newProxyInstance(
               getClass().getClassLoader(),
@@ -129,7 +129,7 @@
     return all.toByteArray();
   }
 
-  private static byte[] first() {
+  private static byte[] startBatch() {
     return frame(1000, SETTINGS, start(3, 0, SETTINGS.getBytes(StandardCharsets.UTF_8).length));
   }
 
@@ -146,31 +146,31 @@
 
   private static byte[] batchOfAllEvents() {
     byte[] unknown = record(1777, 3);
-    byte[] settled = hex("fc03 0300 c4913a5dbd9d0e00 fa 44480000");
-    byte[] called = hex("1004 0300 0900000000000000 fe 01000000");
-    byte[] needs = hex("0604 0300 0900000000000000");
-    byte[] drain = hex("1a04 0300 40420f00");
-    byte[] gone = hex("2404 0300 0900000000000000");
-    byte[] accept =
+    byte[] runEnded = hex("fc03 0300 c4913a5dbd9d0e00 fa 44480000");
+    byte[] callEnded = hex("1004 0300 0900000000000000 fe 01000000");
+    byte[] callNeeded = hex("0604 0300 0900000000000000");
+    byte[] draining = hex("1a04 0300 40420f00");
+    byte[] cancelled = hex("2404 0300 0900000000000000");
+    byte[] arrived =
         hex(
             "f203 0300 c4913a5dbd9d0e00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c441"
                 + " 0000203f0700 11000000 3a070000 192b6f0e54f20100");
     byte[] timer = hex("2e04 0300 4d00000000000000 04 52b81e3f 00004040 85ebd13e 0000f042");
     return join(
-        first(),
+        startBatch(),
         frame(
             2000,
             "",
             unknown,
-            accept,
-            settled,
-            needs,
-            called,
-            drain,
-            gone,
+            arrived,
+            runEnded,
+            callNeeded,
+            callEnded,
+            draining,
+            cancelled,
             timer,
             record(1080, 3),
-            gone,
+            cancelled,
             record(1060, 9)));
   }
 
@@ -178,7 +178,7 @@
   void everyEventReachesThePolicyWithItsFields() throws IOException {
     Recorder recorder = new Recorder();
     serve(recorder, batchOfAllEvents());
-    assertEquals("make 77", recorder.calls.get(0));
+    assertEquals("create 77", recorder.calls.get(0));
     assertEquals("start 1000", recorder.calls.get(1));
     assertEquals(
         "arrived 2000 PolicyRequest[id="
@@ -204,7 +204,7 @@
   @Test
   void settingsAreReadAndUnknownKeysIgnored() throws IOException {
     Recorder recorder = new Recorder();
-    serve(recorder, first());
+    serve(recorder, startBatch());
     PolicySettings settings = recorder.settings;
     assertEquals(
         new PriorityClass(
@@ -247,7 +247,7 @@
         .serve(); // the module takes them
   }
 
-  private static void actEachWay(PolicyActions actions) {
+  private static void performEachAction(PolicyActions actions) {
     actions.run(1);
     actions.reject(2, 250_000, true);
     actions.fail(3);
@@ -264,7 +264,7 @@
     actions.log("two servers known");
   }
 
-  /** One record of each action, in the order of {@link #actEachWay}, and the tail. */
+  /** One record of each action, in the order of {@link #performEachAction}, and the tail. */
   private static final String REPLY_OF_ALL_ACTIONS =
       "61010000"
           + "0e000000"
@@ -321,8 +321,8 @@
   @Test
   void everyActionIsWrittenAsTheWireSays() throws IOException {
     Recorder recorder = new Recorder();
-    recorder.onArrival = SimulatorAdapterTest::actEachWay;
-    byte[] out = serve(recorder, join(first(), frame(2000, "", record(1010, 3))));
+    recorder.onArrival = SimulatorAdapterTest::performEachAction;
+    byte[] out = serve(recorder, join(startBatch(), frame(2000, "", record(1010, 3))));
     String got = HexFormat.of().formatHex(out, 8, out.length);
     assertEquals(REPLY_OF_ALL_ACTIONS, got);
   }
@@ -330,18 +330,19 @@
   @Test
   void aReplyGrowsAndTheNextOneIsClean() throws IOException {
     Recorder recorder = new Recorder();
-    int[] left = {3000};
+    int[] repetitions = {3000};
     recorder.onArrival =
         a -> {
-          for (int i = 0; i < left[0]; i++) {
+          for (int i = 0; i < repetitions[0]; i++) {
             a.rememberKey(5, 6);
             a.setLoadAdvice(2);
           }
-          left[0] = 1;
+          repetitions[0] = 1;
         };
     byte[] out =
         serve(
-            recorder, join(first(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
+            recorder,
+            join(startBatch(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
     assertEquals(8 + 8 + 6000 * 24 + 8 + 48, out.length);
     assertEquals(
         "24040300"
@@ -361,12 +362,12 @@
         a -> {
           throw new IllegalStateException("boom");
         };
-    byte[] out = serve(recorder, join(first(), frame(1, "", record(1010, 3))));
+    byte[] out = serve(recorder, join(startBatch(), frame(1, "", record(1010, 3))));
     assertEquals(1140, (out[16] & 0xff) | (out[17] & 0xff) << 8);
     assertTrue(new String(out, StandardCharsets.UTF_8).contains("boom"));
   }
 
-  private static void bad(String message, byte[] input) {
+  private static void assertRejected(String message, byte[] input) {
     WireException e = assertThrows(WireException.class, () -> serve(new Recorder(), input));
     assertEquals(message, e.getMessage());
   }
@@ -377,21 +378,22 @@
 
   @Test
   void badInputIsReportedWithItsCause() {
-    bad("input ends inside a frame header", new byte[7]);
-    bad("input ends inside a frame", java.util.Arrays.copyOf(first(), 40));
+    assertRejected("input ends inside a frame header", new byte[7]);
+    assertRejected("input ends inside a frame", java.util.Arrays.copyOf(startBatch(), 40));
     byte[] tooLong = new byte[16];
     tooLong[3] = (byte) 0xff;
-    bad("frame of 4278190080 bytes is too long", tooLong);
+    assertRejected("frame of 4278190080 bytes is too long", tooLong);
     byte[] tooShort = new byte[16];
     tooShort[4] = 1;
-    bad("frame of 0 bytes is too short for 1 records", tooShort);
-    bad("offset outside the tail", frame(1, "{}", start(3, 1, 2)));
-    bad("settings are not JSON", settings("{no"));
-    bad("settings are not a JSON object", settings("[]"));
-    bad("settings lack grades", settings("{}"));
-    bad("settings lack cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
-    bad("settings lack deadline-us", settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
-    bad(
+    assertRejected("frame of 0 bytes is too short for 1 records", tooShort);
+    assertRejected("offset outside the tail", frame(1, "{}", start(3, 1, 2)));
+    assertRejected("settings are not JSON", settings("{no"));
+    assertRejected("settings are not a JSON object", settings("[]"));
+    assertRejected("settings lack grades", settings("{}"));
+    assertRejected("settings lack cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
+    assertRejected(
+        "settings lack deadline-us", settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
+    assertRejected(
         "settings have an unknown word for halt",
         settings(SETTINGS.replace("\"pause\"", "\"nap\"")));
   }
@@ -403,12 +405,12 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     System.setErr(new PrintStream(lines, true, StandardCharsets.UTF_8));
     try {
-      String[] word = {"benchlink"};
-      assertEquals(2, Main.run(word, new ByteArrayInputStream(new byte[3]), out));
+      String[] arguments = {"benchlink"};
+      assertEquals(2, Main.run(arguments, new ByteArrayInputStream(new byte[3]), out));
       assertEquals(
           "rosecleat: input ends inside a frame header" + System.lineSeparator(),
           lines.toString(StandardCharsets.UTF_8));
-      assertEquals(0, Main.run(word, new ByteArrayInputStream(new byte[0]), out));
+      assertEquals(0, Main.run(arguments, new ByteArrayInputStream(new byte[0]), out));
       assertEquals(2, Main.run(new String[0], new ByteArrayInputStream(new byte[0]), out));
     } finally {
       System.setErr(err);
