--- a/src/main/java/rosecleat/front/uwsgi/AskOnce.java
+++ b/src/main/java/rosecleat/front/uwsgi/AskOnce.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 
 /**
- * A command-line client, which {@code make ask} runs: sends one uwsgi request as a web server would
- * and prints the status and the body of the response.
+ * A command-line client for {@code make ask}. Sends one uwsgi request in the form that web servers
+ * use, and prints the status and the body of the response.
  *
  * <p>Arguments: {@code HOST:PORT METHOD PATH TEAM [BODY [KEY]]}. The exit code is 0 for a status of
- * 2xx, 1 for another status, and 2 where no response came.
+ * 2xx, 1 for any other status, and 2 if the arguments are invalid or no valid response is received.
  */
 public final class AskOnce {
   private static final int TIMEOUT_MS = 15_000;
@@ -27,7 +27,7 @@
 
   private AskOnce() {}
 
-  /** Runs the command and exits the process. */
+  /** Sends the request that the arguments describe, and exits the process. */
   public static void main(String[] arguments) {
     if (arguments.length < MIN_ARGUMENTS
         || arguments.length > MAX_ARGUMENTS
--- a/src/main/java/rosecleat/front/uwsgi/FailureResponses.java
+++ b/src/main/java/rosecleat/front/uwsgi/FailureResponses.java
@@ -6,8 +6,8 @@
 import rosecleat.core.Response;
 
 /**
- * The HTTP responses to requests without a result. Each has the header {@code X-Progress}, which
- * tells the client how far its request came at most.
+ * Creates the HTTP responses to requests that have no result. Each response has the header {@code
+ * X-Progress}, which states whether the request never ran, ran, or may have run.
  */
 final class FailureResponses {
   private static final String PROGRESS_HEADER = "X-Progress";
@@ -20,24 +20,24 @@
 
   private FailureResponses() {}
 
-  /** Returns the response to a request that was rejected. */
+  /** Returns the response to a rejected request, with a retry delay of at least one second. */
   static HttpResponse rejected(Response.Rejected rejected) {
     long retryAfterSeconds =
         Math.max(1, (rejected.retryAfterUs() + US_PER_SECOND - 1) / US_PER_SECOND);
     return unavailable(retryAfterSeconds, "turned away");
   }
 
-  /** Returns the response to a request that was rejected only when its time was over. */
+  /** Returns the response to a request that was rejected at, or shortly before, its deadline. */
   static HttpResponse notStartedInTime() {
     return text(GATEWAY_TIMEOUT, Progress.NOT_SENT, "not begun in time");
   }
 
-  /** Returns the response to a request whose service has no instance that accepts any. */
+  /** Returns the response to a request whose service has no instance that accepts requests. */
   static HttpResponse noInstance(String service) {
     return unavailable(1, "no instance of " + service + " takes requests");
   }
 
-  /** Returns the response to a request whose result is too large to be buffered. */
+  /** Returns the response to a request whose result exceeds the limits of buffered responses. */
   static HttpResponse noCapacity() {
     return text(BAD_GATEWAY, Progress.RAN, "no room for the reply");
   }
--- a/src/main/java/rosecleat/front/uwsgi/HttpResponseParser.java
+++ b/src/main/java/rosecleat/front/uwsgi/HttpResponseParser.java
@@ -8,8 +8,9 @@
 import rosecleat.net.LineBuffer;
 
 /**
- * An incremental parser of the HTTP response of a uwsgi service. Interim responses (1xx) are
- * skipped; a body ends at its length, or with the stream where none is given.
+ * An incremental parser of the HTTP response of a uwsgi service. Skips interim responses (1xx)
+ * except 101, which it rejects. The body ends after the number of bytes that {@code Content-Length}
+ * states, or at the end of the stream if that header is absent.
  */
 final class HttpResponseParser {
   private static final int MAX_HEAD_BYTES = 16 << 10;
@@ -20,7 +21,7 @@
   private static final int DELETE = 127;
   private static final int SWITCHING_PROTOCOLS = 101;
 
-  /** Stands for the content length where no header gives it. */
+  /** The value of the content length while no header has stated it. */
   private static final long UNKNOWN_LENGTH = -1;
 
   private final int maxBodyBytes;
@@ -33,15 +34,19 @@
   private byte[] body = new byte[0];
   private int bodyBytes;
 
-  /** Creates a parser that accepts bodies up to a length. */
+  /** Creates a parser that accepts bodies of at most {@code maxBodyBytes}. */
   HttpResponseParser(int maxBodyBytes) {
     this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** Consumes the input; false where it is malformed or too long, and the parser unusable. */
+  /**
+   * Consumes the input.
+   *
+   * @return false if the response is malformed or too long; the parser is then unusable
+   */
   boolean feed(ByteBuffer input) {
     while (!headComplete && input.hasRemaining()) {
-      // byte by byte, since what follows the head must stay in the input
+      // The head is read byte by byte, because the bytes of the body must stay in the input.
       lines.append(ByteBuffer.wrap(new byte[] {input.get()}));
       headBytes++;
       if (headBytes > MAX_HEAD_BYTES) {
@@ -56,9 +61,9 @@
   }
 
   /**
-   * Whether the response is complete.
+   * Returns whether the response is complete.
    *
-   * @param endOfStream whether nothing more can come
+   * @param endOfStream whether the service has closed its side of the connection
    */
   boolean isComplete(boolean endOfStream) {
     if (!headComplete) {
@@ -70,7 +75,7 @@
     return contentLength == UNKNOWN_LENGTH ? endOfStream : bodyBytes == contentLength;
   }
 
-  /** Returns the response, once it is complete. */
+  /** Returns the response; to be called once it is complete. */
   ServiceResponse response() {
     return ServiceResponse.endToEnd(status, headers, Arrays.copyOf(body, bodyBytes));
   }
@@ -96,13 +101,13 @@
       return endHead();
     }
     if (line.chars().anyMatch(HttpResponseParser::isControl)) {
-      return false; // a client could take it for the end of a line
+      return false; // a client could interpret a control character as the end of the line
     }
     String lowerCase = line.toLowerCase(Locale.ROOT);
     if (lowerCase.startsWith("http/1.") && status == 0) {
       return parseStatus(line.split(" "), 1);
     }
-    if (lowerCase.startsWith(STATUS_HEADER)) { // where CGI has the status
+    if (lowerCase.startsWith(STATUS_HEADER)) { // CGI sends the status as a header
       return parseStatus(line.substring(STATUS_HEADER.length()).trim().split(" "), 0);
     }
     if (lowerCase.startsWith(CONTENT_LENGTH_HEADER)
--- a/src/main/java/rosecleat/front/uwsgi/InstanceBalancer.java
+++ b/src/main/java/rosecleat/front/uwsgi/InstanceBalancer.java
@@ -5,11 +5,11 @@
 import rosecleat.core.RunResult;
 
 /**
- * Chooses the instance of a service that executes a run, at the moment the run starts. All methods
- * are called on the event loop.
+ * Chooses the instance of a service that executes a run, at the time when the run starts. All
+ * methods are called on the event loop.
  */
 public interface InstanceBalancer {
-  /** A balancer without any instance, for nodes whose services have fixed addresses. */
+  /** A balancer without instances, for nodes whose services all have fixed addresses. */
   InstanceBalancer NONE =
       new InstanceBalancer() {
         @Override
@@ -23,28 +23,29 @@
         }
       };
 
-  /** A slot at an instance, held from the start of a run to its end. */
+  /** A lease of one slot of an instance, from the start of a run to its end. */
   interface Lease {
     /** Returns the address of the instance. */
     InetSocketAddress address();
 
     /**
-     * Releases the slot, once.
+     * Releases the slot; to be called exactly once.
      *
      * @param result how the run ended
-     * @param durationUs the time from its start to its end, in microseconds
-     * @param responseBytes the length of the response's body; -1 where no complete response came
+     * @param durationUs the time from the start of the run to its end, in microseconds
+     * @param responseBytes the length of the response's body; -1 if no complete response was
+     *     received
      */
     void release(RunResult result, long durationUs, int responseBytes);
   }
 
   /**
-   * The run that needs a slot.
+   * The properties of a run for which a slot is requested.
    *
    * @param service the name of the service
    * @param operation the id of the operation
-   * @param idempotencyKey the key of the request; null for classes without keys
-   * @param keyExpiresAtUs when the key expires, in Unix microseconds; 0 without a key
+   * @param idempotencyKey the key of the request; null if its class has no idempotency keys
+   * @param keyExpiresAtUs when the key expires, in Unix microseconds; 0 if there is no key
    * @param requestBytes the length of the request's body
    */
   record LeaseRequest(
@@ -54,9 +55,9 @@
       long keyExpiresAtUs,
       int requestBytes) {}
 
-  /** Takes a slot for a run; empty where no instance has one. */
+  /** Leases a slot for a run; returns empty if no instance has a free slot. */
   Optional<Lease> lease(LeaseRequest request, long nowUs);
 
-  /** Whether no instance of a service accepts requests at all. */
+  /** Returns whether the service has no instance that accepts requests. */
   boolean hasNoAvailableInstance(String service);
 }
--- a/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
+++ b/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
@@ -8,7 +8,7 @@
 import rosecleat.config.ServiceOperation;
 
 /**
- * Finds the operation for a method and a path, by a tree of path segments. A literal segment takes
+ * Finds the operation for a method and a path in a tree of path segments. A literal segment takes
  * precedence over a template such as {@code {id}}, which matches any segment that is not empty.
  */
 final class OperationRouter {
@@ -16,7 +16,7 @@
   private static final String HEAD = "HEAD";
   private static final String OPTIONS = "OPTIONS";
 
-  /** The paths that share a beginning, by their next segment. */
+  /** The paths that share a prefix, grouped by their next segment. */
   private static final class Node {
     final Map<String, Node> literals = new LinkedHashMap<>();
     final Map<String, Node> templates = new LinkedHashMap<>();
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Returns the operation, the methods that the path supports, or that it is unknown. */
+  /** Returns the matching operation, or the methods that the path allows if the method differs. */
   RouteResult find(String method, String path) {
     if (!path.startsWith("/")) {
       return new RouteResult.NotFound();
@@ -61,13 +61,13 @@
     return path.substring(1).split("/", -1);
   }
 
-  /** One depth-first search through the tree; the first match counts. */
+  /** One depth-first search of the tree, which ends at the first match. */
   private static final class Search {
     private final String method;
     private final String[] segments;
     private final Map<String, String> parameters = new LinkedHashMap<>();
 
-    /** The methods of the operations that have the path, in alphabetical order. */
+    /** The methods of all operations whose path matches, in alphabetical order. */
     private final TreeSet<String> allowedMethods = new TreeSet<>();
 
     Search(String method, String[] segments) {
@@ -106,7 +106,7 @@
       collectAllowedMethods(node);
       ServiceOperation operation = node.operationsByMethod.get(method);
       if (operation == null && method.equals(HEAD)) {
-        operation = node.operationsByMethod.get(GET); // the response to it lacks the body
+        operation = node.operationsByMethod.get(GET); // the body of the response is omitted
       }
       return Optional.ofNullable(operation)
           .map(found -> new RouteResult.Matched(found, new LinkedHashMap<>(parameters)));
--- a/src/main/java/rosecleat/front/uwsgi/ReasonPhrases.java
+++ b/src/main/java/rosecleat/front/uwsgi/ReasonPhrases.java
@@ -4,7 +4,7 @@
 
 /** The reason phrases of HTTP status codes (RFC 9110). */
 final class ReasonPhrases {
-  /** Stands for the phrase of a status that has none here. */
+  /** The phrase of every status that is not listed here. */
   private static final String UNKNOWN = "Status";
 
   private static final Map<Integer, String> PHRASES =
@@ -41,7 +41,7 @@
 
   private ReasonPhrases() {}
 
-  /** Returns the phrase of a status. */
+  /** Returns the phrase of the status. */
   static String of(int status) {
     return PHRASES.getOrDefault(status, UNKNOWN);
   }
--- a/src/main/java/rosecleat/front/uwsgi/RequestError.java
+++ b/src/main/java/rosecleat/front/uwsgi/RequestError.java
@@ -3,26 +3,26 @@
 import java.util.Map;
 
 /**
- * Why a client's request is not accepted.
+ * The reason why a client's request is invalid.
  *
  * @param kind what is wrong
- * @param subject the var, modifier or list of methods that it is about; empty where it is about
- *     none
+ * @param subject the var, modifier or list of methods that the error refers to; empty if the error
+ *     refers to none
  */
 record RequestError(Kind kind, String subject) {
-  /** What is wrong with a request, with the status and the text that answer it. */
+  /** What is wrong with a request, with the status and the text of the response. */
   enum Kind {
     UNSUPPORTED_MODIFIER(400, "modifier %s is not served"),
     VARS_TOO_LONG(413, "the vars are too long"),
-    /** A var is longer than the packet that carries it, or has no name. */
+    /** A var extends past the end of the packet's vars, or has an empty name. */
     MALFORMED_VARS(400, "a var runs past the packet"),
-    /** A var stands twice with two values, and nothing says which one counts. */
+    /** A var occurs twice with different values, and neither takes precedence. */
     CONFLICTING_VARS(400, "a var is given twice"),
     MALFORMED_CONTENT_LENGTH(400, "CONTENT_LENGTH is no length"),
     BODY_TOO_LONG(413, "the body is too long"),
     MISSING_METHOD_OR_PATH(400, "REQUEST_METHOD or PATH_INFO is missing"),
     UNKNOWN_OPERATION(404, "no such operation"),
-    /** The subject is the list of methods that the path supports. */
+    /** The path has operations, but not with this method; the subject lists the allowed methods. */
     METHOD_NOT_ALLOWED(405, "the operation has other methods"),
     UNKNOWN_TEAM(403, "the team has no budget with this service"),
     MALFORMED_TIMEOUT(400, "%s is no number of milliseconds"),
@@ -42,7 +42,7 @@
     this(kind, "");
   }
 
-  /** Returns the response to the request. */
+  /** Returns the response to the invalid request. */
   HttpResponse response() {
     Map<String, String> headers =
         kind == Kind.METHOD_NOT_ALLOWED ? Map.of("Allow", subject) : Map.of();
--- a/src/main/java/rosecleat/front/uwsgi/RequestTarget.java
+++ b/src/main/java/rosecleat/front/uwsgi/RequestTarget.java
@@ -1,15 +1,15 @@
 package rosecleat.front.uwsgi;
 
 /**
- * What a uwsgi request is for. Web servers send the path and the query as vars of their own, or
- * only the URI that contains both.
+ * The method, path and query of a uwsgi request. Web servers send the path and the query as
+ * separate vars, or only a URI that contains both.
  *
- * @param method the HTTP method; empty where the packet lacks it
- * @param path the path; empty where the packet lacks it
- * @param query the query without its question mark; empty for none
+ * @param method the HTTP method; empty if the packet has none
+ * @param path the path; empty if the packet has none
+ * @param query the query without its question mark; empty if the packet has none
  */
 record RequestTarget(String method, String path, String query) {
-  /** Reads the target from the vars of a request. */
+  /** Reads the target from the vars of the request; separate vars override the URI. */
   static RequestTarget of(UwsgiPacket packet) {
     String uri = packet.var("REQUEST_URI");
     int questionMark = uri.indexOf('?');
@@ -21,7 +21,7 @@
         packet.vars().getOrDefault("QUERY_STRING", uriQuery));
   }
 
-  /** Whether the method and the path are both present. */
+  /** Returns whether the method and the path are both present. */
   boolean isComplete() {
     return !method.isEmpty() && !path.isEmpty();
   }
--- a/src/main/java/rosecleat/front/uwsgi/RequestTranslator.java
+++ b/src/main/java/rosecleat/front/uwsgi/RequestTranslator.java
@@ -14,11 +14,11 @@
 import rosecleat.core.Runner;
 
 /**
- * Translates uwsgi requests into the core's requests, by the contracts and budgets in force. For
- * the event loop.
+ * Translates uwsgi requests into requests of the core, according to the contracts and budgets of
+ * the current configuration. All methods must be called on the event loop.
  */
 final class RequestTranslator {
-  /** Caller ids of teams start here, above those of the platform's load balancers. */
+  /** The first caller id of a team; the platform's load balancers use lower caller ids. */
   private static final int FIRST_CALLER_ID = 1_000_000;
 
   private static final Pattern TIMEOUT_MS_PATTERN = Pattern.compile("([1-9][0-9]{0,8})?");
@@ -38,9 +38,9 @@
    * Creates a translator.
    *
    * @param runtime executes the requests of operations without a backend
-   * @param backends executes those of operations with a service behind them
-   * @param samples executes those of operations that respond with an example
-   * @param seed the seed of the request ids
+   * @param backends executes the requests of operations that a uwsgi service implements
+   * @param samples executes the requests of operations that respond with an example
+   * @param seed the seed of the generator of request ids
    */
   RequestTranslator(
       BrokerConfig config, Runner runtime, Runner backends, SampleRunner samples, long seed) {
@@ -51,7 +51,7 @@
     reconfigure(config);
   }
 
-  /** Translates the requests from now on by another configuration. */
+  /** Applies a new configuration to all later requests. */
   void reconfigure(BrokerConfig newConfig) {
     config = newConfig;
     router = new OperationRouter(newConfig.operations());
@@ -61,8 +61,8 @@
   /**
    * Translates a request.
    *
-   * @param nowUs when it arrived, in Unix microseconds
-   * @param responder receives the response to it
+   * @param nowUs when the request arrived, in Unix microseconds
+   * @param responder receives the response
    */
   TranslationResult translate(UwsgiPacket packet, long nowUs, Responder responder) {
     RequestTarget target = RequestTarget.of(packet);
@@ -108,7 +108,7 @@
     return new TranslationResult.Translated(request, operation);
   }
 
-  /** Checks the vars that the broker itself reads, in the order in which errors are reported. */
+  /** Checks the vars that the broker itself reads; of several errors the first is reported. */
   private Optional<TranslationResult.Invalid> checkVars(
       UwsgiPacket packet, ServiceOperation operation) {
     UwsgiVariables names = config.variables();
@@ -157,7 +157,7 @@
         responder);
   }
 
-  /** Returns the timeout that the client asks for, but not more than the operation's. */
+  /** Returns the timeout that the client requests, limited to the operation's deadline. */
   private long timeoutUs(UwsgiPacket packet, ServiceOperation operation) {
     String timeoutMs = packet.var(config.variables().deadlineMs());
     return timeoutMs.isEmpty()
@@ -172,11 +172,11 @@
     return operation.backend() instanceof Backend.Sample ? samples : backends;
   }
 
-  /** Returns the vars that are passed on to the service, with the attributes for its runner. */
+  /** Returns the vars to be passed on to the service, and the attributes for its runner. */
   private static Map<String, String> attributes(
       UwsgiPacket packet, ServiceOperation operation, long nowUs) {
     Map<String, String> attributes = new HashMap<>(packet.vars());
-    attributes.remove("CONTENT_LENGTH"); // the runner sends its own
+    attributes.remove("CONTENT_LENGTH"); // the runner sets it to the length of the body
     attributes.put("REQUEST_METHOD", operation.method()); // a HEAD request executes the GET
     attributes.put(RunAttributes.OPERATION, operation.id());
     if (operation.backend() instanceof Backend.Uwsgi uwsgi) {
--- a/src/main/java/rosecleat/front/uwsgi/ResponseBudget.java
+++ b/src/main/java/rosecleat/front/uwsgi/ResponseBudget.java
@@ -1,13 +1,13 @@
 package rosecleat.front.uwsgi;
 
 /**
- * Bounds the memory of response bodies that clients have not read yet, over all connections. For
- * the event loop.
+ * Limits the memory of response bodies that clients have not read yet, over all connections. All
+ * methods must be called on the event loop.
  */
 final class ResponseBudget {
   private long reservedBytes;
 
-  /** Reserves memory for a body; false where that would exceed the limit. */
+  /** Reserves memory for a body; returns false if the reserved total would exceed the limit. */
   boolean tryReserve(int bytes, long limitBytes) {
     if (reservedBytes + bytes > limitBytes) {
       return false;
@@ -16,12 +16,12 @@
     return true;
   }
 
-  /** Returns memory that was reserved. */
+  /** Releases memory that was reserved. */
   void release(int bytes) {
     reservedBytes -= bytes;
   }
 
-  /** Returns how much is reserved. */
+  /** Returns the number of bytes that are reserved. */
   long reservedBytes() {
     return reservedBytes;
   }
--- a/src/main/java/rosecleat/front/uwsgi/ResponseHead.java
+++ b/src/main/java/rosecleat/front/uwsgi/ResponseHead.java
@@ -27,7 +27,7 @@
     return header("Content-Length", Integer.toString(length));
   }
 
-  /** Ends the head and encodes it. */
+  /** Appends the empty line that ends the head, and encodes the head. */
   ByteBuffer encode() {
     return ByteBuffer.wrap(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
   }
--- a/src/main/java/rosecleat/front/uwsgi/RouteResult.java
+++ b/src/main/java/rosecleat/front/uwsgi/RouteResult.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 import rosecleat.config.ServiceOperation;
 
-/** What the router found for a method and a path. */
+/** The result of the search for an operation by method and path. */
 sealed interface RouteResult {
   /**
-   * An operation has the path and the method.
+   * An operation matches the path and the method.
    *
    * @param parameters the path parameters by name
    */
@@ -14,12 +14,12 @@
       implements RouteResult {}
 
   /**
-   * Operations have the path, but with other methods.
+   * Operations match the path, but none matches the method.
    *
-   * @param allowedMethods the methods, as an {@code Allow} header lists them
+   * @param allowedMethods the methods of these operations in the form of an {@code Allow} header
    */
   record MethodNotAllowed(String allowedMethods) implements RouteResult {}
 
-  /** No operation has the path. */
+  /** No operation matches the path. */
   record NotFound() implements RouteResult {}
 }
--- a/src/main/java/rosecleat/front/uwsgi/RuntimePayload.java
+++ b/src/main/java/rosecleat/front/uwsgi/RuntimePayload.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Makes the payload of requests that the machine's runtime executes. */
+/** Creates the payload of requests that the machine's runtime executes. */
 final class RuntimePayload {
-  /** The runtime accepts bodies up to this length. */
+  /** The longest payload that the runtime accepts. */
   static final int MAX_BYTES = 2 << 10;
 
   private final ObjectMapper json = new ObjectMapper();
 
   /**
-   * Returns the body as it came; where there is none, the parameters as a JSON object if there are
-   * any.
+   * Returns the request's body, or its parameters as a JSON object if the body is empty and there
+   * are parameters.
    *
-   * @param pathParameters take precedence over those of the query, since the path decides what the
-   *     request is about
-   * @return the payload; empty where the query is malformed
+   * @param pathParameters the parameters in the path; they take precedence over those in the query,
+   *     because the path identifies the resource that is requested
+   * @return the payload; empty if the query is malformed
    */
   Optional<byte[]> create(byte[] body, Map<String, String> pathParameters, String query) {
     if (body.length > 0 || (pathParameters.isEmpty() && query.isEmpty())) {
--- a/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/SampleRunner.java
@@ -14,8 +14,8 @@
 import rosecleat.net.EventLoop;
 
 /**
- * A runner that responds with the example of an operation's description after a delay, so that a
- * broker can be tried without any service. For the event loop.
+ * A runner that responds with the example in an operation's description after a delay, so that a
+ * broker can be tried out without any service. All methods must be called on the event loop.
  */
 public final class SampleRunner implements Runner {
   private static final int OK = 200;
@@ -31,7 +31,7 @@
     this.core = core;
   }
 
-  /** Replaces the examples by those of a list of operations. */
+  /** Replaces all examples with those of the given operations. */
   void reconfigure(List<ServiceOperation> operations) {
     Map<String, Backend.Sample> samples = new HashMap<>();
     for (ServiceOperation operation : operations) {
@@ -46,7 +46,7 @@
   public void start(Request request, DeliveryGuarantee guarantee, long deadlineUs) {
     String operation = request.attributes().get(RunAttributes.OPERATION);
     Backend.Sample sample = samplesByOperation.get(operation);
-    if (sample == null) { // the operation lost its example since the request arrived
+    if (sample == null) { // a reload removed the example after the request had arrived
       loop.execute(() -> core.runEnded(request.id(), RunResult.UNREACHABLE, 0));
       return;
     }
@@ -63,11 +63,11 @@
     }
   }
 
-  /** Does nothing: these runs make no calls. */
+  /** Does nothing: these runs make no downstream calls. */
   @Override
   public void completeCall(String id, byte[] reply) {}
 
-  /** Does nothing: these runs make no calls. */
+  /** Does nothing: these runs make no downstream calls. */
   @Override
   public void skipCall(String id, long callNumber) {}
 
--- a/src/main/java/rosecleat/front/uwsgi/ServiceResponse.java
+++ b/src/main/java/rosecleat/front/uwsgi/ServiceResponse.java
@@ -7,17 +7,17 @@
 import java.util.TreeSet;
 
 /**
- * The complete response of a service, which is passed on to the client.
+ * The complete response of a service, which the broker passes on to the client.
  *
  * @param status the HTTP status
- * @param headers the end-to-end headers, in the order in which they came
+ * @param headers the end-to-end headers, in the order in which they were received
  * @param body the body
  */
 record ServiceResponse(int status, List<Header> headers, byte[] body) {
-  /** One header as it came. */
+  /** One header as it was received. */
   record Header(String name, String value) {}
 
-  /** Headers about one connection alone, which are not passed on (RFC 9110, section 7.6.1). */
+  /** Headers that apply to one connection only and are not forwarded (RFC 9110, section 7.6.1). */
   private static final Set<String> HOP_BY_HOP_HEADERS =
       Set.of(
           "connection",
@@ -51,15 +51,15 @@
     return new ServiceResponse(status, endToEndHeaders, body);
   }
 
-  /** Whether a status has no body, whatever its headers say (RFC 9110, section 6.4.1). */
+  /** Returns whether responses of a status have no body (RFC 9110, section 6.4.1). */
   static boolean isBodiless(int status) {
     return status == 204 || status == 304;
   }
 
   /**
-   * Encodes everything before the body.
+   * Encodes the status line and the headers, which precede the body.
    *
-   * @param defaultContentType the content type of a body for which the service named none
+   * @param defaultContentType the content type of the body if the service sent no content type
    */
   ByteBuffer encodeHead(String defaultContentType) {
     ResponseHead head = new ResponseHead(status);
--- a/src/main/java/rosecleat/front/uwsgi/ServiceResponseCodec.java
+++ b/src/main/java/rosecleat/front/uwsgi/ServiceResponseCodec.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 
 /**
- * Stores a service's response in the bytes of a request's result, so that the core caches and
- * replays it like any other. The form is three digits of status, a line for each header, an empty
- * line and the body; lines end in LF.
+ * Encodes a service's response as the bytes of a request's result, so that the core can cache and
+ * replay the response like any other result. The encoding is a line with the three digits of the
+ * status, a line for each header, an empty line and the body; lines end with LF.
  */
 final class ServiceResponseCodec {
   private ServiceResponseCodec() {}
@@ -27,7 +27,7 @@
     return ByteBuffer.allocate(head.length + body.length).put(head).put(body).array();
   }
 
-  /** Decodes a response; empty where the bytes are none. */
+  /** Decodes a response; returns empty if the bytes are not an encoded response. */
   static Optional<ServiceResponse> decode(byte[] result) {
     List<ServiceResponse.Header> headers = new ArrayList<>();
     int status = 0;
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiConnection.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiConnection.java
@@ -17,8 +17,9 @@
 import rosecleat.net.ConnectionUsage;
 
 /**
- * The protocol on one client's connection: reads the one request, submits it to the core and writes
- * the response. Timeouts bound the reading, then the writing. For the event loop.
+ * Handles one client's connection: reads the only request, submits it to the core and writes the
+ * response. One timeout limits the reading of the request, another the writing of the response. All
+ * methods must be called on the event loop.
  */
 final class UwsgiConnection implements ConnectionHandler {
   private static final String PLAIN_TEXT = "text/plain; charset=utf-8";
@@ -26,7 +27,7 @@
   private static final int NO_CONTENT = 204;
   private static final byte[] EMPTY_BODY = new byte[0];
 
-  /** A rejection that comes so shortly before the deadline was made for lack of time. */
+  /** Rejections this close to the deadline are reported as a timeout, not as an overload. */
   private static final long NEAR_DEADLINE_US = 50_000;
 
   private final UwsgiFrontend frontend;
@@ -35,10 +36,10 @@
   private final UwsgiRequestParser parser;
   private final long acceptedAtUs;
 
-  /** Bounds the reading of the request until it is complete, then the writing of the response. */
+  /** The timeout for reading the request; after the response, the timeout for writing it. */
   private Future<?> timeout;
 
-  /** The request in flight; null before it is submitted and after its response. */
+  /** The request in flight; null before the request is submitted and after its response. */
   private RequestHandle request;
 
   private ServiceOperation operation;
@@ -47,7 +48,7 @@
   private boolean responded;
   private boolean omitBody;
 
-  /** What the response's body holds of the frontend's budget. */
+  /** The bytes that the response's body has reserved in the frontend's response budget. */
   private int reservedBytes;
 
   UwsgiConnection(UwsgiFrontend frontend, Connection connection) {
@@ -59,18 +60,18 @@
     acceptedAtUs = frontend.clock().getAsLong();
   }
 
-  /** Starts to read. */
+  /** Starts to read the request, and schedules the read timeout. */
   void start() {
     timeout = frontend.loop().schedule(frontend.limits().requestTimeoutUs(), this::readTimedOut);
     connection.start(this);
   }
 
-  /** Closes once the request is answered. */
+  /** Closes the connection once the request has been answered. */
   void closeGracefully() {
     connection.closeGracefully();
   }
 
-  /** Closes if nothing has been received since the connection was accepted before a time. */
+  /** Closes the connection if it was accepted by the given time and nothing has been received. */
   void closeIfSilentSince(long acceptedBeforeUs) {
     if (!parser.hasInput() && acceptedAtUs <= acceptedBeforeUs) {
       connection.closeGracefully();
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Ignores whatever follows the first request. */
+  /** Reads the first request and ignores all bytes after it. */
   @Override
   public void received(ByteBuffer bytes) {
     if (requestComplete || !parser.feed(bytes)) {
@@ -132,12 +133,12 @@
     operation = translated.operation();
     deadlineUs = translated.request().arrivedAtUs() + translated.request().timeoutUs();
     RequestHandle submitted = frontend.core().submit(translated.request());
-    if (!responded) { // the core may respond before it returns
+    if (!responded) { // the core may respond before submit returns
       request = submitted;
     }
   }
 
-  /** Nothing is lost only while nothing has been received. */
+  /** Returns {@code UNUSED} only while nothing has been received. */
   @Override
   public ConnectionUsage usage() {
     return parser.hasInput() || requestComplete ? ConnectionUsage.BUSY : ConnectionUsage.UNUSED;
@@ -153,7 +154,7 @@
     timeout.cancel(false);
     frontend.responseBudget().release(reservedBytes);
     frontend.connectionClosed(this, connection);
-    if (failure.progress() != Progress.SENT) { // part of the response was never sent
+    if (failure.progress() != Progress.SENT) { // part of the response may not have been sent
       counters.add("uwsgi.cut");
     }
     if (request != null) {
@@ -188,7 +189,7 @@
     return FailureResponses.failed(failed);
   }
 
-  /** A result is a service's response, or a body alone from the machine's runtime. */
+  /** Writes a result: the response of a service, or only a body from the machine's runtime. */
   private void respondWithResult(byte[] result) {
     Optional<ServiceResponse> serviceResponse =
         operation.usesMachineRuntime() ? Optional.empty() : ServiceResponseCodec.decode(result);
@@ -198,11 +199,15 @@
       frontend
           .log()
           .warn(
-              "no room for a reply of "
+              "response body of "
                   + body.length
-                  + " bytes, "
+                  + " bytes not sent to client: limit is "
+                  + frontend.limits().responseBytes()
+                  + " bytes per response, "
                   + frontend.responseBudget().reservedBytes()
-                  + " wait");
+                  + " of "
+                  + frontend.limits().bufferedResponseBytes()
+                  + " bytes for all responses are in use");
       respond(FailureResponses.noCapacity(), PLAIN_TEXT);
       return;
     }
@@ -215,7 +220,7 @@
     }
   }
 
-  /** Reserves memory for a body; false where it is too long or the budget exhausted. */
+  /** Reserves memory for a body; returns false if the body exceeds its limit or the budget. */
   private boolean reserve(int bytes) {
     UwsgiLimits limits = frontend.limits();
     if (bytes > limits.responseBytes()
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -16,14 +16,14 @@
 import rosecleat.net.Listener;
 
 /**
- * The frontend for uwsgi clients: one request a connection, with an HTTP response. Everything runs
- * on the event loop.
+ * The frontend for uwsgi clients. Each connection carries one request and its HTTP response. All
+ * methods must be called on the event loop.
  */
 public final class UwsgiFrontend {
   private static final int READ_BUFFER_BYTES = 8 << 10;
   private static final int PAUSE_READING_ABOVE_BYTES = 64 << 10;
 
-  /** What a connection's write queue holds beside a body: the head of the response. */
+  /** The capacity that a connection's write queue has for the head of a response. */
   private static final int MAX_HEAD_BYTES = 20 << 10;
 
   private final EventLoop loop;
@@ -42,10 +42,10 @@
    *
    * @param config the address, the limits and the operations
    * @param runtime executes requests of operations without a backend
-   * @param backends executes requests of operations with a service behind them
+   * @param backends executes requests of operations that a uwsgi service implements
    * @param instances the instances of services without a fixed address
    * @param clock the Unix time in microseconds
-   * @param seed the seed of the request ids
+   * @param seed the seed of the generator of request ids
    */
   public UwsgiFrontend(
       EventLoop loop,
@@ -68,10 +68,10 @@
   }
 
   /**
-   * Starts to listen, unless it already does. Other processes of the node may listen at the same
-   * address.
+   * Starts to listen, unless this frontend already listens. Other processes of the node may listen
+   * on the same address.
    *
-   * @throws IOException where the address cannot be bound
+   * @throws IOException if the address cannot be bound
    */
   public void listen() throws IOException {
     if (listener != null) {
@@ -95,15 +95,16 @@
   }
 
   /**
-   * Serves the requests that arrive from now on by another configuration. The address and the
-   * limits of connections that are open stay.
+   * Applies a new configuration to all later requests. The address, the maximum number of
+   * connections and the limits must equal those of the current configuration: changing them needs a
+   * restart.
    */
   public void reconfigure(BrokerConfig newConfig) {
     config = newConfig;
     translator.reconfigure(newConfig);
   }
 
-  /** Returns the port it listens on. */
+  /** Returns the port that this frontend listens on. */
   public int port() {
     return listener.port();
   }
@@ -113,16 +114,16 @@
     return connections.size();
   }
 
-  /** Returns the bytes of response bodies that clients have not read yet. */
+  /** Returns how many bytes of response bodies clients have not read yet. */
   public long bufferedBytes() {
     return responseBudget.reservedBytes();
   }
 
   /**
-   * Stops listening once no connection has come for a while and none waits to be accepted.
+   * Stops listening once no connection has arrived for a period and none waits to be accepted.
    *
-   * @param quietUs how long no connection must have come, in microseconds
-   * @return whether it no longer listens
+   * @param quietUs the period without a new connection, in microseconds
+   * @return whether this frontend no longer listens
    */
   public boolean closeListenerWhenQuiet(long quietUs) {
     return listener == null || listener.closeAfterQuietPeriod(quietUs);
@@ -131,7 +132,7 @@
   /**
    * Stops listening as soon as no connection waits to be accepted.
    *
-   * @return whether it no longer listens
+   * @return whether this frontend no longer listens
    */
   public boolean closeListenerWhenEmpty() {
     return listener == null || listener.closeWhenBacklogEmpty();
@@ -140,7 +141,7 @@
   /**
    * Closes the connections on which nothing has been received.
    *
-   * @param silentUs how long such a connection must have been open, in microseconds
+   * @param silentUs the least time since such a connection was accepted, in microseconds
    */
   public void closeSilentConnections(long silentUs) {
     long acceptedBeforeUs = clock.getAsLong() - silentUs;
@@ -149,7 +150,7 @@
     }
   }
 
-  /** Closes every connection once its request is answered. */
+  /** Closes each connection once its request has been answered. */
   public void closeConnections() {
     connections.forEach(UwsgiConnection::closeGracefully);
   }
@@ -161,7 +162,7 @@
     accepted.start();
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a connection that has been closed. */
   void connectionClosed(UwsgiConnection closed, Connection connection) {
     connections.remove(closed);
     listener.connectionClosed(connection);
@@ -183,7 +184,7 @@
     return log;
   }
 
-  /** Returns the limits in force, which a reload replaces. */
+  /** Returns the limits of the current configuration. */
   UwsgiLimits limits() {
     return config.limits();
   }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiPacket.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiPacket.java
@@ -9,21 +9,21 @@
 /**
  * One uwsgi request.
  *
- * @param modifier1 the kind of the packet
- * @param modifier2 a detail of its kind
+ * @param modifier1 the type of the packet
+ * @param modifier2 a parameter, whose meaning depends on the type
  * @param vars the CGI variables by name
- * @param body the body, which follows the packet proper
+ * @param body the body, which follows the uwsgi packet on the connection
  */
 record UwsgiPacket(int modifier1, int modifier2, Map<String, String> vars, byte[] body) {
-  /** The modifier of a request with vars, as web servers send it. */
+  /** The first modifier of a request with vars, as web servers send it. */
   static final int MODIFIER_REQUEST = 0;
 
-  /** The modifier of a ping; the response is the same packet with modifier2 set to 1. */
+  /** The first modifier of a ping; the response is the same packet with modifier2 set to 1. */
   static final int MODIFIER_PING = 100;
 
   static final int HEADER_BYTES = 4;
 
-  /** The largest length that its two bytes can hold, of a string or of all vars. */
+  /** The largest length of a string, or of all vars: lengths are encoded in two bytes. */
   private static final int MAX_LENGTH = 0xffff;
 
   /** Returns the response to a ping. */
@@ -31,12 +31,12 @@
     return ByteBuffer.wrap(new byte[] {MODIFIER_PING, 0, 0, 1});
   }
 
-  /** Returns a var; empty where it is absent. */
+  /** Returns the value of a var; an empty string if the var is absent. */
   String var(String name) {
     return vars.getOrDefault(name, "");
   }
 
-  /** Encodes the packet; empty where the vars are too long for its header. */
+  /** Encodes the packet; returns empty if a string or all vars exceed {@link #MAX_LENGTH}. */
   Optional<ByteBuffer> encode() {
     ByteArrayOutputStream block = new ByteArrayOutputStream();
     for (Map.Entry<String, String> var : vars.entrySet()) {
@@ -54,7 +54,7 @@
     return Optional.of(encoded.put(block.toByteArray()).put(body).flip());
   }
 
-  /** Appends a string with its length; false where it is too long. */
+  /** Appends a string after its length; returns false if it exceeds {@link #MAX_LENGTH}. */
   private static boolean append(ByteArrayOutputStream block, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     block.write(bytes.length);
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRequestParser.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRequestParser.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** An incremental parser of one uwsgi request: its header, its vars, and a body of known length. */
+/** An incremental parser of one uwsgi request: a header, vars, and a body of known length. */
 final class UwsgiRequestParser {
   private enum State {
     HEADER,
@@ -16,14 +16,14 @@
     FAILED
   }
 
-  /** Bytes of the length before each string. */
+  /** The size of the length field before each string. */
   private static final int LENGTH_BYTES = 2;
 
   private final int maxVarsBytes;
   private final int maxBodyBytes;
   private State state = State.HEADER;
 
-  /** The part of the request that is being read; its length is known. */
+  /** Buffers the part of the request that is being read; its capacity is the part's length. */
   private ByteBuffer part = ByteBuffer.allocate(UwsgiPacket.HEADER_BYTES);
 
   private int modifier1;
@@ -32,7 +32,7 @@
   private byte[] body = new byte[0];
   private RequestError error;
 
-  /** Creates a parser that accepts vars and bodies up to these lengths. */
+  /** Creates a parser that rejects vars and bodies longer than these limits. */
   UwsgiRequestParser(int maxVarsBytes, int maxBodyBytes) {
     this.maxVarsBytes = maxVarsBytes;
     this.maxBodyBytes = maxBodyBytes;
@@ -41,7 +41,7 @@
   /**
    * Consumes input up to the end of the request.
    *
-   * @return whether the request is complete, or known to be invalid
+   * @return whether the request is complete or was found to be invalid
    */
   boolean feed(ByteBuffer input) {
     while (state != State.COMPLETE && state != State.FAILED) {
@@ -57,17 +57,17 @@
     return true;
   }
 
-  /** Whether any byte of the request has been received. */
+  /** Returns whether any byte of the request has been received. */
   boolean hasInput() {
     return state != State.HEADER || part.position() > 0;
   }
 
-  /** Returns why the request is invalid; empty while it is not. */
+  /** Returns the reason why the request is invalid; empty if no error has been found. */
   Optional<RequestError> error() {
     return Optional.ofNullable(error);
   }
 
-  /** Returns the request, once it is complete. */
+  /** Returns the request; to be called once it is complete. */
   UwsgiPacket packet() {
     return new UwsgiPacket(modifier1, modifier2, vars, body);
   }
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Reads a string with its length; empty where it runs past the vars. */
+  /** Reads a length and its string; returns empty if they extend past the end of the vars. */
   private Optional<String> readString() {
     if (part.remaining() < LENGTH_BYTES) {
       return Optional.empty();
@@ -144,7 +144,7 @@
     return Optional.of(new String(bytes, StandardCharsets.UTF_8));
   }
 
-  /** Reads a length, which is little-endian. */
+  /** Reads a length, which is encoded in two bytes, little-endian. */
   private int readLength() {
     int low = part.get() & 0xff;
     int high = part.get() & 0xff;
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -21,9 +21,9 @@
 import rosecleat.net.EventLoop;
 
 /**
- * A runner that executes requests on uwsgi services, each on a connection of its own. It reports no
- * more of a run than is proven: a connection that breaks after the request was sent leaves the
- * outcome unknown. For the event loop.
+ * A runner that executes requests on uwsgi services, each on a separate connection. A run is
+ * reported as not executed only if that is certain: if the connection breaks after the request was
+ * sent, the outcome is unknown. All methods must be called on the event loop.
  */
 public final class UwsgiRunner implements Runner {
   private static final long CONNECT_TIMEOUT_US = 1_000_000;
@@ -31,10 +31,10 @@
   private static final int READ_BUFFER_BYTES = 8 << 10;
   private static final int PAUSE_READING_ABOVE_BYTES = 64 << 10;
 
-  /** What a connection's write queue holds beside a body; the vars are 64 KiB at most. */
+  /** The capacity of a connection's write queue for header and vars, which take up to 64 KiB. */
   private static final int MAX_HEAD_BYTES = 128 << 10;
 
-  /** A run is abandoned this long after its deadline. */
+  /** The time after its deadline at which a run that has not ended is abandoned. */
   private static final long OVERDUE_TIMEOUT_US = 1_000_000;
 
   private static final long US_PER_MS = 1_000;
@@ -51,7 +51,7 @@
    * Creates a runner.
    *
    * @param clock the Unix time in microseconds
-   * @param maxResponseBytes the longest body that a service may respond with
+   * @param maxResponseBytes the longest body that is accepted in the response of a service
    * @param instances the instances of services without a fixed address
    */
   public UwsgiRunner(
@@ -83,17 +83,17 @@
     }
   }
 
-  /** Does nothing: these runs make no calls. */
+  /** Does nothing: these runs make no downstream calls. */
   @Override
   public void completeCall(String id, byte[] reply) {}
 
-  /** Does nothing: these runs make no calls. */
+  /** Does nothing: these runs make no downstream calls. */
   @Override
   public void skipCall(String id, long callNumber) {}
 
-  /** One run on one connection. */
+  /** One run, which uses one connection. */
   private final class Run implements ConnectHandler, ConnectionHandler {
-    /** Stands for the length of the response where no complete one came. */
+    /** The value of the response's length if no complete response was received. */
     private static final int NO_RESPONSE = -1;
 
     private final Request request;
@@ -127,14 +127,14 @@
     }
 
     /**
-     * Ends the run on a later turn of the loop, since the core must not be called back while it
-     * starts or cancels a run.
+     * Ends the run in a later task of the event loop, because the core must not be called back
+     * while it starts or cancels a run.
      */
     void endLater(RunResult result) {
       loop.execute(() -> endWithoutResult(result));
     }
 
-    /** Chooses where to run; empty where no instance of the service has a slot. */
+    /** Returns the address to connect to; empty if no instance of the service has a free slot. */
     private Optional<InetSocketAddress> chooseAddress() {
       String service = request.attributes().get(RunAttributes.SERVICE);
       if (service != null) {
@@ -176,7 +176,7 @@
         return;
       }
       established.start(this);
-      if (!established.write(packet.get())) { // not a byte of it was sent
+      if (!established.write(packet.get())) { // no byte of the packet was sent
         endWithoutResult(RunResult.UNREACHABLE);
         return;
       }
@@ -193,7 +193,7 @@
       return vars;
     }
 
-    /** The connection could not be established, so nothing ran. */
+    /** Ends the run as unreachable: without a connection the service executed nothing. */
     @Override
     public void failed(Failure failure) {
       endWithoutResult(RunResult.UNREACHABLE);
@@ -208,7 +208,10 @@
       }
     }
 
-    /** A connection that breaks after the request was sent proves nothing about the run. */
+    /**
+     * Ends the run with its result if the end of the stream completes the response. Otherwise the
+     * outcome is unknown: a broken connection does not prove whether the request was executed.
+     */
     @Override
     public void closed(Failure failure, boolean endOfStream) {
       if (endOfStream && parser.isComplete(true)) {
@@ -218,7 +221,7 @@
       }
     }
 
-    /** Any complete response is a result, also one with an error status. */
+    /** Ends the run with a result: every complete response is one, even with an error status. */
     private void complete() {
       ServiceResponse response = parser.response();
       counters.add("backend.status." + response.status() / 100 + "xx");
