--- a/src/main/java/rosecleat/simulator/ActionEncoder.java
+++ b/src/main/java/rosecleat/simulator/ActionEncoder.java
@@ -2,7 +2,7 @@
 
 import rosecleat.policy.PolicyActions;
 
-/** Writes the actions of one server's policy into the reply. */
+/** Encodes the actions of one server's policy as records of the reply. */
 final class ActionEncoder implements PolicyActions {
   private static final int RUN = 1000;
   private static final int REJECT = 1010;
@@ -19,10 +19,10 @@
   private static final int START_TIMER = 1120;
   private static final int LOG = 1130;
 
-  /** The first field of a record, after its code and server. */
+  /** The offset of a record's first field, which follows the code and the server. */
   private static final int FIRST_FIELD = ReplyFrame.FIRST_FIELD;
 
-  /** The field that follows a request's id. */
+  /** The offset of the field that follows a request's id. */
   private static final int AFTER_ID = FIRST_FIELD + Long.BYTES;
 
   private static final int NO_RETRY = AFTER_ID + Integer.BYTES;
--- a/src/main/java/rosecleat/simulator/BatchFrame.java
+++ b/src/main/java/rosecleat/simulator/BatchFrame.java
@@ -7,14 +7,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One batch of events as it is on the wire: a header, records of a fixed size, and a tail of texts.
- * Little-endian; the buffer is reused from batch to batch.
+ * One batch of events in the encoding of the simulator's protocol: a header, records of a fixed
+ * size, and a tail with the texts. Numbers are little-endian. The buffers are reused for each
+ * batch.
  */
 final class BatchFrame {
   private static final int HEADER_BYTES = 16;
   private static final int RECORD_BYTES = 64;
 
-  /** A body longer than this cannot be a frame (bytes). */
+  /** The limit on the length of a body; a frame with a longer body is malformed. */
   private static final int MAX_BODY_BYTES = 1 << 30;
 
   private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -38,8 +39,8 @@
   /**
    * Reads the next batch.
    *
-   * @return false where the input ends before it
-   * @throws WireException where the input is not a batch
+   * @return false if the input has ended
+   * @throws WireException if the input ends inside a batch or is malformed
    */
   boolean readNext() throws IOException {
     int bytesRead = input.readNBytes(header.array(), 0, HEADER_BYTES);
@@ -47,7 +48,8 @@
       return false;
     }
     if (bytesRead < HEADER_BYTES) {
-      throw new WireException("input ends inside a frame header");
+      throw new WireException(
+          "input ended inside a frame header: got " + bytesRead + " of " + HEADER_BYTES + " bytes");
     }
     long length = Integer.toUnsignedLong(header.getInt(BODY_LENGTH));
     long count = Integer.toUnsignedLong(header.getInt(RECORD_COUNT));
@@ -56,18 +58,25 @@
     recordCount = (int) count;
     reserve(bodyLength);
     if (input.readNBytes(body.array(), 0, bodyLength) < bodyLength) {
-      throw new WireException("input ends inside a frame");
+      throw new WireException("input ended inside a frame body of " + bodyLength + " bytes");
     }
     return true;
   }
 
   private static void checkSize(long length, long count) {
     if (length > MAX_BODY_BYTES) {
-      throw new WireException("frame of " + length + " bytes is too long");
+      throw new WireException(
+          "frame body of " + length + " bytes exceeds the limit of " + MAX_BODY_BYTES + " bytes");
     }
     if (count * RECORD_BYTES > length) {
       throw new WireException(
-          "frame of " + length + " bytes is too short for " + count + " records");
+          "frame body of "
+              + length
+              + " bytes is too short for "
+              + count
+              + " records of "
+              + RECORD_BYTES
+              + " bytes");
     }
   }
 
@@ -80,17 +89,17 @@
     }
   }
 
-  /** The time of the batch (us). */
+  /** Returns the time of the batch, in microseconds. */
   long clockUs() {
     return header.getLong(CLOCK);
   }
 
-  /** The number of its records. */
+  /** Returns the number of records in the batch. */
   int recordCount() {
     return recordCount;
   }
 
-  /** Where a record begins in the body. */
+  /** Returns the offset of a record in the body. */
   int recordOffset(int index) {
     return index * RECORD_BYTES;
   }
@@ -123,17 +132,18 @@
     return body.getFloat(at);
   }
 
-  /** Whether so many bytes can be read from an offset. */
+  /** Returns whether the buffer has room for this many bytes from an offset on. */
   boolean hasBytes(int at, int bytes) {
     return at + bytes <= body.limit();
   }
 
-  /** A text of the tail, whose offset and length stand at {@code at}. */
+  /** Returns the text in the tail whose offset and length are encoded at {@code at}. */
   String text(int at) {
     long from = (long) recordCount * RECORD_BYTES + unsigned32(at);
     long length = unsigned32(at + Integer.BYTES);
     if (from + length > bodyLength) {
-      throw new WireException("offset outside the tail");
+      throw new WireException(
+          "text ends at byte " + (from + length) + " of a frame body of " + bodyLength + " bytes");
     }
     return new String(body.array(), (int) from, (int) length, StandardCharsets.UTF_8);
   }
--- a/src/main/java/rosecleat/simulator/EventDecoder.java
+++ b/src/main/java/rosecleat/simulator/EventDecoder.java
@@ -6,12 +6,12 @@
 import rosecleat.policy.PolicyRequest;
 import rosecleat.policy.ServerGauges;
 
-/** Decodes event records and hands them to a policy. Offsets count from the start of a record. */
+/** Decodes event records and calls a policy with them. Offsets are relative to the record. */
 final class EventDecoder {
-  /** A server starts. */
+  /** The code of the event that a server starts. */
   static final int SERVER_STARTED = 1000;
 
-  /** A server is stopped. */
+  /** The code of the event that a server is stopped. */
   static final int SERVER_STOPPED = 1080;
 
   private static final int REQUEST_ARRIVED = 1010;
@@ -25,7 +25,7 @@
   private static final int CODE = 0;
   private static final int SERVER = 2;
 
-  /** The request, the timer's tag, the seed or the time left: what follows the server. */
+  /** The offset of the request's id, the timer's tag, the seed or the remaining time. */
   private static final int FIRST_FIELD = 4;
 
   private static final int SETTINGS = 12;
@@ -64,17 +64,17 @@
     return batch.unsigned16(record + SERVER);
   }
 
-  /** The seed of a server that starts. */
+  /** Returns the seed for the policy of a server that starts. */
   long seed(int record) {
     return batch.int64(record + FIRST_FIELD);
   }
 
-  /** The settings of a server that starts, as text. */
+  /** Returns the settings of a server that starts, as JSON text. */
   String settings(int record) {
     return batch.text(record + SETTINGS);
   }
 
-  /** Hands an event to a policy; events that this adapter does not know are ignored. */
+  /** Calls the policy's method for an event; ignores events with an unknown code. */
   void dispatch(int record, PolicyEvents policy, List<String> gaugeNames) {
     long now = batch.clockUs();
     long id = batch.int64(record + FIRST_FIELD);
@@ -90,7 +90,7 @@
         readGauges(record + GAUGES, gaugeNames);
         policy.timerFired(now, id, gauges);
       }
-      default -> {} // an event that this adapter does not know
+      default -> {} // unknown events are ignored
     }
   }
 
@@ -117,7 +117,7 @@
     gauges.clear();
     int count = Math.min(batch.unsigned8(at), names.size());
     if (!batch.hasBytes(at, 1 + Float.BYTES * count)) {
-      throw new WireException("gauges run past the frame");
+      throw new WireException("gauges extend past the end of the frame buffer");
     }
     for (int i = 0; i < count; i++) {
       gauges.set(names.get(i), batch.float32(at + 1 + Float.BYTES * i));
--- a/src/main/java/rosecleat/simulator/Main.java
+++ b/src/main/java/rosecleat/simulator/Main.java
@@ -7,13 +7,15 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 
-/** The command line: {@code benchlink} speaks the simulator's wire on standard input and output. */
+/** The command {@code benchlink}, which serves the simulator on standard input and output. */
 public final class Main {
   private Main() {}
 
-  /** Starts the adapter; see {@link #run}. */
+  /** Runs the command and exits the process; see {@link #run}. */
   public static void main(String[] args) {
-    // Taken from the descriptors so that nothing else in the process can write to standard output.
+    // The adapter uses the file descriptors, and System.out is redirected to standard error, so
+    // that
+    // no other code in this process can write to standard output.
     InputStream in = new FileInputStream(FileDescriptor.in);
     OutputStream out = new FileOutputStream(FileDescriptor.out);
     System.setOut(System.err);
@@ -21,8 +23,10 @@
   }
 
   /**
-   * Returns the exit code: 0 at the end of the input, 2 for wrong words or wrong input, with a line
-   * on standard error.
+   * Serves the simulator until the input ends.
+   *
+   * @return the exit code: 0 at the end of the input; 2 for invalid arguments or input, or for an
+   *     I/O error, with one line on standard error
    */
   public static int run(String[] args, InputStream in, OutputStream out) {
     if (args.length != 1 || !args[0].equals("benchlink")) {
@@ -36,7 +40,7 @@
       System.err.println("rosecleat: " + e.getMessage());
       return 2;
     } catch (IOException e) {
-      System.err.println("rosecleat: input or output failed: " + e.getMessage());
+      System.err.println("rosecleat: I/O with the simulator failed: " + e.getMessage());
       return 2;
     }
   }
--- a/src/main/java/rosecleat/simulator/ReplyFrame.java
+++ b/src/main/java/rosecleat/simulator/ReplyFrame.java
@@ -8,11 +8,11 @@
 import java.util.Arrays;
 
 /**
- * One reply on the wire, under construction: a header, records of a fixed size, and a tail of
- * texts. Little-endian; the buffers are reused from reply to reply.
+ * Builds one reply in the encoding of the simulator's protocol: a header, records of a fixed size,
+ * and a tail with the texts. Numbers are little-endian. The buffers are reused for each reply.
  */
 final class ReplyFrame {
-  /** The first field of a record, after its code and server. */
+  /** The offset of a record's first field, which follows the code and the server. */
   static final int FIRST_FIELD = 4;
 
   private static final int HEADER_BYTES = 8;
@@ -31,14 +31,14 @@
   private int tailLength;
   private int recordCount;
 
-  /** Begins a new reply. */
+  /** Removes all records and texts, to start a new reply. */
   void clear() {
     Arrays.fill(frame.array(), 0, recordsEnd(), (byte) 0);
     recordCount = 0;
     tailLength = 0;
   }
 
-  /** Writes the reply and flushes it. */
+  /** Writes the reply to the output and flushes the output. */
   void send(OutputStream out) throws IOException {
     int end = recordsEnd();
     frame.putInt(BODY_LENGTH, recordCount * RECORD_BYTES + tailLength);
@@ -57,12 +57,12 @@
     return HEADER_BYTES + recordCount * RECORD_BYTES;
   }
 
-  /** Reports an exception in the policy of a server. */
+  /** Adds a record that reports an exception in the policy of a server. */
   void internalError(int server, String text) {
     putText(add(INTERNAL_ERROR, server), text);
   }
 
-  /** Adds a record and returns where it begins. */
+  /** Adds a record and returns its offset. */
   int add(int code, int server) {
     int record = recordsEnd();
     if (record + RECORD_BYTES > frame.capacity()) {
@@ -80,7 +80,7 @@
     frame.put(at, (byte) (value ? 1 : 0));
   }
 
-  /** Puts an unsigned value of 32 bits; a value outside its range becomes the nearest in it. */
+  /** Writes an unsigned 32-bit value; a value outside its range is clamped to the range. */
   void putUnsigned32(int at, long value) {
     frame.putInt(at, (int) Math.max(0, Math.min(value, MAX_UNSIGNED_32)));
   }
@@ -93,7 +93,7 @@
     frame.putFloat(at, value);
   }
 
-  /** Adds a text to the tail, and puts its offset and length into a record. */
+  /** Appends a text to the tail, and writes its offset and length into a record. */
   void putText(int record, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     if (tailLength + bytes.length > tail.length) {
--- a/src/main/java/rosecleat/simulator/SimulatorAdapter.java
+++ b/src/main/java/rosecleat/simulator/SimulatorAdapter.java
@@ -15,11 +15,11 @@
 import rosecleat.policy.PolicySettings;
 
 /**
- * Reads batches of events, hands each event to the policy of its server, and writes one reply to
- * each batch.
+ * Reads batches of events, calls the policy of each event's server with the event, and writes one
+ * reply to each batch.
  */
 final class SimulatorAdapter {
-  /** Makes the policy of a server that starts. */
+  /** Creates the policy of a server that starts. */
   interface PolicyFactory {
     PolicyEvents create(PolicySettings settings, long seed, PolicyActions actions);
   }
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Answers batches until the input ends between two of them.
+   * Replies to batches until the input ends after a complete batch.
    *
-   * @throws WireException where the input is not the simulator's
+   * @throws WireException if a batch is malformed or the settings of a server are invalid
    */
   void serve() throws IOException {
     while (batch.readNext()) {
--- a/src/main/java/rosecleat/simulator/WireException.java
+++ b/src/main/java/rosecleat/simulator/WireException.java
@@ -1,6 +1,9 @@
 package rosecleat.simulator;
 
-/** Input that is not the wire; its message is the one line the process ends with. */
+/**
+ * Signals input that violates the simulator's protocol. The process prints the message as its only
+ * error line and exits.
+ */
 final class WireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/src/test/java/rosecleat/front/uwsgi/OperationRouterTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/OperationRouterTest.java
@@ -41,25 +41,25 @@
   }
 
   @Test
-  void aTemplateMatchesAnySegmentAndNamesIt() {
+  void templateMatchesAnySegmentAndBindsItsParameter() {
     assertEquals("balance", match("GET", "/cards/7/balance").operation().id());
     assertEquals(Map.of("id", "7"), match("GET", "/cards/7/balance").parameters());
     assertEquals(Map.of("card", "7"), match("PUT", "/cards/7").parameters());
   }
 
   @Test
-  void aLiteralSegmentTakesPrecedenceWhereItHasTheMethod() {
+  void literalSegmentTakesPrecedenceIfItHasTheMethod() {
     assertEquals("new", match("POST", "/cards/new").operation().id());
     assertEquals("card", match("GET", "/cards/new").operation().id());
   }
 
   @Test
-  void aHeadRequestExecutesTheGet() {
+  void headRequestMatchesGetOperation() {
     assertEquals("card", match("HEAD", "/cards/7").operation().id());
   }
 
   @Test
-  void anotherMethodYieldsAllMethodsOfThePath() {
+  void unsupportedMethodYieldsAllMethodsOfThePath() {
     assertEquals(
         new RouteResult.MethodNotAllowed("GET, HEAD, OPTIONS, POST, PUT"),
         router.find("DELETE", "/cards/new"));
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void otherPathsAreNotFound() {
+  void pathWithoutMatchingOperationIsNotFound() {
     for (String path :
         List.of("/", "cards/7", "/cards", "/cards/", "/cards/7/", "/cards//balance")) {
       assertEquals(new RouteResult.NotFound(), router.find("GET", path), path);
--- a/src/test/java/rosecleat/front/uwsgi/ServiceResponseCodecTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/ServiceResponseCodecTest.java
@@ -14,10 +14,10 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of a service's response. */
+/** Tests the encoding of a service's response as a request's result. */
 class ServiceResponseCodecTest {
   @Property(tries = 300, seed = "5")
-  void anEncodedResponseDecodesToItself(
+  void decodingAnEncodedResponseYieldsTheSameResponse(
       @ForAll @IntRange(min = 200, max = 599) int status,
       @ForAll @Size(max = 6) List<@AlphaChars @StringLength(min = 1, max = 12) String> names,
       @ForAll byte[] body) {
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void aBodyWithoutHeadIsNotDecoded() {
+  void bytesWithoutValidHeadAreNotDecoded() {
     assertEquals(
         Optional.empty(), ServiceResponseCodec.decode("did work".getBytes(StandardCharsets.UTF_8)));
     assertEquals(
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRequestParserTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRequestParserTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aRequestThatArrivesByteByByteIsCompleteAtItsLastByte() {
+  void requestReceivedByteByByteIsCompleteAtItsLastByte() {
     ByteBuffer input = encode(Map.of("CONTENT_LENGTH", "3", "REQUEST_METHOD", "PUT"), "abc");
     assertFalse(parser.hasInput());
     while (input.remaining() > 1) {
@@ -56,13 +56,13 @@
   }
 
   @Test
-  void aPingIsCompleteWithItsHeader() {
+  void pingIsCompleteAfterItsHeader() {
     assertTrue(parser.feed(bytes(UwsgiPacket.MODIFIER_PING, 0, 0, 0)));
     assertEquals(UwsgiPacket.MODIFIER_PING, parser.packet().modifier1());
   }
 
   @Test
-  void eachKindOfInvalidRequestHasItsError() {
+  void invalidRequestYieldsTheErrorOfItsKind() {
     assertEquals(Optional.of(Kind.UNSUPPORTED_MODIFIER), errorOf(bytes(5, 0, 0, 0)));
     assertEquals(Optional.of(Kind.VARS_TOO_LONG), errorOf(bytes(0, 101, 0, 0)));
     assertEquals(Optional.of(Kind.MALFORMED_VARS), errorOf(bytes(0, 3, 0, 0, 9, 0, 'a')));
--- a/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
+++ b/src/test/java/rosecleat/front/uwsgi/UwsgiRunnerTest.java
@@ -18,7 +18,7 @@
 import rosecleat.net.LoopGate;
 import rosecleat.net.MonotonicClock;
 
-/** The runner against a service on a real socket. */
+/** Tests the runner with a service on a real socket. */
 class UwsgiRunnerTest {
   private static final int BODY_BYTES = 2 << 20;
   private static final int MAX_RESPONSE_BYTES = 1 << 20;
@@ -26,9 +26,12 @@
   private static final long IDLE_TIMEOUT_US = 30_000_000;
   private static final long TEST_TIMEOUT_NS = 10_000_000_000L;
 
-  /** Guards bodies that are longer than the default write queue of a connection (1 MiB). */
+  /**
+   * Guards against a write queue that is not sized for the request's body: the default queue of a
+   * connection (1 MiB) would overflow and the connection would be closed.
+   */
   @Test
-  void aBodyOfTwoMebibytesReachesItsBackend() throws Exception {
+  void requestBodyOfTwoMebibytesReachesBackend() throws Exception {
     try (Log log = new Log(System.err);
         EventLoop loop = new EventLoop(log);
         LoopGate gate = new LoopGate(loop);
--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -28,7 +28,10 @@
 import rosecleat.policy.PriorityClass;
 import rosecleat.policy.ServerGauges;
 
-/** The wire both ways, settings, and bad input. */
+/**
+ * Tests the decoding of events and settings, the encoding of actions, and the errors of malformed
+ * input.
+ */
 class SimulatorAdapterTest {
   private static final String SETTINGS =
       """
@@ -49,7 +52,7 @@
                  "worth-without": [0.5, 0, 0]}}\
       """;
 
-  /** Events as calls in text; each arrival is answered with the given actions. */
+  /** Records the policy's events as text, and performs the given actions at each arrival. */
   private static final class Recorder implements SimulatorAdapter.PolicyFactory {
     final List<String> calls = new ArrayList<>();
     PolicySettings settings;
@@ -140,7 +143,7 @@
   }
 
   @Test
-  void anEmptyBatchHasAnEmptyReply() throws IOException {
+  void emptyBatchGetsEmptyReply() throws IOException {
     assertArrayEquals(new byte[8], serve(new Recorder(), frame(5, "")));
   }
 
@@ -175,7 +178,7 @@
   }
 
   @Test
-  void everyEventReachesThePolicyWithItsFields() throws IOException {
+  void eachEventIsDispatchedToPolicyWithItsFields() throws IOException {
     Recorder recorder = new Recorder();
     serve(recorder, batchOfAllEvents());
     assertEquals("create 77", recorder.calls.get(0));
@@ -197,12 +200,12 @@
     assertEquals("cancelled 2000 9", recorder.calls.get(7));
     assertTrue(recorder.calls.get(8).startsWith("timerFired 2000 77 [0.6"));
     assertTrue(recorder.calls.get(8).endsWith(" 3.0 -1.0 120.0]"));
-    assertEquals(
-        9, recorder.calls.size()); // nothing after the stop, nothing for a server never started
+    // Events of a stopped server and of a server that was never started are not dispatched.
+    assertEquals(9, recorder.calls.size());
   }
 
   @Test
-  void settingsAreReadAndUnknownKeysIgnored() throws IOException {
+  void settingsAreReadAndUnknownKeysAreIgnored() throws IOException {
     Recorder recorder = new Recorder();
     serve(recorder, startBatch());
     PolicySettings settings = recorder.settings;
@@ -227,7 +230,7 @@
   }
 
   @Test
-  void absentSettingsAreReadAsNone() throws IOException {
+  void absentOptionalSettingsAreReadAsDefaults() throws IOException {
     Recorder recorder = new Recorder();
     String bare =
         SETTINGS
@@ -244,7 +247,7 @@
     assertEquals(0, settings.classes().get(2).weightWithoutCall());
     assertFalse(settings.classes().get(0).callsDownstream());
     new SimulatorAdapter(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream())
-        .serve(); // the module takes them
+        .serve(); // the policy itself accepts these settings
   }
 
   private static void performEachAction(PolicyActions actions) {
@@ -264,7 +267,7 @@
     actions.log("two servers known");
   }
 
-  /** One record of each action, in the order of {@link #performEachAction}, and the tail. */
+  /** The header, one record per action of {@link #performEachAction} in order, and the tail. */
   private static final String REPLY_OF_ALL_ACTIONS =
       "61010000"
           + "0e000000"
@@ -319,7 +322,7 @@
           + HexFormat.of().formatHex("two servers known".getBytes(StandardCharsets.UTF_8));
 
   @Test
-  void everyActionIsWrittenAsTheWireSays() throws IOException {
+  void eachActionIsEncodedAsItsRecord() throws IOException {
     Recorder recorder = new Recorder();
     recorder.onArrival = SimulatorAdapterTest::performEachAction;
     byte[] out = serve(recorder, join(startBatch(), frame(2000, "", record(1010, 3))));
@@ -328,7 +331,7 @@
   }
 
   @Test
-  void aReplyGrowsAndTheNextOneIsClean() throws IOException {
+  void replyBufferGrowsAndNextReplyIsCleared() throws IOException {
     Recorder recorder = new Recorder();
     int[] repetitions = {3000};
     recorder.onArrival =
@@ -356,7 +359,7 @@
   }
 
   @Test
-  void anExceptionInThePolicyIsReported() throws IOException {
+  void policyExceptionIsReportedInReply() throws IOException {
     Recorder recorder = new Recorder();
     recorder.onArrival =
         a -> {
@@ -377,16 +380,19 @@
   }
 
   @Test
-  void badInputIsReportedWithItsCause() {
-    assertRejected("input ends inside a frame header", new byte[7]);
-    assertRejected("input ends inside a frame", java.util.Arrays.copyOf(startBatch(), 40));
+  void malformedInputIsRejectedWithItsCause() {
+    assertRejected("input ended inside a frame header: got 7 of 16 bytes", new byte[7]);
+    assertRejected(
+        "input ended inside a frame body of " + (startBatch().length - 16) + " bytes",
+        java.util.Arrays.copyOf(startBatch(), 40));
     byte[] tooLong = new byte[16];
     tooLong[3] = (byte) 0xff;
-    assertRejected("frame of 4278190080 bytes is too long", tooLong);
+    assertRejected("frame body of 4278190080 bytes exceeds the limit of 1073741824 bytes", tooLong);
     byte[] tooShort = new byte[16];
     tooShort[4] = 1;
-    assertRejected("frame of 0 bytes is too short for 1 records", tooShort);
-    assertRejected("offset outside the tail", frame(1, "{}", start(3, 1, 2)));
+    assertRejected("frame body of 0 bytes is too short for 1 records of 64 bytes", tooShort);
+    assertRejected(
+        "text ends at byte 67 of a frame body of 66 bytes", frame(1, "{}", start(3, 1, 2)));
     assertRejected("settings are not JSON", settings("{no"));
     assertRejected("settings are not a JSON object", settings("[]"));
     assertRejected("settings lack grades", settings("{}"));
@@ -399,7 +405,7 @@
   }
 
   @Test
-  void theProcessEndsWithOnePlainLineAndNothingOnStandardOutput() {
+  void malformedInputPrintsOneErrorLineAndNothingOnStandardOutput() {
     PrintStream err = System.err;
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -408,7 +414,8 @@
       String[] arguments = {"benchlink"};
       assertEquals(2, Main.run(arguments, new ByteArrayInputStream(new byte[3]), out));
       assertEquals(
-          "rosecleat: input ends inside a frame header" + System.lineSeparator(),
+          "rosecleat: input ended inside a frame header: got 3 of 16 bytes"
+              + System.lineSeparator(),
           lines.toString(StandardCharsets.UTF_8));
       assertEquals(0, Main.run(arguments, new ByteArrayInputStream(new byte[0]), out));
       assertEquals(2, Main.run(new String[0], new ByteArrayInputStream(new byte[0]), out));
