--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -56,11 +56,11 @@
   private static final class Recorder implements SimulatorAdapter.PolicyFactory {
     final List<String> calls = new ArrayList<>();
     PolicySettings settings;
-    java.util.function.Consumer<PolicyActions> onArrival = a -> {};
+    java.util.function.Consumer<PolicyActions> onArrival = actions -> {};
 
     @Override
-    public PolicyEvents create(PolicySettings s, long seed, PolicyActions actions) {
-      settings = s;
+    public PolicyEvents create(PolicySettings newSettings, long seed, PolicyActions actions) {
+      settings = newSettings;
       calls.add("create " + seed);
       return (PolicyEvents)
           Proxy.newProxyInstance(
@@ -69,15 +69,15 @@
               (proxy, method, args) -> {
                 StringBuilder line = new StringBuilder(method.getName());
                 for (Object arg : args) {
-                  if (arg instanceof ServerGauges g) {
+                  if (arg instanceof ServerGauges gauges) {
                     line.append(" [")
-                        .append(g.coreUtilisation)
+                        .append(gauges.coreUtilisation)
                         .append(' ')
-                        .append(g.runnable)
+                        .append(gauges.runnable)
                         .append(' ')
-                        .append(g.memoryShare)
+                        .append(gauges.memoryShare)
                         .append(' ')
-                        .append(g.connections)
+                        .append(gauges.connections)
                         .append(']');
                   } else {
                     line.append(' ').append(arg);
@@ -93,9 +93,9 @@
   }
 
   private static byte[] record(int code, int server) {
-    ByteBuffer b = ByteBuffer.allocate(64).order(ByteOrder.LITTLE_ENDIAN);
-    b.putShort((short) code).putShort((short) server);
-    return b.array();
+    ByteBuffer buffer = ByteBuffer.allocate(64).order(ByteOrder.LITTLE_ENDIAN);
+    buffer.putShort((short) code).putShort((short) server);
+    return buffer.array();
   }
 
   private static byte[] hex(String text) {
@@ -104,30 +104,30 @@
   }
 
   private static byte[] start(int server, int from, int length) {
-    byte[] r = record(1000, server);
-    ByteBuffer.wrap(r)
+    byte[] record = record(1000, server);
+    ByteBuffer.wrap(record)
         .order(ByteOrder.LITTLE_ENDIAN)
         .putLong(4, 77)
         .putInt(12, from)
         .putInt(16, length);
-    return r;
+    return record;
   }
 
   private static byte[] frame(long clock, String tail, byte[]... records) {
     byte[] text = tail.getBytes(StandardCharsets.UTF_8);
-    ByteBuffer b =
+    ByteBuffer buffer =
         ByteBuffer.allocate(16 + 64 * records.length + text.length).order(ByteOrder.LITTLE_ENDIAN);
-    b.putInt(64 * records.length + text.length).putInt(records.length).putLong(clock);
-    for (byte[] r : records) {
-      b.put(r);
+    buffer.putInt(64 * records.length + text.length).putInt(records.length).putLong(clock);
+    for (byte[] record : records) {
+      buffer.put(record);
     }
-    return b.put(text).array();
+    return buffer.put(text).array();
   }
 
   private static byte[] join(byte[]... parts) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    for (byte[] p : parts) {
-      all.writeBytes(p);
+    for (byte[] part : parts) {
+      all.writeBytes(part);
     }
     return all.toByteArray();
   }
@@ -326,8 +326,8 @@
     Recorder recorder = new Recorder();
     recorder.onArrival = SimulatorAdapterTest::performEachAction;
     byte[] out = serve(recorder, join(startBatch(), frame(2000, "", record(1010, 3))));
-    String got = HexFormat.of().formatHex(out, 8, out.length);
-    assertEquals(REPLY_OF_ALL_ACTIONS, got);
+    String encoded = HexFormat.of().formatHex(out, 8, out.length);
+    assertEquals(REPLY_OF_ALL_ACTIONS, encoded);
   }
 
   @Test
@@ -335,10 +335,10 @@
     Recorder recorder = new Recorder();
     int[] repetitions = {3000};
     recorder.onArrival =
-        a -> {
+        actions -> {
           for (int i = 0; i < repetitions[0]; i++) {
-            a.rememberKey(5, 6);
-            a.setLoadAdvice(2);
+            actions.rememberKey(5, 6);
+            actions.setLoadAdvice(2);
           }
           repetitions[0] = 1;
         };
@@ -362,7 +362,7 @@
   void policyExceptionIsReportedInReply() throws IOException {
     Recorder recorder = new Recorder();
     recorder.onArrival =
-        a -> {
+        actions -> {
           throw new IllegalStateException("boom");
         };
     byte[] out = serve(recorder, join(startBatch(), frame(1, "", record(1010, 3))));
