--- a/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
+++ b/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
@@ -31,7 +31,10 @@
     }
   }
 
-  /** Returns the matching operation, or the methods that the path allows if the method differs. */
+  /**
+   * Returns the operation that matches the method and the path. If operations match only the path,
+   * returns the methods that it allows.
+   */
   RouteResult find(String method, String path) {
     if (!path.startsWith("/")) {
       return new RouteResult.NotFound();
--- a/src/main/java/rosecleat/front/uwsgi/ServiceResponse.java
+++ b/src/main/java/rosecleat/front/uwsgi/ServiceResponse.java
@@ -51,7 +51,10 @@
     return new ServiceResponse(status, endToEndHeaders, body);
   }
 
-  /** Returns whether responses of a status have no body (RFC 9110, section 6.4.1). */
+  /**
+   * Returns whether responses with a status have no body, whatever their headers state (RFC 9110,
+   * section 6.4.1).
+   */
   static boolean isBodiless(int status) {
     return status == 204 || status == 304;
   }
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiConnection.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiConnection.java
@@ -27,7 +27,10 @@
   private static final int NO_CONTENT = 204;
   private static final byte[] EMPTY_BODY = new byte[0];
 
-  /** Rejections this close to the deadline are reported as a timeout, not as an overload. */
+  /**
+   * A rejection that occurs this close to the deadline is due to lack of time, so the response
+   * reports a timeout.
+   */
   private static final long NEAR_DEADLINE_US = 50_000;
 
   private final UwsgiFrontend frontend;
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiFrontend.java
@@ -23,7 +23,7 @@
   private static final int READ_BUFFER_BYTES = 8 << 10;
   private static final int PAUSE_READING_ABOVE_BYTES = 64 << 10;
 
-  /** The capacity that a connection's write queue has for the head of a response. */
+  /** The write queue's capacity for the head of a response, in addition to the body. */
   private static final int MAX_HEAD_BYTES = 20 << 10;
 
   private final EventLoop loop;
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -31,7 +31,10 @@
   private static final int READ_BUFFER_BYTES = 8 << 10;
   private static final int PAUSE_READING_ABOVE_BYTES = 64 << 10;
 
-  /** The capacity of a connection's write queue for header and vars, which take up to 64 KiB. */
+  /**
+   * The write queue's capacity for the header and the vars, in addition to the body. The vars take
+   * at most 64 KiB.
+   */
   private static final int MAX_HEAD_BYTES = 128 << 10;
 
   /** The time after its deadline at which a run that has not ended is abandoned. */
--- a/src/main/java/rosecleat/simulator/BatchFrame.java
+++ b/src/main/java/rosecleat/simulator/BatchFrame.java
@@ -132,7 +132,7 @@
     return body.getFloat(at);
   }
 
-  /** Returns whether the buffer has room for this many bytes from an offset on. */
+  /** Returns whether this many bytes after an offset lie within the buffer. */
   boolean hasBytes(int at, int bytes) {
     return at + bytes <= body.limit();
   }
--- a/src/main/java/rosecleat/simulator/Main.java
+++ b/src/main/java/rosecleat/simulator/Main.java
@@ -13,8 +13,7 @@
 
   /** Runs the command and exits the process; see {@link #run}. */
   public static void main(String[] args) {
-    // The adapter uses the file descriptors, and System.out is redirected to standard error, so
-    // that
+    // The adapter uses the file descriptors and System.out is redirected to standard error, so that
     // no other code in this process can write to standard output.
     InputStream in = new FileInputStream(FileDescriptor.in);
     OutputStream out = new FileOutputStream(FileDescriptor.out);
--- a/src/main/java/rosecleat/simulator/ReplyFrame.java
+++ b/src/main/java/rosecleat/simulator/ReplyFrame.java
@@ -80,7 +80,7 @@
     frame.put(at, (byte) (value ? 1 : 0));
   }
 
-  /** Writes an unsigned 32-bit value; a value outside its range is clamped to the range. */
+  /** Writes an unsigned value of 32 bits; a value outside this range is clamped to it. */
   void putUnsigned32(int at, long value) {
     frame.putInt(at, (int) Math.max(0, Math.min(value, MAX_UNSIGNED_32)));
   }
