--- a/src/main/java/rosecleat/simulator/ReplyFrame.java
+++ b/src/main/java/rosecleat/simulator/ReplyFrame.java
@@ -8,40 +8,41 @@
 import java.util.Arrays;
 
 /**
- * One reply on the wire, under construction: a header, records of a fixed size, and a tail of
- * texts. Little-endian; the buffers are reused from reply to reply.
+ * Builds one reply in the encoding of the simulator's protocol: a header, records of a fixed size,
+ * and a tail with the texts. Numbers are little-endian. The buffers are reused for each reply.
  */
 final class ReplyFrame {
-  /** The first field of a record, after its code and server. */
+  /** The offset of a record's first field, which follows the code and the server. */
   static final int FIRST_FIELD = 4;
 
   private static final int HEADER_BYTES = 8;
   private static final int RECORD_BYTES = 24;
-  private static final int FIRST_BUFFER_BYTES = 1 << 14;
-  private static final int FIRST_TAIL_BYTES = 256;
+  private static final int INITIAL_BUFFER_BYTES = 1 << 14;
+  private static final int INITIAL_TAIL_BYTES = 256;
   private static final int BODY_LENGTH = 0;
   private static final int RECORD_COUNT = 4;
   private static final int SERVER = 2;
   private static final int INTERNAL_ERROR = 1140;
   private static final long MAX_UNSIGNED_32 = 0xffffffffL;
 
-  private ByteBuffer frame = ByteBuffer.allocate(FIRST_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-  private byte[] tail = new byte[FIRST_TAIL_BYTES];
+  private ByteBuffer frame =
+      ByteBuffer.allocate(INITIAL_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+  private byte[] tail = new byte[INITIAL_TAIL_BYTES];
   private int tailLength;
-  private int records;
+  private int recordCount;
 
-  /** Begins a new reply. */
+  /** Removes all records and texts, to start a new reply. */
   void clear() {
     Arrays.fill(frame.array(), 0, recordsEnd(), (byte) 0);
-    records = 0;
+    recordCount = 0;
     tailLength = 0;
   }
 
-  /** Writes the reply and flushes it. */
+  /** Writes the reply to the output and flushes the output. */
   void send(OutputStream out) throws IOException {
     int end = recordsEnd();
-    frame.putInt(BODY_LENGTH, records * RECORD_BYTES + tailLength);
-    frame.putInt(RECORD_COUNT, records);
+    frame.putInt(BODY_LENGTH, recordCount * RECORD_BYTES + tailLength);
+    frame.putInt(RECORD_COUNT, recordCount);
     if (tailLength == 0) {
       out.write(frame.array(), 0, end);
     } else {
@@ -53,15 +54,15 @@
   }
 
   private int recordsEnd() {
-    return HEADER_BYTES + records * RECORD_BYTES;
+    return HEADER_BYTES + recordCount * RECORD_BYTES;
   }
 
-  /** Reports an exception in the policy of a server. */
+  /** Adds a record that reports an exception in the policy of a server. */
   void internalError(int server, String text) {
     putText(add(INTERNAL_ERROR, server), text);
   }
 
-  /** Adds a record and returns where it begins. */
+  /** Adds a record and returns its offset. */
   int add(int code, int server) {
     int record = recordsEnd();
     if (record + RECORD_BYTES > frame.capacity()) {
@@ -71,7 +72,7 @@
     }
     frame.putShort(record, (short) code);
     frame.putShort(record + SERVER, (short) server);
-    records++;
+    recordCount++;
     return record;
   }
 
@@ -79,7 +80,7 @@
     frame.put(at, (byte) (value ? 1 : 0));
   }
 
-  /** Puts an unsigned value of 32 bits; a value outside its range becomes the nearest in it. */
+  /** Writes an unsigned value of 32 bits; a value outside this range is clamped to it. */
   void putUnsigned32(int at, long value) {
     frame.putInt(at, (int) Math.max(0, Math.min(value, MAX_UNSIGNED_32)));
   }
@@ -92,7 +93,7 @@
     frame.putFloat(at, value);
   }
 
-  /** Adds a text to the tail, and puts its offset and length into a record. */
+  /** Appends a text to the tail, and writes its offset and length into a record. */
   void putText(int record, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     if (tailLength + bytes.length > tail.length) {
