--- a/src/main/java/rosecleat/routes/RouteSyncSession.java
+++ b/src/main/java/rosecleat/routes/RouteSyncSession.java
@@ -80,7 +80,7 @@
     if (step != 2) {
       return Optional.empty();
     }
-    List<RouteEntry> missing = answer.getChangesOnly() ? List.of() : missingThere(answer);
+    List<RouteEntry> missing = answer.getChangesOnly() ? List.of() : entriesMissingAtPeer(answer);
     merge(answer);
     if (missing.isEmpty()) {
       return Optional.empty();
@@ -119,9 +119,9 @@
     if (changes.isPresent()) {
       return addEntries(frame, changes.get()).setChangesOnly(true);
     }
-    long[] own = store.trie().partDigests();
-    for (int part = 0; part < own.length; part++) {
-      if (own[part] != digests.getPartDigests(part)) {
+    long[] ownDigests = store.trie().partDigests();
+    for (int part = 0; part < ownDigests.length; part++) {
+      if (ownDigests[part] != digests.getPartDigests(part)) {
         frame.addDifferingParts(part);
         addEntries(frame, store.trie().entriesOfPart(part));
       }
@@ -136,18 +136,18 @@
   }
 
   /** The entries here, of the differing parts, that supersede those of the other side. */
-  private List<RouteEntry> missingThere(RouteSyncFrame answer) {
-    Map<RouteEntry.Key, RouteEntry> theirs = new HashMap<>();
+  private List<RouteEntry> entriesMissingAtPeer(RouteSyncFrame answer) {
+    Map<RouteEntry.Key, RouteEntry> peerEntries = new HashMap<>();
     answer
         .getEntriesList()
         .forEach(
             message ->
-                RouteCodec.decode(message).ifPresent(entry -> theirs.put(entry.key(), entry)));
+                RouteCodec.decode(message).ifPresent(entry -> peerEntries.put(entry.key(), entry)));
     List<RouteEntry> missing = new ArrayList<>();
     for (int part : answer.getDifferingPartsList()) {
-      for (RouteEntry mine : entriesOfPart(part)) {
-        if (mine.supersedes(theirs.get(mine.key()))) {
-          missing.add(mine);
+      for (RouteEntry entry : entriesOfPart(part)) {
+        if (entry.supersedes(peerEntries.get(entry.key()))) {
+          missing.add(entry);
         }
       }
     }
--- a/src/main/java/rosecleat/routes/RouteTable.java
+++ b/src/main/java/rosecleat/routes/RouteTable.java
@@ -58,19 +58,19 @@
     List<RouteChange> removed = new ArrayList<>();
     trie.compare(
         other.trie,
-        (mine, theirs) -> {
-          Instance before = mine == null ? null : mine.instance();
-          Instance after = theirs == null ? null : theirs.instance();
+        (former, current) -> {
+          Instance before = former == null ? null : former.instance();
+          Instance after = current == null ? null : current.instance();
           if (Objects.equals(before, after)) {
             return; // written again with the same content
           }
-          RouteEntry.Key key = (mine == null ? theirs : mine).key();
-          List<RouteChange> kind = before == null ? added : after == null ? removed : modified;
-          kind.add(new RouteChange(key, before, after));
+          RouteEntry.Key key = (former == null ? current : former).key();
+          List<RouteChange> changes = before == null ? added : after == null ? removed : modified;
+          changes.add(new RouteChange(key, before, after));
         });
-    List<RouteChange> all = new ArrayList<>(added);
-    all.addAll(modified);
-    all.addAll(removed);
-    return all;
+    List<RouteChange> allChanges = new ArrayList<>(added);
+    allChanges.addAll(modified);
+    allChanges.addAll(removed);
+    return allChanges;
   }
 }
--- a/src/main/java/rosecleat/routes/RouteTrie.java
+++ b/src/main/java/rosecleat/routes/RouteTrie.java
@@ -206,22 +206,23 @@
   }
 
   private static void compare(
-      RouteTrie one, RouteTrie other, int shift, BiConsumer<RouteEntry, RouteEntry> report) {
-    if (one == other || (one != null && other != null && one.hasSameEntries(other))) {
+      RouteTrie left, RouteTrie right, int shift, BiConsumer<RouteEntry, RouteEntry> report) {
+    if (left == right || (left != null && right != null && left.hasSameEntries(right))) {
       return;
     }
-    if (one == null || one.size == 0 || other == null || other.size == 0) {
-      if (one != null) {
-        one.forEach(entry -> report.accept(entry, null));
+    if (left == null || left.size == 0 || right == null || right.size == 0) {
+      if (left != null) {
+        left.forEach(entry -> report.accept(entry, null));
       }
-      if (other != null) {
-        other.forEach(entry -> report.accept(null, entry));
+      if (right != null) {
+        right.forEach(entry -> report.accept(null, entry));
       }
-    } else if (one.isLeaf() && other.isLeaf()) {
-      compareLeaves(one, other, report);
+    } else if (left.isLeaf() && right.isLeaf()) {
+      compareLeaves(left, right, report);
     } else {
       for (int index = 0; index < CHILDREN; index++) {
-        compare(one.child(index, shift), other.child(index, shift), shift - BITS_PER_LEVEL, report);
+        compare(
+            left.child(index, shift), right.child(index, shift), shift - BITS_PER_LEVEL, report);
       }
     }
   }
@@ -231,15 +232,15 @@
   }
 
   private static void compareLeaves(
-      RouteTrie one, RouteTrie other, BiConsumer<RouteEntry, RouteEntry> report) {
-    for (RouteEntry entry : one.entries) {
-      RouteEntry counterpart = other.entryOf(entry.key());
+      RouteTrie left, RouteTrie right, BiConsumer<RouteEntry, RouteEntry> report) {
+    for (RouteEntry entry : left.entries) {
+      RouteEntry counterpart = right.entryOf(entry.key());
       if (!entry.equals(counterpart)) {
         report.accept(entry, counterpart);
       }
     }
-    for (RouteEntry entry : other.entries) {
-      if (one.entryOf(entry.key()) == null) {
+    for (RouteEntry entry : right.entries) {
+      if (left.entryOf(entry.key()) == null) {
         report.accept(null, entry);
       }
     }
@@ -261,11 +262,11 @@
   }
 
   /** All entries of one part. */
-  List<RouteEntry> entriesOfPart(int wanted) {
+  List<RouteEntry> entriesOfPart(int partIndex) {
     List<RouteEntry> found = new ArrayList<>();
     forEachPart(
         (index, part) -> {
-          if (index == wanted) {
+          if (index == partIndex) {
             part.forEach(found::add);
           }
         });
--- a/src/main/java/rosecleat/state/StateStore.java
+++ b/src/main/java/rosecleat/state/StateStore.java
@@ -59,17 +59,17 @@
   private final Counters counters;
   private final Log log;
   private final StateStoreOpener opener;
-  private final FactChangeFilter changes = new FactChangeFilter(); // for the saver's thread
+  private final FactChangeFilter changeFilter = new FactChangeFilter(); // for the saver's thread
 
   /** Whether a save is under way; another one is skipped meanwhile. */
-  private final AtomicBoolean saving = new AtomicBoolean();
+  private final AtomicBoolean saveInProgress = new AtomicBoolean();
 
   private final ExecutorService saver = Executors.newSingleThreadExecutor(StateStore::saverThread);
   private Settings settings;
   private boolean opened;
   private boolean restored;
   private long nextSaveUs;
-  private boolean failing;
+  private boolean lastSaveFailed;
 
   /** Creates a store that restores what an opener recovers. */
   public StateStore(
@@ -153,7 +153,7 @@
         || !restored
         || !host.policy().started()
         || saver.isShutdown()
-        || !saving.compareAndSet(false, true)) {
+        || !saveInProgress.compareAndSet(false, true)) {
       return;
     }
     List<Estimate> estimates = host.policy().estimates(host.names().get());
@@ -164,7 +164,7 @@
           try {
             appendChanges(store.get(), estimates, digests, halfLifeUs, nowUs);
           } finally {
-            saving.set(false);
+            saveInProgress.set(false);
           }
         });
   }
@@ -180,26 +180,26 @@
             .map(estimate -> EstimateConverter.toFact(estimate, digests, nowUs))
             .filter(fact -> EstimateConverter.isStorable(fact, digests))
             .toList();
-    List<Fact> changed = changes.changed(facts, halfLifeUs);
+    List<Fact> changed = changeFilter.changed(facts, halfLifeUs);
     if (changed.isEmpty()) {
       return;
     }
     AppendResult result =
         store.append(
             List.of(FactCodec.encode(digests.node(), changed)),
-            failure -> host.loop().accept(() -> saved(changed, failure)));
+            failure -> host.loop().accept(() -> onSaveCompleted(changed, failure)));
     if (result == AppendResult.FULL) {
       host.loop().accept(() -> counters.add("state.full"));
     }
   }
 
-  private void saved(List<Fact> facts, Optional<AppendFailure> failure) {
+  private void onSaveCompleted(List<Fact> facts, Optional<AppendFailure> failure) {
     counters.add(failure.isEmpty() ? "state.saves" : "state.failures");
     if (failure.isEmpty() && !saver.isShutdown()) {
-      saver.execute(() -> changes.markPersisted(facts));
+      saver.execute(() -> changeFilter.markPersisted(facts));
     }
-    if (failing != failure.isPresent()) {
-      failing = failure.isPresent();
+    if (lastSaveFailed != failure.isPresent()) {
+      lastSaveFailed = failure.isPresent();
       log.warn(
           failure
               .map(reason -> "state: what is learnt is not written down: " + reason.message())
--- a/src/main/java/rosecleat/store/FileHeader.java
+++ b/src/main/java/rosecleat/store/FileHeader.java
@@ -88,7 +88,7 @@
     return (int) checksum.getValue();
   }
 
-  boolean is(char expectedType, long expectedNumber) {
+  boolean matches(char expectedType, long expectedNumber) {
     return fileType == expectedType && number == expectedNumber;
   }
 }
--- a/src/main/java/rosecleat/store/FileNames.java
+++ b/src/main/java/rosecleat/store/FileNames.java
@@ -62,12 +62,12 @@
   }
 
   /** Returns the name of a file in quarantine. */
-  static String quarantined(long quarantineNumber, String name) {
+  static String quarantinedName(long quarantineNumber, String name) {
     return QUARANTINE_PREFIX + quarantineNumber + "-" + name;
   }
 
   /** Returns the files in quarantine, the oldest first. */
-  static List<String> quarantined(Collection<String> names) {
+  static List<String> quarantinedFiles(Collection<String> names) {
     return names.stream()
         .filter(name -> quarantineNumber(name) > 0)
         .sorted(Comparator.comparingLong(FileNames::quarantineNumber))
--- a/src/main/java/rosecleat/store/FileVerifier.java
+++ b/src/main/java/rosecleat/store/FileVerifier.java
@@ -59,9 +59,9 @@
       throws IOException, UnsupportedFormatException {
     long offset = FileHeader.BYTES;
     long records = 0;
-    boolean ended = false;
+    boolean hasEnd = false;
     while (offset < end) {
-      if (ended) {
+      if (hasEnd) {
         return invalid(RecoveryIssue.Cause.DATA_AFTER_END, file, number, offset, end, records);
       }
       Optional<RecordFormat.Decoded> decoded = RecordFormat.decode(file, number, offset);
@@ -74,14 +74,14 @@
           return new Verification(
               offset, records, false, Optional.of(RecoveryIssue.Cause.RECORDS_MISSING), false);
         }
-        ended = true;
+        hasEnd = true;
       } else if (record.type() != RecordFormat.TYPE_LOG_END) {
         requireSupported(name, offset, record);
         records++;
       }
       offset = decoded.get().nextOffset();
     }
-    return new Verification(offset, records, ended, Optional.empty(), false);
+    return new Verification(offset, records, hasEnd, Optional.empty(), false);
   }
 
   private void requireSupported(String name, long offset, StoredRecord record)
--- a/src/main/java/rosecleat/store/LogChainVerifier.java
+++ b/src/main/java/rosecleat/store/LogChainVerifier.java
@@ -19,7 +19,7 @@
   private final Map<Long, FileHeader> headers = new LinkedHashMap<>();
   private final List<LogSegment> segments = new ArrayList<>();
   private long lastNumber;
-  private boolean broken;
+  private boolean chainBroken;
 
   LogChainVerifier(Directory directory, FileVerifier verifier, RecoveryFindings findings) {
     this.directory = directory;
@@ -37,17 +37,17 @@
   List<LogSegment> verify(long snapshot, List<Long> numbers, boolean snapshotLost)
       throws IOException, UnsupportedFormatException {
     lastNumber = snapshot;
-    broken = snapshotLost;
-    List<Long> later = new ArrayList<>();
+    chainBroken = snapshotLost;
+    List<Long> numbersAfterSnapshot = new ArrayList<>();
     for (long number : numbers) {
       if (number <= snapshot) {
         findings.addObsoleteFile(FileNames.segment(number));
       } else {
-        later.add(number);
+        numbersAfterSnapshot.add(number);
         readHeader(number);
       }
     }
-    for (long number : later) {
+    for (long number : numbersAfterSnapshot) {
       verifySegment(number);
     }
     return List.copyOf(segments);
@@ -57,7 +57,7 @@
     String name = FileNames.segment(number);
     try (FileWindow file = new FileWindow(directory.openInput(name))) {
       FileVerifier.readHeader(name, file)
-          .filter(header -> header.is(FileHeader.SEGMENT, number))
+          .filter(header -> header.matches(FileHeader.SEGMENT, number))
           .ifPresent(header -> headers.put(number, header));
     }
   }
@@ -67,20 +67,20 @@
     FileHeader header = headers.get(number);
     Optional<FileHeader> next = nextHeader(number);
     if (header == null && next.isEmpty()) {
-      findings.addIssue(wholeFile(Cause.SEGMENT_NOT_STARTED, name));
+      findings.addIssue(issueOfWholeFile(Cause.SEGMENT_NOT_STARTED, name));
       findings.addObsoleteFile(name);
-    } else if (broken) {
-      findings.addCorruptFile(wholeFile(Cause.PREDECESSOR_LOST, name));
+    } else if (chainBroken) {
+      findings.addCorruptFile(issueOfWholeFile(Cause.PREDECESSOR_LOST, name));
     } else if (header == null) {
-      findings.addCorruptFile(wholeFile(Cause.SEGMENT_HEADER_UNREADABLE, name));
-      broken = true;
+      findings.addCorruptFile(issueOfWholeFile(Cause.SEGMENT_HEADER_UNREADABLE, name));
+      chainBroken = true;
     } else if (header.previousNumber() != lastNumber) {
       findings.addCorruptFile(
           RecoveryIssue.previousSegmentMissing(
               name, directory.fileSize(name), header.previousNumber()));
-      broken = true;
+      chainBroken = true;
     } else {
-      broken = !verifyRecords(name, number, next);
+      chainBroken = !verifyRecords(name, number, next);
       lastNumber = number;
     }
   }
@@ -118,7 +118,7 @@
     }
   }
 
-  private RecoveryIssue wholeFile(Cause cause, String name) throws IOException {
+  private RecoveryIssue issueOfWholeFile(Cause cause, String name) throws IOException {
     return RecoveryIssue.of(cause, name, 0, directory.fileSize(name));
   }
 }
--- a/src/main/java/rosecleat/store/Quarantine.java
+++ b/src/main/java/rosecleat/store/Quarantine.java
@@ -24,7 +24,7 @@
 
   /** Adds files and removes the oldest ones; returns the size of those that remain (bytes). */
   long add(List<String> corruptFiles) throws IOException {
-    List<String> quarantined = new ArrayList<>(FileNames.quarantined(directory.list()));
+    List<String> quarantined = new ArrayList<>(FileNames.quarantinedFiles(directory.list()));
     long number =
         quarantined.isEmpty()
             ? 0
@@ -32,7 +32,7 @@
     // The first file is the damaged one and the others only continue it: give it the highest
     // number, so that it is retained longest.
     for (int i = corruptFiles.size() - 1; i >= 0; i--) {
-      String newName = FileNames.quarantined(++number, corruptFiles.get(i));
+      String newName = FileNames.quarantinedName(++number, corruptFiles.get(i));
       directory.rename(corruptFiles.get(i), newName);
       quarantined.add(newName);
     }
--- a/src/main/java/rosecleat/store/Recovery.java
+++ b/src/main/java/rosecleat/store/Recovery.java
@@ -154,7 +154,7 @@
     try (FileWindow file = new FileWindow(directory.openInput(name))) {
       Optional<FileHeader> header = FileVerifier.readHeader(name, file);
       long validBytes = 0;
-      if (header.isPresent() && header.get().is(FileHeader.SNAPSHOT, number)) {
+      if (header.isPresent() && header.get().matches(FileHeader.SNAPSHOT, number)) {
         FileVerifier.Verification result = verifier.verify(name, file, number, file.size());
         if (result.isCompleteSnapshot()) {
           findings.addRecords(result.records());
--- a/src/main/java/rosecleat/store/StoreWriter.java
+++ b/src/main/java/rosecleat/store/StoreWriter.java
@@ -70,7 +70,7 @@
         closing = true; // writes what is queued, and ends
       }
       if (running) {
-        compact();
+        manageCompaction();
       }
     }
     compactions.awaitRunning();
@@ -137,7 +137,7 @@
     backoffNs = Math.min(2 * backoffNs, MAX_BACKOFF_NS);
   }
 
-  private void compact() {
+  private void manageCompaction() {
     compactions.installFinished();
     if (!closing) {
       compactions.startIfNeeded();
--- a/src/test/java/rosecleat/routes/RouteStoreTest.java
+++ b/src/test/java/rosecleat/routes/RouteStoreTest.java
@@ -61,7 +61,7 @@
   }
 
   @Property(tries = 500)
-  void anyOrderEndsTheSameAndExchangesMakeStoresEqual(
+  void storesConvergeInAnyOrderAndThroughExchanges(
       @ForAll @Size(max = 40) List<Long> mine,
       @ForAll @Size(max = 40) List<Long> theirs,
       @ForAll long seed) {
@@ -85,14 +85,14 @@
   }
 
   @Property(tries = 500)
-  void aDiffHasTheFewestChangesAndIsInvertible(
-      @ForAll @Size(max = 60) List<Long> first, @ForAll @Size(max = 20) List<Long> then) {
+  void diffHasFewestChangesAndIsInvertible(
+      @ForAll @Size(max = 60) List<Long> first, @ForAll @Size(max = 20) List<Long> later) {
     RouteStore store = storeOf(first.stream().map(RouteStoreTest::entryOf).toList());
     RouteTable before = store.table();
-    then.forEach(choice -> store.merge(List.of(entryOf(choice + 16 * 3))));
+    later.forEach(choice -> store.merge(List.of(entryOf(choice + 16 * 3))));
     RouteTable after = store.table();
-    Map<RouteEntry.Key, Instance> instancesBefore = flat(before);
-    Map<RouteEntry.Key, Instance> instancesAfter = flat(after);
+    Map<RouteEntry.Key, Instance> instancesBefore = instancesByKey(before);
+    Map<RouteEntry.Key, Instance> instancesAfter = instancesByKey(after);
     List<RouteTable.RouteChange> changes = before.diff(after);
     assertEquals(differingKeys(instancesBefore, instancesAfter).size(), changes.size());
     assertEquals(instancesAfter, applied(changes, instancesBefore));
@@ -124,20 +124,20 @@
     return result;
   }
 
-  private static Map<RouteEntry.Key, Instance> flat(RouteTable table) {
-    Map<RouteEntry.Key, Instance> flat = new HashMap<>();
+  private static Map<RouteEntry.Key, Instance> instancesByKey(RouteTable table) {
+    Map<RouteEntry.Key, Instance> byKey = new HashMap<>();
     table
         .services()
         .forEach(
             (service, instances) ->
                 instances.forEach(
-                    (name, instance) -> flat.put(new RouteEntry.Key(service, name), instance)));
-    return flat;
+                    (name, instance) -> byKey.put(new RouteEntry.Key(service, name), instance)));
+    return byKey;
   }
 
   /** Equal content is one table whoever wrote it, and a removal is not undone by an old copy. */
   @Property(tries = 50)
-  void theLaterOrElseTheGreaterAuthorsEntryStays(@ForAll long seed) {
+  void entryWithLaterTimeOrGreaterAuthorWins(@ForAll long seed) {
     Random random = new Random(seed);
     RouteStore one = new RouteStore();
     RouteStore other = new RouteStore();
@@ -156,15 +156,15 @@
     synchronize(other, one, ALL_FRAMES);
     assertTrue(one.publish("b", smallerFile)); // of equal times the greater author's entry stays
     synchronize(other, one, ALL_FRAMES);
-    assertEquals(39, flat(other.table()).size());
+    assertEquals(39, instancesByKey(other.table()).size());
     RouteEntry oldCopy = new RouteEntry(removed, file.get(removed), 1, "b");
     synchronize(storeOf(List.of(oldCopy)), other, ALL_FRAMES);
-    assertEquals(39, flat(other.table()).size());
+    assertEquals(39, instancesByKey(other.table()).size());
   }
 
   /** A few changes in a large table cost by the changes, not by the table. */
   @Test
-  void aFollowerWithAKnownStateReceivesTheChangesAlone() {
+  void followerWithKnownStateReceivesOnlyChanges() {
     RouteStore author = new RouteStore();
     Map<RouteEntry.Key, Instance> file = new HashMap<>();
     for (int i = 0; i < 20_000; i++) {
--- a/src/test/java/rosecleat/state/EstimateConverterTest.java
+++ b/src/test/java/rosecleat/state/EstimateConverterTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aFactOfEachKindIsTheSameAfterBothConversions() {
+  void factOfEachKindIsUnchangedByRoundTrip() {
     for (FactKind kind : FactKind.values()) {
       String digest = SETTINGS.digestOf(kind, subjectOf(kind)).orElseThrow();
       Fact fact = new Fact(kind, subjectOf(kind), 1, 2, NOW_US, digest);
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aFactOfAnUnknownSubjectOrWithoutWeightIsNotStored() {
+  void factOfUnknownSubjectOrWithoutWeightIsNotStorable() {
     Fact unknown = new Fact(FactKind.RUN_TIME, "write", 1, 2, NOW_US, "");
     Fact weightless = new Fact(FactKind.RUN_TIME, "read", 1, 0, NOW_US, "r1");
     assertFalse(EstimateConverter.isStorable(unknown, SETTINGS));
--- a/src/test/java/rosecleat/state/FactStateTest.java
+++ b/src/test/java/rosecleat/state/FactStateTest.java
@@ -34,19 +34,19 @@
       String node, String kind, String subject, double value, double weight, long atMs)
       throws IOException {
     ByteArrayOutputStream fact = new ByteArrayOutputStream();
-    CodedOutputStream to = CodedOutputStream.newInstance(fact);
-    to.writeString(1, kind);
-    to.writeString(2, subject);
-    to.writeDouble(3, value);
-    to.writeDouble(4, weight);
-    to.writeFixed64(5, atMs);
-    to.flush();
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    to = CodedOutputStream.newInstance(all);
-    to.writeString(1, node);
-    to.writeByteArray(2, fact.toByteArray());
-    to.flush();
-    return new StoredRecord(1, 1, all.toByteArray());
+    CodedOutputStream output = CodedOutputStream.newInstance(fact);
+    output.writeString(1, kind);
+    output.writeString(2, subject);
+    output.writeDouble(3, value);
+    output.writeDouble(4, weight);
+    output.writeFixed64(5, atMs);
+    output.flush();
+    ByteArrayOutputStream message = new ByteArrayOutputStream();
+    output = CodedOutputStream.newInstance(message);
+    output.writeString(1, node);
+    output.writeByteArray(2, fact.toByteArray());
+    output.flush();
+    return new StoredRecord(1, 1, message.toByteArray());
   }
 
   private FactState read() throws IOException {
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aFolderOfVersionOneIsReadAndRewrittenAsVersionTwo() throws IOException {
+  void versionOneRecordsAreReadAndRewrittenAsVersionTwo() throws IOException {
     StateFiles.write(
         folder,
         List.of(
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aTimeTooLargeForMicrosecondsStaysInTheFuture() throws IOException {
+  void timeTooLargeForMicrosecondsStaysInFuture() throws IOException {
     StateFiles.write(
         folder,
         List.of(versionOneRecord("n1", "run-time", "read", 20_000, 8, Long.MAX_VALUE / 10)));
@@ -98,13 +98,13 @@
   }
 
   @Test
-  void theLastFactOfEachKeyIsRetainedAndTheirNumberIsBounded() {
+  void lastFactOfEachKeyIsRetainedAndFactCountIsBounded() {
     FactState state = new FactState();
-    List<Fact> some = new ArrayList<>();
+    List<Fact> facts = new ArrayList<>();
     for (int i = 0; i < FactState.MAX_FACTS + 1_000; i++) {
-      some.add(new Fact(FactKind.TENANT_PART, "team " + i, 0.1, 1, i, ""));
+      facts.add(new Fact(FactKind.TENANT_PART, "team " + i, 0.1, 1, i, ""));
     }
-    state.apply(FactCodec.encode("n1", some));
+    state.apply(FactCodec.encode("n1", facts));
     state.apply(
         FactCodec.encode(
             "n1", List.of(new Fact(FactKind.TENANT_PART, "team 20000", 0.2, 1, 9, ""))));
--- a/src/test/java/rosecleat/store/AppendQueueTest.java
+++ b/src/test/java/rosecleat/store/AppendQueueTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void anAppendBeyondTheNumberOrTheSizeIsRejectedUntilABatchIsTaken() throws Exception {
+  void appendBeyondCountOrSizeLimitIsRejectedUntilBatchIsTaken() throws Exception {
     AppendQueue byNumber = new AppendQueue(2, 1_000);
     assertTrue(byNumber.offer(recordOf(100), IGNORE));
     assertTrue(byNumber.offer(recordOf(100), IGNORE));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aBatchEndsOnceItHasAMebibyte() throws Exception {
+  void batchEndsOnceItReachesOneMebibyte() throws Exception {
     AppendQueue queue = new AppendQueue(10, 16 << 20);
     for (int i = 0; i < 5; i++) {
       queue.offer(recordOf(1 << 19), IGNORE);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void appendsThatWaitAreToldThatTheStoreClosed() {
+  void waitingAppendsFailWhenStoreCloses() {
     AppendQueue queue = new AppendQueue(10, 1_000);
     List<Optional<AppendFailure>> outcomes = new ArrayList<>();
     queue.offer(recordOf(100), outcomes::add);
--- a/src/test/java/rosecleat/store/FaultyDirectory.java
+++ b/src/test/java/rosecleat/store/FaultyDirectory.java
@@ -167,8 +167,8 @@
 
   @Override
   public Output createOutput(String name) throws IOException {
-    int openedIn = generation;
-    beforeChange(openedIn);
+    int openedGeneration = generation;
+    beforeChange(openedGeneration);
     FileContent file = new FileContent();
     names.put(name, file);
     unsyncedChanges.add(map -> map.put(name, file));
@@ -176,14 +176,14 @@
       @Override
       public void write(ByteBuffer from) throws IOException {
         int count = (int) Math.min(from.remaining(), freeBytes);
-        byte[] more = new byte[count];
-        from.get(more);
+        byte[] written = new byte[count];
+        from.get(written);
         int oldLength = file.bytes.length;
         byte[] grown = Arrays.copyOf(file.bytes, oldLength + count);
-        System.arraycopy(more, 0, grown, oldLength, count);
+        System.arraycopy(written, 0, grown, oldLength, count);
         file.bytes = grown;
         freeBytes -= count;
-        beforeChange(openedIn);
+        beforeChange(openedGeneration);
         if (from.hasRemaining()) {
           throw new IOException("ENOSPC");
         }
@@ -191,7 +191,7 @@
 
       @Override
       public void sync() throws IOException {
-        beforeChange(openedIn);
+        beforeChange(openedGeneration);
         file.durable = file.bytes;
       }
 
--- a/src/test/java/rosecleat/store/QuarantineTest.java
+++ b/src/test/java/rosecleat/store/QuarantineTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void theFirstOfSeveralFilesGetsTheHighestNumber() throws IOException {
+  void firstOfSeveralCorruptFilesGetsHighestNumber() throws IOException {
     directory.put("log-1", new byte[10]);
     directory.put("log-2", new byte[20]);
     assertEquals(30, quarantine.add(List.of("log-1", "log-2")));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void theOldestFilesAreDeletedBeyondFour() throws IOException {
+  void oldestFilesAreDeletedBeyondFour() throws IOException {
     for (int number = 1; number <= 6; number++) {
       add("log-" + number, 1);
     }
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void theOldestFilesAreDeletedBeyondAQuarterOfTheStoresBound() throws IOException {
+  void oldestFilesAreDeletedBeyondQuarterOfStoreSizeLimit() throws IOException {
     add("log-1", 60);
     add("log-2", 60);
     assertEquals(Set.of("damaged-2-log-2"), directory.list());
--- a/src/test/java/rosecleat/store/RecordStoreModelTest.java
+++ b/src/test/java/rosecleat/store/RecordStoreModelTest.java
@@ -25,33 +25,33 @@
   void acknowledgedRecordsSurviveEveryFault(
       @ForAll long seed, @ForAll @Size(min = 5, max = 80) List<@IntRange(max = 99) Integer> steps)
       throws IOException {
-    Run run = new Run(seed);
+    FaultyRun run = new FaultyRun(seed);
     for (int step : steps) {
-      run.take(step);
+      run.perform(step);
     }
     run.restart();
   }
 
   /** A store under faults, beside the model of what it must hold. */
-  private final class Run {
+  private final class FaultyRun {
     private final FaultyDirectory disk;
     private final Random random;
     private final TextLines.Lines acknowledged = new TextLines.Lines();
 
     /** Failed batches: after a crash one of them may count, completely or its first part. */
-    private final List<List<String>> doubtful = new ArrayList<>();
+    private final List<List<String>> unacknowledged = new ArrayList<>();
 
     private StorageEngine engine;
     private int nextLine;
 
-    Run(long seed) throws IOException {
+    FaultyRun(long seed) throws IOException {
       disk = new FaultyDirectory(seed);
       disk.shortReadRate = 0.2;
       random = new Random(seed);
       engine = new StorageEngine(disk, factory, MAX_BYTES, Recovery.run(disk, factory));
     }
 
-    void take(int step) throws IOException {
+    void perform(int step) throws IOException {
       try {
         if (step < 55) {
           write();
@@ -60,7 +60,7 @@
         } else if (step < 78) {
           disk.failureRate = disk.failureRate > 0 ? 0 : 0.3;
         } else if (step < 86) {
-          disk.freeBytes = limited() ? FaultyDirectory.UNLIMITED : random.nextInt(2_000);
+          disk.freeBytes = hasLimitedSpace() ? FaultyDirectory.UNLIMITED : random.nextInt(2_000);
         } else if (step < 92) {
           disk.powerLossAt = disk.changes + random.nextInt(12);
         } else {
@@ -72,7 +72,7 @@
       } catch (FaultyDirectory.PowerLoss e) {
         restart();
       } catch (IOException e) {
-        assertTrue(disk.failureRate > 0 || limited(), "failed on a good disk: " + e);
+        assertTrue(disk.failureRate > 0 || hasLimitedSpace(), "failed on a good disk: " + e);
       }
     }
 
@@ -84,9 +84,9 @@
                 ? "=" + random.nextInt(6)
                 : "line " + nextLine++ + "x".repeat(random.nextInt(200)));
       }
-      doubtful.add(batch);
+      unacknowledged.add(batch);
       engine.write(batch.stream().map(TextLines::record).toList());
-      doubtful.clear();
+      unacknowledged.clear();
       batch.forEach(acknowledged::add);
     }
 
@@ -101,7 +101,7 @@
       engine.install(compaction);
     }
 
-    private boolean limited() {
+    private boolean hasLimitedSpace() {
       return disk.freeBytes < FaultyDirectory.UNLIMITED / 2;
     }
 
@@ -109,20 +109,20 @@
       disk.restart();
       disk.failureRate = 0;
       disk.freeBytes = FaultyDirectory.UNLIMITED;
-      RecoveryReport found = Recovery.run(disk, factory);
-      assertFalse(found.hasCorruption(), "a crash looks like damage: " + found.issues());
-      List<String> lines = List.copyOf(TextLines.of(found));
+      RecoveryReport recovered = Recovery.run(disk, factory);
+      assertFalse(recovered.hasCorruption(), "a crash looks like damage: " + recovered.issues());
+      List<String> lines = List.copyOf(TextLines.of(recovered));
       List<List<String>> allowed = allowedStates();
       assertTrue(allowed.contains(lines), () -> lines + " is none of " + allowed);
-      doubtful.clear();
+      unacknowledged.clear();
       acknowledged.lines.clear();
       acknowledged.lines.addAll(lines);
-      engine = new StorageEngine(disk, factory, MAX_BYTES, found);
+      engine = new StorageEngine(disk, factory, MAX_BYTES, recovered);
     }
 
     private List<List<String>> allowedStates() {
       List<List<String>> allowed = new ArrayList<>(List.of(acknowledged.lines));
-      for (List<String> batch : doubtful) {
+      for (List<String> batch : unacknowledged) {
         TextLines.Lines applied = new TextLines.Lines();
         applied.lines.addAll(acknowledged.lines);
         for (String line : batch) {
--- a/src/test/java/rosecleat/store/RecordStoreTest.java
+++ b/src/test/java/rosecleat/store/RecordStoreTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aSecondStoreOnTheSameFolderIsLockedOut() throws Exception {
+  void secondStoreOnSameDirectoryIsLockedOut() throws Exception {
     try (RecordStore first = open(FileSystemDirectory.openOrCreate(folder))) {
       assertEquals(Optional.empty(), append(first, "one"));
       assertInstanceOf(
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aFullQueueRejectsAppendsAndQueuedOnesShareASync() throws Exception {
+  void fullQueueRejectsAppendsAndQueuedAppendsShareOneSync() throws Exception {
     FaultyDirectory slow = new FaultyDirectory(1);
     CountDownLatch gate = new CountDownLatch(1);
     try (RecordStore store = open(slow)) {
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void aFullDiskFailsWhatIsQueuedAndNothingElse() throws Exception {
+  void fullDiskFailsQueuedAppendsAndStoreRecoversOnceSpaceIsFree() throws Exception {
     FaultyDirectory disk = new FaultyDirectory(1);
     try (RecordStore store = open(disk)) {
       assertEquals(Optional.empty(), append(store, "kept"));
@@ -128,17 +128,17 @@
   }
 
   @Test
-  void sizeIsBoundedByCompaction() throws Exception {
+  void compactionKeepsFilesWithinSizeLimit() throws Exception {
     try (RecordStore store = open(FileSystemDirectory.openOrCreate(folder))) {
       String line = "x".repeat(1_000);
       for (int i = 0; i < 20_000; i += 50) {
-        List<StoredRecord> entries = new ArrayList<>();
+        List<StoredRecord> records = new ArrayList<>();
         for (int j = 0; j < 49; j++) {
-          entries.add(TextLines.record(line + (i + j)));
+          records.add(TextLines.record(line + (i + j)));
         }
-        entries.add(TextLines.record("=5"));
+        records.add(TextLines.record("=5"));
         CompletableFuture<Optional<AppendFailure>> done = new CompletableFuture<>();
-        store.append(entries, done::complete);
+        store.append(records, done::complete);
         assertEquals(Optional.empty(), done.get(5, TimeUnit.SECONDS));
         if (store.metrics().bytes() > LIMITS.maxBytes() * 3 / 4) {
           Thread.sleep(50); // the compaction is under way
@@ -152,14 +152,14 @@
       assertTrue(size <= LIMITS.maxBytes(), size + " bytes");
     }
     assertEquals(
-        line(19_944, 5),
+        lengthsOfLines(19_944, 5),
         TextLines.of(RecordStore.inspect(FileSystemDirectory.openExisting(folder), factory))
             .stream()
             .map(String::length)
             .toList());
   }
 
-  private static List<Integer> line(int first, int count) {
+  private static List<Integer> lengthsOfLines(int first, int count) {
     List<Integer> lengths = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       lengths.add(1_000 + String.valueOf(first + i).length());
@@ -168,9 +168,9 @@
   }
 
   @Test
-  void openingAnUnusableFolderFailsAndReleasesTheLock() throws Exception {
+  void openingUnusableDirectoryFailsAndReleasesLock() throws Exception {
     Path file = Files.createFile(folder.resolve("file"));
-    assertTrue(assertFails(file).contains("file"));
+    assertTrue(failureOfOpening(file).contains("file"));
     FaultyDirectory broken = new FaultyDirectory(1);
     broken.failureRate = 1;
     assertInstanceOf(
@@ -179,7 +179,7 @@
     open(broken).close(); // the lock was given back
   }
 
-  private static String assertFails(Path path) {
+  private static String failureOfOpening(Path path) {
     try {
       FileSystemDirectory.openOrCreate(path);
       return "";
@@ -190,14 +190,14 @@
 
   /** Writes numbers to a folder, and prints each that is on disk, until it is killed. */
   public static void main(String[] args) throws Exception {
-    OpenResult opening =
+    OpenResult result =
         RecordStore.open(
             FileSystemDirectory.openOrCreate(Path.of(args[0])),
             new TextLines(),
             new RecordStore.Limits(1 << 18, 64, 1 << 20),
             line -> {});
-    if (!(opening instanceof OpenResult.Opened opened)) {
-      System.out.println(opening);
+    if (!(result instanceof OpenResult.Opened opened)) {
+      System.out.println(result);
       return;
     }
     List<String> lines = TextLines.of(opened.recovered());
@@ -226,18 +226,18 @@
   }
 
   @Test
-  void noAcknowledgedRecordIsLostWhenTheProcessIsKilledAHundredTimes() throws Exception {
+  void noAcknowledgedRecordIsLostWhenProcessesAreKilledHundredTimes() throws Exception {
     int concurrency = 4;
     ExecutorService pool = Executors.newFixedThreadPool(concurrency);
-    List<Future<Integer>> all = new ArrayList<>();
-    for (int lane = 0; lane < concurrency; lane++) {
-      Path own = folder.resolve("process" + lane);
-      int seed = lane;
-      all.add(pool.submit(() -> killRepeatedly(own, 25, seed)));
+    List<Future<Integer>> futures = new ArrayList<>();
+    for (int worker = 0; worker < concurrency; worker++) {
+      Path directory = folder.resolve("process" + worker);
+      int seed = worker;
+      futures.add(pool.submit(() -> killRepeatedly(directory, 25, seed)));
     }
     int written = 0;
-    for (Future<Integer> each : all) {
-      written += each.get(120, TimeUnit.SECONDS);
+    for (Future<Integer> lastNumber : futures) {
+      written += lastNumber.get(120, TimeUnit.SECONDS);
     }
     pool.shutdown();
     assertTrue(written > 1_000, "only " + written + " written");
@@ -250,7 +250,7 @@
     for (int i = 0; i < times; i++) {
       Process writer = startWriter(directory);
       try (BufferedReader output = writer.inputReader()) {
-        checkFound(output.readLine(), i, acknowledged);
+        assertNothingAcknowledgedIsLost(output.readLine(), i, acknowledged);
         acknowledged = readWritten(output, 1 + random.nextInt(60), acknowledged);
         writer.toHandle().destroyForcibly(); // SIGKILL; what it printed can still be read
         acknowledged = readRemaining(output, acknowledged);
@@ -277,7 +277,7 @@
         .start();
   }
 
-  private static void checkFound(String line, int start, long acknowledged) {
+  private static void assertNothingAcknowledgedIsLost(String line, int start, long acknowledged) {
     assertTrue(line != null && line.matches("found -?[0-9]+"), "start " + start + ": " + line);
     long found = Long.parseLong(line.substring(6));
     assertTrue(
--- a/src/test/java/rosecleat/store/RecoveryTest.java
+++ b/src/test/java/rosecleat/store/RecoveryTest.java
@@ -25,7 +25,7 @@
   }
 
   /** Ten batches, a compaction after the fifth; the log that is open has the last four. */
-  private FaultyDirectory sample() throws IOException {
+  private FaultyDirectory populatedDirectory() throws IOException {
     FaultyDirectory disk = new FaultyDirectory(1);
     try (StorageEngine engine = engine(disk)) {
       for (int i = 0; i < 10; i++) {
@@ -44,40 +44,41 @@
     return IntStream.range(0, count).mapToObj(i -> "line " + i).toList();
   }
 
-  private static String only(FaultyDirectory disk, String kind) {
+  private static String lastFileWithPrefix(FaultyDirectory disk, String kind) {
     return disk.list().stream().filter(n -> n.startsWith(kind)).reduce((a, b) -> b).orElseThrow();
   }
 
   /**
    * What counts is whole batches from the start, and a start for writing then agrees and can go on.
    */
-  private List<String> survives(FaultyDirectory disk, String what) throws IOException {
+  private List<String> assertRecoversPrefixAndContinues(FaultyDirectory disk, String what)
+      throws IOException {
     RecoveryReport found = Recovery.run(disk, factory);
     assertEquals(Optional.empty(), found.unsupportedFormat(), what);
-    List<String> got = List.copyOf(TextLines.of(found));
-    assertEquals(lines(got.size()), got, what);
+    List<String> recovered = List.copyOf(TextLines.of(found));
+    assertEquals(lines(recovered.size()), recovered, what);
     try (StorageEngine engine = new StorageEngine(disk, factory, MAX_BYTES, found)) {
       engine.write(List.of(TextLines.record("more")));
     }
-    List<String> expected = new ArrayList<>(got);
+    List<String> expected = new ArrayList<>(recovered);
     expected.add("more");
     RecoveryReport again = Recovery.run(disk, factory);
     assertEquals(expected, TextLines.of(again), what);
     assertFalse(again.hasCorruption(), what + ": " + again.issues());
-    return got;
+    return recovered;
   }
 
   @Test
-  void aFileCutAtAnyLengthYieldsWholeBatchesOnly() throws IOException {
-    FaultyDirectory whole = sample();
-    assertEquals(lines(10), TextLines.of(Recovery.run(whole, factory)));
-    for (String name : whole.list()) {
-      for (int length = 0; length < whole.bytes(name).length; length++) {
-        FaultyDirectory cut = whole.copy();
-        cut.put(name, Arrays.copyOf(whole.bytes(name), length));
-        List<String> got = survives(cut, name + " cut to " + length);
+  void fileTruncatedAtAnyLengthYieldsOnlyCompleteBatches() throws IOException {
+    FaultyDirectory intact = populatedDirectory();
+    assertEquals(lines(10), TextLines.of(Recovery.run(intact, factory)));
+    for (String name : intact.list()) {
+      for (int length = 0; length < intact.bytes(name).length; length++) {
+        FaultyDirectory cut = intact.copy();
+        cut.put(name, Arrays.copyOf(intact.bytes(name), length));
+        List<String> recovered = assertRecoversPrefixAndContinues(cut, name + " cut to " + length);
         if (name.startsWith("log-")) { // what stood before the cut is kept
-          assertTrue(got.size() >= 6, name + " cut to " + length + ": " + got);
+          assertTrue(recovered.size() >= 6, name + " cut to " + length + ": " + recovered);
         }
       }
     }
@@ -85,23 +86,23 @@
 
   @Test
   void everyFlippedBitIsDetected() throws IOException {
-    FaultyDirectory whole = sample();
+    FaultyDirectory intact = populatedDirectory();
     int found = 0;
     int bits = 0;
-    for (String name : whole.list()) {
+    for (String name : intact.list()) {
       if (name.equals(FileNames.snapshot(1))) {
         continue; // the older one is not read while the newer is whole
       }
-      for (int bit = 0; bit < 8 * whole.bytes(name).length; bit++) {
-        FaultyDirectory flipped = whole.copy();
+      for (int bit = 0; bit < 8 * intact.bytes(name).length; bit++) {
+        FaultyDirectory flipped = intact.copy();
         flipped.bytes(name)[bit / 8] ^= (byte) (1 << bit % 8);
-        RecoveryReport got = Recovery.run(flipped, factory);
+        RecoveryReport recovered = Recovery.run(flipped, factory);
         assertTrue(
-            got.unsupportedFormat().isPresent() || !got.issues().isEmpty(),
+            recovered.unsupportedFormat().isPresent() || !recovered.issues().isEmpty(),
             name + " bit " + bit + " was not seen");
-        found += got.hasCorruption() ? 1 : 0;
+        found += recovered.hasCorruption() ? 1 : 0;
         bits++;
-        survives(flipped, name + " bit " + bit);
+        assertRecoversPrefixAndContinues(flipped, name + " bit " + bit);
       }
     }
     assertTrue(
@@ -113,33 +114,33 @@
   }
 
   @Test
-  void corruptionIsDistinguishedFromATornWrite() throws IOException {
-    FaultyDirectory disk = sample();
-    String log = only(disk, "log-");
+  void corruptionIsDistinguishedFromTornWrite() throws IOException {
+    FaultyDirectory disk = populatedDirectory();
+    String log = lastFileWithPrefix(disk, "log-");
     byte[] bytes = disk.bytes(log);
     bytes[FileHeader.BYTES + 20] ^= 1; // the first entry; later ones prove that it was durable
     RecoveryReport found = Recovery.run(disk, factory);
     assertTrue(found.hasCorruption());
     assertEquals(lines(6), TextLines.of(found), "the snapshot alone");
     assertEquals(FileHeader.BYTES, found.issues().get(0).offset());
-    survives(disk, "damage");
-    assertNotNull(only(disk, "damaged-1-log-"), "it is quarantined");
+    assertRecoversPrefixAndContinues(disk, "damage");
+    assertNotNull(lastFileWithPrefix(disk, "damaged-1-log-"), "it is quarantined");
   }
 
   @Test
-  void aCorruptSnapshotFallsBackToTheOlderOne() throws IOException {
-    FaultyDirectory disk = sample();
+  void corruptSnapshotFallsBackToOlderSnapshot() throws IOException {
+    FaultyDirectory disk = populatedDirectory();
     String snapshot = FileNames.snapshot(FileNames.snapshotNumbers(disk.list()).get(1));
     disk.bytes(snapshot)[FileHeader.BYTES + 3] ^= 4;
     assertEquals(lines(3), TextLines.of(Recovery.run(disk, factory)));
-    survives(disk, "older snapshot");
+    assertRecoversPrefixAndContinues(disk, "older snapshot");
   }
 
   @Test
-  void filesOfANewerFormatAreNotChanged() throws IOException {
+  void filesOfNewerFormatAreNotChanged() throws IOException {
     for (String kind : List.of("MANIFEST", "snapshot-", "log-")) {
-      FaultyDirectory disk = sample();
-      String name = only(disk, kind);
+      FaultyDirectory disk = populatedDirectory();
+      String name = lastFileWithPrefix(disk, kind);
       byte[] bytes = disk.bytes(name);
       FileHeader old = FileHeader.decode(ByteBuffer.wrap(bytes)).orElseThrow();
       new FileHeader(old.fileType(), 2, old.number(), old.previousNumber(), old.previousBytes())
@@ -147,7 +148,7 @@
           .get(bytes, 0, FileHeader.BYTES);
       assertIncompatible(disk, name);
     }
-    FaultyDirectory disk = sample();
+    FaultyDirectory disk = populatedDirectory();
     factory.supportedVersion = 2;
     try (StorageEngine engine = engine(disk)) {
       engine.write(List.of(new StoredRecord(TextLines.TYPE, 2, new byte[] {1})));
@@ -169,10 +170,10 @@
 
   @Test
   void noAcknowledgedRecordIsLostWhenPowerFailsAtAnyCall() throws IOException {
-    for (int at = 0; at < 90; at++) {
+    for (int powerLossAt = 0; powerLossAt < 90; powerLossAt++) {
       for (int seed = 0; seed < 8; seed++) {
-        FaultyDirectory disk = new FaultyDirectory(100L * at + seed);
-        disk.powerLossAt = at;
+        FaultyDirectory disk = new FaultyDirectory(100L * powerLossAt + seed);
+        disk.powerLossAt = powerLossAt;
         int acknowledged = 0;
         try (StorageEngine engine = engine(disk)) {
           for (int i = 0; i < 10; i++) {
@@ -185,13 +186,15 @@
             }
           }
         } catch (FaultyDirectory.PowerLoss e) {
-          assertTrue(at < 90);
+          assertTrue(powerLossAt < 90);
         }
         disk.restart();
         RecoveryReport found = Recovery.run(disk, factory);
-        assertFalse(found.hasCorruption(), "call " + at + " seed " + seed + ": " + found.issues());
+        assertFalse(
+            found.hasCorruption(), "call " + powerLossAt + " seed " + seed + ": " + found.issues());
         assertTrue(
-            survives(disk, "call " + at + " seed " + seed).size() >= acknowledged,
+            assertRecoversPrefixAndContinues(disk, "call " + powerLossAt + " seed " + seed).size()
+                >= acknowledged,
             "lost what was acknowledged");
       }
     }
