--- a/src/main/java/rosecleat/store/AppendCallback.java
+++ b/src/main/java/rosecleat/store/AppendCallback.java
@@ -2,13 +2,14 @@
 
 import java.util.Optional;
 
-/** Is told whether accepted records became durable. */
+/** Receives the outcome of an append that the store accepted. */
 @FunctionalInterface
 public interface AppendCallback {
   /**
-   * Called once for each accepted append, on the writer's thread; must not block.
+   * Called once for each accepted append, on the writer's thread, which it must not block.
    *
-   * @param failure empty once all records of the append are durable; otherwise none of them counts
+   * @param failure empty if all records of the append are durable; otherwise the reason why the
+   *     append failed, in which case none of its records counts
    */
   void completed(Optional<AppendFailure> failure);
 }
--- a/src/main/java/rosecleat/store/AppendFailure.java
+++ b/src/main/java/rosecleat/store/AppendFailure.java
@@ -1,28 +1,30 @@
 package rosecleat.store;
 
 /**
- * Why accepted records were not written.
+ * The reason why accepted records were not written.
  *
  * @param cause the kind of failure
- * @param message a clause for people
+ * @param message a human-readable description without a final full stop
  */
 public record AppendFailure(Cause cause, String message) {
   /** The kind of failure. */
   public enum Cause {
-    /** The store was closed in the meantime. */
+    /** The store was closed before it wrote the records. */
     CLOSED,
-    /** An earlier write failed, and the disk is not tried again yet. */
+    /** An earlier write failed, and the retry delay has not passed yet. */
     BACKOFF,
-    /** The write or the sync failed, or the store is full. */
+    /** The write or the sync failed, or the store has reached its size limit. */
     WRITE_FAILED
   }
 
   static AppendFailure closed() {
-    return new AppendFailure(Cause.CLOSED, "the store is closed");
+    return new AppendFailure(Cause.CLOSED, "store is closed");
   }
 
   static AppendFailure backoff() {
-    return new AppendFailure(Cause.BACKOFF, "the disk failed a moment ago");
+    return new AppendFailure(
+        Cause.BACKOFF,
+        "write not attempted: an earlier write failed and the retry delay has not passed");
   }
 
   static AppendFailure writeFailed(Exception error) {
--- a/src/main/java/rosecleat/store/AppendQueue.java
+++ b/src/main/java/rosecleat/store/AppendQueue.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Appends that wait for the writer, bounded by their number and size. Any thread offers; one thread
- * takes.
+ * Queue of appends that wait for the writer, bounded by their number and their size. Any thread may
+ * add appends; a single thread takes them.
  */
 final class AppendQueue {
-  /** A batch takes no further append once it has this size (bytes). */
+  /** Size from which on a batch takes no further append (bytes). */
   private static final int MAX_BATCH_BYTES = 1 << 20;
 
-  /** The records of one call, with their encoded size. */
+  /** The records of one call to {@link RecordStore#append}, with their encoded size. */
   record Append(List<StoredRecord> records, long bytes, AppendCallback callback) {}
 
   private final ArrayBlockingQueue<Append> queue;
@@ -27,7 +27,7 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Queues records without waiting; false where there is no room. */
+  /** Queues records without waiting; returns false if the queue has no capacity for them. */
   boolean offer(List<StoredRecord> records, AppendCallback callback) {
     long bytes = 0;
     for (StoredRecord record : records) {
@@ -41,7 +41,10 @@
     return true;
   }
 
-  /** Waits for an append and takes it with those behind it; empty where none came in time. */
+  /**
+   * Waits for an append and takes it together with those queued behind it; returns an empty list if
+   * none arrives before the timeout.
+   */
   List<Append> takeBatch(long timeoutMs) throws InterruptedException {
     Append first = queue.poll(timeoutMs, TimeUnit.MILLISECONDS);
     if (first == null) {
@@ -63,7 +66,7 @@
     return queue.isEmpty();
   }
 
-  /** Fails all appends that wait. */
+  /** Removes all queued appends and reports the failure to their callbacks. */
   void failAll(AppendFailure failure) {
     for (Append append = queue.poll(); append != null; append = queue.poll()) {
       append.callback().completed(Optional.of(failure));
--- a/src/main/java/rosecleat/store/AppendResult.java
+++ b/src/main/java/rosecleat/store/AppendResult.java
@@ -1,11 +1,11 @@
 package rosecleat.store;
 
-/** Whether {@link RecordStore#append} accepted its records. */
+/** The immediate result of {@link RecordStore#append}: whether its records were accepted. */
 public enum AppendResult {
-  /** The records wait for the disk; the callback is called later. */
+  /** The records are queued for writing; the callback is called later. */
   QUEUED,
-  /** The queue is full; nothing is written and the callback is not called. */
+  /** The queue is full: nothing is written, and the callback is not called. */
   FULL,
-  /** The store is closed; nothing is written and the callback is not called. */
+  /** The store is closed: nothing is written, and the callback is not called. */
   CLOSED
 }
--- a/src/main/java/rosecleat/store/Compaction.java
+++ b/src/main/java/rosecleat/store/Compaction.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Replaces a snapshot and the sealed segments behind it by a new snapshot. {@link #run} may be
- * called on any one thread; its outcome is then passed to {@link StorageEngine#install} or {@link
- * StorageEngine#abandon} on the writer's thread.
+ * Replaces a snapshot and the sealed segments that follow it with a new snapshot. {@link #run} may
+ * be called once, on any thread. Afterwards the writer's thread passes the compaction to {@link
+ * StorageEngine#install} if the run succeeded, and to {@link StorageEngine#abandon} if it failed.
  */
 final class Compaction {
   private final Directory directory;
@@ -19,8 +19,9 @@
   /**
    * Creates a compaction.
    *
-   * @param baseSnapshot number of the snapshot to begin with, 0 for none
-   * @param segments the sealed segments behind it; the new snapshot gets the last one's number
+   * @param baseSnapshot number of the snapshot to start from, 0 for none
+   * @param segments the sealed segments that follow it; the new snapshot gets the number of the
+   *     last of them
    */
   Compaction(
       Directory directory,
@@ -34,7 +35,7 @@
     this.segments = segments;
   }
 
-  /** Writes the new snapshot and makes it the current one on disk. */
+  /** Writes the new snapshot, and a manifest that names it as the current one. */
   void run() throws IOException {
     StateMachine state = factory.newStateMachine();
     RecordReplay.replay(directory, baseSnapshot, segments, state);
@@ -54,7 +55,7 @@
     return segments;
   }
 
-  /** Returns the size of the new snapshot; 0 until it is written completely. */
+  /** Returns the size of the new snapshot (bytes); 0 until it has been written completely. */
   long snapshotBytes() {
     return snapshotBytes;
   }
--- a/src/main/java/rosecleat/store/CompactionRunner.java
+++ b/src/main/java/rosecleat/store/CompactionRunner.java
@@ -4,25 +4,25 @@
 import java.util.function.Consumer;
 
 /**
- * Runs compactions on a thread of their own, one at a time. All methods are for the writer's
- * thread, which also installs the outcome.
+ * Runs compactions one at a time, each on a thread of its own. All methods must be called on the
+ * writer's thread, which also installs the results.
  */
 final class CompactionRunner {
-  /** Delay after a failed compaction (ns). */
+  /** Delay between a failed compaction and the next attempt. */
   private static final long RETRY_DELAY_NS = 5_000_000_000L;
 
   private final StorageEngine engine;
   private final Consumer<String> events;
   private final Runnable onInstalled;
   private Thread thread; // null while no compaction runs
-  private volatile Runnable outcome; // set by the compaction's thread, run by the writer's
+  private volatile Runnable outcome; // set by the compaction's thread, run by the writer's thread
   private long notBeforeNs = Long.MIN_VALUE;
 
   /**
    * Creates a runner.
    *
-   * @param events receives a line for each failure
-   * @param onInstalled called after each compaction that succeeded
+   * @param events receives a message for each failure
+   * @param onInstalled called after each compaction that was installed
    */
   CompactionRunner(StorageEngine engine, Consumer<String> events, Runnable onInstalled) {
     this.engine = engine;
@@ -30,14 +30,14 @@
     this.onInstalled = onInstalled;
   }
 
-  /** Installs a compaction that has finished. */
+  /** Installs the running compaction if it has finished. */
   void installFinished() {
     if (outcome != null) {
       awaitRunning();
     }
   }
 
-  /** Starts a compaction where one is needed and none is running. */
+  /** Starts a compaction if one is needed, none is running and the retry delay has passed. */
   void startIfNeeded() {
     if (thread != null || !engine.needsCompaction() || System.nanoTime() < notBeforeNs) {
       return;
@@ -70,16 +70,16 @@
       engine.install(compaction);
       onInstalled.run();
     } catch (IOException e) {
-      postpone(e); // the next recovery deletes the files that are left over
+      postpone(e); // the next recovery deletes the files that remain
     }
   }
 
   private void postpone(Exception error) {
     notBeforeNs = System.nanoTime() + RETRY_DELAY_NS;
-    events.accept("the store could not be compacted, and is tried again: " + error.getMessage());
+    events.accept("store compaction failed, will be retried: " + error.getMessage());
   }
 
-  /** Waits for the running compaction, if any, and installs it. */
+  /** Waits for the running compaction, if any, and installs its result. */
   void awaitRunning() {
     if (thread == null) {
       return;
--- a/src/main/java/rosecleat/store/Directory.java
+++ b/src/main/java/rosecleat/store/Directory.java
@@ -6,9 +6,10 @@
 import java.util.Set;
 
 /**
- * A flat directory of files, as the store needs it. Written bytes survive a power failure only once
- * the file was synced, and created, renamed or deleted names only once the directory was. Any call
- * may fail; after a failed write or sync the content of that file is undefined.
+ * The operations of a flat directory of files that the store needs. Written bytes survive a power
+ * failure only after the file was synced; created, renamed and deleted names survive only after the
+ * directory was synced. Any call may fail. After a failed write or sync, the content of that file
+ * is undefined.
  */
 public interface Directory {
   /** Returns the names of all regular files. */
@@ -27,16 +28,19 @@
   /** Creates an empty file for writing, or truncates an existing one. */
   Output createOutput(String name) throws IOException;
 
-  /** Renames a file atomically; replaces a file that has the new name. */
+  /** Renames a file atomically; replaces any existing file of the new name. */
   void rename(String from, String to) throws IOException;
 
-  /** Deletes a file; does nothing where there is none. */
+  /** Deletes a file; does nothing if it does not exist. */
   void delete(String name) throws IOException;
 
-  /** Makes all changes of names durable. */
+  /** Makes all created, renamed and deleted names durable. */
   void sync() throws IOException;
 
-  /** Takes an exclusive lock until it is closed; empty where another holder has it. */
+  /**
+   * Acquires an exclusive lock, which the caller releases by closing it; returns empty if the lock
+   * is already held.
+   */
   Optional<AutoCloseable> tryLock(String name) throws IOException;
 
   /** A file that is open for reading. */
@@ -45,8 +49,8 @@
     long size() throws IOException;
 
     /**
-     * Reads from an offset into a buffer, possibly less than fits; returns the number of bytes, or
-     * a negative number at the end of the file.
+     * Reads from an offset into a buffer, possibly fewer bytes than the buffer has capacity for;
+     * returns the number of bytes read, or a negative number at the end of the file.
      */
     int read(long offset, ByteBuffer target) throws IOException;
 
--- a/src/main/java/rosecleat/store/FileHeader.java
+++ b/src/main/java/rosecleat/store/FileHeader.java
@@ -6,22 +6,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * The header at the start of each file: magic number, type, format version, numbers and a CRC32C
- * (RFC 3720, appendix B.4) of all that. Numbers are big-endian.
+ * The header at the start of each file: magic number, file type, format version, file numbers and a
+ * CRC32C checksum (RFC 3720, appendix B.4) of all these fields. Numbers are big-endian.
  *
  * @param fileType {@link #SEGMENT}, {@link #SNAPSHOT} or {@link #MANIFEST}
  * @param version the format version of the file
- * @param number the file's number
- * @param previousNumber of a segment: the file that it continues
- * @param previousBytes of a segment: how many bytes of the segment that it continues are valid; 0
- *     where that is a snapshot
+ * @param number the number of the file
+ * @param previousNumber for a segment, the number of the file that it continues; otherwise 0
+ * @param previousBytes for a segment that continues another segment, the number of valid bytes of
+ *     that segment; otherwise 0
  */
 record FileHeader(
     char fileType, int version, long number, long previousNumber, long previousBytes) {
   /** Length of a header (bytes). */
   static final int BYTES = 40;
 
-  /** The format version that is written, and the newest that is read. */
+  /** The format version that this program writes, and the newest one that it reads. */
   static final int FORMAT_VERSION = 1;
 
   static final char SEGMENT = 'L';
@@ -59,7 +59,7 @@
     return encoded.putInt(checksum(encoded.duplicate().flip())).flip();
   }
 
-  /** Decodes the header at the start of a buffer; empty where there is no valid one. */
+  /** Decodes the header at the start of a buffer; returns empty if the header is not valid. */
   static Optional<FileHeader> decode(ByteBuffer bytes) {
     if (bytes.remaining() < BYTES) {
       return Optional.empty();
--- a/src/main/java/rosecleat/store/FileNames.java
+++ b/src/main/java/rosecleat/store/FileNames.java
@@ -4,19 +4,19 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The names of the files in a store's directory. */
+/** Builds and parses the names of the files in a store's directory. */
 final class FileNames {
   static final String LOCK = "LOCK";
   static final String MANIFEST = "MANIFEST";
 
-  /** Suffix of a file that is renamed once it is complete. */
+  /** Suffix of a file that is being written; the file is renamed once it is complete. */
   static final String TEMPORARY_SUFFIX = ".new";
 
   private static final String SEGMENT_PREFIX = "log-";
   private static final String SNAPSHOT_PREFIX = "snapshot-";
   private static final String QUARANTINE_PREFIX = "damaged-";
 
-  /** A positive number that fits a long. */
+  /** Matches a positive number of up to 18 digits, which a long can represent. */
   private static final String NUMBER_PATTERN = "[1-9][0-9]{0,17}";
 
   private static final String STORE_FILE_PATTERN =
@@ -51,22 +51,22 @@
         .toList();
   }
 
-  /** Whether a file belongs to the store; other files are never touched. */
+  /** Returns whether a file belongs to the store; the store never changes other files. */
   static boolean isStoreFile(String name) {
     return name.matches(STORE_FILE_PATTERN) || quarantineNumber(name) > 0;
   }
 
-  /** Whether a file was not completed before the process ended. */
+  /** Returns whether a file is a temporary one, which a process did not complete. */
   static boolean isTemporary(String name) {
     return name.endsWith(TEMPORARY_SUFFIX);
   }
 
-  /** Returns the name of a file in quarantine. */
+  /** Returns the name that a file gets in quarantine. */
   static String quarantinedName(long quarantineNumber, String name) {
     return QUARANTINE_PREFIX + quarantineNumber + "-" + name;
   }
 
-  /** Returns the files in quarantine, the oldest first. */
+  /** Returns the quarantined files, oldest first. */
   static List<String> quarantinedFiles(Collection<String> names) {
     return names.stream()
         .filter(name -> quarantineNumber(name) > 0)
--- a/src/main/java/rosecleat/store/FileSystemDirectory.java
+++ b/src/main/java/rosecleat/store/FileSystemDirectory.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Stream;
 
-/** A directory of the local file system. For any thread. */
+/** A directory of the local file system. Thread-safe. */
 public final class FileSystemDirectory implements Directory {
   /**
-   * Lock files that this process holds. Closing any channel to a locked file releases its lock, so
-   * a second channel must not be opened within the process.
+   * Lock files that this process has locked. Closing any channel of a locked file releases the
+   * lock, so this process must not open a second channel of such a file.
    */
   private static final Set<Path> LOCKED_FILES = ConcurrentHashMap.newKeySet();
 
@@ -30,12 +30,12 @@
     this.path = path;
   }
 
-  /** Opens a directory and creates it where it is missing; fails where that is not possible. */
+  /** Opens a directory, creating it if it does not exist; fails if it cannot be created. */
   public static FileSystemDirectory openOrCreate(Path path) throws IOException {
     return new FileSystemDirectory(Files.createDirectories(path));
   }
 
-  /** Opens an existing directory; fails where there is none. */
+  /** Opens an existing directory; fails if it does not exist or is not a directory. */
   public static FileSystemDirectory openExisting(Path path) throws IOException {
     if (!Files.exists(path)) {
       throw new NoSuchFileException(path.toString());
@@ -117,7 +117,7 @@
     }
   }
 
-  /** A file channel as an input. */
+  /** Adapts a file channel to {@link Directory.Input}. */
   private record ChannelInput(FileChannel channel) implements Input {
     @Override
     public long size() throws IOException {
@@ -135,7 +135,7 @@
     }
   }
 
-  /** A file channel as an output. */
+  /** Adapts a file channel to {@link Directory.Output}. */
   private record ChannelOutput(FileChannel channel) implements Output {
     @Override
     public void write(ByteBuffer bytes) throws IOException {
--- a/src/main/java/rosecleat/store/FileVerifier.java
+++ b/src/main/java/rosecleat/store/FileVerifier.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import rosecleat.store.wire.SnapshotEnd;
 
-/** Checks the header and all records of a file without keeping any of them. */
+/** Verifies the header and all records of a file without retaining any of them. */
 final class FileVerifier {
   private final StateMachineFactory factory;
 
@@ -14,13 +14,13 @@
   }
 
   /**
-   * How far a file is valid.
+   * The result of verifying the records of a file.
    *
-   * @param validBytes where the valid part ends
+   * @param validBytes length of the valid part at the start of the file (bytes)
    * @param records number of application records in the valid part
    * @param hasSnapshotEnd whether the valid part ends with the end record of a snapshot
-   * @param problem what is wrong behind the valid part; empty where nothing is
-   * @param wasDurable whether a later record proves that the invalid part had been synced
+   * @param problem the problem at which the valid part ends; empty if the whole file is valid
+   * @param wasDurable whether a later record proves that the invalid part had been synced to disk
    */
   record Verification(
       long validBytes,
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Reads the header of a file; empty where it is corrupt. Throws {@link
-   * UnsupportedFormatException} for a newer format version.
+   * Reads the header of a file; returns empty if it is corrupt. Throws {@link
+   * UnsupportedFormatException} if the format version is newer than this program supports.
    */
   static Optional<FileHeader> readHeader(String name, FileWindow file)
       throws IOException, UnsupportedFormatException {
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Checks the records of a file up to an offset or the first problem. Throws {@link
-   * UnsupportedFormatException} for a record that this program cannot understand.
+   * Verifies the records of a file up to the offset {@code end} or the first problem. Throws {@link
+   * UnsupportedFormatException} if a record has a type or version that this program does not
+   * support.
    */
   Verification verify(String name, FileWindow file, long number, long end)
       throws IOException, UnsupportedFormatException {
@@ -104,8 +105,9 @@
   }
 
   /**
-   * Whether a valid record behind an invalid offset says that the offset was durable when that
-   * record was written: then it is corruption, else a write that did not complete.
+   * Returns whether a valid record after an invalid offset states that the bytes at that offset
+   * were durable when the record was written. If so, the file was corrupted later; otherwise a
+   * write did not complete.
    */
   private static boolean wasDurable(FileWindow file, long number, long invalidOffset, long end)
       throws IOException {
--- a/src/main/java/rosecleat/store/FileWindow.java
+++ b/src/main/java/rosecleat/store/FileWindow.java
@@ -6,7 +6,8 @@
 import java.util.Optional;
 
 /**
- * Random access to a file through a buffer that moves along with the reads. Completes short reads.
+ * Provides random access to a file through a buffer that covers the part last read. Repeats short
+ * reads until the buffer is filled.
  */
 final class FileWindow implements AutoCloseable {
   private static final int WINDOW_BYTES = 1 << 18;
@@ -21,14 +22,14 @@
     this.size = input.size();
   }
 
-  /** Returns the length of the file when it was opened (bytes). */
+  /** Returns the length that the file had when it was opened (bytes). */
   long size() {
     return size;
   }
 
   /**
-   * Returns {@code length} bytes at an offset, valid until the next call; empty where the file ends
-   * before.
+   * Returns {@code length} bytes at an offset, valid until the next call; returns empty if the file
+   * is too short.
    */
   Optional<ByteBuffer> read(long offset, int length) throws IOException {
     if (offset + length > size) {
@@ -50,7 +51,7 @@
     while (window.hasRemaining()) {
       if (input.read(offset + window.position(), window) < 0) {
         window.limit(0);
-        throw new EOFException("the file became shorter while it was read");
+        throw new EOFException("file was truncated while it was being read");
       }
     }
     window.flip();
--- a/src/main/java/rosecleat/store/LogChainVerifier.java
+++ b/src/main/java/rosecleat/store/LogChainVerifier.java
@@ -9,8 +9,9 @@
 import rosecleat.store.RecoveryIssue.Cause;
 
 /**
- * Finds the log segments that continue a snapshot. Each segment's header names the file before it,
- * and how much of that is valid; the chain ends at the first segment that is corrupt or missing.
+ * Finds the chain of log segments that continues a snapshot. The header of each segment states the
+ * number of the preceding file and how many bytes of that file are valid. The chain ends at the
+ * first segment that is corrupt or missing.
  */
 final class LogChainVerifier {
   private final Directory directory;
@@ -28,11 +29,12 @@
   }
 
   /**
-   * Returns the segments to replay behind a snapshot.
+   * Returns the segments to replay after a snapshot.
    *
    * @param snapshot number of the snapshot, 0 for none
    * @param numbers numbers of all segments, in ascending order
-   * @param snapshotLost whether a newer snapshot is lost, which the segments continue
+   * @param snapshotLost whether a newer snapshot, which the segments continue, is corrupt or
+   *     missing
    */
   List<LogSegment> verify(long snapshot, List<Long> numbers, boolean snapshotLost)
       throws IOException, UnsupportedFormatException {
@@ -91,7 +93,7 @@
         .findFirst();
   }
 
-  /** Checks the records of one segment; false where it is corrupt. */
+  /** Verifies the records of one segment; returns false if the segment is corrupt. */
   private boolean verifyRecords(String name, long number, Optional<FileHeader> next)
       throws IOException, UnsupportedFormatException {
     try (FileWindow file = new FileWindow(directory.openInput(name))) {
--- a/src/main/java/rosecleat/store/LogSegment.java
+++ b/src/main/java/rosecleat/store/LogSegment.java
@@ -1,10 +1,10 @@
 package rosecleat.store;
 
 /**
- * One file of the log.
+ * A file of the write-ahead log.
  *
- * @param number its number; a segment is replayed behind the snapshots of smaller numbers
- * @param validBytes how many bytes from its start are valid, the header included
+ * @param number the number of the segment; it is replayed after snapshots with smaller numbers
+ * @param validBytes number of valid bytes from the start of the file, including its header
  */
 record LogSegment(long number, long validBytes) {
   String fileName() {
--- a/src/main/java/rosecleat/store/ManifestFile.java
+++ b/src/main/java/rosecleat/store/ManifestFile.java
@@ -12,7 +12,7 @@
 
   private ManifestFile() {}
 
-  /** Replaces the manifest; it is durable when this returns. */
+  /** Replaces the manifest; the new manifest is durable when this method returns. */
   static void write(Directory directory, long snapshot, long olderSnapshot) throws IOException {
     Manifest manifest =
         Manifest.newBuilder().setSnapshot(snapshot).setOlderSnapshot(olderSnapshot).build();
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Reads the manifest; empty where it is corrupt. Throws {@link
-   * com.google.protobuf.InvalidProtocolBufferException} where the checksum matches, but the payload
-   * is not a manifest.
+   * Reads the manifest; returns empty if its header or record is corrupt. Throws {@link
+   * com.google.protobuf.InvalidProtocolBufferException} if the checksum matches but the payload is
+   * not a manifest.
    */
   static Optional<Manifest> read(FileWindow file) throws IOException, UnsupportedFormatException {
     Optional<FileHeader> header = FileVerifier.readHeader(FileNames.MANIFEST, file);
--- a/src/main/java/rosecleat/store/OpenResult.java
+++ b/src/main/java/rosecleat/store/OpenResult.java
@@ -1,29 +1,29 @@
 package rosecleat.store;
 
-/** The outcome of opening or compacting a directory. */
+/** The result of opening or compacting a store's directory. */
 public sealed interface OpenResult {
   /**
-   * The store is open for writing.
+   * The store was opened for writing.
    *
-   * @param store the store, which the caller closes
-   * @param recovered what was found in the directory
+   * @param store the store, which the caller has to close
+   * @param recovered the report of the recovery that preceded opening
    */
   record Opened(RecordStore store, RecoveryReport recovered) implements OpenResult {}
 
   /**
-   * The directory was compacted and closed again, or holds no store that could be compacted.
+   * The directory was compacted and closed again, or it contains no store.
    *
-   * @param recovered what was found in the directory before
+   * @param recovered the report of the recovery that preceded the compaction
    */
   record Compacted(RecoveryReport recovered) implements OpenResult {}
 
-  /** Another process, or another store of this process, writes to the directory. */
+  /** Another process, or another store in this process, has locked the directory. */
   record Locked() implements OpenResult {}
 
   /**
-   * A newer program wrote the directory; nothing was changed.
+   * A newer version of the program wrote the directory; nothing was changed.
    *
-   * @param format what is not supported
+   * @param format the file and the format that are not supported
    */
   record Incompatible(UnsupportedFormat format) implements OpenResult {}
 
--- a/src/main/java/rosecleat/store/Outputs.java
+++ b/src/main/java/rosecleat/store/Outputs.java
@@ -2,16 +2,18 @@
 
 import java.io.IOException;
 
-/** Helpers for files that are written. */
+/** Utility methods for {@link Directory.Output}. */
 final class Outputs {
   private Outputs() {}
 
-  /** Closes a file that is not written again, and of which the durable part is known. */
+  /**
+   * Closes a file that is not written again and whose durable length is known, and ignores errors.
+   */
   static void closeQuietly(Directory.Output output) {
     try {
       output.close();
     } catch (IOException e) {
-      return; // nothing depends on the rest of the file
+      return; // no data beyond the durable length is used
     }
   }
 }
--- a/src/main/java/rosecleat/store/Quarantine.java
+++ b/src/main/java/rosecleat/store/Quarantine.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Renames corrupt files so that people can look at them, and deletes the oldest ones beyond a bound
- * on their number and size.
+ * Renames corrupt files so that operators can examine them, and deletes the oldest of these files
+ * when their number or total size exceeds its limit.
  */
 final class Quarantine {
   private static final int MAX_FILES = 4;
 
-  /** Quarantined files together take this part of the store's bound at most. */
+  /** Divides the store's size limit to get the limit on the total size of quarantined files. */
   private static final int MAX_BYTES_DIVISOR = 4;
 
   private final Directory directory;
@@ -22,15 +22,18 @@
     this.maxBytes = maxStoreBytes / MAX_BYTES_DIVISOR;
   }
 
-  /** Adds files and removes the oldest ones; returns the size of those that remain (bytes). */
+  /**
+   * Quarantines files and deletes the oldest quarantined ones beyond the limits; returns the total
+   * size of those that remain (bytes).
+   */
   long add(List<String> corruptFiles) throws IOException {
     List<String> quarantined = new ArrayList<>(FileNames.quarantinedFiles(directory.list()));
     long number =
         quarantined.isEmpty()
             ? 0
             : FileNames.quarantineNumber(quarantined.get(quarantined.size() - 1));
-    // The first file is the damaged one and the others only continue it: give it the highest
-    // number, so that it is retained longest.
+    // The first file is the corrupt one, and the others only continue it. It gets the highest
+    // number so that it is retained longest.
     for (int i = corruptFiles.size() - 1; i >= 0; i--) {
       String newName = FileNames.quarantinedName(++number, corruptFiles.get(i));
       directory.rename(corruptFiles.get(i), newName);
--- a/src/main/java/rosecleat/store/RecordFormat.java
+++ b/src/main/java/rosecleat/store/RecordFormat.java
@@ -6,18 +6,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * The encoding of records behind a file's header. Numbers are big-endian. The checksum (CRC32C, RFC
- * 3720, appendix B.4) includes the file's number and the record's offset, so that a block that
- * belongs to another place does not pass as valid.
+ * Encodes and decodes the records that follow a file's header. Numbers are big-endian. The checksum
+ * (CRC32C, RFC 3720, appendix B.4) covers the file's number and the record's offset as well, so
+ * that a block that was written to another file or offset does not pass as valid.
  */
 final class RecordFormat {
   /** Length of the fields before the payload (bytes). */
   static final int HEADER_BYTES = 18;
 
-  /** Type of the record that ends a segment in a clean close. */
+  /** Type of the record that ends a segment when the store is closed cleanly. */
   static final int TYPE_LOG_END = 0xfffd;
 
-  /** Type of the one record of a manifest. */
+  /** Type of the only record in a manifest. */
   static final int TYPE_MANIFEST = 0xfffe;
 
   /** Type of the record that ends a snapshot. */
@@ -35,11 +35,12 @@
   private RecordFormat() {}
 
   /**
-   * A record as it was read.
+   * A record that was read from a file.
    *
    * @param record the record
-   * @param syncedBytes how many bytes of the file were known to be durable when it was written
-   * @param nextOffset where the next record begins
+   * @param syncedBytes number of bytes of the file that were known to be durable when the record
+   *     was written
+   * @param nextOffset offset of the next record in the file
    */
   record Decoded(StoredRecord record, long syncedBytes, long nextOffset) {}
 
@@ -51,10 +52,10 @@
   /**
    * Encodes a record.
    *
-   * @param target where the bytes are put; must have room for them
+   * @param target buffer that receives the encoded record; must have enough space remaining
    * @param fileNumber the number of the file
-   * @param offset where in the file the record will begin
-   * @param syncedBytes how many bytes of the file are known to be durable
+   * @param offset offset in the file at which the record will be written
+   * @param syncedBytes number of bytes of the file that are known to be durable
    */
   static void encode(
       ByteBuffer target, StoredRecord record, long fileNumber, long offset, long syncedBytes) {
@@ -79,7 +80,7 @@
     return (int) checksum.getValue();
   }
 
-  /** Decodes the record at an offset of a file; empty where there is no complete and valid one. */
+  /** Decodes the record at an offset of a file; returns empty if it is incomplete or invalid. */
   static Optional<Decoded> decode(FileWindow file, long fileNumber, long offset)
       throws IOException {
     Optional<ByteBuffer> header = file.read(offset, HEADER_BYTES);
--- a/src/main/java/rosecleat/store/RecordReplay.java
+++ b/src/main/java/rosecleat/store/RecordReplay.java
@@ -4,13 +4,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Applies the records of verified files to a state machine, in order. */
+/**
+ * Applies the records of verified files to a state machine in the order in which they were written.
+ */
 final class RecordReplay {
   private RecordReplay() {}
 
   /**
-   * Replays a snapshot (0 for none) and the log segments behind it; fails where a record is no
-   * longer readable.
+   * Replays a snapshot (0 for none) and the log segments that follow it; fails if a record that was
+   * verified before is no longer readable.
    */
   static void replay(
       Directory directory, long snapshot, List<LogSegment> segments, StateMachine state)
@@ -32,7 +34,8 @@
       while (offset < end) {
         Optional<RecordFormat.Decoded> decoded = RecordFormat.decode(file, number, offset);
         if (decoded.isEmpty()) {
-          throw new IOException(name + " at byte " + offset + ": an entry can't be read any more");
+          throw new IOException(
+              name + " at byte " + offset + ": verified record is no longer readable");
         }
         if (decoded.get().record().isApplicationRecord()) {
           state.apply(decoded.get().record());
--- a/src/main/java/rosecleat/store/RecordStore.java
+++ b/src/main/java/rosecleat/store/RecordStore.java
@@ -6,31 +6,31 @@
 import java.util.function.Consumer;
 
 /**
- * A durable log of records with snapshots, open for writing. Appends are queued for one writer
- * thread, which writes all that wait in one go with one sync; callers never wait for the disk. The
- * queue is bounded. While the disk fails, appends fail too, and writing is tried again after a
- * pause. For any thread.
+ * A durable log of records with snapshots, open for writing. Appends wait in a bounded queue for a
+ * single writer thread, which writes all queued appends at once and syncs them together; callers
+ * never wait for the disk. While the disk fails, appends fail too; the writer tries again after a
+ * delay. Thread-safe.
  */
 public final class RecordStore implements AutoCloseable {
   private static final long DEFAULT_CLOSE_TIMEOUT_MS = 5_000;
 
   /**
-   * Bounds of a store.
+   * Limits of a store.
    *
-   * @param maxBytes size of all files together
-   * @param maxQueuedAppends number of appends that wait for the disk
-   * @param maxQueuedBytes size of the appends that wait for the disk
+   * @param maxBytes total size of all files
+   * @param maxQueuedAppends number of queued appends
+   * @param maxQueuedBytes total encoded size of the queued appends
    */
   public record Limits(long maxBytes, int maxQueuedAppends, long maxQueuedBytes) {}
 
   /**
-   * Counts since the store was opened.
+   * Statistics since the store was opened.
    *
-   * @param appends appends that became durable
-   * @param syncs writes with a sync
-   * @param failures appends that failed
-   * @param compactions compactions that succeeded
-   * @param bytes size of the files after the last write, 0 before the first
+   * @param appends number of appends that became durable
+   * @param syncs number of writes, each with one sync, that succeeded
+   * @param failures number of appends that failed
+   * @param compactions number of compactions that succeeded
+   * @param bytes total size of the files after the last write or compaction, 0 before the first
    * @param longestSyncNs longest duration of a write with its sync (ns)
    */
   public record Metrics(
@@ -52,9 +52,10 @@
   }
 
   /**
-   * Recovers a directory and opens it for writing. Blocks on the disk.
+   * Recovers a directory and opens it for writing. Blocks on disk access.
    *
-   * @param events receives a line for each change of the store's state, on any thread
+   * @param events receives a message for each failure of the store and each return to normal
+   *     operation, on any thread
    */
   public static OpenResult open(
       Directory directory, StateMachineFactory factory, Limits limits, Consumer<String> events) {
@@ -78,22 +79,22 @@
   }
 
   /**
-   * Recovers a directory without locking or changing it; fails where a writer deleted files in the
-   * meantime. Blocks on the disk.
+   * Recovers the state of a directory without locking or changing it. Fails if a writer deletes
+   * files during the recovery. Blocks on disk access.
    */
   public static RecoveryReport inspect(Directory directory, StateMachineFactory factory)
       throws IOException {
     return Recovery.run(directory, factory);
   }
 
-  /** Compacts a directory that nobody writes to. Blocks until that is done. */
+  /** Compacts a directory that no store is writing to. Blocks until the compaction is complete. */
   public static OpenResult compact(
       Directory directory, StateMachineFactory factory, long maxBytes) {
     Optional<AutoCloseable> lock = Optional.empty();
     try {
       RecoveryReport before = Recovery.run(directory, factory);
       if (before.isNewStore()) {
-        return new OpenResult.Compacted(before); // do not create a store
+        return new OpenResult.Compacted(before); // compaction must not create a store
       }
       lock = directory.tryLock(FileNames.LOCK);
       if (lock.isEmpty()) {
@@ -125,14 +126,14 @@
     try {
       lock.close();
     } catch (Exception e) {
-      return; // the lock ends with the process
+      return; // the operating system releases the lock when the process ends
     }
   }
 
   /**
-   * Queues records for writing, in the order of the calls. Each record becomes durable completely
-   * or not at all; of several records in one call, the first may survive a crash without the rest.
-   * Does not wait. Throws {@link IllegalArgumentException} for a record of a reserved type.
+   * Queues records for writing, in the order of the calls, without waiting. Each record becomes
+   * durable completely or not at all; after a crash, only the first of several records in one call
+   * may have survived. Throws {@link IllegalArgumentException} for a record of a reserved type.
    */
   public AppendResult append(List<StoredRecord> records, AppendCallback callback) {
     if (writer.isClosing()) {
@@ -140,38 +141,42 @@
     }
     for (StoredRecord record : records) {
       if (!record.isApplicationRecord()) {
-        throw new IllegalArgumentException("type " + record.type() + " is the store's own");
+        throw new IllegalArgumentException(
+            "record type "
+                + record.type()
+                + " is reserved for the store, application types are 0 to "
+                + StoredRecord.MAX_APPLICATION_TYPE);
       }
     }
     if (!queue.offer(records, callback)) {
       return AppendResult.FULL;
     }
     if (isClosed()) {
-      queue.failAll(AppendFailure.closed()); // the writer ended in the meantime
+      queue.failAll(AppendFailure.closed()); // the writer thread ended after the check above
     }
     return AppendResult.QUEUED;
   }
 
-  /** Returns the counts so far. */
+  /** Returns the statistics so far. */
   public Metrics metrics() {
     return writer.metrics();
   }
 
-  /** Whether the writer has ended and the lock is released. */
+  /** Returns whether the writer thread has ended and released the lock. */
   public boolean isClosed() {
     return !writerThread.isAlive();
   }
 
-  /** Accepts no more appends; the writer writes what is queued and ends. Does not wait. */
+  /** Rejects further appends; the writer thread writes the queued ones and ends. Does not wait. */
   public void beginClose() {
     writer.close();
   }
 
   /**
-   * Closes the store and waits for the writer.
+   * Closes the store and waits for the writer thread to end.
    *
    * @param timeoutMs how long to wait (ms)
-   * @return whether all is written and the lock is released
+   * @return whether the writer thread has ended and released the lock
    */
   public boolean close(long timeoutMs) {
     beginClose();
--- a/src/main/java/rosecleat/store/Recovery.java
+++ b/src/main/java/rosecleat/store/Recovery.java
@@ -10,9 +10,10 @@
 import rosecleat.store.wire.Manifest;
 
 /**
- * Reads a directory and replays what is valid, changing nothing. Each file is verified completely
- * before any of its records is applied. While another process writes, files may disappear during
- * the reading: that is an {@link IOException}, and a second attempt succeeds.
+ * Reads a store's directory and replays its valid content without changing any file. Each file is
+ * verified completely before any of its records is applied. If another process writes to the
+ * directory, files may disappear during recovery; this causes an {@link IOException}, and the
+ * caller can try again.
  */
 final class Recovery {
   private final Directory directory;
@@ -30,7 +31,7 @@
     findings = new RecoveryFindings(files);
   }
 
-  /** Recovers the state of a directory. */
+  /** Recovers the state of a directory, which may be empty. */
   static RecoveryReport run(Directory directory, StateMachineFactory factory) throws IOException {
     return new Recovery(directory, factory).run();
   }
@@ -119,7 +120,7 @@
     }
   }
 
-  /** Returns the snapshots to try, the newest first. */
+  /** Returns the numbers of the snapshots to try, newest first. */
   private static List<Long> candidates(Optional<Manifest> manifest, List<Long> snapshotNumbers) {
     List<Long> candidates = new ArrayList<>();
     if (manifest.isEmpty()) {
@@ -133,14 +134,14 @@
     return candidates;
   }
 
-  /** Returns the first complete snapshot; 0 where there is none. */
+  /** Returns the number of the first complete snapshot; 0 if there is none. */
   private long selectSnapshot(List<Long> candidates)
       throws IOException, UnsupportedFormatException {
     for (long number : candidates) {
       if (verifySnapshot(number)) {
         return number;
       }
-      snapshotLost = true; // the log continues this one, not the one before
+      snapshotLost = true; // the log continues this snapshot, not the older one
     }
     return 0;
   }
--- a/src/main/java/rosecleat/store/RecoveryFindings.java
+++ b/src/main/java/rosecleat/store/RecoveryFindings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Collects what recovery finds, and which files have to be quarantined or deleted. */
+/** Collects the issues that recovery finds and the files to be quarantined or deleted. */
 final class RecoveryFindings {
   private final Set<String> existingFiles;
   private final List<RecoveryIssue> issues = new ArrayList<>();
@@ -16,7 +16,7 @@
     this.existingFiles = existingFiles;
   }
 
-  /** Adds an issue of a file that must not be used; the file goes to quarantine if it exists. */
+  /** Adds an issue of a file that must not be used; the file is quarantined if it exists. */
   void addCorruptFile(RecoveryIssue issue) {
     issues.add(issue);
     if (existingFiles.contains(issue.file())) {
@@ -24,7 +24,7 @@
     }
   }
 
-  /** Adds an issue that costs nothing that was acknowledged. */
+  /** Adds an issue that loses no acknowledged record. */
   void addIssue(RecoveryIssue issue) {
     issues.add(issue);
   }
@@ -33,7 +33,7 @@
     obsoleteFiles.add(name);
   }
 
-  /** Adds to the number of records that are replayed. */
+  /** Adds to the number of records to be replayed. */
   void addRecords(long count) {
     records += count;
   }
--- a/src/main/java/rosecleat/store/RecoveryIssue.java
+++ b/src/main/java/rosecleat/store/RecoveryIssue.java
@@ -1,43 +1,44 @@
 package rosecleat.store;
 
 /**
- * Something unexpected that recovery found in a file.
+ * A problem that recovery found in a file.
  *
- * @param cause what is wrong
+ * @param cause the kind of problem
  * @param file the name of the file
- * @param offset where in the file it begins (bytes)
- * @param bytes how many bytes are ignored because of it
- * @param description a clause for people
+ * @param offset offset in the file at which the problem begins (bytes)
+ * @param bytes number of bytes that are ignored or missing because of the problem
+ * @param description a human-readable description without a final full stop
  */
 public record RecoveryIssue(Cause cause, String file, long offset, long bytes, String description) {
-  /** What is wrong with a file. */
+  /** The kind of problem. */
   public enum Cause {
-    /** The last write did not complete; nothing that was acknowledged is lost. */
-    TORN_WRITE(false, "an unfinished write was cut off"),
-    /** A log segment whose creation did not complete; it holds nothing. */
-    SEGMENT_NOT_STARTED(false, "a log that was never begun"),
-    /** There are segments or snapshots, but no manifest. */
-    MANIFEST_MISSING(true, "it is missing, though there are logs or snapshots"),
+    /** The last write did not complete; no acknowledged record is lost. */
+    TORN_WRITE(false, "last write is incomplete and ignored, no acknowledged record is lost"),
+    /** The creation of a log segment did not complete; the segment contains no records. */
+    SEGMENT_NOT_STARTED(
+        false, "creation of the log segment did not complete, it contains no records"),
+    /** The directory contains segments or snapshots, but no manifest. */
+    MANIFEST_MISSING(true, "manifest is missing, though log segments or snapshots exist"),
     /** The manifest is corrupt. */
-    MANIFEST_UNREADABLE(true, "it can't be read"),
+    MANIFEST_UNREADABLE(true, "manifest is corrupt"),
     /** A snapshot that the manifest names does not exist. */
-    SNAPSHOT_MISSING(true, "it is missing"),
-    /** A snapshot is corrupt or has no end record. */
-    SNAPSHOT_INCOMPLETE(true, "the snapshot is not whole"),
+    SNAPSHOT_MISSING(true, "snapshot that the manifest names is missing"),
+    /** A snapshot is corrupt or has no valid end record. */
+    SNAPSHOT_INCOMPLETE(true, "snapshot is corrupt or has no valid end record"),
     /** The header of a segment is corrupt. */
-    SEGMENT_HEADER_UNREADABLE(true, "its header can't be read"),
-    /** A segment continues one that does not exist. */
-    PREVIOUS_SEGMENT_MISSING(true, "log %d before it is missing"),
+    SEGMENT_HEADER_UNREADABLE(true, "header of the log segment is corrupt"),
+    /** A segment continues another segment that does not exist. */
+    PREVIOUS_SEGMENT_MISSING(true, "preceding log segment %d is missing"),
     /** A segment continues a file that is corrupt or missing. */
-    PREDECESSOR_LOST(true, "what it follows is damaged or missing"),
-    /** A segment is shorter than the next segment's header says. */
-    SEGMENT_TOO_SHORT(true, "it is shorter than the next log says"),
-    /** The checksum of a record does not match, or the record is cut off. */
-    RECORD_UNREADABLE(true, "an entry can't be read"),
-    /** The end record of a snapshot counts more or fewer records than there are. */
-    RECORDS_MISSING(true, "entries are missing"),
-    /** There are bytes behind the end record of a snapshot. */
-    DATA_AFTER_END(true, "something stands behind its end");
+    PREDECESSOR_LOST(true, "preceding snapshot or log segment is corrupt or missing"),
+    /** A segment is shorter than the header of the next segment states. */
+    SEGMENT_TOO_SHORT(true, "log segment is shorter than the header of the next segment states"),
+    /** A record is truncated, or its header or checksum is not valid. */
+    RECORD_UNREADABLE(true, "record is corrupt or truncated"),
+    /** The end record of a snapshot states another number of records than the snapshot contains. */
+    RECORDS_MISSING(true, "number of records differs from the number in the end record"),
+    /** A snapshot has data after its end record. */
+    DATA_AFTER_END(true, "data after the end record");
 
     private final boolean corruption;
     private final String description;
@@ -57,7 +58,7 @@
     return new RecoveryIssue(cause, file, 0, bytes, cause.description.formatted(previousNumber));
   }
 
-  /** Whether data that had been written completely is lost. */
+  /** Returns whether data that had been written completely is lost. */
   public boolean isCorruption() {
     return cause.corruption;
   }
--- a/src/main/java/rosecleat/store/RecoveryPlan.java
+++ b/src/main/java/rosecleat/store/RecoveryPlan.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What {@link StorageEngine} has to do with the files before it writes.
+ * The changes to the files that {@link StorageEngine} has to make before it writes.
  *
- * @param newStore whether there is no store yet
+ * @param newStore whether the directory contains no store yet
  * @param snapshot number of the snapshot that was replayed, 0 for none
- * @param olderSnapshot number of the snapshot that is retained behind it, 0 for none
- * @param segments the log segments that were replayed, in order
+ * @param olderSnapshot number of the older snapshot that is retained as a fallback, 0 for none
+ * @param segments the log segments that were replayed, in ascending order of their numbers
  * @param highestNumber highest number of any segment or snapshot
  * @param corruptFiles files to be quarantined
  * @param obsoleteFiles files to be deleted
- * @param needsNewSnapshot whether the files no longer lead to the replayed state, so that a new
- *     snapshot has to be written
+ * @param needsNewSnapshot whether replaying the remaining files would no longer yield the replayed
+ *     state, so that a new snapshot has to be written
  */
 record RecoveryPlan(
     boolean newStore,
--- a/src/main/java/rosecleat/store/RetainedSnapshots.java
+++ b/src/main/java/rosecleat/store/RetainedSnapshots.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * The current snapshot and the one retained behind it, as a fallback should the current one become
- * unreadable. For the writer's thread.
+ * The current snapshot and an older one, which is retained as a fallback in case the current one
+ * becomes unreadable. Must be used on the writer's thread only.
  */
 final class RetainedSnapshots {
   private final Directory directory;
@@ -12,9 +12,9 @@
   private long older;
   private long currentBytes;
   private long olderBytes;
-  private long abandonedBytes; // of failed compactions; the manifest on disk may name one of them
+  private long abandonedBytes; // snapshots of failed compactions; the manifest may name one of them
 
-  /** Starts from the snapshots of a recovery, 0 for none; the older one may be missing. */
+  /** Starts with the snapshots that recovery found, 0 for none; the older one may be missing. */
   RetainedSnapshots(Directory directory, long current, long older) throws IOException {
     this.directory = directory;
     this.current = current;
@@ -41,7 +41,7 @@
     return currentBytes + olderBytes + abandonedBytes;
   }
 
-  /** Counts the bytes that a failed compaction may have left behind. */
+  /** Adds the size of a snapshot file that a failed compaction may have left on disk. */
   void addAbandoned(long bytes) {
     abandonedBytes += bytes;
   }
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Makes a new snapshot the current one and retains the one that it is based on.
+   * Makes a new snapshot the current one and retains the snapshot that it is based on.
    *
    * @return the number of the snapshot that is no longer needed, 0 for none
    */
--- a/src/main/java/rosecleat/store/SegmentedLog.java
+++ b/src/main/java/rosecleat/store/SegmentedLog.java
@@ -6,14 +6,15 @@
 import java.util.List;
 
 /**
- * The write-ahead log: one segment that is appended to, and the sealed ones before it. After a
- * failed write or sync the active segment is closed for good, and a new one continues behind the
- * last byte that is known to be durable. For the writer's thread.
+ * The write-ahead log: an active segment, to which records are appended, and the sealed segments
+ * before it. After a failed write or sync, the active segment is closed permanently, and a new
+ * segment continues after the last byte that is known to be durable. Must be used on the writer's
+ * thread only.
  */
 final class SegmentedLog {
   private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
-  /** A buffer that has grown beyond this is released after the write (bytes). */
+  /** A buffer that has grown beyond this size is released after the write. */
   private static final int MAX_RETAINED_BUFFER_BYTES = 1 << 20;
 
   private static final int LOG_END_VERSION = 1;
@@ -21,7 +22,7 @@
   private final Directory directory;
   private final List<LogSegment> sealed;
   private Directory.Output active; // null while no segment is open
-  private long number; // the last file of the chain: a segment, or the snapshot it begins behind
+  private long number; // the last file of the chain: a segment, or the snapshot that precedes it
   private long validBytes;
   private long highestNumber;
   private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
@@ -32,31 +33,31 @@
     this.highestNumber = highestNumber;
   }
 
-  /** Continues behind the last recovered segment, or behind the snapshot where there is none. */
+  /** Continues after the last recovered segment, or after the snapshot if there is no segment. */
   void continueBehindLast(long snapshot) {
     if (sealed.isEmpty()) {
       number = snapshot;
       return;
     }
-    LogSegment last = sealed.remove(sealed.size() - 1); // startSegment() seals it again
+    LogSegment last = sealed.remove(sealed.size() - 1); // startSegment() adds it again
     number = last.number();
     validBytes = last.validBytes();
   }
 
-  /** Continues behind a snapshot that was just written under a reserved number. */
+  /** Continues after a snapshot that was just written under a reserved number. */
   void continueBehindSnapshot(long snapshot) {
     number = snapshot;
     validBytes = 0;
   }
 
-  /** Returns the next unused file number, and uses it up. */
+  /** Reserves and returns the next unused file number. */
   long reserveNumber() {
     return ++highestNumber;
   }
 
   /**
-   * Seals the last segment and starts a new one. Where that fails the number is used again later:
-   * nothing in the file was acknowledged.
+   * Seals the last segment and starts a new one. If this fails, a later call reuses the number,
+   * because no record in the file was acknowledged.
    *
    * @param snapshot number of the current snapshot, 0 for none
    */
@@ -85,12 +86,12 @@
     return active != null;
   }
 
-  /** Returns the valid bytes of the segment that was written last. */
+  /** Returns the number of valid bytes in the segment that was written last. */
   long activeBytes() {
     return validBytes;
   }
 
-  /** Returns the valid bytes of all segments. */
+  /** Returns the total number of valid bytes in all segments. */
   long totalBytes() {
     long sum = validBytes;
     for (LogSegment segment : sealed) {
@@ -99,7 +100,7 @@
     return sum;
   }
 
-  /** Returns the sealed segments, in order. */
+  /** Returns the sealed segments in ascending order of their numbers. */
   List<LogSegment> sealedSegments() {
     return List.copyOf(sealed);
   }
@@ -108,14 +109,14 @@
     return sealed.size();
   }
 
-  /** Forgets sealed segments, whose files the caller deletes. */
+  /** Removes sealed segments from the list; the caller deletes their files. */
   void removeSealed(List<LogSegment> segments) {
     sealed.removeAll(segments);
   }
 
   /**
-   * Appends records to the active segment; they are durable when this returns. Where it fails the
-   * segment is closed.
+   * Appends records to the active segment; they are durable when this method returns. If the write
+   * fails, the segment is closed.
    */
   void append(List<StoredRecord> records, int encodedLength) throws IOException {
     if (buffer.capacity() < encodedLength) {
@@ -139,7 +140,7 @@
     }
   }
 
-  /** Closes the active segment; the next write has to start another. */
+  /** Closes the active segment; a new segment has to be started before the next append. */
   void closeSegment() {
     Outputs.closeQuietly(active);
     active = null;
--- a/src/main/java/rosecleat/store/SnapshotWriter.java
+++ b/src/main/java/rosecleat/store/SnapshotWriter.java
@@ -14,14 +14,14 @@
   private ByteBuffer chunk = ByteBuffer.allocate(CHUNK_BYTES);
   private long writtenBytes;
   private long records;
-  private IOException failure; // kept until the end: a consumer of records must not throw it
+  private IOException failure; // thrown by finish(), because a Consumer cannot throw it
 
   private SnapshotWriter(long number, Directory.Output output) {
     this.number = number;
     this.output = output;
   }
 
-  /** Writes a snapshot; it is durable when this returns its size (bytes). */
+  /** Writes a snapshot and returns its size (bytes); the snapshot is durable when this returns. */
   static long write(Directory directory, long number, StateMachine state) throws IOException {
     String name = FileNames.snapshot(number);
     String temporaryName = name + FileNames.TEMPORARY_SUFFIX;
--- a/src/main/java/rosecleat/store/StorageEngine.java
+++ b/src/main/java/rosecleat/store/StorageEngine.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * The writing side of a store, without threads: appends to the log, and replaces the log by
- * snapshots. What {@link #write} has returned from is durable. For one thread, except where {@link
- * Compaction} says otherwise.
+ * The writing part of a store, without threads of its own: appends records to the log and replaces
+ * log segments with snapshots. Records are durable once {@link #write} has returned. Must be used
+ * on one thread only, except as documented for {@link Compaction}.
  */
 final class StorageEngine implements AutoCloseable {
-  /** A segment is closed when it makes up this part of the store's bound... */
+  /** Divides the store's size limit to get the length from which on a segment is closed. */
   private static final int SEGMENT_BYTES_DIVISOR = 16;
 
-  /** ...but not before it has this length. */
+  /** Length up to which a segment is never closed for its size. */
   private static final long MIN_SEGMENT_BYTES = 1 << 16;
 
-  /** The log is compacted when it makes up this part of the store's bound... */
+  /** Divides the store's size limit to get the size of the log from which on it is compacted. */
   private static final int LOG_BYTES_DIVISOR = 4;
 
-  /** ...or when it has this many sealed segments. */
+  /** Number of sealed segments from which on the log is compacted whatever its size. */
   private static final int MAX_SEALED_SEGMENTS = 32;
 
-  /** A compaction may exceed the store's bound by this part of it. */
+  /** Divides the store's size limit to get the excess over it that a compaction may cause. */
   private static final int COMPACTION_EXCESS_DIVISOR = 4;
 
   private final Directory directory;
@@ -32,10 +32,10 @@
   private final SegmentedLog log;
 
   /**
-   * Continues from what recovery found. The caller holds the directory's lock.
+   * Continues from the result of a recovery. The caller must hold the directory's lock.
    *
-   * @param maxBytes bound on the size of all files
-   * @param recovered the report of a supported format
+   * @param maxBytes limit on the total size of all files
+   * @param recovered the report of the recovery; its format must be supported
    */
   StorageEngine(
       Directory directory, StateMachineFactory factory, long maxBytes, RecoveryReport recovered)
@@ -61,7 +61,7 @@
     log.startSegment(snapshots.current());
   }
 
-  /** Writes the recovered state as a snapshot that replaces all files. */
+  /** Writes the recovered state as a snapshot that replaces all recovered files. */
   private void writeRecoveredSnapshot(StateMachine state) throws IOException {
     long number = log.reserveNumber();
     long bytes = SnapshotWriter.write(directory, number, state);
@@ -71,15 +71,15 @@
     log.continueBehindSnapshot(number);
   }
 
-  /** Returns the size of the files (bytes), without those of a compaction that is running. */
+  /** Returns the total size of the files (bytes), excluding those of a running compaction. */
   long bytes() {
     return log.totalBytes() + snapshots.totalBytes() + quarantinedBytes;
   }
 
   /**
-   * Writes records; all are durable when this returns. Where it throws, none of them counts once a
-   * later write has returned; should the process end before that, the first of them may count, in
-   * order.
+   * Writes records; all of them are durable when this method returns. If it throws, none of them is
+   * recovered once a later write has returned; if the process ends before that, any number of them,
+   * counted from the first, may be recovered.
    */
   void write(List<StoredRecord> records) throws IOException {
     long length = 0;
@@ -87,7 +87,7 @@
       length += RecordFormat.encodedLength(record);
     }
     if (bytes() + length > maxBytes) {
-      throw new IOException("the store is full: " + bytes() + " of " + maxBytes + " bytes");
+      throw new IOException("store is full: " + bytes() + " of " + maxBytes + " bytes used");
     }
     if (!log.hasActiveSegment()) {
       log.startSegment(snapshots.current());
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Whether the log is so long that it should be compacted. */
+  /** Returns whether the log has grown enough to be compacted. */
   boolean needsCompaction() {
     return log.totalBytes() > maxBytes / LOG_BYTES_DIVISOR
         || log.sealedCount() >= MAX_SEALED_SEGMENTS;
@@ -106,14 +106,15 @@
 
   /**
    * Prepares a compaction of all records written so far; further writes go to a new segment. Fails
-   * where there is no room for another snapshot.
+   * if another snapshot would exceed the size limit by more than compactions may.
    */
   Compaction prepareCompaction() throws IOException {
     if (bytes() + snapshots.currentBytes() > maxBytes && snapshots.hasOlder()) {
       snapshots.deleteOlder();
     }
     if (bytes() + snapshots.currentBytes() > maxBytes + maxBytes / COMPACTION_EXCESS_DIVISOR) {
-      throw new IOException("no room to compact in: " + bytes() + " of " + maxBytes + " bytes");
+      throw new IOException(
+          "not enough space for compaction: " + bytes() + " of " + maxBytes + " bytes used");
     }
     if (log.hasActiveSegment()) {
       log.closeSegment();
@@ -122,7 +123,7 @@
     return new Compaction(directory, factory, snapshots.current(), log.sealedSegments());
   }
 
-  /** Takes over the snapshot of a compaction that succeeded, and deletes what it replaces. */
+  /** Installs the snapshot of a successful compaction and deletes the files that it replaces. */
   void install(Compaction compaction) throws IOException {
     replaceSnapshot(
         compaction.targetSnapshot(),
@@ -131,7 +132,7 @@
         compaction.segments());
   }
 
-  /** Accounts for a compaction that failed: files that it wrote may still exist. */
+  /** Accounts for a failed compaction, whose files may still exist. */
   void abandon(Compaction compaction) {
     snapshots.addAbandoned(compaction.snapshotBytes());
   }
@@ -148,7 +149,7 @@
     }
   }
 
-  /** Ends the log; does not fail. */
+  /** Closes the log; does not fail. */
   @Override
   public void close() {
     log.close();
--- a/src/main/java/rosecleat/store/StoreWriter.java
+++ b/src/main/java/rosecleat/store/StoreWriter.java
@@ -8,10 +8,10 @@
 
 /**
  * The loop of the writer's thread, which owns the {@link StorageEngine}: writes all queued appends
- * in one go with one sync, backs off after failures, and starts and installs compactions.
+ * at once with one sync, backs off after failures, and starts and installs compactions.
  */
 final class StoreWriter implements Runnable {
-  /** How often a thread without appends looks after compactions (ms). */
+  /** Interval at which the thread checks compactions while no append is queued. */
   private static final long POLL_MS = 100;
 
   private static final long MIN_BACKOFF_NS = 50_000_000;
@@ -34,10 +34,11 @@
   private long retryAtNs;
 
   /**
-   * Creates the loop; {@link #run} is called on the thread that owns it.
+   * Creates the loop; the writer's thread has to call {@link #run}.
    *
-   * @param events receives a line for each change of the store's state
-   * @param onClosed called when the log is closed; releases the lock
+   * @param events receives a message for each failure of the store and each return to normal
+   *     operation
+   * @param onClosed called when the log is closed, in order to release the lock
    */
   StoreWriter(StorageEngine engine, AppendQueue queue, Consumer<String> events, Runnable onClosed) {
     this.engine = engine;
@@ -47,7 +48,7 @@
     compactions = new CompactionRunner(engine, events, this::countCompaction);
   }
 
-  /** Asks the loop to write what is queued, and to end. For any thread. */
+  /** Makes the loop write the queued appends and end. May be called on any thread. */
   void close() {
     closing = true;
   }
@@ -67,7 +68,7 @@
       try {
         running = writeNextBatch();
       } catch (InterruptedException e) {
-        closing = true; // writes what is queued, and ends
+        closing = true; // the loop writes the queued appends and ends
       }
       if (running) {
         manageCompaction();
@@ -79,7 +80,7 @@
     queue.failAll(AppendFailure.closed());
   }
 
-  /** Waits for appends and writes them; false when the store is closing and none is left. */
+  /** Waits for appends and writes them; returns false if the store is closing and none is left. */
   private boolean writeNextBatch() throws InterruptedException {
     List<AppendQueue.Append> batch = queue.takeBatch(closing ? 0 : POLL_MS);
     if (!batch.isEmpty()) {
@@ -123,7 +124,7 @@
     backoffNs = MIN_BACKOFF_NS;
     if (failing) {
       failing = false;
-      events.accept("the store writes again");
+      events.accept("store writes succeed again");
     }
     return Optional.empty();
   }
@@ -131,7 +132,8 @@
   private void backOff(AppendFailure failure) {
     if (!failing) {
       failing = true;
-      events.accept("the store can't write, and goes on trying: " + failure.message());
+      events.accept(
+          "store write failed, appends fail until a later write succeeds: " + failure.message());
     }
     retryAtNs = System.nanoTime() + backoffNs;
     backoffNs = Math.min(2 * backoffNs, MAX_BACKOFF_NS);
--- a/src/main/java/rosecleat/store/StoredRecord.java
+++ b/src/main/java/rosecleat/store/StoredRecord.java
@@ -3,24 +3,24 @@
 import java.util.Arrays;
 
 /**
- * The unit that is written and read back: an opaque payload with a type and a format version.
+ * The unit of storage: an opaque payload with a record type and a format version.
  *
- * @param type the application's record type, 0 to {@link #MAX_APPLICATION_TYPE}; larger ones belong
- *     to the store
+ * @param type the application's record type, 0 to {@link #MAX_APPLICATION_TYPE}; larger types are
+ *     reserved for the store
  * @param version the format version of the payload, 1 to 255
- * @param payload the bytes, {@link #MAX_PAYLOAD_BYTES} at most; not copied
+ * @param payload the content, at most {@link #MAX_PAYLOAD_BYTES} long; the array is not copied
  */
 public record StoredRecord(int type, int version, byte[] payload) {
-  /** The largest type that an application may use. */
+  /** The largest record type that an application may use. */
   public static final int MAX_APPLICATION_TYPE = 0xfeff;
 
-  /** The largest payload (bytes). */
+  /** The maximum length of a payload. */
   public static final int MAX_PAYLOAD_BYTES = 4 << 20;
 
   private static final int MAX_TYPE = 0xffff;
   private static final int MAX_VERSION = 255;
 
-  /** Creates a record; throws {@link IllegalArgumentException} where a bound is exceeded. */
+  /** Creates a record; throws {@link IllegalArgumentException} if a value is out of range. */
   public StoredRecord {
     if (type < 0
         || type > MAX_TYPE
@@ -28,11 +28,23 @@
         || version > MAX_VERSION
         || payload.length > MAX_PAYLOAD_BYTES) {
       throw new IllegalArgumentException(
-          "type " + type + ", version " + version + ", " + payload.length + " bytes");
+          "record out of range: type "
+              + type
+              + " (0 to "
+              + MAX_TYPE
+              + "), version "
+              + version
+              + " (1 to "
+              + MAX_VERSION
+              + "), "
+              + payload.length
+              + " bytes (at most "
+              + MAX_PAYLOAD_BYTES
+              + ")");
     }
   }
 
-  /** Whether the application wrote this record, not the store itself. */
+  /** Returns whether this record is an application's rather than one of the store's own. */
   boolean isApplicationRecord() {
     return type <= MAX_APPLICATION_TYPE;
   }
--- a/src/main/java/rosecleat/store/UnsupportedFormat.java
+++ b/src/main/java/rosecleat/store/UnsupportedFormat.java
@@ -1,16 +1,19 @@
 package rosecleat.store;
 
 /**
- * Says which file was written in a newer format than this program supports.
+ * Describes a file that was written in a newer format than this program supports.
  *
  * @param file the name of the file
- * @param detail a clause for people that continues the file's name
+ * @param detail a human-readable description that continues a sentence after the file's name
  */
 public record UnsupportedFormat(String file, String detail) {
   static UnsupportedFormat fileVersion(String file, int version) {
     return new UnsupportedFormat(
         file,
-        "is of format " + version + ", and this program reads up to " + FileHeader.FORMAT_VERSION);
+        "has format version "
+            + version
+            + ", but this program supports versions up to "
+            + FileHeader.FORMAT_VERSION);
   }
 
   static UnsupportedFormat recordVersion(String file, long offset, StoredRecord record) {
@@ -18,14 +21,14 @@
         file,
         "at byte "
             + offset
-            + " has an entry of type "
+            + " has a record of type "
             + record.type()
             + ", version "
             + record.version()
-            + ", which this program does not know");
+            + ", which this program does not support");
   }
 
-  /** Returns a sentence for people. */
+  /** Returns a human-readable message that names the file. */
   public String message() {
     return file + " " + detail;
   }
--- a/src/main/java/rosecleat/store/UnsupportedFormatException.java
+++ b/src/main/java/rosecleat/store/UnsupportedFormatException.java
@@ -1,6 +1,6 @@
 package rosecleat.store;
 
-/** Thrown where a file is in a newer format than this program supports. */
+/** Thrown if a file was written in a newer format than this program supports. */
 final class UnsupportedFormatException extends Exception {
   private static final long serialVersionUID = 1;
 
