--- a/src/main/java/rosecleat/routes/ContentDigest.java
+++ b/src/main/java/rosecleat/routes/ContentDigest.java
@@ -5,7 +5,9 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** The first 64 bits of SHA-256, so that tables that differ are not taken for equal by accident. */
+/**
+ * Computes the first 64 bits of SHA-256, so that digests of different tables hardly ever collide.
+ */
 final class ContentDigest {
   private static final ThreadLocal<MessageDigest> SHA_256 =
       ThreadLocal.withInitial(ContentDigest::newSha256);
@@ -16,11 +18,11 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // each Java platform has it
+      throw new IllegalStateException(e); // every Java platform provides SHA-256
     }
   }
 
-  /** The digest of a text in UTF-8. */
+  /** Returns the digest of a text encoded in UTF-8. */
   static long of(String text) {
     byte[] sum = SHA_256.get().digest(text.getBytes(StandardCharsets.UTF_8));
     return ByteBuffer.wrap(sum).getLong();
--- a/src/main/java/rosecleat/routes/Instance.java
+++ b/src/main/java/rosecleat/routes/Instance.java
@@ -7,20 +7,20 @@
 import java.util.stream.Collectors;
 
 /**
- * One instance of a service.
+ * An instance of a service and its address.
  *
- * @param weight its share of the work relative to the other instances, above 0
- * @param capacity how many requests it works on at once; 0 where that is not declared
+ * @param weight relative share of the service's requests, above 0
+ * @param capacity number of requests that the instance processes at once; 0 if not declared
  */
 public record Instance(
     String host, int port, String zone, double weight, State state, int capacity) {
-  /** Whether it takes requests. */
+  /** Whether the instance accepts requests. */
   public enum State {
-    /** It does. */
+    /** The instance accepts requests. */
     ON(0),
-    /** It finishes what it has, and takes nothing new. */
+    /** The instance completes its current requests and accepts no new ones. */
     DRAIN(1),
-    /** It takes nothing. */
+    /** The instance accepts no requests. */
     OFF(2);
 
     private static final Map<Integer, State> BY_WIRE_VALUE =
@@ -33,20 +33,21 @@
       this.wireValue = wireValue;
     }
 
-    /** Its number on the wire. */
+    /** Returns the number that represents this state in messages. */
     int wireValue() {
       return wireValue;
     }
 
-    /** The state with a number on the wire; empty where there is none. */
+    /** Returns the state that a number represents in messages; empty if there is none. */
     static Optional<State> ofWireValue(int wireValue) {
       return Optional.ofNullable(BY_WIRE_VALUE.get(wireValue));
     }
   }
 
   /**
-   * The text that digests are made of. Processes of all versions must make the same text of the
-   * same instance, so it is fixed here and does not follow the names of the components.
+   * Returns the text from which digests are computed. Processes of all versions must produce the
+   * same text for the same instance, so its literals must not follow renames of the record
+   * components.
    */
   String canonicalText() {
     return "Instance[host="
--- a/src/main/java/rosecleat/routes/RouteCodec.java
+++ b/src/main/java/rosecleat/routes/RouteCodec.java
@@ -8,18 +8,20 @@
 import rosecleat.routes.wire.RouteEntryMessage;
 import rosecleat.routes.wire.RouteSyncFrame;
 
-/** Entries as messages and back. Decoding is empty where a field is out of its bounds. */
+/**
+ * Converts between route entries and messages. Decoding returns empty if a field is out of range.
+ */
 final class RouteCodec {
   private static final int MAX_TEXT_LENGTH = 64;
   private static final int MAX_PORT = 0xffff;
   private static final double MAX_WEIGHT = 1e6;
 
-  /** The greatest Lamport time, far from overflow. */
+  /** The largest accepted Lamport time; far below the overflow of the clock. */
   private static final long MAX_TIME = 1L << 56;
 
   private RouteCodec() {}
 
-  /** A frame as it came, its checksum verified. */
+  /** Verifies the checksum of a received frame and decodes it; returns empty if it is invalid. */
   static Optional<RouteSyncFrame> decodeFrame(byte[] bytes, String cluster) {
     byte[] message = Checksum.verify(bytes, cluster);
     try {
@@ -68,7 +70,10 @@
     return Optional.of(new RouteEntry(key, instance, message.getTime(), message.getAuthor()));
   }
 
-  /** All entries; empty where one of them is invalid, as the others can't be trusted then. */
+  /**
+   * Decodes all entries; returns empty if any of them is invalid, because the others cannot be
+   * trusted then.
+   */
   static Optional<List<RouteEntry>> decodeAll(List<RouteEntryMessage> messages) {
     List<RouteEntry> entries = new ArrayList<>();
     for (RouteEntryMessage message : messages) {
--- a/src/main/java/rosecleat/routes/RouteEntry.java
+++ b/src/main/java/rosecleat/routes/RouteEntry.java
@@ -1,16 +1,17 @@
 package rosecleat.routes;
 
 /**
- * An instance under its key, or a tombstone that says that it was removed. Of two entries with one
- * key the one with the greater time supersedes the other, then the greater author, then the greater
- * content: any order of delivery ends the same.
+ * An instance under its key, or a tombstone that marks a removed instance. Of two entries with the
+ * same key, the one with the greater time supersedes the other; if the times are equal, the one
+ * with the greater author; then the one with the greater content digest. Replicas therefore
+ * converge whatever the order of delivery.
  *
  * @param instance null for a tombstone
- * @param time of a Lamport clock
- * @param author the process that published it
+ * @param time the Lamport time of publication
+ * @param author the name of the process that published the entry
  */
 public record RouteEntry(Key key, Instance instance, long time, String author) {
-  /** The identity of an entry: a service and the name of one of its instances. */
+  /** Identifies an entry by a service and the name of one of its instances. */
   public record Key(String service, String name) implements Comparable<Key> {
     @Override
     public int compareTo(Key other) {
@@ -27,7 +28,7 @@
     return instance == null;
   }
 
-  /** Whether this entry replaces another of its key; {@code other} may be null for none. */
+  /** Returns whether this entry replaces another one with the same key, or null for none. */
   boolean supersedes(RouteEntry other) {
     if (other == null || time != other.time) {
       return other == null || time > other.time;
@@ -36,12 +37,12 @@
     return byAuthor != 0 ? byAuthor > 0 : contentDigest() > other.contentDigest();
   }
 
-  /** The digest of the key and the instance; 0 for a tombstone. */
+  /** Returns the digest of the key and the instance; 0 for a tombstone. */
   long contentDigest() {
     return instance == null ? 0 : ContentDigest.of(canonicalText());
   }
 
-  /** The digest of the whole entry, with its time and author. */
+  /** Returns the digest of the complete entry, including its time and author. */
   long digest() {
     return ContentDigest.of(canonicalText() + "\0" + time + "\0" + author);
   }
--- a/src/main/java/rosecleat/routes/RouteStore.java
+++ b/src/main/java/rosecleat/routes/RouteStore.java
@@ -8,16 +8,21 @@
 import java.util.Optional;
 
 /**
- * This process's replica of the fleet's routes: each entry with its time and author, and tombstones
- * of removed ones, so that a removal is not undone by a late copy. For one thread.
+ * This process's replica of the fleet's routes: all entries with their times and authors, including
+ * tombstones of removed instances, so that an old copy that arrives late does not undo a removal.
+ * Not thread-safe.
  */
 public final class RouteStore {
-  /** The most entries, and the most tombstones among them. */
+  /** Maximum number of entries, including tombstones. */
   static final int MAX_ENTRIES = 200_000;
 
+  /** Maximum number of tombstones; beyond it, the oldest ones are removed. */
   static final int MAX_TOMBSTONES = 20_000;
 
-  /** Earlier states kept, so that a peer that has one of them is sent the changes since alone. */
+  /**
+   * Number of earlier states retained, so that a peer whose replica is in one of them receives only
+   * the changes since that state.
+   */
   static final int MAX_HISTORY = 256;
 
   private RouteTrie trie = RouteTrie.EMPTY;
@@ -27,27 +32,30 @@
   private long lamportTime;
   private long generation;
 
-  /** An empty store. */
+  /** Creates an empty store. */
   public RouteStore() {
     historyByDigest.put(trie.digest(), trie);
   }
 
-  /** The table of the instances that are not removed. */
+  /** Returns the table of all instances that are not removed. */
   public RouteTable table() {
     return new RouteTable(trie);
   }
 
-  /** The digest of all entries with their times and authors; equal where replicas are equal. */
+  /**
+   * Returns the digest of all entries with their times and authors; equal replicas have equal
+   * digests.
+   */
   public long stateDigest() {
     return trie.digest();
   }
 
-  /** How often the table has changed in this process. */
+  /** Returns how often the content of the table has changed in this process. */
   public long generation() {
     return generation;
   }
 
-  /** Merges entries, all at once; true where anything changed. */
+  /** Merges entries as a single change; returns whether the store has changed. */
   public boolean merge(List<RouteEntry> entries) {
     RouteTrie merged = trie;
     for (RouteEntry entry : entries) {
@@ -93,8 +101,9 @@
   }
 
   /**
-   * Publishes all instances of an author's file at once. Entries that say what is in force already
-   * stay as they are, whoever wrote them; the author's entries that the file lacks are removed.
+   * Publishes all instances of an author's file as a single change. An entry whose instance equals
+   * that of the file stays as it is, whichever author wrote it. The author's entries that are not
+   * in the file are removed. Returns whether the store has changed.
    */
   public boolean publish(String author, Map<RouteEntry.Key, Instance> file) {
     List<RouteEntry> updates = new ArrayList<>();
@@ -117,7 +126,9 @@
     return merge(updates);
   }
 
-  /** All entries that changed since an earlier state; empty where that state is not known. */
+  /**
+   * Returns all entries that changed since an earlier state; empty if that state is not retained.
+   */
   Optional<List<RouteEntry>> changesSince(long digest) {
     RouteTrie before = historyByDigest.get(digest);
     if (before == null) {
--- a/src/main/java/rosecleat/routes/RouteSyncSession.java
+++ b/src/main/java/rosecleat/routes/RouteSyncSession.java
@@ -11,17 +11,17 @@
 import rosecleat.routes.wire.RouteSyncFrame;
 
 /**
- * One side of an exchange that makes two replicas of the routes equal, whichever has more:
+ * One side of an exchange that synchronizes two replicas of the routes in both directions:
  *
  * <ol>
- *   <li>the opener sends the digests of its state and of the state's parts;
- *   <li>the responder sends what changed since, where it remembers that state, or else all entries
- *       of the parts that differ;
- *   <li>the opener sends what the responder lacks of those parts.
+ *   <li>the opener sends the digest of its state and the digests of the state's parts;
+ *   <li>if the responder still retains that state, it sends the entries that have changed since;
+ *       otherwise it sends all its entries of the parts that differ;
+ *   <li>in the latter case, the opener sends its entries of those parts that the responder lacks.
  * </ol>
  *
- * <p>Merging is idempotent and commutes: an exchange that is broken off, repeated or late changes
- * nothing that a later one does not repair.
+ * <p>Merging is idempotent and commutative, so a later exchange repairs the effects of one that was
+ * aborted, repeated or delayed.
  */
 public final class RouteSyncSession implements ExchangeSession {
   private final RouteStore store;
@@ -33,12 +33,12 @@
   private int step;
 
   /**
-   * One side of an exchange.
+   * Creates one side of an exchange.
    *
    * @param opener whether this process opened the connection
-   * @param self this process, as it is announced to others
-   * @param onChange runs when the exchange has changed the store
-   * @param onEnd runs when the exchange has ended, complete or not
+   * @param self supplies the update that announces this process to others
+   * @param onChange called after a frame of the exchange has changed the store
+   * @param onEnd called when the exchange has ended, whether complete or not
    */
   public RouteSyncSession(
       RouteStore store,
@@ -75,7 +75,7 @@
     return next.map(frame -> RouteCodec.encodeFrame(frame, cluster)).orElse(null);
   }
 
-  /** After the answer: what the responder lacks, or nothing. */
+  /** Merges the responder's answer; returns the entries that the responder lacks, if any. */
   private Optional<RouteSyncFrame.Builder> nextOfOpener(RouteSyncFrame answer) {
     if (step != 2) {
       return Optional.empty();
@@ -88,7 +88,10 @@
     return Optional.of(addEntries(header(), missing));
   }
 
-  /** First the answer to digests that differ; then the opener's entries are merged. */
+  /**
+   * Returns the answer to the opener's digests if they differ, and in the next step merges the
+   * opener's entries.
+   */
   private Optional<RouteSyncFrame.Builder> nextOfResponder(RouteSyncFrame frame) {
     if (step == 1
         && frame.getStateDigest() != store.stateDigest()
@@ -135,7 +138,9 @@
     return frame;
   }
 
-  /** The entries here, of the differing parts, that supersede those of the other side. */
+  /**
+   * Returns this store's entries, in the differing parts, that supersede those of the responder.
+   */
   private List<RouteEntry> entriesMissingAtPeer(RouteSyncFrame answer) {
     Map<RouteEntry.Key, RouteEntry> peerEntries = new HashMap<>();
     answer
@@ -154,7 +159,7 @@
     return missing;
   }
 
-  /** A part's number comes from the other side and may be out of bounds. */
+  /** Returns the entries of a part; empty if the peer sent a part number that is out of range. */
   private List<RouteEntry> entriesOfPart(int part) {
     return part < 0 || part >= RouteTrie.PARTS ? List.of() : store.trie().entriesOfPart(part);
   }
--- a/src/main/java/rosecleat/routes/RouteTable.java
+++ b/src/main/java/rosecleat/routes/RouteTable.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * The instances of all services at a moment; immutable, for any thread. It is identified by its
- * content: equal content has an equal digest everywhere.
+ * An immutable snapshot of the instances of all services. Thread-safe. A table is identified by its
+ * content: tables with equal content have equal digests in all processes.
  */
 public final class RouteTable {
   /** The table without instances. */
@@ -20,12 +20,12 @@
     this.trie = trie;
   }
 
-  /** The digest of the content. */
+  /** Returns the digest of the content. */
   public long digest() {
     return trie.contentDigest();
   }
 
-  /** The instances by service and name, both in order. */
+  /** Returns the instances by service and name, both in ascending order. */
   public Map<String, Map<String, Instance>> services() {
     Map<String, Map<String, Instance>> services = new TreeMap<>();
     trie.forEach(
@@ -42,8 +42,8 @@
   /**
    * A change of one instance between two tables.
    *
-   * @param before null where it is added
-   * @param after null where it is removed
+   * @param before the former instance, null if it was added
+   * @param after the new instance, null if it was removed
    */
   public record RouteChange(RouteEntry.Key key, Instance before, Instance after) {
     RouteChange inverse() {
@@ -51,7 +51,10 @@
     }
   }
 
-  /** The fewest changes to another table: additions, then modifications, then removals. */
+  /**
+   * Returns the smallest list of changes that leads to another table: additions, then
+   * modifications, then removals.
+   */
   public List<RouteChange> diff(RouteTable other) {
     List<RouteChange> added = new ArrayList<>();
     List<RouteChange> modified = new ArrayList<>();
@@ -62,7 +65,7 @@
           Instance before = former == null ? null : former.instance();
           Instance after = current == null ? null : current.instance();
           if (Objects.equals(before, after)) {
-            return; // written again with the same content
+            return; // the entry was written again with the same instance
           }
           RouteEntry.Key key = (former == null ? current : former).key();
           List<RouteChange> changes = before == null ? added : after == null ? removed : modified;
--- a/src/main/java/rosecleat/routes/RouteTrie.java
+++ b/src/main/java/rosecleat/routes/RouteTrie.java
@@ -7,23 +7,27 @@
 import java.util.function.Consumer;
 
 /**
- * A persistent hash trie of entries by the hash of their key, 16 children a node. Each node knows
- * the digest of all entries below it: what two tries share is skipped, so that a comparison costs
- * as much as they differ. Digests are sums over the entries, so they do not depend on the shape.
+ * A persistent hash trie of entries, keyed by the hash of their key, with 16 children per node.
+ * Each node stores the digest of all entries below it. A comparison of two tries skips subtrees
+ * with equal digests, so its cost depends on the number of differences. Digests are sums over the
+ * entries, so they do not depend on the shape of the trie.
  *
  * <p>A node is empty, a leaf with the entries of one hash, or a branch with children.
  */
 final class RouteTrie {
   static final RouteTrie EMPTY = new RouteTrie(null, null, 0, 0, 0);
 
-  /** The parts that {@link #partDigests} tells apart: the nodes two levels below the root. */
+  /**
+   * Number of parts for which {@link #partDigests} returns digests: the nodes two levels below the
+   * root.
+   */
   static final int PARTS = 256;
 
   private static final int BITS_PER_LEVEL = 4;
   private static final int CHILDREN = 1 << BITS_PER_LEVEL;
   private static final int CHILD_MASK = CHILDREN - 1;
 
-  /** The shift of the hash at the root: its first bits choose the child. */
+  /** The shift of the hash at the root, where its most significant bits select the child. */
   private static final int ROOT_SHIFT = Long.SIZE - BITS_PER_LEVEL;
 
   private final RouteTrie[] children;
@@ -77,12 +81,15 @@
     return (int) (hash >>> shift) & CHILD_MASK;
   }
 
-  /** The digest of all entries with their times and authors. */
+  /** Returns the digest of all entries with their times and authors. */
   long digest() {
     return digest;
   }
 
-  /** The digest of the instances alone: equal where tables are, whoever wrote them. */
+  /**
+   * Returns the digest of the instances alone, which is equal for equal tables, whichever processes
+   * wrote them.
+   */
   long contentDigest() {
     return contentDigest;
   }
@@ -91,7 +98,7 @@
     return size;
   }
 
-  /** The entry of a key; null where there is none. */
+  /** Returns the entry of a key; null if there is none. */
   RouteEntry get(RouteEntry.Key key) {
     RouteTrie node = this;
     long hash = key.hash();
@@ -108,7 +115,7 @@
     return entries.stream().filter(entry -> entry.key().equals(key)).findFirst().orElse(null);
   }
 
-  /** This trie with an entry, in place of the one with its key. */
+  /** Returns this trie with an entry, which replaces any entry of the same key. */
   RouteTrie with(RouteEntry entry) {
     return with(entry, entry.key().hash(), ROOT_SHIFT);
   }
@@ -133,7 +140,7 @@
     return branch(changed);
   }
 
-  /** This leaf with an entry of the same key, or of another key with the same hash. */
+  /** Returns this leaf with an entry of the same key, or of another key with the same hash. */
   private RouteTrie leafWith(RouteEntry entry) {
     List<RouteEntry> changed = new ArrayList<>(entries);
     changed.removeIf(each -> each.key().equals(entry.key()));
@@ -142,7 +149,10 @@
     return leaf(List.copyOf(changed));
   }
 
-  /** This trie without the entry of a key, in the shape as if it had never been there. */
+  /**
+   * Returns this trie without the entry of a key, in the shape that it would have if the entry had
+   * never been added.
+   */
   RouteTrie without(RouteEntry.Key key) {
     return without(key, key.hash(), ROOT_SHIFT);
   }
@@ -169,7 +179,7 @@
     return rest.size() == entries.size() ? this : leaf(rest);
   }
 
-  /** A branch, or its only leaf, or nothing. */
+  /** Returns a branch with the children, or the only child if it is a leaf, or an empty trie. */
   private static RouteTrie collapse(RouteTrie[] children) {
     RouteTrie only = null;
     int count = 0;
@@ -198,8 +208,8 @@
   }
 
   /**
-   * Reports each key whose entry differs, with the entry here and the one in another trie; null
-   * where there is none.
+   * Reports each key whose entries in this trie and another one differ, with the entry of this trie
+   * and that of the other one; either is null if the trie has no such entry.
    */
   void compare(RouteTrie other, BiConsumer<RouteEntry, RouteEntry> report) {
     compare(this, other, ROOT_SHIFT, report);
@@ -246,7 +256,7 @@
     }
   }
 
-  /** A child of a branch; a leaf counts as the child that it would be in. */
+  /** Returns a child of a branch; a leaf is treated as the child under which it would be. */
   private RouteTrie child(int index, int shift) {
     if (isLeaf()) {
       return childIndex(entries.get(0).key().hash(), shift) == index ? this : null;
@@ -254,14 +264,14 @@
     return children[index];
   }
 
-  /** The digests of all parts. */
+  /** Returns the digests of all parts. */
   long[] partDigests() {
     long[] digests = new long[PARTS];
     forEachPart((index, part) -> digests[index] = part.digest);
     return digests;
   }
 
-  /** All entries of one part. */
+  /** Returns all entries of one part. */
   List<RouteEntry> entriesOfPart(int partIndex) {
     List<RouteEntry> found = new ArrayList<>();
     forEachPart(
--- a/src/main/java/rosecleat/state/EstimateConverter.java
+++ b/src/main/java/rosecleat/state/EstimateConverter.java
@@ -6,16 +6,16 @@
 import rosecleat.policy.Estimate;
 import rosecleat.policy.EstimateKind;
 
-/** Converts between the estimates of the policy engine and the facts that are stored. */
+/** Converts between estimates of the policy engine and facts, their stored form. */
 final class EstimateConverter {
   private EstimateConverter() {}
 
-  /** Returns a fact as an estimate. */
+  /** Converts a fact to an estimate. */
   static Estimate toEstimate(Fact fact) {
     return new Estimate(estimateKindOf(fact.kind()), fact.subject(), fact.value(), fact.weight());
   }
 
-  /** Returns an estimate as a fact of a time and of the current settings. */
+  /** Converts an estimate to a fact that was learned at a time under the current settings. */
   static Fact toFact(Estimate estimate, SettingsDigests settings, long nowUs) {
     FactKind kind = factKindOf(estimate.kind());
     return new Fact(
@@ -27,7 +27,10 @@
         settings.digestOf(kind, estimate.subject()).orElse(""));
   }
 
-  /** Whether a fact may be stored: its subject is configured and its figures are plausible. */
+  /**
+   * Returns whether a fact may be stored: its subject is configured, its value is plausible and its
+   * weight is positive.
+   */
   static boolean isStorable(Fact fact, SettingsDigests settings) {
     return settings.digestOf(fact.kind(), fact.subject()).isPresent()
         && fact.kind().isPlausible(fact.value())
--- a/src/main/java/rosecleat/state/FactCodec.java
+++ b/src/main/java/rosecleat/state/FactCodec.java
@@ -13,14 +13,14 @@
 import rosecleat.store.StoredRecord;
 
 /**
- * Encodes facts as records of a store. Writes version 2; reads that and version 1, which has times
- * in milliseconds and no digest of the settings.
+ * Encodes facts as records of a store and decodes them. Writes version 2 and reads versions 1 and
+ * 2. Version 1 has times in milliseconds and no digest of the settings.
  */
 final class FactCodec {
-  /** Type of a record that holds facts of one node. */
+  /** Type of a record that contains facts of one node. */
   static final int RECORD_TYPE = 1;
 
-  /** The version that is written, and the newest that is read. */
+  /** The version that this program writes, and the newest one that it reads. */
   static final int RECORD_VERSION = 2;
 
   private static final long MICROSECONDS_PER_MILLISECOND = 1000;
@@ -30,7 +30,7 @@
    *
    * @param node the node that learned the facts
    * @param facts the facts of known kinds
-   * @param unknownKinds the number of facts of other kinds
+   * @param unknownKinds the number of facts of unknown kinds, which are skipped
    */
   record Decoded(String node, List<Fact> facts, int unknownKinds) {}
 
@@ -51,7 +51,7 @@
     return new StoredRecord(RECORD_TYPE, RECORD_VERSION, message.build().toByteArray());
   }
 
-  /** Decodes a record; fails where the payload does not match its version. */
+  /** Decodes a record; fails if the payload is not a valid message of the record's version. */
   static Decoded decode(StoredRecord record) throws InvalidProtocolBufferException {
     return record.version() == 1 ? decodeV1(record.payload()) : decodeV2(record.payload());
   }
@@ -94,7 +94,9 @@
     return new Decoded(message.getNode(), facts, message.getFactsCount() - facts.size());
   }
 
-  /** Converts a time; one that is too large stays the largest, so that it lies in the future. */
+  /**
+   * Converts a time; an overflow yields the largest value, so that the time stays in the future.
+   */
   private static long toMicroseconds(long milliseconds) {
     return milliseconds > Long.MAX_VALUE / MICROSECONDS_PER_MILLISECOND
         ? Long.MAX_VALUE
--- a/src/main/java/rosecleat/state/FactState.java
+++ b/src/main/java/rosecleat/state/FactState.java
@@ -11,18 +11,18 @@
 import rosecleat.store.StoredRecord;
 
 /**
- * The facts of a store: for each node and key, the one written last. Bounded by {@link #MAX_FACTS};
- * for one thread.
+ * The facts of a store: the last fact written for each node and key, at most {@link #MAX_FACTS} of
+ * them. Not thread-safe.
  */
 public final class FactState implements StateMachine {
-  /** The largest number of facts; beyond it the fact that was written longest ago is removed. */
+  /** Maximum number of facts; beyond it, the fact that was written least recently is removed. */
   static final int MAX_FACTS = 20_000;
 
   private static final int MAX_FACTS_PER_RECORD = 500;
 
   private record Key(String node, Fact.Key factKey) {}
 
-  /** Facts by key, the one written last at the end. */
+  /** Facts by key, the most recently written one last. */
   private final Map<Key, Fact> facts = new LinkedHashMap<>();
 
   private int unreadable;
@@ -71,7 +71,7 @@
         });
   }
 
-  /** Returns all facts, the one written last at the end. */
+  /** Returns all facts, the most recently written one last. */
   public List<NodeFact> facts() {
     return facts.entrySet().stream()
         .map(entry -> new NodeFact(entry.getKey().node(), entry.getValue()))
--- a/src/main/java/rosecleat/state/FactStateFactory.java
+++ b/src/main/java/rosecleat/state/FactStateFactory.java
@@ -3,7 +3,7 @@
 import rosecleat.store.StateMachine;
 import rosecleat.store.StateMachineFactory;
 
-/** Creates {@link FactState}s, and knows which versions of their records this program reads. */
+/** Creates {@link FactState}s and reports which versions of their records this program reads. */
 public final class FactStateFactory implements StateMachineFactory {
   @Override
   public int maxVersion(int type) {
--- a/src/main/java/rosecleat/state/StateStore.java
+++ b/src/main/java/rosecleat/state/StateStore.java
@@ -25,28 +25,28 @@
 import rosecleat.store.RecoveryReport;
 
 /**
- * Keeps what a node's policy engine learns across restarts: restores it once the store was read,
- * and saves what has changed at intervals. Until the store is open, or where it cannot be opened,
- * the node works without it. For the node's loop, except {@link #close}; writing is done on a
- * thread of its own.
+ * Preserves the estimates of a node's policy engine across restarts: restores them once the store
+ * has been read, and saves changed ones at intervals. Until the store is open, or if it cannot be
+ * opened, the node works without it. Must be used on the node's loop, except for {@link #close};
+ * saving takes place on a thread of its own.
  */
 public final class StateStore {
   /**
-   * How facts are kept.
+   * How often facts are saved and how fast they decay.
    *
-   * @param saveIntervalUs how often changes are saved (us)
-   * @param halfLifeUs half-life of facts in general (us)
+   * @param saveIntervalUs interval at which changed facts are saved (us)
+   * @param halfLifeUs half-life of the weight of facts (us)
    */
   public record Settings(long saveIntervalUs, long halfLifeUs) {}
 
   /**
-   * What the store needs of its node.
+   * The parts of its node that the store depends on.
    *
-   * @param settings digests of the settings in force
-   * @param names names of the classes and tenants in force
+   * @param settings supplies the digests of the settings in force
+   * @param names supplies the names of the configured classes and tenants
    * @param policy the policy engine
    * @param clock the wall clock (Unix microseconds)
-   * @param loop runs a task on the node's loop; for any thread
+   * @param loop runs a task on the node's loop; may be called on any thread
    */
   public record Host(
       Supplier<SettingsDigests> settings,
@@ -59,9 +59,10 @@
   private final Counters counters;
   private final Log log;
   private final StateStoreOpener opener;
-  private final FactChangeFilter changeFilter = new FactChangeFilter(); // for the saver's thread
+  private final FactChangeFilter changeFilter =
+      new FactChangeFilter(); // used on the saver's thread only
 
-  /** Whether a save is under way; another one is skipped meanwhile. */
+  /** Whether a save is in progress; until it ends, further saves are skipped. */
   private final AtomicBoolean saveInProgress = new AtomicBoolean();
 
   private final ExecutorService saver = Executors.newSingleThreadExecutor(StateStore::saverThread);
@@ -71,7 +72,7 @@
   private long nextSaveUs;
   private boolean lastSaveFailed;
 
-  /** Creates a store that restores what an opener recovers. */
+  /** Creates a store that restores the facts that an opener recovers. */
   public StateStore(
       Settings settings, StateStoreOpener opener, Host host, Counters counters, Log log) {
     this.settings = settings;
@@ -88,14 +89,14 @@
     return thread;
   }
 
-  /** Replaces the settings. */
+  /** Replaces the settings after a reload. */
   public void apply(Settings newSettings) {
     settings = newSettings;
   }
 
   /**
-   * Passes recovered facts to the policy engine, once. A later report is used only while the module
-   * has not started.
+   * Passes recovered facts to the policy engine. A later report is ignored once the policy engine
+   * has started.
    */
   private void restore(RecoveryReport report) {
     if (!opened && opener.store().isPresent()) {
@@ -126,16 +127,17 @@
                 counters.add("state.dropped." + reason.name().toLowerCase(Locale.ROOT), count));
     if (!recovered.isEmpty()) {
       log.info(
-          "state: begins with "
+          "state: restored "
               + facts.size()
-              + " facts of "
+              + " of "
               + recovered.size()
+              + " stored facts"
               + (aggregator.rejections().isEmpty() ? "" : ", dropped " + aggregator.rejections()));
     }
     return facts.stream().map(EstimateConverter::toEstimate).toList();
   }
 
-  /** Saves what has changed if the interval has passed; called often. */
+  /** Saves changed facts if the save interval has passed. Meant to be called frequently. */
   public void saveIfDue(long nowUs) {
     if (nowUs >= nextSaveUs) {
       nextSaveUs = nowUs + settings.saveIntervalUs();
@@ -144,8 +146,8 @@
   }
 
   /**
-   * Saves what has changed now. The caller's thread only copies what was learned; a save that is
-   * still under way makes this one a no-op.
+   * Saves changed facts now. The caller's thread only copies the estimates. Does nothing while
+   * another save is in progress.
    */
   public void save(long nowUs) {
     Optional<RecordStore> store = opener.store();
@@ -202,12 +204,17 @@
       lastSaveFailed = failure.isPresent();
       log.warn(
           failure
-              .map(reason -> "state: what is learnt is not written down: " + reason.message())
-              .orElse("state: written down again"));
+              .map(
+                  reason ->
+                      "state: estimates not saved, next save tries again: " + reason.message())
+              .orElse("state: estimates are saved again"));
     }
   }
 
-  /** Saves a last time and closes the store, so that another process can open it; does not wait. */
+  /**
+   * Saves a last time and starts to close the store, so that another process can open it; does not
+   * wait.
+   */
   public void saveAndRelease(long nowUs) {
     save(nowUs);
     if (!saver.isShutdown()) {
@@ -217,10 +224,10 @@
   }
 
   /**
-   * Closes the store and waits until the folder is free. For any thread.
+   * Closes the store and waits until its folder is unlocked. May be called on any thread.
    *
-   * @param timeoutMs how long to wait (ms)
-   * @return whether it is free
+   * @param timeoutMs maximum time to wait (ms)
+   * @return whether the folder is unlocked
    */
   public boolean close(long timeoutMs) {
     saver.shutdown();
--- a/src/main/java/rosecleat/state/StateStoreOpener.java
+++ b/src/main/java/rosecleat/state/StateStoreOpener.java
@@ -12,21 +12,28 @@
 import rosecleat.store.RecoveryReport;
 
 /**
- * Opens the store of a node on a thread of its own, so that a start does not wait for the disk.
- * While another process writes to the folder, it is only read, and opened once it is free; a folder
- * that cannot be used is tried again. For any thread.
+ * Opens the store of a node on a thread of its own, so that the start of the node does not wait for
+ * the disk. While another process writes to the folder, the opener only reads it, and opens it once
+ * it is unlocked. Opening is retried if it fails, unless a newer version of the program wrote the
+ * folder. Thread-safe.
  */
 public final class StateStoreOpener {
   private static final int MAX_QUEUED_APPENDS = 64;
   private static final long MAX_QUEUED_BYTES = 4 << 20;
 
-  /** Delay until a locked folder is tried again: the takeover from an older process is short. */
+  /**
+   * Delay before opening a locked folder is retried; it is short because a takeover from an older
+   * process takes little time.
+   */
   private static final long LOCKED_RETRY_MS = 100;
 
-  /** Delay until a folder that failed is tried again. */
+  /** Delay before opening a folder is retried after an error. */
   private static final long FAILED_RETRY_MS = 5_000;
 
-  /** Attempts at reading a folder from which another process may delete files meanwhile. */
+  /**
+   * Maximum number of attempts to read a folder; an attempt fails if another process deletes files
+   * meanwhile.
+   */
   private static final int MAX_INSPECT_ATTEMPTS = 3;
 
   private static final long INSPECT_RETRY_MS = 1;
@@ -36,15 +43,15 @@
   private final long maxBytes;
   private final Log log;
   private final Thread thread;
-  private volatile RecordStore store; // null until it is open
+  private volatile RecordStore store; // null until the store is open
   private volatile boolean closing;
   private RecoveryReport lastReport; // null until the folder was read; guarded by this
-  private Consumer<RecoveryReport> listener; // null until it is set; guarded by this
+  private Consumer<RecoveryReport> listener; // null until one is set; guarded by this
 
   /**
-   * Starts to open a folder.
+   * Starts to open a folder in the background.
    *
-   * @param maxBytes bound on the size of its files
+   * @param maxBytes limit on the total size of the folder's files
    */
   public StateStoreOpener(Path path, long maxBytes, Log log) {
     this.path = path;
@@ -55,14 +62,14 @@
     thread.start();
   }
 
-  /** Returns the store; empty until it is open. */
+  /** Returns the store, or empty until it is open. */
   Optional<RecordStore> store() {
     return Optional.ofNullable(store);
   }
 
   /**
-   * Sets who receives each recovery report; the last one is passed on at once. Reports come on the
-   * opener's thread or the caller's.
+   * Sets the listener for recovery reports and passes the last report, if any, to it at once. The
+   * listener is called on the opener's thread or on the caller's.
    */
   synchronized void onRecovered(Consumer<RecoveryReport> newListener) {
     listener = newListener;
@@ -103,7 +110,7 @@
         Thread.sleep(locked ? LOCKED_RETRY_MS : FAILED_RETRY_MS);
       }
     } catch (InterruptedException e) {
-      return; // the node stops
+      return; // the node is shutting down
     }
   }
 
@@ -121,18 +128,20 @@
 
   private void warnIncompatible(OpenResult.Incompatible incompatible) {
     log.warn(
-        "state: nothing is kept: "
+        "state: folder "
+            + path
+            + " not opened, nothing is stored: "
             + incompatible.format().message()
-            + "; start the program that wrote it, or name another folder");
+            + "; start the version that wrote it or configure another folder");
   }
 
   private String warningFor(OpenResult result) {
     if (result instanceof OpenResult.Failed failed) {
-      return path + " can't be used, and is tried again: " + failed.cause();
+      return "folder " + path + " could not be opened, will be retried: " + failed.cause();
     }
-    return "another process writes to "
+    return "folder "
         + path
-        + ": this one reads it, and writes once that has left";
+        + " is locked by another process, this process only reads it until it is unlocked";
   }
 
   private void inspect() throws InterruptedException {
@@ -157,7 +166,7 @@
     publish(opened.recovered());
   }
 
-  /** Stops opening, and closes the store if it is open; does not wait. */
+  /** Stops opening, and starts to close the store if it is open; does not wait. */
   void beginClose() {
     closing = true;
     thread.interrupt();
@@ -165,10 +174,10 @@
   }
 
   /**
-   * Closes the store and waits until the folder is free.
+   * Closes the store and waits until its folder is unlocked.
    *
-   * @param timeoutMs how long to wait (ms)
-   * @return whether it is free
+   * @param timeoutMs maximum time to wait (ms)
+   * @return whether the folder is unlocked
    */
   boolean close(long timeoutMs) {
     beginClose();
--- a/src/main/java/rosecleat/store/StorageEngine.java
+++ b/src/main/java/rosecleat/store/StorageEngine.java
@@ -106,7 +106,7 @@
 
   /**
    * Prepares a compaction of all records written so far; further writes go to a new segment. Fails
-   * if another snapshot would exceed the size limit by more than compactions may.
+   * if there is not enough space for another snapshot.
    */
   Compaction prepareCompaction() throws IOException {
     if (bytes() + snapshots.currentBytes() > maxBytes && snapshots.hasOlder()) {
