--- a/src/test/java/rosecleat/routes/RouteStoreTest.java
+++ b/src/test/java/rosecleat/routes/RouteStoreTest.java
@@ -18,14 +18,17 @@
 import org.junit.jupiter.api.Test;
 import rosecleat.fleet.wire.MemberUpdateMessage;
 
-/** Route stores against plain maps: any order, any loss, any author. */
+/** Compares route stores with plain maps, for any order of delivery, loss of frames and author. */
 class RouteStoreTest {
   private static final MemberUpdateMessage SELF = MemberUpdateMessage.getDefaultInstance();
 
-  /** More frames than an exchange has: it is complete. */
+  /** A number of frames that no exchange exceeds, so that it completes. */
   private static final int ALL_FRAMES = 9;
 
-  /** An entry of few keys, times and authors, so that many conflict; some are tombstones. */
+  /**
+   * Returns an entry from a small set of keys, times and authors, so that many entries conflict;
+   * some are tombstones.
+   */
   private static RouteEntry entryOf(long choice) {
     long content = Math.floorMod(choice / 64, 5);
     Instance instance = content == 0 ? null : instance("10.0.0." + content, 9_000, "z");
@@ -50,7 +53,7 @@
     return new RouteSyncSession(store, opener, "c", () -> SELF, () -> {}, () -> {});
   }
 
-  /** Plays an exchange; so many of its frames arrive, then the connection breaks. */
+  /** Runs an exchange of which the given number of frames arrive before the connection breaks. */
   private static void synchronize(RouteStore one, RouteStore other, int frames) {
     RouteSyncSession opener = session(one, true);
     RouteSyncSession responder = session(other, false);
@@ -70,13 +73,14 @@
     List<RouteEntry> all = new ArrayList<>(myEntries);
     all.addAll(theirEntries);
     Collections.shuffle(all, new Random(seed));
-    all.addAll(myEntries); // some come twice
+    all.addAll(myEntries); // some entries are delivered twice
     RouteStore one = storeOf(myEntries);
     RouteStore other = storeOf(theirEntries);
-    synchronize(one, other, Math.floorMod(seed, 3)); // broken off: changes nothing that matters
+    synchronize(
+        one, other, Math.floorMod(seed, 3)); // an aborted exchange must not prevent convergence
     synchronize(one, other, ALL_FRAMES);
     synchronize(one, other, ALL_FRAMES);
-    // what the responder lacked and the opener could not know is found the other way
+    // an exchange in the other direction transfers what the first one could not detect
     synchronize(other, one, ALL_FRAMES);
     assertEquals(storeOf(all).stateDigest(), one.stateDigest());
     assertEquals(one.stateDigest(), other.stateDigest());
@@ -135,7 +139,10 @@
     return byKey;
   }
 
-  /** Equal content is one table whoever wrote it, and a removal is not undone by an old copy. */
+  /**
+   * Equal content yields equal tables whichever author wrote it, and an old copy does not undo a
+   * removal.
+   */
   @Property(tries = 50)
   void entryWithLaterTimeOrGreaterAuthorWins(@ForAll long seed) {
     Random random = new Random(seed);
@@ -154,7 +161,9 @@
     Map<RouteEntry.Key, Instance> smallerFile = new HashMap<>(file);
     smallerFile.remove(removed);
     synchronize(other, one, ALL_FRAMES);
-    assertTrue(one.publish("b", smallerFile)); // of equal times the greater author's entry stays
+    assertTrue(
+        one.publish(
+            "b", smallerFile)); // at equal times, the entry of the greater author was retained
     synchronize(other, one, ALL_FRAMES);
     assertEquals(39, instancesByKey(other.table()).size());
     RouteEntry oldCopy = new RouteEntry(removed, file.get(removed), 1, "b");
@@ -162,7 +171,7 @@
     assertEquals(39, instancesByKey(other.table()).size());
   }
 
-  /** A few changes in a large table cost by the changes, not by the table. */
+  /** The size of an answer depends on the number of changes, not on the size of the table. */
   @Test
   void followerWithKnownStateReceivesOnlyChanges() {
     RouteStore author = new RouteStore();
@@ -182,7 +191,7 @@
     author.publish("a", file);
     RouteSyncSession opener = session(follower, true);
     byte[] answer = session(author, false).nextFrame(opener.nextFrame(null, 0), 0);
-    assertTrue(answer.length < 1_500, "an answer of " + answer.length + " bytes");
+    assertTrue(answer.length < 1_500, "the answer has " + answer.length + " bytes");
     opener.nextFrame(answer, 0);
     assertEquals(author.stateDigest(), follower.stateDigest());
   }
--- a/src/test/java/rosecleat/state/EarlierVersionStateTest.java
+++ b/src/test/java/rosecleat/state/EarlierVersionStateTest.java
@@ -23,8 +23,9 @@
 import rosecleat.store.RecoveryReport;
 
 /**
- * Folders that the program of commit a6781e5 wrote (see the README beside them): this program reads
- * the same facts from them, goes on writing there, and writes the same bytes for the same input.
+ * Guards against an incompatible change of the stored files. For folders that the program of commit
+ * a6781e5 wrote (see the README beside them), this program must read the same facts, append to the
+ * folders, and write the same bytes for the same input.
  */
 class EarlierVersionStateTest {
   private static final Path WRITTEN_BY_EARLIER_VERSION =
@@ -131,7 +132,7 @@
               1_796_225_229_594_853L,
               TENANT_DIGEST));
 
-  /** The fact that the earlier program appended in {@code killed-then-appended}. */
+  /** The fact that the earlier program appended to {@code killed-then-appended}. */
   private static final Fact APPENDED =
       new Fact(FactKind.CALL_LIMIT, "", 12.5, 20, 1_800_000_000_000_000L, SERVER_DIGEST);
 
@@ -219,7 +220,7 @@
     RecoveryReport found = read(folder);
     assertFalse(found.hasCorruption());
     assertEquals(1, found.issues().size());
-    assertEquals(4, found.records(), "five are whole where nothing is torn");
+    assertEquals(4, found.records(), "the intact log has five records");
     StateFiles.append(folder, NODE, APPENDED);
     FactState facts = (FactState) read(folder).state();
     assertEquals(APPENDED, facts.facts().get(facts.facts().size() - 1).fact());
--- a/src/test/java/rosecleat/state/EstimateConverterTest.java
+++ b/src/test/java/rosecleat/state/EstimateConverterTest.java
@@ -11,7 +11,7 @@
 import rosecleat.facts.SettingsDigests;
 import rosecleat.policy.Estimate;
 
-/** Estimates as facts and back. */
+/** Tests the conversion between estimates and facts. */
 class EstimateConverterTest {
   private static final long NOW_US = 1_800_000_000_000_000L;
   private static final SettingsDigests SETTINGS =
--- a/src/test/java/rosecleat/state/FactStateTest.java
+++ b/src/test/java/rosecleat/state/FactStateTest.java
@@ -20,15 +20,15 @@
 import rosecleat.store.RecordStore;
 import rosecleat.store.StoredRecord;
 
-/** Facts on disk: two versions, unknown kinds, and how many are retained. */
+/** Tests stored facts: both record versions, unknown kinds and the limit on their number. */
 class FactStateTest {
   private static final long NOW_MS = 1_800_000_000_000L;
 
   @TempDir Path folder;
 
   /**
-   * Version 1 as its program wrote it, field by field: node, and facts of kind, subject, value,
-   * weight, milliseconds.
+   * Returns a record of version 1, encoded field by field as the earlier program wrote it: the node
+   * and one fact with its kind, subject, value, weight and time in milliseconds.
    */
   private static StoredRecord versionOneRecord(
       String node, String kind, String subject, double value, double weight, long atMs)
@@ -63,7 +63,7 @@
             versionOneRecord("n1", "run-time", "read", 20_000, 8, NOW_MS - 600_000),
             versionOneRecord("n1", "phase-of-the-moon", "", 3, 8, NOW_MS)));
     FactState facts = read();
-    assertEquals(1, facts.unreadable(), "a kind that is not known");
+    assertEquals(1, facts.unreadable(), "the fact of an unknown kind");
     assertEquals(
         List.of(
             new NodeFact(
@@ -78,12 +78,12 @@
         2,
         aggregator.factsAt(NOW_MS * 1000).get(0).weight(),
         1e-9,
-        "half for its age, half for terms not known");
+        "weight 8 is halved for its age and halved again for unknown settings");
 
     RecordStore.compact(
         FileSystemDirectory.openExisting(folder),
         new FactStateFactory(),
-        1 << 20); // from here on it is of the new version
+        1 << 20); // rewrites the records in version 2
     FactState after = read();
     assertEquals(facts.facts(), after.facts());
     assertEquals(0, after.unreadable());
@@ -109,7 +109,8 @@
         FactCodec.encode(
             "n1", List.of(new Fact(FactKind.TENANT_PART, "team 20000", 0.2, 1, 9, ""))));
     state.apply(
-        new StoredRecord(1, 2, new byte[] {(byte) 0xff, 1, 2})); // whole on disk, and yet no facts
+        new StoredRecord(
+            1, 2, new byte[] {(byte) 0xff, 1, 2})); // a payload that is not a valid message
     assertEquals(FactState.MAX_FACTS, state.facts().size());
     assertEquals(0.2, state.facts().get(FactState.MAX_FACTS - 1).fact().value());
     assertEquals(1, state.unreadable());
--- a/src/test/java/rosecleat/state/StateFiles.java
+++ b/src/test/java/rosecleat/state/StateFiles.java
@@ -10,7 +10,7 @@
 import rosecleat.store.RecordStore;
 import rosecleat.store.StoredRecord;
 
-/** Writes folders of facts for tests. */
+/** Writes state folders for tests. */
 public final class StateFiles {
   private static final RecordStore.Limits LIMITS = new RecordStore.Limits(4 << 20, 64, 1 << 20);
 
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Writes the facts of one folder into another as if they were learned just now, each changed in
-   * some way.
+   * Writes the facts of one folder to another folder, each with a new time and changed by a
+   * function.
    */
   public static void rewrite(Path from, Path to, long nowUs, UnaryOperator<Fact> change)
       throws IOException {
--- a/src/test/java/rosecleat/store/AppendQueueTest.java
+++ b/src/test/java/rosecleat/store/AppendQueueTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The bounds of the queue, and what a batch takes. */
+/** Tests the limits of the append queue and the size of its batches. */
 class AppendQueueTest {
   private static final AppendCallback IGNORE = failure -> {};
 
@@ -29,7 +29,9 @@
     AppendQueue bySize = new AppendQueue(10, 250);
     assertTrue(bySize.offer(recordOf(100), IGNORE));
     assertFalse(bySize.offer(recordOf(200), IGNORE));
-    assertTrue(bySize.offer(recordOf(150), IGNORE), "the rejected append left no trace");
+    assertTrue(
+        bySize.offer(recordOf(150), IGNORE),
+        "the rejected append does not count towards the size limit");
   }
 
   @Test
--- a/src/test/java/rosecleat/store/FaultyDirectory.java
+++ b/src/test/java/rosecleat/store/FaultyDirectory.java
@@ -15,8 +15,9 @@
 import java.util.TreeSet;
 
 /**
- * A directory in memory whose faults are drawn from a seed. What was not synced may be lost at a
- * crash: any of the changed names, and any blocks of the written bytes; the last block may be torn.
+ * An in-memory directory that injects faults, chosen at random from a seed. At a crash, anything
+ * that was not synced may be lost: any of the changed names and any blocks of the written bytes;
+ * the last block may be torn.
  */
 final class FaultyDirectory implements Directory {
   static final long UNLIMITED = 1L << 60;
@@ -27,7 +28,7 @@
     byte[] durable = new byte[0];
   }
 
-  /** A change of names that is not durable yet. */
+  /** A created, renamed or deleted name that is not durable yet. */
   private interface NameChange {
     void apply(Map<String, FileContent> names);
   }
@@ -39,16 +40,19 @@
   private final Set<String> locks = new TreeSet<>();
   private int generation;
 
-  /** Bytes that may still be written before the disk is full. */
+  /** Number of bytes that can be written before the disk is full. */
   long freeBytes = UNLIMITED;
 
-  /** Probability that a call that changes something fails. */
+  /** Probability that a call that changes the directory fails. */
   double failureRate;
 
-  /** Probability that a read is short. */
+  /** Probability that a read returns fewer bytes than requested. */
   double shortReadRate;
 
-  /** Number of calls that changed something; the power fails at {@link #powerLossAt}. */
+  /**
+   * Number of calls that changed the directory; the power fails when it reaches {@link
+   * #powerLossAt}.
+   */
   long changes;
 
   long powerLossAt = Long.MAX_VALUE;
@@ -57,7 +61,10 @@
     random = new Random(seed);
   }
 
-  /** The power is gone until {@link #restart}. */
+  /**
+   * Thrown by all changing calls from a power failure until {@link #restart}, and by outputs that
+   * were opened before the restart.
+   */
   static final class PowerLoss extends IOException {
     private static final long serialVersionUID = 1;
   }
@@ -71,7 +78,7 @@
     }
   }
 
-  /** Loses what was not synced, and restores the power. */
+  /** Discards a random part of what was not synced, and restores the power. */
   void restart() {
     generation++;
     powerLossAt = Long.MAX_VALUE;
@@ -105,11 +112,12 @@
     return bytes;
   }
 
-  /** The bytes of a file, to be read or damaged; and another file in its place. */
+  /** Returns the bytes of a file, which the caller may read or corrupt. */
   byte[] bytes(String name) {
     return names.get(name).bytes;
   }
 
+  /** Adds or replaces a file, whose content is durable at once. */
   void put(String name, byte[] bytes) {
     FileContent file = new FileContent();
     file.bytes = file.durable = bytes;
@@ -117,7 +125,7 @@
     durableNames.put(name, file);
   }
 
-  /** A copy as it stands, with nothing left to lose. */
+  /** Returns a copy of the current content, all of which is durable. */
   FaultyDirectory copy() {
     FaultyDirectory copy = new FaultyDirectory(0);
     names.forEach((name, file) -> copy.put(name, file.bytes.clone()));
--- a/src/test/java/rosecleat/store/QuarantineTest.java
+++ b/src/test/java/rosecleat/store/QuarantineTest.java
@@ -7,9 +7,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How many corrupt files are retained, and under which names. */
+/** Tests how many corrupt files the quarantine retains, and under which names. */
 class QuarantineTest {
-  private static final long MAX_STORE_BYTES = 400; // 100 of them for the quarantine
+  private static final long MAX_STORE_BYTES =
+      400; // the quarantine may use a quarter of it, 100 bytes
   private final FaultyDirectory directory = new FaultyDirectory(1);
   private final Quarantine quarantine = new Quarantine(directory, MAX_STORE_BYTES);
 
--- a/src/test/java/rosecleat/store/RecordStoreModelTest.java
+++ b/src/test/java/rosecleat/store/RecordStoreModelTest.java
@@ -13,9 +13,9 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * The store against a model: a list of batches, those acknowledged and those in doubt. Random
- * writes, compactions, starts, crashes, full disks and errors; after each crash what counts holds
- * all that was acknowledged, in order.
+ * Compares the store with a model: the acknowledged lines and the batches that failed. The steps
+ * are random writes, compactions, restarts, crashes, full disks and input/output errors. After each
+ * restart, the recovered state must contain all acknowledged lines in order.
  */
 class RecordStoreModelTest {
   private static final long MAX_BYTES = 1 << 20;
@@ -32,13 +32,13 @@
     run.restart();
   }
 
-  /** A store under faults, beside the model of what it must hold. */
+  /** A store on a directory that injects faults, and the model of its expected content. */
   private final class FaultyRun {
     private final FaultyDirectory disk;
     private final Random random;
     private final TextLines.Lines acknowledged = new TextLines.Lines();
 
-    /** Failed batches: after a crash one of them may count, completely or its first part. */
+    /** Failed batches: after a crash, all or the first records of one of them may be recovered. */
     private final List<List<String>> unacknowledged = new ArrayList<>();
 
     private StorageEngine engine;
@@ -72,7 +72,9 @@
       } catch (FaultyDirectory.PowerLoss e) {
         restart();
       } catch (IOException e) {
-        assertTrue(disk.failureRate > 0 || hasLimitedSpace(), "failed on a good disk: " + e);
+        assertTrue(
+            disk.failureRate > 0 || hasLimitedSpace(),
+            "failed although no fault was injected: " + e);
       }
     }
 
@@ -110,10 +112,11 @@
       disk.failureRate = 0;
       disk.freeBytes = FaultyDirectory.UNLIMITED;
       RecoveryReport recovered = Recovery.run(disk, factory);
-      assertFalse(recovered.hasCorruption(), "a crash looks like damage: " + recovered.issues());
+      assertFalse(
+          recovered.hasCorruption(), "a crash is reported as corruption: " + recovered.issues());
       List<String> lines = List.copyOf(TextLines.of(recovered));
       List<List<String>> allowed = allowedStates();
-      assertTrue(allowed.contains(lines), () -> lines + " is none of " + allowed);
+      assertTrue(allowed.contains(lines), () -> "recovered " + lines + ", allowed are " + allowed);
       unacknowledged.clear();
       acknowledged.lines.clear();
       acknowledged.lines.addAll(lines);
--- a/src/test/java/rosecleat/store/RecordStoreTest.java
+++ b/src/test/java/rosecleat/store/RecordStoreTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The store with its thread, on a real folder or on a disk that fails; and a process that is killed
- * while it writes.
+ * Tests the store with its writer thread, on a file system directory and on a directory that
+ * injects faults, and kills processes that are writing to a store.
  */
 class RecordStoreTest {
   private static final RecordStore.Limits LIMITS = new RecordStore.Limits(2 << 20, 100, 100_000);
@@ -42,7 +42,7 @@
         .store();
   }
 
-  /** Appends a line and waits; returns why that failed, empty where it did not. */
+  /** Appends a line and waits for the outcome; returns the failure message, empty on success. */
   private static Optional<String> append(RecordStore store, String line) throws Exception {
     CompletableFuture<Optional<AppendFailure>> done = new CompletableFuture<>();
     assertEquals(
@@ -60,7 +60,7 @@
       assertEquals(
           Optional.empty(),
           append(first, "two"),
-          "the attempt took nothing from the one that has it");
+          "the failed attempt leaves the first store's lock in place");
       assertEquals(
           List.of("one", "two"),
           TextLines.of(RecordStore.inspect(FileSystemDirectory.openExisting(folder), factory)));
@@ -101,7 +101,7 @@
       while (done.get() < queued) {
         Thread.sleep(1);
       }
-      assertEquals(2, store.metrics().syncs(), "all that waited was written in one go");
+      assertEquals(2, store.metrics().syncs(), "all queued appends were written with one sync");
       assertEquals(
           AppendResult.FULL,
           store.append(
@@ -118,12 +118,13 @@
       assertTrue(append(store, "lost").orElseThrow().contains("ENOSPC"));
       disk.freeBytes = FaultyDirectory.UNLIMITED;
       Optional<String> fault = append(store, "again");
-      while (fault.isPresent()) { // it is tried again after a pause
+      while (fault.isPresent()) { // writing is retried after a delay
         Thread.sleep(10);
         fault = append(store, "again");
       }
       assertEquals(List.of("kept", "again"), TextLines.of(RecordStore.inspect(disk, factory)));
-      assertEquals(2, events.size(), "one line when it fails, one when it writes again: " + events);
+      assertEquals(
+          2, events.size(), "one event for the failure and one for the recovery: " + events);
     }
   }
 
@@ -141,7 +142,7 @@
         store.append(records, done::complete);
         assertEquals(Optional.empty(), done.get(5, TimeUnit.SECONDS));
         if (store.metrics().bytes() > LIMITS.maxBytes() * 3 / 4) {
-          Thread.sleep(50); // the compaction is under way
+          Thread.sleep(50); // a compaction is running
         }
       }
       assertTrue(store.metrics().compactions() > 5, store.metrics().toString());
@@ -176,7 +177,7 @@
     assertInstanceOf(
         OpenResult.Failed.class, RecordStore.open(broken, factory, LIMITS, events::add));
     broken.failureRate = 0;
-    open(broken).close(); // the lock was given back
+    open(broken).close(); // the lock was released
   }
 
   private static String failureOfOpening(Path path) {
@@ -188,7 +189,9 @@
     }
   }
 
-  /** Writes numbers to a folder, and prints each that is on disk, until it is killed. */
+  /**
+   * Writes numbers to a directory and prints each acknowledged one, until the process is killed.
+   */
   public static void main(String[] args) throws Exception {
     OpenResult result =
         RecordStore.open(
@@ -240,10 +243,10 @@
       written += lastNumber.get(120, TimeUnit.SECONDS);
     }
     pool.shutdown();
-    assertTrue(written > 1_000, "only " + written + " written");
+    assertTrue(written > 1_000, "only " + written + " numbers were written");
   }
 
-  /** Starts, watches and kills a writing process so many times; returns the last number written. */
+  /** Starts and kills a writing process several times; returns the last acknowledged number. */
   private static int killRepeatedly(Path directory, int times, int seed) throws Exception {
     Random random = new Random(seed);
     long acknowledged = -1;
@@ -252,7 +255,9 @@
       try (BufferedReader output = writer.inputReader()) {
         assertNothingAcknowledgedIsLost(output.readLine(), i, acknowledged);
         acknowledged = readWritten(output, 1 + random.nextInt(60), acknowledged);
-        writer.toHandle().destroyForcibly(); // SIGKILL; what it printed can still be read
+        writer
+            .toHandle()
+            .destroyForcibly(); // SIGKILL; the output that was printed before can still be read
         acknowledged = readRemaining(output, acknowledged);
       } finally {
         writer.destroyForcibly();
--- a/src/test/java/rosecleat/store/RecoveryTest.java
+++ b/src/test/java/rosecleat/store/RecoveryTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What recovery makes of files that are cut, corrupt, missing, old or of a newer format. */
+/** Tests the recovery of truncated, corrupt, missing, outdated and newer-format files. */
 class RecoveryTest {
   private static final long MAX_BYTES = 1 << 20;
   private final TextLines factory = new TextLines();
@@ -24,7 +24,10 @@
     return new StorageEngine(disk, factory, MAX_BYTES, Recovery.run(disk, factory));
   }
 
-  /** Ten batches, a compaction after the fifth; the log that is open has the last four. */
+  /**
+   * Returns a directory with ten batches that was compacted after the third and the sixth; the log
+   * contains the last four.
+   */
   private FaultyDirectory populatedDirectory() throws IOException {
     FaultyDirectory disk = new FaultyDirectory(1);
     try (StorageEngine engine = engine(disk)) {
@@ -44,12 +47,17 @@
     return IntStream.range(0, count).mapToObj(i -> "line " + i).toList();
   }
 
-  private static String lastFileWithPrefix(FaultyDirectory disk, String kind) {
-    return disk.list().stream().filter(n -> n.startsWith(kind)).reduce((a, b) -> b).orElseThrow();
+  private static String lastFileWithPrefix(FaultyDirectory disk, String prefix) {
+    return disk.list().stream()
+        .filter(name -> name.startsWith(prefix))
+        .reduce((a, b) -> b)
+        .orElseThrow();
   }
 
   /**
-   * What counts is whole batches from the start, and a start for writing then agrees and can go on.
+   * Asserts that recovery yields only complete batches, counted from the first, and that a store
+   * can then be opened in the directory, appended to and recovered again. Returns the recovered
+   * lines.
    */
   private List<String> assertRecoversPrefixAndContinues(FaultyDirectory disk, String what)
       throws IOException {
@@ -74,11 +82,12 @@
     assertEquals(lines(10), TextLines.of(Recovery.run(intact, factory)));
     for (String name : intact.list()) {
       for (int length = 0; length < intact.bytes(name).length; length++) {
-        FaultyDirectory cut = intact.copy();
-        cut.put(name, Arrays.copyOf(intact.bytes(name), length));
-        List<String> recovered = assertRecoversPrefixAndContinues(cut, name + " cut to " + length);
-        if (name.startsWith("log-")) { // what stood before the cut is kept
-          assertTrue(recovered.size() >= 6, name + " cut to " + length + ": " + recovered);
+        FaultyDirectory truncated = intact.copy();
+        truncated.put(name, Arrays.copyOf(intact.bytes(name), length));
+        List<String> recovered =
+            assertRecoversPrefixAndContinues(truncated, name + " truncated to " + length);
+        if (name.startsWith("log-")) { // the batches in the snapshot are recovered in any case
+          assertTrue(recovered.size() >= 6, name + " truncated to " + length + ": " + recovered);
         }
       }
     }
@@ -87,11 +96,11 @@
   @Test
   void everyFlippedBitIsDetected() throws IOException {
     FaultyDirectory intact = populatedDirectory();
-    int found = 0;
+    int corruptions = 0;
     int bits = 0;
     for (String name : intact.list()) {
       if (name.equals(FileNames.snapshot(1))) {
-        continue; // the older one is not read while the newer is whole
+        continue; // the older snapshot is not read while the newer one is intact
       }
       for (int bit = 0; bit < 8 * intact.bytes(name).length; bit++) {
         FaultyDirectory flipped = intact.copy();
@@ -99,16 +108,16 @@
         RecoveryReport recovered = Recovery.run(flipped, factory);
         assertTrue(
             recovered.unsupportedFormat().isPresent() || !recovered.issues().isEmpty(),
-            name + " bit " + bit + " was not seen");
-        found += recovered.hasCorruption() ? 1 : 0;
+            name + " bit " + bit + " was not detected");
+        corruptions += recovered.hasCorruption() ? 1 : 0;
         bits++;
         assertRecoversPrefixAndContinues(flipped, name + " bit " + bit);
       }
     }
     assertTrue(
-        found > bits * 3 / 4,
-        "only the closing mark and a header that nothing names may look unfinished: "
-            + found
+        corruptions > bits * 3 / 4,
+        "only flips in the end record or in an unreferenced header may look like a torn write: "
+            + corruptions
             + " of "
             + bits);
   }
@@ -118,13 +127,13 @@
     FaultyDirectory disk = populatedDirectory();
     String log = lastFileWithPrefix(disk, "log-");
     byte[] bytes = disk.bytes(log);
-    bytes[FileHeader.BYTES + 20] ^= 1; // the first entry; later ones prove that it was durable
+    bytes[FileHeader.BYTES + 20] ^= 1; // the first record; later ones prove that it was durable
     RecoveryReport found = Recovery.run(disk, factory);
     assertTrue(found.hasCorruption());
-    assertEquals(lines(6), TextLines.of(found), "the snapshot alone");
+    assertEquals(lines(6), TextLines.of(found), "only the snapshot is recovered");
     assertEquals(FileHeader.BYTES, found.issues().get(0).offset());
     assertRecoversPrefixAndContinues(disk, "damage");
-    assertNotNull(lastFileWithPrefix(disk, "damaged-1-log-"), "it is quarantined");
+    assertNotNull(lastFileWithPrefix(disk, "damaged-1-log-"), "the corrupt log is quarantined");
   }
 
   @Test
@@ -154,7 +163,7 @@
       engine.write(List.of(new StoredRecord(TextLines.TYPE, 2, new byte[] {1})));
     }
     factory.supportedVersion = 1;
-    assertIncompatible(disk, "an entry");
+    assertIncompatible(disk, "a record");
   }
 
   private void assertIncompatible(FaultyDirectory disk, String what) throws IOException {
@@ -195,7 +204,7 @@
         assertTrue(
             assertRecoversPrefixAndContinues(disk, "call " + powerLossAt + " seed " + seed).size()
                 >= acknowledged,
-            "lost what was acknowledged");
+            "an acknowledged record was lost");
       }
     }
   }
--- a/src/test/java/rosecleat/store/TextLines.java
+++ b/src/test/java/rosecleat/store/TextLines.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Records that are lines of text; the line "=N" removes all but the last N. */
+/** A state machine whose records are lines of text; the line "=N" removes all but the last N. */
 final class TextLines implements StateMachineFactory {
   static final int TYPE = 7;
   int supportedVersion = 1;
