--- a/src/main/java/rosecleat/routes/ContentDigest.java
+++ b/src/main/java/rosecleat/routes/ContentDigest.java
@@ -6,7 +6,8 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Computes the first 64 bits of SHA-256, so that digests of different tables hardly ever collide.
+ * Computes the first 64 bits of SHA-256, so that digests of different tables are very unlikely to
+ * collide.
  */
 final class ContentDigest {
   private static final ThreadLocal<MessageDigest> SHA_256 =
--- a/src/main/java/rosecleat/state/StateStore.java
+++ b/src/main/java/rosecleat/state/StateStore.java
@@ -35,7 +35,7 @@
    * How often facts are saved and how fast they decay.
    *
    * @param saveIntervalUs interval at which changed facts are saved (us)
-   * @param halfLifeUs half-life of the weight of facts (us)
+   * @param halfLifeUs general half-life of facts, which each kind scales by a factor (us)
    */
   public record Settings(long saveIntervalUs, long halfLifeUs) {}
 
@@ -59,8 +59,9 @@
   private final Counters counters;
   private final Log log;
   private final StateStoreOpener opener;
-  private final FactChangeFilter changeFilter =
-      new FactChangeFilter(); // used on the saver's thread only
+
+  /** Selects the facts to save; used on the saver's thread only. */
+  private final FactChangeFilter changeFilter = new FactChangeFilter();
 
   /** Whether a save is in progress; until it ends, further saves are skipped. */
   private final AtomicBoolean saveInProgress = new AtomicBoolean();
@@ -204,9 +205,7 @@
       lastSaveFailed = failure.isPresent();
       log.warn(
           failure
-              .map(
-                  reason ->
-                      "state: estimates not saved, next save tries again: " + reason.message())
+              .map(reason -> "state: estimates not saved: " + reason.message())
               .orElse("state: estimates are saved again"));
     }
   }
--- a/src/main/java/rosecleat/store/RecordStore.java
+++ b/src/main/java/rosecleat/store/RecordStore.java
@@ -54,8 +54,8 @@
   /**
    * Recovers a directory and opens it for writing. Blocks on disk access.
    *
-   * @param events receives a message for each failure of the store and each return to normal
-   *     operation, on any thread
+   * @param events receives a message when writes begin to fail, when they succeed again and when a
+   *     compaction fails, on any thread
    */
   public static OpenResult open(
       Directory directory, StateMachineFactory factory, Limits limits, Consumer<String> events) {
@@ -132,8 +132,9 @@
 
   /**
    * Queues records for writing, in the order of the calls, without waiting. Each record becomes
-   * durable completely or not at all; after a crash, only the first of several records in one call
-   * may have survived. Throws {@link IllegalArgumentException} for a record of a reserved type.
+   * durable completely or not at all; after a crash, the first records of one call may have
+   * survived without the rest. Throws {@link IllegalArgumentException} for a record of a reserved
+   * type.
    */
   public AppendResult append(List<StoredRecord> records, AppendCallback callback) {
     if (writer.isClosing()) {
--- a/src/main/java/rosecleat/store/SegmentedLog.java
+++ b/src/main/java/rosecleat/store/SegmentedLog.java
@@ -33,7 +33,7 @@
     this.highestNumber = highestNumber;
   }
 
-  /** Continues after the last recovered segment, or after the snapshot if there is no segment. */
+  /** Continues after the last recovered segment, or after the snapshot if the log is empty. */
   void continueBehindLast(long snapshot) {
     if (sealed.isEmpty()) {
       number = snapshot;
--- a/src/main/java/rosecleat/store/StoreWriter.java
+++ b/src/main/java/rosecleat/store/StoreWriter.java
@@ -36,8 +36,8 @@
   /**
    * Creates the loop; the writer's thread has to call {@link #run}.
    *
-   * @param events receives a message for each failure of the store and each return to normal
-   *     operation
+   * @param events receives a message when writes begin to fail, when they succeed again and when a
+   *     compaction fails
    * @param onClosed called when the log is closed, in order to release the lock
    */
   StoreWriter(StorageEngine engine, AppendQueue queue, Consumer<String> events, Runnable onClosed) {
--- a/src/test/java/rosecleat/store/QuarantineTest.java
+++ b/src/test/java/rosecleat/store/QuarantineTest.java
@@ -9,8 +9,9 @@
 
 /** Tests how many corrupt files the quarantine retains, and under which names. */
 class QuarantineTest {
-  private static final long MAX_STORE_BYTES =
-      400; // the quarantine may use a quarter of it, 100 bytes
+  /** Size limit of the store; the quarantine may use a quarter of it, which is 100 bytes. */
+  private static final long MAX_STORE_BYTES = 400;
+
   private final FaultyDirectory directory = new FaultyDirectory(1);
   private final Quarantine quarantine = new Quarantine(directory, MAX_STORE_BYTES);
 
