--- a/src/main/java/rosecleat/cli/NodeOptions.java
+++ b/src/main/java/rosecleat/cli/NodeOptions.java
@@ -18,11 +18,11 @@
   private String brokerFile;
 
   @Parameter(names = "--counters", description = "log the counters every so many seconds")
-  private int countersEverySeconds;
+  private int counterIntervalSeconds;
 
   /** How often the counters are logged, in seconds; 0 for never. */
-  int countersEverySeconds() {
-    return countersEverySeconds;
+  int counterIntervalSeconds() {
+    return counterIntervalSeconds;
   }
 
   /**
@@ -37,8 +37,8 @@
 
   private NodeConfig readNodeConfig(Map<String, String> environment) {
     String platformFile = environment.get(NodeConfigReader.CONFIG_VARIABLE);
-    boolean standsAlone = brokerFile != null && (platformFile == null || platformFile.isBlank());
-    return standsAlone
+    boolean isStandalone = brokerFile != null && (platformFile == null || platformFile.isBlank());
+    return isStandalone
         ? StandaloneConfig.read(Path.of(brokerFile))
         : NodeConfigReader.fromEnvironment(environment);
   }
--- a/src/main/java/rosecleat/cli/ServeCommand.java
+++ b/src/main/java/rosecleat/cli/ServeCommand.java
@@ -24,7 +24,7 @@
         options.readConfig(environment),
         () -> options.readConfig(environment),
         sharedFolder(environment),
-        options.countersEverySeconds());
+        options.counterIntervalSeconds());
   }
 
   /** The folder that all processes of a node share; empty where none is named. */
--- a/src/main/java/rosecleat/cli/VersionCommand.java
+++ b/src/main/java/rosecleat/cli/VersionCommand.java
@@ -7,12 +7,12 @@
 @Parameters(commandDescription = "print the version")
 final class VersionCommand implements Command {
   /** Printed in place of a version where the classes do not come from the packaged jar. */
-  private static final String UNPACKAGED = "unpacked";
+  private static final String NOT_PACKAGED = "unpacked";
 
   @Override
   public int run(Invocation invocation) throws IOException {
     String packaged = VersionCommand.class.getPackage().getImplementationVersion();
-    invocation.print("rosecleat " + (packaged == null ? UNPACKAGED : packaged));
+    invocation.print("rosecleat " + (packaged == null ? NOT_PACKAGED : packaged));
     return SUCCESS;
   }
 }
--- a/src/main/java/rosecleat/config/SchemaExample.java
+++ b/src/main/java/rosecleat/config/SchemaExample.java
@@ -50,8 +50,8 @@
       return MAPPER.valueToTree(schema.getEnum().get(0));
     }
     if (schema.get$ref() != null) {
-      Schema<?> referred = resolve(schema.get$ref(), depth);
-      return referred == null ? JSON.nullNode() : value(referred, depth + 1);
+      Schema<?> target = resolve(schema.get$ref(), depth);
+      return target == null ? JSON.nullNode() : value(target, depth + 1);
     }
     return switch (type(schema)) {
       case "object" -> object(schema, depth);
--- a/src/main/java/rosecleat/config/SchemaValidator.java
+++ b/src/main/java/rosecleat/config/SchemaValidator.java
@@ -72,12 +72,12 @@
 
   private String unknownKey(String pointer, ValidationMessage message) {
     String key = message.getProperty();
-    Optional<String> meant =
+    Optional<String> suggestion =
         SpellingSuggestion.nearest(key, knownKeys(message.getSchemaLocation().getFragment()));
     return (pointer.isEmpty() ? "" : pointer + " ")
         + "has no key "
         + key
-        + meant.map(known -> "; did you mean " + known + "?").orElse("");
+        + suggestion.map(known -> "; did you mean " + known + "?").orElse("");
   }
 
   /** The keys that the schema allows beside the keyword at a location in it. */
--- a/src/main/java/rosecleat/config/SettingsReader.java
+++ b/src/main/java/rosecleat/config/SettingsReader.java
@@ -20,7 +20,7 @@
  */
 public final class SettingsReader {
   /** The word that an absent enumerated setting stands for. */
-  private static final String DEFAULT_WORD = "off";
+  private static final String DEFAULT_MODE = "off";
 
   private static final double DEFAULT_OVER_QUOTA_WEIGHT = 1;
 
@@ -181,7 +181,7 @@
   }
 
   private static <T> T choice(Map<String, T> choices, JsonNode value, String key) {
-    String word = value.isMissingNode() || value.isNull() ? DEFAULT_WORD : value.asText();
+    String word = value.isMissingNode() || value.isNull() ? DEFAULT_MODE : value.asText();
     T choice = choices.get(word);
     if (choice == null) {
       throw ConfigException.invalid("settings", "have an unknown word for " + key);
--- a/src/main/java/rosecleat/config/StandaloneConfig.java
+++ b/src/main/java/rosecleat/config/StandaloneConfig.java
@@ -33,15 +33,15 @@
 
   private static final double COLD_CAPACITY = 1;
   private static final double RUN_MEMORY_FACTOR = 2;
-  private static final double KEY_KB = 16;
+  private static final double IDEMPOTENCY_KEY_KB = 16;
   private static final double OVERLOAD_MULTIPLE = 8;
-  private static final long OVERLOAD_SPAN_US = 2 * Units.MICROSECONDS_PER_SECOND;
-  private static final long GRACE_US = Units.MICROSECONDS_PER_SECOND;
-  private static final long SLACK_US = 80 * Units.MICROSECONDS_PER_MS;
+  private static final long OVERLOAD_DURATION_US = 2 * Units.MICROSECONDS_PER_SECOND;
+  private static final long DRAIN_GRACE_PERIOD_US = Units.MICROSECONDS_PER_SECOND;
+  private static final long DEADLINE_SLACK_US = 80 * Units.MICROSECONDS_PER_MS;
   private static final double OVER_QUOTA_WEIGHT = 0.2;
   private static final long MAX_RETRY_AFTER_US = Units.MICROSECONDS_PER_SECOND;
   private static final long IDLE_TIMEOUT_US = 30 * Units.MICROSECONDS_PER_SECOND;
-  private static final long ROUND_US = Units.MICROSECONDS_PER_MS;
+  private static final long ROUND_TRIP_US = Units.MICROSECONDS_PER_MS;
 
   private static final long HASH_START = 1_125_899_906_842_597L;
   private static final long HASH_FACTOR = 31;
@@ -94,11 +94,11 @@
         /* warmupUs= */ 0,
         memoryKb,
         RUN_MEMORY_FACTOR,
-        KEY_KB,
+        IDEMPOTENCY_KEY_KB,
         OVERLOAD_MULTIPLE,
-        OVERLOAD_SPAN_US,
-        GRACE_US,
-        SLACK_US,
+        OVERLOAD_DURATION_US,
+        DRAIN_GRACE_PERIOD_US,
+        DEADLINE_SLACK_US,
         /* propagatesDeadline= */ true,
         /* signalsCancellation= */ true,
         /* marksRetries= */ true,
@@ -116,7 +116,7 @@
         /* concurrentCalls= */ 0,
         /* callWindowUs= */ 0,
         /* callLingerUs= */ 0,
-        ROUND_US,
+        ROUND_TRIP_US,
         List.of(),
         List.of());
   }
