--- a/src/main/java/rosecleat/config/AddressParser.java
+++ b/src/main/java/rosecleat/config/AddressParser.java
@@ -3,9 +3,12 @@
 import java.net.InetSocketAddress;
 import java.util.regex.Pattern;
 
-/** Parses socket addresses of the form {@code host:port}; hosts are literal, never looked up. */
+/**
+ * Parses socket addresses of the form {@code host:port}. Hosts are IP address literals or {@code
+ * localhost}; names are never resolved.
+ */
 final class AddressParser {
-  /** What stands before the address of a uwsgi service. */
+  /** Prefix of the address of a uwsgi service. */
   static final String UWSGI_SCHEME = "uwsgi://";
 
   private static final Pattern LITERAL_HOST =
@@ -16,10 +19,10 @@
   /**
    * Parses an address.
    *
-   * @param text the address; empty for none
-   * @param key the setting that holds it, for the error
-   * @return the address; null where the text is empty
-   * @throws ConfigException where the text is no address
+   * @param text the address; may be empty
+   * @param key the setting that the address comes from, for error messages
+   * @return the address, or null if the text is empty
+   * @throws ConfigException if the text is not a valid address
    */
   static InetSocketAddress parse(String text, String key) {
     if (text.isEmpty()) {
@@ -29,12 +32,15 @@
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
       String host = text.substring(0, colon);
-      if (!LITERAL_HOST.matcher(host).matches()) { // there is no name service
-        throw ConfigException.invalid(key, "is not a literal address: " + text);
+      if (!LITERAL_HOST.matcher(host).matches()) { // there is no name service to resolve it
+        throw ConfigException.invalid(
+            key,
+            "must be host:port with an IP address literal or localhost as the host, got " + text);
       }
       return new InetSocketAddress(host, port);
     } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-      throw ConfigException.invalid(key, "is not host:port: " + text);
+      throw ConfigException.invalid(
+          key, "must be host:port with a port from 0 to 65535, got " + text);
     }
   }
 }
--- a/src/main/java/rosecleat/config/AsyncApiDescription.java
+++ b/src/main/java/rosecleat/config/AsyncApiDescription.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * Reads the operations of an AsyncAPI description (3.0) by which the described application receives
- * messages. A caller sends such a message by a POST to the address of its channel.
+ * Reads the {@code receive} operations of an AsyncAPI 3.0 description. A caller sends a message to
+ * such an operation with a POST request to the address of the operation's channel.
  */
 final class AsyncApiDescription {
   private static final String METHOD = "POST";
@@ -25,9 +25,9 @@
   private AsyncApiDescription() {}
 
   /**
-   * The receiving operations of a description, in its order.
+   * Reads the {@code receive} operations of a description, in file order.
    *
-   * @throws ConfigException where the file cannot be read or is no usable description
+   * @throws ConfigException if the file cannot be read or is not a valid description
    */
   static List<DescribedOperation> read(Path file) {
     AsyncAPI api = parse(file);
@@ -55,15 +55,15 @@
               .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false)
               .readValue(DescriptionFile.readText(file), AsyncAPI.class);
     } catch (IOException | RuntimeException e) {
-      throw DescriptionFile.invalid(file, "no usable AsyncAPI description in " + file);
+      throw DescriptionFile.invalid(file, file + " is not a valid AsyncAPI 3.0 description");
     }
     if (api == null || api.getOperations() == null || api.getChannels() == null) {
-      throw DescriptionFile.invalid(file, "no channels and operations in " + file);
+      throw DescriptionFile.invalid(file, file + " must define both channels and operations");
     }
     return api;
   }
 
-  /** The address of the channel that an operation refers to, as a path from the root. */
+  /** Returns the address of the channel that an operation refers to, as an absolute path. */
   private static String address(AsyncAPI api, Reference reference, Path file) {
     String target = reference == null || reference.getRef() == null ? "" : reference.getRef();
     Object referred =
@@ -72,7 +72,11 @@
             : null;
     if (!(referred instanceof Channel channel) || channel.getAddress() == null) {
       throw DescriptionFile.invalid(
-          file, "an operation in " + file + " names no channel with an address");
+          file,
+          file
+              + ": an operation must refer to a channel with an address as #/channels/NAME, got \""
+              + target
+              + "\"");
     }
     return channel.getAddress().startsWith("/") ? channel.getAddress() : "/" + channel.getAddress();
   }
--- a/src/main/java/rosecleat/config/Backend.java
+++ b/src/main/java/rosecleat/config/Backend.java
@@ -2,29 +2,30 @@
 
 import java.net.InetSocketAddress;
 
-/** What executes the operations of a service. */
+/** The kind of backend that executes the operations of a service. */
 public sealed interface Backend {
-  /** The machine's runtime, which knows operations by their class. */
+  /** The machine's runtime, which identifies operations by their request class. */
   record MachineRuntime() implements Backend {}
 
   /**
-   * One uwsgi service.
+   * A single uwsgi service.
    *
-   * @param address where it listens
+   * @param address the address on which the service listens
    */
   record Uwsgi(InetSocketAddress address) implements Backend {}
 
   /**
-   * The example of the operation's description, for a first try without any service.
+   * A fixed response, taken from the example in the operation's API description. It serves to try
+   * out the broker without any service.
    *
    * @param contentType the media type of the response
    * @param body the body of the response
-   * @param durationUs the time until the response, in microseconds
+   * @param durationUs the delay before the response is sent, in microseconds
    */
   record Sample(String contentType, byte[] body, long durationUs) implements Backend {}
 
   /**
-   * The instances that the fleet's routes name for a service.
+   * The instances that the fleet's routing table lists for a service.
    *
    * @param service the service's name
    */
--- a/src/main/java/rosecleat/config/BrokerConfig.java
+++ b/src/main/java/rosecleat/config/BrokerConfig.java
@@ -5,21 +5,22 @@
 import java.util.OptionalInt;
 
 /**
- * The broker file: the uwsgi front, the operations with their contracts and budgets, the state
- * folder and the part in a fleet.
+ * The configuration read from a broker file: the uwsgi frontend, the operations with their
+ * contracts and budgets, the state folder and the fleet membership.
  *
- * @param listenAddress where uwsgi callers connect
- * @param maxConnections how many of them at once, by default 128
- * @param limits bounds of their connections
- * @param variables the names of the uwsgi variables that callers use
+ * @param listenAddress the address on which the uwsgi frontend listens
+ * @param maxConnections the maximum number of concurrent uwsgi connections; default 128
+ * @param limits size and time limits of uwsgi connections
+ * @param variables the names of the uwsgi variables that carry request metadata
  * @param operations all operations that have a contract
- * @param settings the node's settings, with the classes and tenants of contracts and budgets added
- *     at the end
- * @param state where learned estimates are kept; null where they are not
- * @param fleet how the process takes part in a fleet; null where it stands alone
- * @param routes the instances that the process publishes; null where it publishes none
- * @param localCapacity requests that the services without routes work on at once, where the
- *     instances of the other services add theirs; empty where the capacity is configured
+ * @param settings the node's settings, extended at the end by the classes and tenants that
+ *     contracts and budgets define
+ * @param state how learned estimates are persisted; null if they are not
+ * @param fleet the settings of fleet membership; null if the process is not part of a fleet
+ * @param routes the instances that this process publishes; null if it publishes none
+ * @param localCapacity the number of concurrent requests of all services that do not use routes, to
+ *     which the capacities of routed instances are added; empty if the capacity is configured or no
+ *     service uses routes
  */
 public record BrokerConfig(
     InetSocketAddress listenAddress,
@@ -34,10 +35,10 @@
     OptionalInt localCapacity) {
 
   /**
-   * Returns the same configuration with other indexes for its classes and tenants.
+   * Returns a copy of this configuration in which class and tenant indexes are replaced.
    *
-   * @param classIndexes the new index of each class, by its index here
-   * @param tenantIndexes the new index of each tenant, by its index here
+   * @param classIndexes the new class index for each current class index
+   * @param tenantIndexes the new tenant index for each current tenant index
    */
   public BrokerConfig withIndexes(List<Integer> classIndexes, List<Integer> tenantIndexes) {
     List<ServiceOperation> reindexed =
@@ -57,7 +58,7 @@
         localCapacity);
   }
 
-  /** Whether any operation is executed by the instances that the fleet's routes name. */
+  /** Returns whether any operation is executed by instances of the fleet's routing table. */
   public boolean usesRoutes() {
     return operations.stream().anyMatch(each -> each.backend() instanceof Backend.Fleet);
   }
--- a/src/main/java/rosecleat/config/BrokerConfigReader.java
+++ b/src/main/java/rosecleat/config/BrokerConfigReader.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.OptionalInt;
 
-/** Reads a {@link BrokerConfig} from a broker file and the files that it names. */
+/** Reads a {@link BrokerConfig} from a broker file and the files that it refers to. */
 public final class BrokerConfigReader {
   private static final int DEFAULT_MAX_CONNECTIONS = 128;
 
@@ -27,9 +27,10 @@
   /**
    * Reads a broker file.
    *
-   * @param file the file; the paths in it start from its folder
-   * @param nodeSettings the node's settings, to which contracts and budgets add classes and tenants
-   * @throws ConfigException where a file cannot be read or used
+   * @param file the broker file; relative paths in it are resolved against its folder
+   * @param nodeSettings the node's settings, which contracts and budgets extend by classes and
+   *     tenants
+   * @throws ConfigException if a file cannot be read or is invalid
    */
   public static BrokerConfig read(Path file, NamedSettings nodeSettings) {
     JsonNode root = BrokerFile.read(file);
@@ -63,7 +64,7 @@
     InetSocketAddress address =
         AddressParser.parse(uwsgi.path("listen").asText(""), "uwsgi.listen");
     if (address == null) {
-      throw BrokerFile.invalid("lacks uwsgi.listen");
+      throw BrokerFile.invalid("lacks uwsgi.listen, the address of the uwsgi frontend");
     }
     return address;
   }
@@ -89,7 +90,10 @@
         : RoutesFileReader.read(folder.resolve(file.asText()).normalize());
   }
 
-  /** Unknown where a platform or the file gives the cores, and where no service uses routes. */
+  /**
+   * Returns the capacity of the services that do not use routes; empty if a platform or the file
+   * configures the number of cores, or if no service uses routes.
+   */
   private OptionalInt localCapacity() {
     if (!nodeSettings.classNames().isEmpty() || root.path("limits").has("cores")) {
       return OptionalInt.empty();
--- a/src/main/java/rosecleat/config/BrokerFile.java
+++ b/src/main/java/rosecleat/config/BrokerFile.java
@@ -4,19 +4,20 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads the text of broker files, and their values. */
+/** Reads broker files and the values in them. */
 final class BrokerFile {
-  /** The name of a node whose file gives none. */
+  /** Name of a node whose broker file does not set one. */
   static final String DEFAULT_NAME = "broker";
 
-  private static final String DOCUMENT = "the broker's file";
+  private static final String DOCUMENT = "broker file";
 
   private BrokerFile() {}
 
   /**
-   * Reads a file that holds to the schema.
+   * Reads a broker file and validates it against the schema.
    *
-   * @throws ConfigException where it cannot be read, or with all violations of the schema
+   * @throws ConfigException if the file cannot be read or violates the schema; the error lists all
+   *     violations
    */
   static JsonNode read(Path path) {
     YamlFile file = YamlFile.read(DOCUMENT, path, ConfigSchema.BROKER);
@@ -24,21 +25,22 @@
     return file.root();
   }
 
-  /** An exception for what the file as a whole lacks. */
+  /** Creates an exception for a fault of the file as a whole, such as a missing key. */
   static ConfigException invalid(String fault) {
     return ConfigException.invalid(DOCUMENT, fault);
   }
 
-  /** A whole number above 0; the default where the section does not have the key. */
+  /** Returns a positive integer, or the default if the section does not contain the key. */
   static int positiveInt(JsonNode section, String key, int defaultValue) {
     long value = section.path(key).asLong(defaultValue);
     if (value <= 0 || value > Integer.MAX_VALUE) {
-      throw ConfigException.invalid(key, "in the broker's file is out of range");
+      throw ConfigException.invalid(
+          key, "in the broker file must be from 1 to " + Integer.MAX_VALUE + ", got " + value);
     }
     return (int) value;
   }
 
-  /** A time given in milliseconds, in microseconds. */
+  /** Converts a positive time in milliseconds to microseconds. */
   static long microseconds(JsonNode section, String keyInMs, int defaultMs) {
     return Units.MICROSECONDS_PER_MS * positiveInt(section, keyInMs, defaultMs);
   }
--- a/src/main/java/rosecleat/config/ClassTable.java
+++ b/src/main/java/rosecleat/config/ClassTable.java
@@ -5,8 +5,8 @@
 import rosecleat.policy.PriorityClass;
 
 /**
- * The classes of the node's settings and those that contracts add behind them. Contracts of one
- * name with different terms have a class each.
+ * The request classes of the node's settings, followed by those that contracts add. Contracts that
+ * use the same class name with different terms each have a class of their own.
  */
 final class ClassTable {
   private final List<PriorityClass> classes;
@@ -17,13 +17,13 @@
     names = new ArrayList<>(settings.classNames());
   }
 
-  /** The first class of a name; null where there is none. */
+  /** Returns the first class with this name, or null if there is none. */
   PriorityClass find(String name) {
     int index = names.indexOf(name);
     return index < 0 ? null : classes.get(index);
   }
 
-  /** The index of a class of this name with these terms, which is added where there is none. */
+  /** Returns the index of the class with this name and these terms; adds the class if absent. */
   int findOrAdd(String name, PriorityClass priorityClass) {
     for (int index = 0; index < classes.size(); index++) {
       if (names.get(index).equals(name) && classes.get(index).equals(priorityClass)) {
--- a/src/main/java/rosecleat/config/ConfigError.java
+++ b/src/main/java/rosecleat/config/ConfigError.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Why a configuration cannot be used: which file, line and key are at fault, and how. */
+/** Reason why a configuration is invalid, with the file, line and key at fault. */
 public sealed interface ConfigError {
 
-  /** The error as one line for people. */
+  /** Returns the error as a single human-readable line. */
   String message();
 
   /**
-   * A file that does not exist, cannot be read or is not in its format.
+   * A file that does not exist, cannot be read or cannot be parsed.
    *
    * @param document what the file is to the program
    * @param file the path, as it was given
@@ -23,11 +23,11 @@
   }
 
   /**
-   * A readable file with errors in it.
+   * A file that could be parsed but contains errors.
    *
    * @param document what the file is to the program
    * @param file the path, as it was given
-   * @param errors all errors found, in the order of the file
+   * @param errors all errors found: violations of the schema by line, then other errors
    */
   record InvalidFile(String document, String file, List<ConfigError> errors)
       implements ConfigError {
@@ -40,11 +40,11 @@
   }
 
   /**
-   * A place in a file that does not hold to the file's schema.
+   * A key or value that violates the schema of its file.
    *
-   * @param line the line, from 1
-   * @param pointer the key or value at fault, as a JSON pointer
-   * @param explanation the fault, and where it can be guessed the key that was meant
+   * @param line the line number, starting at 1
+   * @param pointer the JSON pointer to the key or value at fault
+   * @param explanation the fault, with a suggested key if an unknown key resembles a known one
    */
   record SchemaViolation(int line, String pointer, String explanation) implements ConfigError {
     @Override
@@ -54,10 +54,10 @@
   }
 
   /**
-   * A key, a value or a section that is missing or wrong.
+   * A missing or invalid key, value or section.
    *
-   * @param subject the key, or the operation, service, budget or document
-   * @param fault what is wrong with it
+   * @param subject the key, operation, service, budget or document at fault
+   * @param fault the rest of the message, which starts with a verb
    */
   record InvalidEntry(String subject, String fault) implements ConfigError {
     @Override
@@ -67,17 +67,17 @@
   }
 
   /**
-   * An OpenAPI or AsyncAPI description without the parts that the program needs.
+   * An OpenAPI or AsyncAPI description that is invalid or lacks required parts.
    *
    * @param file the path of the description
-   * @param message the fault and the path
+   * @param message the fault, including the path
    */
   record InvalidDescription(String file, String message) implements ConfigError {}
 
   /**
-   * A changed setting that a running process cannot adopt.
+   * A changed setting that only takes effect after a restart.
    *
-   * @param message which settings need a restart
+   * @param message the settings that require a restart
    */
   record RestartRequired(String message) implements ConfigError {}
 }
--- a/src/main/java/rosecleat/config/ConfigSchema.java
+++ b/src/main/java/rosecleat/config/ConfigSchema.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The JSON Schemas of the YAML files, which are resources of the program. */
+/** The JSON Schemas of the YAML files, which are packaged as resources in the jar. */
 public enum ConfigSchema {
   /** The broker file. */
   BROKER("/rosecleat/broker.schema.json"),
@@ -20,22 +20,22 @@
     this.resource = resource;
   }
 
-  /** The schema's text (JSON Schema 2020-12). */
+  /** Returns the text of the schema (JSON Schema 2020-12). */
   public String text() {
     try (InputStream in = ConfigSchema.class.getResourceAsStream(resource)) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new IllegalStateException(e); // the resource is in the jar
+      throw new IllegalStateException(e); // cannot happen: the resource is in the jar
     }
   }
 
   /**
    * Validates a file against the schema.
    *
-   * @param root the file's content
-   * @param yaml the file's text, from which the lines are taken
-   * @return all violations in order of their lines; empty where the file is valid
-   * @throws IOException where the text is not YAML
+   * @param root the parsed content of the file
+   * @param yaml the text of the file, used to find line numbers
+   * @return all violations, ordered by line; empty if the file is valid
+   * @throws IOException if the text is not valid YAML
    */
   List<ConfigError> validate(JsonNode root, String yaml) throws IOException {
     return SchemaValidator.validate(root, yaml, text());
--- a/src/main/java/rosecleat/config/ContractTerms.java
+++ b/src/main/java/rosecleat/config/ContractTerms.java
@@ -5,13 +5,13 @@
 import rosecleat.policy.PriorityClass;
 
 /**
- * The terms of an operation's contract, as far as they decide its class.
+ * The terms of an operation's contract that determine its request class.
  *
- * @param priorityWeight the weight of a class that the contract defines, by default 1
- * @param latencyObjectiveUs the time within which responses should come, in microseconds
- * @param deadlineUs the time after which a response is worth nothing, in microseconds
- * @param effect what happens when a request is executed twice
- * @param idempotencyWindowUs how long an idempotency key is remembered, in microseconds; 0 for
+ * @param priorityWeight the weight of the class if the contract defines a new one; default 1
+ * @param latencyObjectiveUs the latency objective of responses, in microseconds
+ * @param deadlineUs the time after which a response has no value, in microseconds
+ * @param effect the effect of executing a request twice
+ * @param idempotencyWindowUs how long an idempotency key is stored, in microseconds; 0 for
  *     operations without keys
  */
 record ContractTerms(
@@ -25,10 +25,10 @@
   /**
    * Reads a contract.
    *
-   * @param subject the operation, for errors
-   * @param contract the contract's entry
-   * @param nodeClass the node's class of the same name, which supplies what the contract does not
-   *     say; null where there is none
+   * @param subject the operation, for error messages
+   * @param contract the contract's entry in the broker file
+   * @param nodeClass the node's class of the same name, which supplies defaults for keys that the
+   *     contract omits; null if there is none
    */
   static ContractTerms read(String subject, JsonNode contract, PriorityClass nodeClass) {
     Idempotency effect = effect(subject, contract.path("effect").asText(""), nodeClass);
@@ -42,7 +42,13 @@
       idempotencyWindowUs = time(subject, contract, "window_ms", classWindowUs);
     }
     if (latencyObjectiveUs > deadlineUs) {
-      throw ConfigException.invalid(subject, "has an aim behind its deadline");
+      throw ConfigException.invalid(
+          subject,
+          "has a latency objective (aim_ms) of "
+              + latencyObjectiveUs
+              + " us, which exceeds its deadline of "
+              + deadlineUs
+              + " us");
     }
     return new ContractTerms(
         contract.path("worth").asDouble(DEFAULT_PRIORITY_WEIGHT),
@@ -56,10 +62,12 @@
     boolean fromClass = word.isEmpty() && nodeClass != null;
     Idempotency effect = fromClass ? nodeClass.idempotency() : SettingsReader.EFFECTS.get(word);
     if (effect == null) {
-      throw ConfigException.invalid(subject, "has no known effect (pure, token or side_effect)");
+      throw ConfigException.invalid(
+          subject, "must have the effect pure, token or side_effect, got \"" + word + "\"");
     }
     if (nodeClass != null && nodeClass.idempotency() != effect) {
-      throw ConfigException.invalid(subject, "has another effect than its class");
+      throw ConfigException.invalid(
+          subject, "has the effect " + word + ", which differs from the effect of its class");
     }
     return effect;
   }
@@ -70,12 +78,13 @@
             ? contract.path(keyInMs).asLong() * Units.MICROSECONDS_PER_MS
             : defaultUs;
     if (timeUs <= 0) {
-      throw ConfigException.invalid(subject, "lacks " + keyInMs);
+      throw ConfigException.invalid(
+          subject, "needs a positive " + keyInMs + " in its contract or from its class");
     }
     return timeUs;
   }
 
-  /** A class that only the contract defines; its requests make no calls downstream. */
+  /** Creates a class that only the contract defines; its requests make no downstream calls. */
   PriorityClass newClass() {
     return new PriorityClass(
         priorityWeight,
@@ -89,7 +98,10 @@
         0);
   }
 
-  /** The node's class with the contract's times; keys are remembered for the longer window. */
+  /**
+   * Returns the node's class with the times of this contract. Idempotency keys are stored for the
+   * longer window of the two.
+   */
   PriorityClass applyTo(PriorityClass nodeClass) {
     long windowUs =
         nodeClass.idempotency() == Idempotency.KEYED
--- a/src/main/java/rosecleat/config/DescriptionFile.java
+++ b/src/main/java/rosecleat/config/DescriptionFile.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads the text of API descriptions, and makes the errors about their content. */
+/** Reads the text of API descriptions and creates the errors about their content. */
 final class DescriptionFile {
   private DescriptionFile() {}
 
@@ -12,7 +12,7 @@
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw new ConfigException(new ConfigError.UnreadableFile("the description", file.toString()));
+      throw new ConfigException(new ConfigError.UnreadableFile("API description", file.toString()));
     }
   }
 
--- a/src/main/java/rosecleat/config/DescriptionsReader.java
+++ b/src/main/java/rosecleat/config/DescriptionsReader.java
@@ -6,22 +6,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the API descriptions that a broker file names. */
+/** Reads the API descriptions that a broker file refers to. */
 final class DescriptionsReader {
   private DescriptionsReader() {}
 
   /**
-   * All described operations, by id.
+   * Reads all described operations, keyed by id.
    *
    * @param section the section {@code descriptions}
-   * @param folder where the paths of the descriptions start
+   * @param folder the folder against which relative paths are resolved
    */
   static Map<String, DescribedOperation> read(JsonNode section, Path folder) {
     Map<String, DescribedOperation> operationsById = new HashMap<>();
     for (JsonNode entry : section) {
       for (DescribedOperation operation : readDescription(entry, folder)) {
         if (operationsById.put(operation.id(), operation) != null) {
-          throw ConfigException.invalid("operation " + operation.id(), "is described twice");
+          throw ConfigException.invalid(
+              "operation " + operation.id(), "is defined more than once in the descriptions");
         }
       }
     }
@@ -35,6 +36,7 @@
     if (entry.has("asyncapi")) {
       return AsyncApiDescription.read(folder.resolve(entry.path("asyncapi").asText()));
     }
-    throw ConfigException.invalid("a description", "is neither openapi nor asyncapi");
+    throw ConfigException.invalid(
+        "an entry of descriptions", "must have the key openapi or asyncapi");
   }
 }
--- a/src/main/java/rosecleat/config/ExampleBody.java
+++ b/src/main/java/rosecleat/config/ExampleBody.java
@@ -9,13 +9,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A response body for a media type: its example, else one made from its schema. */
+/** Produces a response body for a media type: its example, or else a value for its schema. */
 final class ExampleBody {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private ExampleBody() {}
 
-  /** The body, in UTF-8; empty where the media type has neither example nor schema. */
+  /** Returns the body in UTF-8; empty if the media type has neither an example nor a schema. */
   static byte[] of(MediaType mediaType, Components components) {
     if (mediaType == null) {
       return new byte[0];
@@ -47,7 +47,8 @@
       String text = body.isTextual() ? body.asText() : JSON.writeValueAsString(body);
       return text.getBytes(StandardCharsets.UTF_8);
     } catch (JsonProcessingException e) {
-      throw ConfigException.invalid("an example in a description", "can't be written");
+      throw ConfigException.invalid(
+          "an example in an API description", "cannot be written as JSON");
     }
   }
 }
--- a/src/main/java/rosecleat/config/FleetConfig.java
+++ b/src/main/java/rosecleat/config/FleetConfig.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * How a process takes part in a fleet: the section {@code fleet} of the broker file.
+ * The settings of fleet membership, from the section {@code fleet} of the broker file.
  *
- * @param name the member's name, by default the node's
- * @param cluster the fleet's name, by default {@code default}; members of others are ignored
- * @param listen where the process receives the fleet's messages
- * @param advertise the address that other members use, by default {@code listen}
- * @param zone the failure domain that the process runs in; empty where it has none
- * @param seeds addresses where other members may be found; the process's own among them does no
- *     harm
- * @param periodUs the protocol period of the failure detector in microseconds, by default 1 s
+ * @param name the name of this member; default: the name of the node
+ * @param cluster the name of the fleet; default {@code default}. Messages of other fleets are
+ *     ignored
+ * @param listen the address on which this process receives fleet messages
+ * @param advertise the address that other members use for this process; default {@code listen}
+ * @param zone the failure domain of this process; empty if it has none
+ * @param seeds addresses of members to contact first; may include the address of this process
+ * @param periodUs the protocol period of the failure detector, in microseconds; default 1 s
  */
 public record FleetConfig(
     String name,
@@ -27,7 +27,7 @@
     long periodUs) {
   private static final long DEFAULT_PERIOD_MS = 1000;
 
-  /** Reads the section of a broker file; null where there is none. */
+  /** Reads the section {@code fleet} of a broker file; returns null if the section is absent. */
   static FleetConfig read(JsonNode root, String nodeName) {
     JsonNode section = root.path("fleet");
     if (section.isMissingNode()) {
@@ -36,11 +36,13 @@
     InetSocketAddress listen = address(section, "listen");
     InetSocketAddress advertise = address(section, "advertise");
     if (listen == null) {
-      throw ConfigException.invalid("the broker's file", "lacks fleet.listen");
+      throw ConfigException.invalid(
+          "broker file", "lacks fleet.listen, the address for fleet messages");
     }
     if (advertise == null && listen.getAddress().isAnyLocalAddress()) {
       throw ConfigException.invalid(
-          "fleet.listen", "is no address that others can reach: fleet.advertise is needed");
+          "fleet.listen",
+          "is a wildcard address, which other members cannot reach: fleet.advertise is needed");
     }
     return new FleetConfig(
         section.path("name").asText(nodeName),
--- a/src/main/java/rosecleat/config/KeyComparison.java
+++ b/src/main/java/rosecleat/config/KeyComparison.java
@@ -6,16 +6,17 @@
 import java.util.Set;
 
 /**
- * Checks that a changed configuration has every key, with a value of the same type, that the one in
- * force has. Else it is cut short or of another kind, and a running node must not adopt it.
+ * Checks that a changed configuration contains every key of the configuration in force, with a
+ * value of the same type. A file that does not is probably truncated or belongs to something else,
+ * and a running node must not adopt it.
  */
 final class KeyComparison {
   private KeyComparison() {}
 
   /**
-   * Checks a whole file.
+   * Checks the root objects of both files.
    *
-   * @throws ConfigException that names the first key that is missing or of another type
+   * @throws ConfigException if a key is missing or has another type; the error names the first one
    */
   static void requireSameKeys(JsonNode inForce, JsonNode changed) {
     requireSameKeys(inForce, changed, "");
@@ -24,7 +25,13 @@
   private static void requireSameKeys(JsonNode inForce, JsonNode changed, String key) {
     if (inForce.getNodeType() != changed.getNodeType()) {
       throw ConfigException.invalid(
-          key, changed.isMissingNode() ? "is missing" : "is of another type than before");
+          key,
+          changed.isMissingNode()
+              ? "is missing, but the configuration in force has this key"
+              : "must have the type "
+                  + inForce.getNodeType()
+                  + " as in the configuration in force, got "
+                  + changed.getNodeType());
     }
     if (inForce.isObject()) {
       for (Map.Entry<String, JsonNode> entry : inForce.properties()) {
@@ -36,7 +43,10 @@
     }
   }
 
-  /** A changed list may have more or fewer elements; each needs the keys that all had before. */
+  /**
+   * Checks the elements of a list, whose number may change: each must have the keys that all
+   * elements in force have in common.
+   */
   private static void requireKeysInEachElement(JsonNode inForce, JsonNode changed, String key) {
     JsonNode first = inForce.get(0);
     Set<String> commonKeys = commonKeys(inForce);
--- a/src/main/java/rosecleat/config/NamedSettings.java
+++ b/src/main/java/rosecleat/config/NamedSettings.java
@@ -4,12 +4,12 @@
 import rosecleat.policy.PolicySettings;
 
 /**
- * The policy's settings, with the names that stand behind its indexes.
+ * The policy's settings, with the names for the indexes that the policy uses.
  *
  * @param policy the settings of the policy
- * @param gaugeNames the gauges that a host offers, in the order in which it sends their values
- * @param classNames the name of each class, in the order of the policy's classes
- * @param tenantNames the name of each tenant, in the order of the policy's tenants
+ * @param gaugeNames the names of the gauges that a host offers, in the order of the values it sends
+ * @param classNames the class names, in the order of the policy's classes
+ * @param tenantNames the tenant names, in the order of the policy's tenants
  */
 public record NamedSettings(
     PolicySettings policy,
--- a/src/main/java/rosecleat/config/NodeConfig.java
+++ b/src/main/java/rosecleat/config/NodeConfig.java
@@ -5,21 +5,22 @@
 import java.util.Objects;
 
 /**
- * The configuration of one node; see {@link NodeConfigReader} and {@link StandaloneConfig} for
- * where it comes from.
+ * The configuration of a node, created by {@link NodeConfigReader} or {@link StandaloneConfig}.
  *
- * @param name the node's name, one of its kind in the fleet
- * @param listenAddress where the platform's balancers connect; null where there are none
- * @param adminAddress where operators connect; null where nothing is offered to them
- * @param runtimeAddress the machine's runtime, which executes requests; null where there is none
- * @param registryAddress the platform's registry of nodes; null where there is none
- * @param indexAddress the platform's index; null where there is none
- * @param seed the seed of all random draws
- * @param stopTimeoutUs the time from the signal to stop until the process is killed, in
+ * @param name the name of the node, unique in the fleet
+ * @param listenAddress the address on which the node listens for the platform's balancers; null if
+ *     there are none
+ * @param adminAddress the address of the admin server; null if there is none
+ * @param runtimeAddress the address of the machine's runtime, which executes requests; null if
+ *     there is none
+ * @param registryAddress the address of the platform's service registry; null if there is none
+ * @param indexAddress the address of the platform's index; null if there is none
+ * @param seed the seed of all random numbers
+ * @param stopTimeoutUs the time between the stop signal and the kill of the process, in
  *     microseconds
- * @param maxSockets how many sockets the process may have open
+ * @param maxSockets the maximum number of open sockets of the process
  * @param settings the policy's settings
- * @param source the file that was read, empty where the node stands alone
+ * @param source the content of the file; empty if the node runs without a platform
  */
 public record NodeConfig(
     String name,
@@ -35,10 +36,10 @@
     JsonNode source) {
 
   /**
-   * Checks that a running process with another configuration may adopt this one: it has every key
-   * that the other has, and what needs a restart is the same.
+   * Checks that a running process may replace its configuration with this one: every key of the
+   * configuration in force is present, and no setting that requires a restart differs.
    *
-   * @throws ConfigException where it must not be adopted
+   * @throws ConfigException if the process must not adopt this configuration
    */
   public void requireAdoptableAfter(NodeConfig inForce) {
     KeyComparison.requireSameKeys(inForce.source, source);
@@ -47,7 +48,7 @@
         || !Objects.equals(adminAddress, inForce.adminAddress)
         || (runtimeAddress == null) != (inForce.runtimeAddress == null)) {
       throw ConfigException.restartRequired(
-          "its name, where it listens and whether it has a runtime need a restart");
+          "a change of name, listen or mgmt, or of whether runtime is set, requires a restart");
     }
   }
 }
--- a/src/main/java/rosecleat/config/NodeConfigReader.java
+++ b/src/main/java/rosecleat/config/NodeConfigReader.java
@@ -11,16 +11,16 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Reads the configuration that a platform gives a node: a JSON file and the environment. */
+/** Reads the node configuration of a platform: a JSON file and environment variables. */
 public final class NodeConfigReader {
-  /** The environment variable that names the configuration file. */
+  /** Environment variable that contains the path of the configuration file. */
   public static final String CONFIG_VARIABLE = "PROXY_CONFIG";
 
   private static final String NAME_VARIABLE = "PROXY_NAME";
   private static final String LISTEN_VARIABLE = "PROXY_LISTEN";
   private static final String ADMIN_VARIABLE = "PROXY_MGMT";
 
-  private static final String DOCUMENT = "the configuration";
+  private static final String DOCUMENT = "node configuration";
   private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,64}";
   private static final String DEFAULT_SEED = "0";
   private static final int HEXADECIMAL = 16;
@@ -35,15 +35,16 @@
   private NodeConfigReader() {}
 
   /**
-   * Reads the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN and PROXY_MGMT supply what the
-   * file lacks.
+   * Reads the file that PROXY_CONFIG refers to. PROXY_NAME, PROXY_LISTEN and PROXY_MGMT supply
+   * defaults for keys that the file omits.
    *
-   * @throws ConfigException where the file cannot be read or used
+   * @throws ConfigException if the file cannot be read or is invalid
    */
   public static NodeConfig fromEnvironment(Map<String, String> environment) {
     String path = environment.get(CONFIG_VARIABLE);
     if (path == null || path.isBlank()) {
-      throw ConfigException.invalid(CONFIG_VARIABLE, "is not set");
+      throw ConfigException.invalid(
+          CONFIG_VARIABLE, "is not set; expected the path of the node configuration");
     }
     String text;
     try {
@@ -55,9 +56,9 @@
   }
 
   /**
-   * Reads a configuration from its text; the environment supplies what the text lacks.
+   * Reads a configuration from its text; the environment supplies defaults for omitted keys.
    *
-   * @throws ConfigException where it cannot be used
+   * @throws ConfigException if the configuration is invalid
    */
   public static NodeConfig parse(String text, Map<String, String> environment) {
     JsonNode root = parseObject(text);
@@ -83,7 +84,7 @@
     try {
       root = STRICT_JSON.readTree(text);
     } catch (JacksonException e) {
-      throw ConfigException.invalid(DOCUMENT, "is not JSON");
+      throw ConfigException.invalid(DOCUMENT, "is not valid JSON");
     }
     if (root == null || !root.isObject()) {
       throw ConfigException.invalid(DOCUMENT, "is not a JSON object");
@@ -94,7 +95,13 @@
   private static String name(JsonNode root, Map<String, String> environment) {
     String name = root.path("name").asText(environment.getOrDefault(NAME_VARIABLE, ""));
     if (!name.matches(NAME_PATTERN)) {
-      throw ConfigException.invalid(DOCUMENT, "lacks a usable name");
+      throw ConfigException.invalid(
+          DOCUMENT,
+          "needs a name (key name or PROXY_NAME) of the form "
+              + NAME_PATTERN
+              + ", got \""
+              + name
+              + "\"");
     }
     return name;
   }
@@ -103,7 +110,8 @@
     InetSocketAddress address =
         address(root, "listen", environment.getOrDefault(LISTEN_VARIABLE, ""));
     if (address == null) {
-      throw ConfigException.invalid(DOCUMENT, "lacks listen");
+      throw ConfigException.invalid(
+          DOCUMENT, "lacks an address to listen on (key listen or PROXY_LISTEN)");
     }
     return address;
   }
@@ -116,7 +124,9 @@
     try {
       return Long.parseUnsignedLong(root.path("seed").asText(DEFAULT_SEED), HEXADECIMAL);
     } catch (NumberFormatException e) {
-      throw ConfigException.invalid("seed", "is not a hexadecimal number of 64 bits");
+      throw ConfigException.invalid(
+          "seed",
+          "must be a hexadecimal number of at most 64 bits, got " + root.path("seed").asText());
     }
   }
 
@@ -132,7 +142,8 @@
 
   private static int positiveInt(long value, String key) {
     if (value <= 0 || value > Integer.MAX_VALUE) {
-      throw ConfigException.invalid(key, "is out of range");
+      throw ConfigException.invalid(
+          key, "must be from 1 to " + Integer.MAX_VALUE + ", got " + value);
     }
     return (int) value;
   }
--- a/src/main/java/rosecleat/config/NodeConfigValidator.java
+++ b/src/main/java/rosecleat/config/NodeConfigValidator.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 
 /**
- * Validates the types, ranges and names of a node's configuration file before anything is read from
- * it, so that a running node never adopts a file that is half written or half right. The first
- * fault is a {@link ConfigException} that names the key.
+ * Validates the types, ranges and names in a node configuration file before any value is read from
+ * it, so that a running node never adopts a partially written or partially valid file. The first
+ * fault is thrown as a {@link ConfigException} that names the key.
  */
 final class NodeConfigValidator {
   private static final List<String> TEXT_KEYS =
       List.of("name", "listen", "mgmt", "runtime", "roster", "index", "seed");
 
-  /** Whether a key may be absent. */
+  /** Specifies whether a key may be absent. */
   private enum Presence {
     OPTIONAL,
     REQUIRED
@@ -22,7 +22,7 @@
 
   private NodeConfigValidator() {}
 
-  /** Validates a whole file. */
+  /** Validates the root object of a file. */
   static void validate(JsonNode root) {
     validateNode(root);
     JsonNode settings = requireObject(root, "settings");
@@ -39,7 +39,7 @@
   private static void validateNode(JsonNode root) {
     for (String key : TEXT_KEYS) {
       if (root.has(key) && !root.path(key).isTextual()) {
-        throw ConfigException.invalid(key, "is no text");
+        throw ConfigException.invalid(key, "must be a string, got " + root.path(key));
       }
     }
     requirePositive(root, "", Presence.OPTIONAL, "stop_ms");
@@ -50,7 +50,7 @@
   private static void validateClasses(JsonNode settings) {
     JsonNode classes = settings.path("grades");
     if (!classes.isArray() || classes.isEmpty()) {
-      throw ConfigException.invalid("settings", "lack grades");
+      throw ConfigException.invalid("settings", "must have a non-empty list grades");
     }
     requireDistinctNames(classes, "grades");
     for (JsonNode each : classes) {
@@ -64,7 +64,7 @@
 
   private static void validateTenants(JsonNode tenants) {
     if (!tenants.isMissingNode() && !tenants.isArray()) {
-      throw ConfigException.invalid("parties", "is no list");
+      throw ConfigException.invalid("parties", "must be a list, got " + tenants);
     }
     requireDistinctNames(tenants, "parties");
     for (JsonNode tenant : tenants) {
@@ -110,17 +110,19 @@
     for (JsonNode element : list) {
       JsonNode name = element.path("name");
       if (!name.isTextual() || name.asText().isEmpty()) {
-        throw ConfigException.invalid("an entry of " + key, "has no name");
+        throw ConfigException.invalid(
+            "an entry of " + key, "must have a non-empty string as its name");
       }
       if (!names.add(name.asText())) {
-        throw ConfigException.invalid(key, "has " + name.asText() + " twice");
+        throw ConfigException.invalid(
+            key, "has more than one entry with the name " + name.asText());
       }
     }
   }
 
   private static JsonNode requireObject(JsonNode parent, String key) {
     if (!parent.path(key).isObject()) {
-      throw ConfigException.invalid("the configuration", "lacks " + key);
+      throw ConfigException.invalid("node configuration", "must have an object " + key);
     }
     return parent.path(key);
   }
@@ -131,10 +133,10 @@
       JsonNode value = section.path(key);
       if (value.isMissingNode()) {
         if (presence == Presence.REQUIRED) {
-          throw ConfigException.invalid(prefix + key, "is missing");
+          throw ConfigException.invalid(prefix + key, "is missing; expected a number above 0");
         }
       } else if (!value.isNumber() || !(value.asDouble() > 0)) {
-        throw ConfigException.invalid(prefix + key, "is no number above 0");
+        throw ConfigException.invalid(prefix + key, "must be a number above 0, got " + value);
       }
     }
   }
@@ -143,7 +145,7 @@
     for (String key : keys) {
       JsonNode value = section.path(key);
       if (!value.isMissingNode() && (!value.isNumber() || !(value.asDouble() >= 0))) {
-        throw ConfigException.invalid(prefix + key, "is no number of 0 or more");
+        throw ConfigException.invalid(prefix + key, "must be a number of at least 0, got " + value);
       }
     }
   }
@@ -151,20 +153,23 @@
   private static void requireFlags(JsonNode section, String prefix, String... keys) {
     for (String key : keys) {
       if (section.has(key) && !section.path(key).isBoolean()) {
-        throw ConfigException.invalid(prefix + key, "is neither true nor false");
+        throw ConfigException.invalid(
+            prefix + key, "must be true or false, got " + section.path(key));
       }
     }
   }
 
   private static void requireOneForEachClass(JsonNode list, String key, int classCount) {
     if (!list.isMissingNode() && (!list.isArray() || list.size() != classCount)) {
-      throw ConfigException.invalid(key, "is no list with one entry for each class");
+      throw ConfigException.invalid(
+          key,
+          "must be a list with one entry for each of the " + classCount + " classes, got " + list);
     }
   }
 
   private static void requireElementType(boolean holds, String key) {
     if (!holds) {
-      throw ConfigException.invalid(key, "has an entry of another type");
+      throw ConfigException.invalid(key, "has an entry of the wrong type");
     }
   }
 }
--- a/src/main/java/rosecleat/config/OpenApiDescription.java
+++ b/src/main/java/rosecleat/config/OpenApiDescription.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the operations of an OpenAPI description (3.x), which swagger-parser parses. */
+/** Reads the operations of an OpenAPI 3.x description with swagger-parser. */
 final class OpenApiDescription {
   private static final String SUCCESS_STATUS = "200";
 
@@ -30,9 +30,9 @@
   }
 
   /**
-   * The operations of a description that have an operationId, in the description's order.
+   * Reads the operations of a description that have an operationId, in file order.
    *
-   * @throws ConfigException where the file cannot be read or is no usable description
+   * @throws ConfigException if the file cannot be read or is not a valid description
    */
   static List<DescribedOperation> read(Path file) {
     OpenApiDescription description = new OpenApiDescription(parse(file));
@@ -42,18 +42,18 @@
 
   private static OpenAPI parse(Path file) {
     ParseOptions options = new ParseOptions();
-    options.setResolve(false); // a description must not make this program fetch anything
+    options.setResolve(false); // reading a description must not fetch files or URLs
     SwaggerParseResult result =
         new OpenAPIV3Parser().readContents(DescriptionFile.readText(file), null, options);
     OpenAPI api = result.getOpenAPI();
     if (api == null || api.getPaths() == null || !result.getMessages().isEmpty()) {
       String detail = result.getMessages().isEmpty() ? "" : ": " + result.getMessages().get(0);
-      throw DescriptionFile.invalid(file, "no usable OpenAPI description in " + file + detail);
+      throw DescriptionFile.invalid(file, file + " is not a valid OpenAPI 3 description" + detail);
     }
     return api;
   }
 
-  /** The path of the first server, without slashes at its end. */
+  /** Returns the path of the first server URL without trailing slashes. */
   private static String basePath(OpenAPI api) {
     if (api.getServers() == null || api.getServers().isEmpty()) {
       return "";
@@ -62,7 +62,9 @@
       String path = URI.create(api.getServers().get(0).getUrl()).getPath();
       return path == null ? "" : path.replaceAll("/+$", "");
     } catch (IllegalArgumentException e) {
-      throw ConfigException.invalid("a server's URL in an OpenAPI description", "can't be read");
+      throw ConfigException.invalid(
+          "server URL " + api.getServers().get(0).getUrl() + " in an OpenAPI description",
+          "is not a valid URI");
     }
   }
 
@@ -89,7 +91,7 @@
             .orElse(new byte[0]));
   }
 
-  /** The first media type of the response with status 200. */
+  /** Returns the first media type of the response with status 200. */
   private static Optional<Map.Entry<String, MediaType>> successContent(Operation operation) {
     ApiResponse response =
         operation.getResponses() == null ? null : operation.getResponses().get(SUCCESS_STATUS);
--- a/src/main/java/rosecleat/config/OperationsReader.java
+++ b/src/main/java/rosecleat/config/OperationsReader.java
@@ -9,11 +9,11 @@
 import rosecleat.policy.PriorityClass;
 
 /**
- * Reads the section {@code services} of a broker file: each contract becomes an operation, and
- * contracts and budgets extend the classes and tenants of the node's settings.
+ * Reads the section {@code services} of a broker file. Each contract becomes an operation;
+ * contracts and budgets extend the request classes and tenants of the node's settings.
  */
 final class OperationsReader {
-  /** The word for the instances that the fleet's routes name. */
+  /** Value of {@code backend} for the instances of the fleet's routing table. */
   static final String FLEET_BACKEND = "fleet";
 
   private static final String RUNTIME_BACKEND = "runtime";
@@ -30,7 +30,11 @@
   private final TenantTable tenants;
   private final boolean hasRoutes;
 
-  /** Reads over the node's settings; {@code hasRoutes} where a table of routes will exist. */
+  /**
+   * Creates a reader that extends the node's settings.
+   *
+   * @param hasRoutes whether the process has a routing table, which the fleet backend requires
+   */
   OperationsReader(
       Map<String, DescribedOperation> descriptions, NamedSettings nodeSettings, boolean hasRoutes) {
     this.descriptions = descriptions;
@@ -40,7 +44,7 @@
     tenants = new TenantTable(nodeSettings);
   }
 
-  /** The operations of all services, in the file's order. */
+  /** Reads the operations of all services, in file order. */
   List<ServiceOperation> read(JsonNode services) {
     List<ServiceOperation> operations = new ArrayList<>();
     for (Map.Entry<String, JsonNode> service : services.properties()) {
@@ -52,12 +56,12 @@
       }
     }
     if (operations.isEmpty()) {
-      throw BrokerFile.invalid("has no contract");
+      throw BrokerFile.invalid("must define at least one contract under services");
     }
     return List.copyOf(operations);
   }
 
-  /** The node's settings with the classes and tenants that were added. */
+  /** Returns the node's settings, extended by the added classes and tenants. */
   NamedSettings extendedSettings() {
     return new NamedSettings(
         nodeSettings.policy().withClassesAndTenants(classes.classes(), tenants.tenants()),
@@ -71,19 +75,27 @@
     String subject = "operation " + id;
     DescribedOperation description = descriptions.get(id);
     if (description == null) {
-      throw ConfigException.invalid(subject, "of " + service + " is not described");
+      throw ConfigException.invalid(
+          subject, "of service " + service + " is not defined in any description");
     }
     Backend backend = backend(service, serviceSection, description);
     String className = contract.path("class").asText("");
     if (className.isEmpty()) {
-      throw ConfigException.invalid(subject, "lacks a class");
+      throw ConfigException.invalid(subject, "needs a class in its contract");
     }
     int classIndex = classIndex(subject, className, contract, backend);
     PriorityClass priorityClass = classes.get(classIndex);
     double memoryKb = contract.path("kb").asDouble(DEFAULT_MEMORY_KB);
     double rank = contract.path("rank").asDouble(DEFAULT_RANK);
     if (!(memoryKb > 0 && memoryKb < MAX_MEMORY_KB && rank >= 0 && rank < 1)) {
-      throw ConfigException.invalid(subject, "has kb or rank out of range");
+      throw ConfigException.invalid(
+          subject,
+          "needs kb above 0 and below "
+              + MAX_MEMORY_KB
+              + " and rank from 0 to below 1, got kb "
+              + memoryKb
+              + " and rank "
+              + rank);
     }
     return new ServiceOperation(
         service,
@@ -102,7 +114,7 @@
         tenantIndexByTeam(service, serviceSection.path("budget")));
   }
 
-  /** What executes the operations of a service. */
+  /** Returns the backend that executes the operations of a service. */
   private Backend backend(String service, JsonNode serviceSection, DescribedOperation description) {
     String subject = "backend of " + service;
     String text = serviceSection.path("backend").asText(RUNTIME_BACKEND);
@@ -115,7 +127,8 @@
               BrokerFile.microseconds(serviceSection, "sample_ms", DEFAULT_SAMPLE_MS));
       case FLEET_BACKEND -> {
         if (!hasRoutes) {
-          throw ConfigException.invalid(subject, "is fleet, and there is neither fleet nor routes");
+          throw ConfigException.invalid(
+              subject, "is fleet, but the broker file has neither a fleet nor a routes section");
         }
         yield new Backend.Fleet(service);
       }
@@ -126,13 +139,17 @@
   }
 
   /**
-   * The class of a contract: one of the node's, one of them with other times, or a new one where a
-   * backend executes the operation.
+   * Returns the index of a contract's class: a class of the node, a copy of such a class with other
+   * times, or, unless the machine's runtime executes the operation, a new class.
    */
   private int classIndex(String subject, String className, JsonNode contract, Backend backend) {
     PriorityClass nodeClass = classes.find(className);
     if (nodeClass == null && backend instanceof Backend.MachineRuntime) {
-      throw ConfigException.invalid(subject, "has a class the runtime does not know: " + className);
+      throw ConfigException.invalid(
+          subject,
+          "has the class "
+              + className
+              + ", but the runtime executes only the classes of the node configuration");
     }
     ContractTerms terms = ContractTerms.read(subject, contract, nodeClass);
     PriorityClass priorityClass = nodeClass == null ? terms.newClass() : terms.applyTo(nodeClass);
@@ -145,7 +162,8 @@
       tenantIndexByTeam.put(team.getKey(), tenants.findOrAdd(team.getKey(), team.getValue()));
     }
     if (tenantIndexByTeam.isEmpty()) {
-      throw ConfigException.invalid("service " + service, "has no budget");
+      throw ConfigException.invalid(
+          "service " + service, "must have a budget for at least one team");
     }
     return Map.copyOf(tenantIndexByTeam);
   }
--- a/src/main/java/rosecleat/config/RoutesFile.java
+++ b/src/main/java/rosecleat/config/RoutesFile.java
@@ -4,32 +4,32 @@
 import java.util.List;
 
 /**
- * The routes file: the instances of services that a process publishes.
+ * The content of a routes file: the service instances that a process publishes.
  *
- * @param instances all instances, in the file's order
+ * @param instances all instances, in file order
  */
 public record RoutesFile(List<InstanceEntry> instances) {
 
-  /** Whether an instance takes requests. */
+  /** Specifies whether an instance receives requests. */
   public enum InstanceState {
-    /** It takes requests. */
+    /** The instance receives requests. */
     ON,
-    /** It completes the requests it has, and takes no new ones. */
+    /** The instance completes its requests and receives no new ones. */
     DRAIN,
-    /** It takes none. */
+    /** The instance receives no requests. */
     OFF
   }
 
   /**
-   * One instance of a service.
+   * An instance of a service.
    *
-   * @param service the service's name in the broker files
-   * @param name the instance's name, one of its kind in the service
-   * @param address where its uwsgi service listens
-   * @param zone its failure domain; empty where it has none
-   * @param weight its share of the requests, relative to the others; by default 1
-   * @param state whether it takes requests; by default {@link InstanceState#ON}
-   * @param capacity requests that it works on at once; 0 where the file does not say
+   * @param service the name of the service in the broker files
+   * @param name the name of the instance, unique in its service
+   * @param address the address of its uwsgi service
+   * @param zone its failure domain; empty if it has none
+   * @param weight its share of the requests relative to the other instances; default 1
+   * @param state whether it receives requests; default {@link InstanceState#ON}
+   * @param capacity the number of requests that it executes concurrently; 0 if not specified
    */
   public record InstanceEntry(
       String service,
--- a/src/main/java/rosecleat/config/RoutesFileReader.java
+++ b/src/main/java/rosecleat/config/RoutesFileReader.java
@@ -15,7 +15,7 @@
 
 /** Reads a {@link RoutesFile}. */
 final class RoutesFileReader {
-  private static final String DOCUMENT = "the file of routes";
+  private static final String DOCUMENT = "routes file";
   private static final double DEFAULT_WEIGHT = 1;
 
   private static final Set<String> STATES =
@@ -29,9 +29,9 @@
   private RoutesFileReader() {}
 
   /**
-   * Reads a file.
+   * Reads a routes file.
    *
-   * @throws ConfigException where it cannot be read, or with all errors in it at once
+   * @throws ConfigException if the file cannot be read or is invalid; the error lists all faults
    */
   static RoutesFile read(Path path) {
     YamlFile file = YamlFile.read(DOCUMENT, path, ConfigSchema.ROUTES);
@@ -53,13 +53,13 @@
   private void readInstance(String service, String name, JsonNode entry) {
     String url = entry.path("address").asText("");
     if (!url.startsWith(AddressParser.UWSGI_SCHEME)) {
-      return; // a violation of the schema, which has reported it
+      return; // reported as a violation of the schema
     }
     try {
       InetSocketAddress address =
           AddressParser.parse(
               url.substring(AddressParser.UWSGI_SCHEME.length()),
-              "the address of " + service + "/" + name);
+              "address of " + service + "/" + name);
       instances.add(
           new InstanceEntry(
               service,
@@ -75,11 +75,11 @@
   }
 
   private static InstanceState state(JsonNode value) {
-    if (value.isBoolean()) { // YAML takes a bare on or off for a boolean
+    if (value.isBoolean()) { // YAML parses an unquoted on or off as a boolean
       return value.asBoolean() ? InstanceState.ON : InstanceState.OFF;
     }
     String text = value.asText("on");
-    // other words violate the schema, which has reported them
+    // other values have been reported as violations of the schema
     return STATES.contains(text)
         ? InstanceState.valueOf(text.toUpperCase(Locale.ROOT))
         : InstanceState.ON;
--- a/src/main/java/rosecleat/config/SchemaExample.java
+++ b/src/main/java/rosecleat/config/SchemaExample.java
@@ -11,17 +11,20 @@
 import java.math.RoundingMode;
 import java.util.Map;
 
-/** Makes the smallest value that an OpenAPI schema allows, or takes the one that it names. */
+/**
+ * Produces an example value for an OpenAPI schema: the example, default or first enum value that
+ * the schema specifies, or else the smallest value that it allows.
+ */
 final class SchemaExample {
   private static final String COMPONENTS = "#/components/schemas/";
 
-  /** How deep values are nested: schemas may refer to themselves. */
+  /** Maximum nesting depth of a value, needed as schemas can be recursive. */
   private static final int MAX_DEPTH = 6;
 
-  /** How many elements a made array has at most, whatever the schema asks for. */
+  /** Maximum length of a generated array, even if the schema requires more elements. */
   private static final int MAX_ELEMENTS = 16;
 
-  /** How many characters a made text has at most, whatever the schema asks for. */
+  /** Maximum length of a generated string, even if the schema requires more characters. */
   private static final int MAX_TEXT_LENGTH = 1024;
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -29,12 +32,12 @@
 
   private final Components components;
 
-  /** Makes values; the components, which may be null, are what schemas refer to. */
+  /** Creates a generator that resolves references in the given components, which may be null. */
   SchemaExample(Components components) {
     this.components = components;
   }
 
-  /** A value that the schema allows. */
+  /** Returns an example value for the schema. */
   JsonNode of(Schema<?> schema) {
     return value(schema, 0);
   }
@@ -64,7 +67,7 @@
     };
   }
 
-  /** The schema that a reference names; null where there is none, or it is nested too deep. */
+  /** Returns the referenced schema; null if there is none or the maximum depth is reached. */
   private Schema<?> resolve(String reference, int depth) {
     if (components == null
         || components.getSchemas() == null
@@ -75,7 +78,7 @@
     return components.getSchemas().get(reference.substring(COMPONENTS.length()));
   }
 
-  /** The type that a schema names, in the form of OpenAPI 3.0 or 3.1, or else implies. */
+  /** Returns the type that a schema specifies, in OpenAPI 3.0 or 3.1 form, or else implies. */
   private static String type(Schema<?> schema) {
     if (schema.getType() != null) {
       return schema.getType();
@@ -118,7 +121,7 @@
     return maximum != null && maximum.signum() < 0 ? maximum : BigDecimal.ZERO;
   }
 
-  /** The library's signature has a raw type; its map holds schemas of any type. */
+  /** Casts from the raw type in the library's signature; the map contains schemas of any type. */
   @SuppressWarnings({"rawtypes", "unchecked"})
   private static Map<String, ? extends Schema<?>> typed(Map<String, Schema> properties) {
     return (Map<String, ? extends Schema<?>>) (Map) properties;
--- a/src/main/java/rosecleat/config/SchemaValidator.java
+++ b/src/main/java/rosecleat/config/SchemaValidator.java
@@ -15,11 +15,11 @@
 import rosecleat.config.ConfigError.SchemaViolation;
 
 /**
- * Validates a YAML file against a JSON Schema, and gives each violation its line and, for an
- * unknown key, the known key that was probably meant.
+ * Validates a YAML file against a JSON Schema. Each violation has its line number and, for an
+ * unknown key, a suggestion of the known key that was probably meant.
  */
 final class SchemaValidator {
-  /** The schema keyword that an unknown key violates. */
+  /** Schema keyword that is reported for an unknown key. */
   private static final String UNKNOWN_KEY = "additionalProperties";
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -32,7 +32,7 @@
     this.lines = lines;
   }
 
-  /** All violations in a file, in order of their lines; see {@link ConfigSchema#validate}. */
+  /** Returns all violations in a file, ordered by line; see {@link ConfigSchema#validate}. */
   static List<ConfigError> validate(JsonNode root, String yaml, String schemaText)
       throws IOException {
     JsonNode schema = JSON.readTree(schemaText);
@@ -61,7 +61,10 @@
         lines.lineOf(pointer), pointer, explanation(pointer, message.getMessage()));
   }
 
-  /** The library's message begins with the pointer, which is empty for the file as a whole. */
+  /**
+   * Replaces the pointer at the start of the library's message, which is empty for the root of the
+   * file, by a readable subject.
+   */
   private static String explanation(String pointer, String message) {
     if (!message.startsWith(pointer + ":")) {
       return message;
@@ -74,13 +77,13 @@
     String key = message.getProperty();
     Optional<String> suggestion =
         SpellingSuggestion.nearest(key, knownKeys(message.getSchemaLocation().getFragment()));
-    return (pointer.isEmpty() ? "" : pointer + " ")
-        + "has no key "
+    return (pointer.isEmpty() ? "the file" : pointer)
+        + " has the unknown key "
         + key
         + suggestion.map(known -> "; did you mean " + known + "?").orElse("");
   }
 
-  /** The keys that the schema allows beside the keyword at a location in it. */
+  /** Returns the keys that the schema defines next to the keyword at a schema location. */
   private Iterable<String> knownKeys(Object schemaLocation) {
     String[] steps = schemaLocation.toString().split("/");
     JsonNode object = schema;
--- a/src/main/java/rosecleat/config/ServiceOperation.java
+++ b/src/main/java/rosecleat/config/ServiceOperation.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 
 /**
- * An operation of a service, under its contract and budget.
+ * An operation of a service with the terms of its contract and budget.
  *
- * @param service the service's name
- * @param id the operation's name in its description
+ * @param service the name of the service
+ * @param id the operation id in the API description
  * @param method the HTTP method in upper case
- * @param path the path of its requests, with parameters in braces
+ * @param path the request path, with parameters in braces
  * @param contentType the media type of its responses
- * @param className the name of its class, as its backend knows it
- * @param classIndex the index of its class in the settings
+ * @param className the name of its request class, as used by the backend
+ * @param classIndex the index of its request class in the settings
  * @param idempotent whether its requests carry an idempotency key
- * @param idempotencyWindowUs how long a key is remembered, in microseconds; 0 without keys
- * @param deadlineUs the time within which a response is worth anything, in microseconds
- * @param memoryKb the memory that one of its requests is taken to need, in kilobytes
- * @param rank its place among the requests of its class, from 0 to below 1
- * @param backend what executes it
- * @param tenantIndexByTeam the index of the tenant of each team that has a budget
+ * @param idempotencyWindowUs how long an idempotency key is stored, in microseconds; 0 without keys
+ * @param deadlineUs the time after which a response has no value, in microseconds
+ * @param memoryKb the estimated memory of one request, in kilobytes
+ * @param rank its rank among the requests of its class, from 0 (inclusive) to 1 (exclusive)
+ * @param backend the backend that executes the operation
+ * @param tenantIndexByTeam the tenant index of each team that has a budget
  */
 public record ServiceOperation(
     String service,
@@ -38,12 +38,12 @@
     Backend backend,
     Map<String, Integer> tenantIndexByTeam) {
 
-  /** Whether the machine's runtime executes the operation, rather than a service. */
+  /** Returns whether the machine's runtime executes the operation. */
   public boolean usesMachineRuntime() {
     return backend instanceof Backend.MachineRuntime;
   }
 
-  /** The same operation with other indexes for its class and its tenants. */
+  /** Returns a copy of this operation with replaced class and tenant indexes. */
   ServiceOperation withIndexes(List<Integer> classIndexes, List<Integer> tenantIndexes) {
     Map<String, Integer> reindexedTenants = new HashMap<>();
     tenantIndexByTeam.forEach(
--- a/src/main/java/rosecleat/config/SettingsReader.java
+++ b/src/main/java/rosecleat/config/SettingsReader.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeSet;
 import rosecleat.policy.CancelMode;
 import rosecleat.policy.DownstreamMode;
 import rosecleat.policy.Idempotency;
@@ -15,16 +16,16 @@
 import rosecleat.policy.TenantQuota;
 
 /**
- * Reads the policy's settings from JSON. Unknown keys are ignored. A reader has no state of its own
- * and may be used again.
+ * Reads the policy's settings from JSON. Unknown keys are ignored. A reader is stateless and can be
+ * reused.
  */
 public final class SettingsReader {
-  /** The word that an absent enumerated setting stands for. */
+  /** Default of enumerated settings. */
   private static final String DEFAULT_MODE = "off";
 
   private static final double DEFAULT_OVER_QUOTA_WEIGHT = 1;
 
-  /** The words of the settings and contracts for what a second execution does. */
+  /** Values of {@code effect}, which state the effect of a second execution of a request. */
   static final Map<String, Idempotency> EFFECTS =
       Map.of(
           "pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
@@ -50,7 +51,7 @@
   /**
    * Reads the settings.
    *
-   * @throws ConfigException that names the first key that is missing or has an unknown word
+   * @throws ConfigException if a key is missing or has an unknown value; the error names the first
    */
   public NamedSettings read(String text) {
     JsonNode root = parse(text);
@@ -85,7 +86,7 @@
       classes.add(priorityClass(section.get(i), callsDownstream, weightWithoutCall));
     }
     if (classes.isEmpty()) {
-      throw ConfigException.invalid("settings", "lack grades");
+      throw ConfigException.invalid("settings", "must have a non-empty list grades");
     }
     return List.copyOf(classes);
   }
@@ -151,7 +152,7 @@
         tenants);
   }
 
-  /** 0 where callers do not heed the time to wait that a rejection names. */
+  /** Returns 0 if callers do not honour the Retry-After time of a rejection. */
   private static long maxRetryAfterUs(JsonNode bounds) {
     return bounds.path("retry-after").asBoolean() ? bounds.path("max-retry-after-us").asLong() : 0;
   }
@@ -175,7 +176,7 @@
   private static JsonNode required(JsonNode section, String key) {
     JsonNode value = section.path(key);
     if (value.isMissingNode() || value.isNull()) {
-      throw ConfigException.invalid("settings", "lack " + key);
+      throw ConfigException.invalid("settings", "lack the required key " + key);
     }
     return value;
   }
@@ -184,7 +185,14 @@
     String word = value.isMissingNode() || value.isNull() ? DEFAULT_MODE : value.asText();
     T choice = choices.get(word);
     if (choice == null) {
-      throw ConfigException.invalid("settings", "have an unknown word for " + key);
+      throw ConfigException.invalid(
+          "settings",
+          "have the unknown value "
+              + word
+              + " for "
+              + key
+              + ", expected one of "
+              + new TreeSet<>(choices.keySet()));
     }
     return choice;
   }
--- a/src/main/java/rosecleat/config/SpellingSuggestion.java
+++ b/src/main/java/rosecleat/config/SpellingSuggestion.java
@@ -2,16 +2,17 @@
 
 import java.util.Optional;
 
-/** Finds the known key that a misspelt one was probably meant to be. */
+/** Finds the known key that most resembles a misspelt key. */
 final class SpellingSuggestion {
-  /** A known key within this many edits is suggested. */
+  /** Maximum edit distance of a suggested key. */
   private static final int MAX_EDITS = 3;
 
   private SpellingSuggestion() {}
 
   /**
-   * The known key with the fewest edits, the first of equals; empty where none is near. A key as
-   * short as the edits needed is never near.
+   * Returns the known key with the smallest edit distance, the first if several have it; empty if
+   * none is within the maximum distance. A known key that is not longer than its distance is not
+   * considered.
    */
   static Optional<String> nearest(String key, Iterable<String> knownKeys) {
     Optional<String> nearest = Optional.empty();
@@ -26,7 +27,7 @@
     return nearest;
   }
 
-  /** The Levenshtein distance of two words, by the algorithm of Wagner and Fischer. */
+  /** Returns the Levenshtein distance of two words, by the Wagner-Fischer algorithm. */
   static int editDistance(String from, String into) {
     int[] row = new int[into.length() + 1];
     for (int column = 0; column <= into.length(); column++) {
--- a/src/main/java/rosecleat/config/StandaloneConfig.java
+++ b/src/main/java/rosecleat/config/StandaloneConfig.java
@@ -11,24 +11,23 @@
 import rosecleat.policy.PolicySettings;
 
 /**
- * Makes the configuration of a node that no platform starts, from the broker file alone. Its
- * classes and tenants are those of its contracts and budgets, and nothing lies downstream of it but
- * its services.
+ * Creates the configuration of a node without a platform from the broker file alone. The contracts
+ * and budgets define its classes and tenants; its services are its only downstream dependencies.
  */
 public final class StandaloneConfig {
-  /** Requests executed at once where the file does not say: so many for each service. */
+  /** Default number of concurrently executed requests, per service. */
   static final int CORES_PER_SERVICE = 4;
 
   private static final long DEFAULT_MEMORY_MB = 256;
   private static final int DEFAULT_MAX_SOCKETS = 1024;
   private static final long DEFAULT_STOP_TIMEOUT_MS = 5_000;
 
-  /** The part of the process's memory that requests may take, in kilobytes per megabyte. */
+  /** Requests may use a quarter of the process's memory; in kilobytes per megabyte. */
   private static final double REQUEST_MEMORY_KB_PER_MB = 1024 / 4.0;
 
   private static final int SERVERS = 1;
 
-  /** How many callers there are is not known. */
+  /** 0 means that the number of callers is unknown. */
   private static final int UNKNOWN_CALLERS = 0;
 
   private static final double COLD_CAPACITY = 1;
@@ -51,7 +50,7 @@
   /**
    * Reads the node's configuration from a broker file.
    *
-   * @throws ConfigException where the file cannot be read or used
+   * @throws ConfigException if the file cannot be read or is invalid
    */
   public static NodeConfig read(Path file) {
     JsonNode root = BrokerFile.read(file);
@@ -121,7 +120,9 @@
         List.of());
   }
 
-  /** A seed that differs between names, and is the same at each start. */
+  /**
+   * Returns a seed derived from the name: it differs between nodes and is the same at each start.
+   */
   private static long seed(String name) {
     long seed = HASH_START;
     for (int i = 0; i < name.length(); i++) {
--- a/src/main/java/rosecleat/config/StateConfig.java
+++ b/src/main/java/rosecleat/config/StateConfig.java
@@ -3,12 +3,12 @@
 import java.nio.file.Path;
 
 /**
- * Where and how learned estimates are kept over restarts.
+ * The settings of the store that persists learned estimates across restarts.
  *
- * @param folder the folder of the files
- * @param saveIntervalUs how often changes are written, in microseconds; by default 1 s
- * @param maxBytes the bound on the folder's size, by default 16 MiB
- * @param halfLifeUs the time in which a stored estimate loses half its weight, in microseconds; by
+ * @param folder the folder that contains the files
+ * @param saveIntervalUs the interval between writes of changes, in microseconds; default 1 s
+ * @param maxBytes the maximum size of the folder; default 16 MiB
+ * @param halfLifeUs the time in which a stored estimate loses half its weight, in microseconds;
  *     default 10 minutes
  */
 public record StateConfig(Path folder, long saveIntervalUs, long maxBytes, long halfLifeUs) {}
--- a/src/main/java/rosecleat/config/TenantTable.java
+++ b/src/main/java/rosecleat/config/TenantTable.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import rosecleat.policy.TenantQuota;
 
-/** The tenants of the node's settings and those that budgets add behind them. */
+/** The tenants of the node's settings, followed by those that budgets add. */
 final class TenantTable {
-  /** Quotas that differ by less are the same (requests per second). */
+  /** Maximum difference between quotas that count as equal, in requests per second. */
   private static final double QUOTA_TOLERANCE = 1e-6;
 
   private final List<TenantQuota> tenants;
@@ -19,18 +19,18 @@
   }
 
   /**
-   * The index of the tenant that a team's budget names, which is added where there is none.
+   * Returns the index of the tenant in a team's budget; adds the tenant if absent.
    *
-   * @throws ConfigException where the budget has no quota, or another one than its tenant
+   * @throws ConfigException if the quota is missing or differs from the quota of an existing tenant
    */
   int findOrAdd(String team, JsonNode budget) {
-    String subject = "the budget of " + team;
+    String subject = "budget of " + team;
     String name = budget.path("tenant").asText(team);
     int index = names.indexOf(name);
     double knownQuota = index < 0 ? 0 : tenants.get(index).quotaPerS();
     double quota = budget.path("quota_per_s").asDouble(knownQuota);
     if (quota <= 0) {
-      throw ConfigException.invalid(subject, "lacks quota_per_s");
+      throw ConfigException.invalid(subject, "needs a positive quota_per_s, got " + quota);
     }
     if (index < 0) {
       tenants.add(new TenantQuota(quota));
@@ -38,7 +38,8 @@
       return tenants.size() - 1;
     }
     if (Math.abs(knownQuota - quota) > QUOTA_TOLERANCE) {
-      throw ConfigException.invalid(subject, "is not the quota of tenant " + name);
+      throw ConfigException.invalid(
+          subject, "has quota_per_s " + quota + ", but tenant " + name + " has " + knownQuota);
     }
     return index;
   }
--- a/src/main/java/rosecleat/config/UwsgiSectionReader.java
+++ b/src/main/java/rosecleat/config/UwsgiSectionReader.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Reads the limits and variables of the section {@code uwsgi} of a broker file. */
+/** Reads the limits and variable names in the section {@code uwsgi} of a broker file. */
 final class UwsgiSectionReader {
   private static final int DEFAULT_PACKET_BYTES = 16 << 10;
   private static final int DEFAULT_BODY_BYTES = 64 << 10;
--- a/src/main/java/rosecleat/config/YamlFile.java
+++ b/src/main/java/rosecleat/config/YamlFile.java
@@ -10,27 +10,27 @@
 import java.util.List;
 
 /**
- * A YAML file as it was read.
+ * A parsed YAML file with the violations of its schema.
  *
- * @param document what the file is to the program, for messages
- * @param path where it stands
- * @param root its content, an object
- * @param violations where it does not hold to its schema, in order of the lines
+ * @param document the kind of file, for error messages
+ * @param path the path of the file
+ * @param root the content of the file, an object
+ * @param violations all violations of the schema, ordered by line
  */
 record YamlFile(String document, Path path, JsonNode root, List<ConfigError> violations) {
 
   /**
    * Reads a file and validates it against a schema.
    *
-   * @throws ConfigException where the file cannot be read, or is not an object; violations of the
-   *     schema are left to {@link #requireValid}
+   * @throws ConfigException if the file cannot be read, cannot be parsed or is not an object;
+   *     violations of the schema are reported by {@link #requireValid}
    */
   static YamlFile read(String document, Path path, ConfigSchema schema) {
     try {
       String text = Files.readString(path);
       JsonNode root = new ObjectMapper(new YAMLFactory()).readTree(text);
       if (root == null || !root.isObject()) {
-        throw ConfigException.invalid(document + " " + path, "has no sections");
+        throw ConfigException.invalid(document + " " + path, "is empty or not a YAML mapping");
       }
       return new YamlFile(document, path, root, schema.validate(root, text));
     } catch (IOException e) {
@@ -38,7 +38,10 @@
     }
   }
 
-  /** Throws an exception that names all violations, and behind them the other errors. */
+  /**
+   * Throws an exception if there is any error; the exception lists all violations of the schema,
+   * followed by the other errors.
+   */
   void requireValid(List<ConfigError> otherErrors) {
     List<ConfigError> errors = new ArrayList<>(violations);
     errors.addAll(otherErrors);
--- a/src/main/java/rosecleat/config/YamlLines.java
+++ b/src/main/java/rosecleat/config/YamlLines.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The line of each key and value of a YAML text, by JSON pointer. */
+/** Maps the JSON pointer of each key and value in a YAML text to its line number. */
 final class YamlLines {
   private static final int FIRST_LINE = 1;
 
@@ -15,7 +15,7 @@
 
   private YamlLines() {}
 
-  /** Finds the lines of a text. */
+  /** Parses a text and records the line numbers. */
   static YamlLines of(String yaml) throws IOException {
     YamlLines lines = new YamlLines();
     try (JsonParser parser = new YAMLFactory().createParser(yaml)) {
@@ -28,12 +28,12 @@
     return lines;
   }
 
-  /** The line of a key or value, from 1; 1 for a pointer that is not in the text. */
+  /** Returns the line number of a key or value, starting at 1; 1 for an unknown pointer. */
   int lineOf(String pointer) {
     return lineByPointer.getOrDefault(pointer, FIRST_LINE);
   }
 
-  /** The pointer to a key of the object at a pointer. */
+  /** Returns the pointer to a key of the object at a pointer. */
   static String child(String pointer, String key) {
     return pointer + "/" + key.replace("~", "~0").replace("/", "~1");
   }
--- a/src/test/java/rosecleat/config/BrokerConfigReaderTest.java
+++ b/src/test/java/rosecleat/config/BrokerConfigReaderTest.java
@@ -16,7 +16,7 @@
 import rosecleat.config.ConfigError.InvalidFile;
 import rosecleat.config.ConfigError.SchemaViolation;
 
-/** Broker files: what is accepted, and the errors of files with one change that is not. */
+/** Reads the sample broker file, and checks the errors for files with a single invalid change. */
 class BrokerConfigReaderTest {
   private static final Path SAMPLE = Path.of("deploy/broker.yaml");
 
@@ -38,7 +38,7 @@
     return Files.writeString(folder.resolve("broker.yaml"), text.replace(from, into));
   }
 
-  /** The error of the sample file with a change. */
+  /** Returns the error for the sample file with one change. */
   private ConfigException rejection(String from, String into) throws IOException {
     Path file = sampleWith(from, into);
     return assertThrows(ConfigException.class, () -> BrokerConfigReader.read(file, nodeSettings()));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void sampleFileHasFourOperationsOfTheNodesClassesAndTenants() {
+  void sampleFileDefinesFourOperationsWithTheClassesAndTenantsOfTheNode() {
     BrokerConfig broker = BrokerConfigReader.read(SAMPLE, nodeSettings());
     assertEquals(4, broker.operations().size());
     assertEquals(nodeSettings().classNames(), broker.settings().classNames());
@@ -57,21 +57,25 @@
   }
 
   @Test
-  void misspeltKeyIsRejectedWithItsLineAndTheNearestKnownKey() throws IOException {
+  void misspeltKeyIsRejectedWithLineAndNearestKnownKey() throws IOException {
     String message = rejectionMessage("  connections: 128", "  conections: 128");
     assertTrue(
-        message.contains("line 10: /uwsgi has no key conections; did you mean connections?"),
+        message.contains(
+            "line 10: /uwsgi has the unknown key conections; did you mean connections?"),
         message);
     message = rejectionMessage("effect: pure}", "efect: pure}");
-    assertTrue(message.contains("has no key efect; did you mean effect?"), message);
+    assertTrue(message.contains("has the unknown key efect; did you mean effect?"), message);
     message = rejectionMessage("services:", "state: {folder: x, every_sm: 5}\nservices:");
-    assertTrue(message.contains("/state has no key every_sm; did you mean every_ms?"), message);
+    assertTrue(
+        message.contains("/state has the unknown key every_sm; did you mean every_ms?"), message);
     message = rejectionMessage("services:", "zebra: 1\nservices:");
-    assertTrue(message.contains("has no key zebra") && !message.contains("did you mean"), message);
+    assertTrue(
+        message.contains("the file has the unknown key zebra") && !message.contains("did you mean"),
+        message);
   }
 
   @Test
-  void misspeltKeyIsATypedErrorWithFileLineAndPointer() throws IOException {
+  void misspeltKeyYieldsTypedErrorWithFileLineAndPointer() throws IOException {
     ConfigError error = rejection("  connections: 128", "  conections: 128").error();
     InvalidFile file = assertInstanceOf(InvalidFile.class, error);
     assertEquals(folder.resolve("broker.yaml").toString(), file.file());
@@ -80,7 +84,7 @@
             new SchemaViolation(
                 10,
                 "/uwsgi/conections",
-                "/uwsgi has no key conections; did you mean connections?")),
+                "/uwsgi has the unknown key conections; did you mean connections?")),
         file.errors());
   }
 
@@ -109,27 +113,36 @@
   }
 
   @Test
-  void contractsAgainstTheirClassOrDescriptionAreRejectedWithTheOperation() throws IOException {
+  void contractOrBudgetThatContradictsItsSourceIsRejectedWithItsSubject() throws IOException {
     assertEquals(
-        new InvalidEntry("operation getBalance", "has an aim behind its deadline"),
+        new InvalidEntry(
+            "operation getBalance",
+            "has a latency objective (aim_ms) of 8601000 us, which exceeds its deadline of"
+                + " 8600000 us"),
         rejection("aim_ms: 2300", "aim_ms: 8601").error());
     assertEquals(
-        new InvalidEntry("operation receiveLoad", "has another effect than its class"),
+        new InvalidEntry(
+            "operation receiveLoad",
+            "has the effect pure, which differs from the effect of its class"),
         rejection("effect: token", "effect: pure").error());
     assertEquals(
-        new InvalidEntry("operation getNothing", "of cards is not described"),
+        new InvalidEntry(
+            "operation getNothing", "of service cards is not defined in any description"),
         rejection("getBalance", "getNothing").error());
     assertEquals(
-        new InvalidEntry("backend of cards", "is fleet, and there is neither fleet nor routes"),
+        new InvalidEntry(
+            "backend of cards",
+            "is fleet, but the broker file has neither a fleet nor a routes section"),
         rejection("backend: sample ", "backend: fleet ").error());
     assertEquals(
-        new InvalidEntry("the budget of aspen-dining", "is not the quota of tenant aspen-dining"),
+        new InvalidEntry(
+            "budget of aspen-dining", "has quota_per_s 21.0, but tenant aspen-dining has 20.0"),
         rejection("tenant: aspen-dining, quota_per_s: 20", "tenant: aspen-dining, quota_per_s: 21")
             .error());
   }
 
   @Test
-  void contractWithOtherTimesAddsAClassBehindTheNodes() throws IOException {
+  void contractWithOtherTimesAddsClassAfterThoseOfTheNode() throws IOException {
     Path file = sampleWith("aim_ms: 2300", "aim_ms: 2200");
     BrokerConfig broker = BrokerConfigReader.read(file, nodeSettings());
     int nodeClasses = nodeSettings().classNames().size();
@@ -142,7 +155,7 @@
   }
 
   @Test
-  void withIndexesMapsEveryClassAndTenant() {
+  void withIndexesReplacesEveryClassAndTenantIndex() {
     BrokerConfig broker = BrokerConfigReader.read(SAMPLE, nodeSettings());
     BrokerConfig reindexed =
         broker.withIndexes(List.of(13, 12, 11, 10), List.of(24, 23, 22, 21, 20));
--- a/src/test/java/rosecleat/config/NodeConfigReaderTest.java
+++ b/src/test/java/rosecleat/config/NodeConfigReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A platform's configuration file: its values, and the error of each kind of fault. */
+/** Reads a platform's node configuration, and checks the error for each kind of fault. */
 class NodeConfigReaderTest {
   private static String example() throws IOException {
     return Files.readString(Path.of("deploy/example.json"));
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void exampleFileGivesAddressesTimesAndNames() throws IOException {
+  void exampleFileIsReadWithAddressesTimesAndNames() throws IOException {
     NodeConfig config = parse(example());
     assertEquals("example", config.name());
     assertEquals(7001, config.listenAddress().getPort());
@@ -43,33 +43,35 @@
       quoteCharacter = '`',
       textBlock =
           """
-          "stop_ms": 4000         | "stop_ms": 0            | stop_ms is no number above 0
-          "runtime": "127         | "runtime": "x127        | runtime is not a literal address: x127.0.0.1:4400
-          "listen": "127.0.0.1:   | "listen": "127.0.0.1    | listen is not host:port: 127.0.0.17001
-          "seed": "1f"            | "seed": "zz"            | seed is not a hexadecimal number of 64 bits
-          "seed": "1f"            | "seed": 31              | seed is no text
-          "name": "example"       | "name": "ex ample"      | the configuration lacks a usable name
-          "settings"              | "setings"               | the configuration lacks settings
-          "grades"                | "grapes"                | settings lack grades
-          "card-status"           | "card-load"             | grades has card-load twice
-          "cpus": 6,              | `` | extra.cpus is missing
-          "cpus": 6               | "cpus": "6"             | extra.cpus is no number above 0
-          "key-kb": 100           | "key-kb": -1            | extra.key-kb is no number of 0 or more
-          "cold": false           | "cold": 0               | extra.cold is neither true nor false
-          [0.3, 0, 0.3, 0]        | [0.3, 0, 0.3]           | extra.worth-without is no list with one entry for each class
-          [true, false            | [true, 1                | extra.class-calls has an entry of another type
-          "token"                 | "tokens"                | settings have an unknown word for effect
-          "drop"                  | "stop"                  | settings have an unknown word for halt
+          "stop_ms": 4000         | "stop_ms": 0            | stop_ms must be a number above 0, got 0
+          "runtime": "127         | "runtime": "x127        | runtime must be host:port with an IP address literal or localhost as the host, got x127.0.0.1:4400
+          "listen": "127.0.0.1:   | "listen": "127.0.0.1    | listen must be host:port with a port from 0 to 65535, got 127.0.0.17001
+          "seed": "1f"            | "seed": "zz"            | seed must be a hexadecimal number of at most 64 bits, got zz
+          "seed": "1f"            | "seed": 31              | seed must be a string, got 31
+          "name": "example"       | "name": "ex ample"      | node configuration needs a name (key name or PROXY_NAME) of the form [A-Za-z0-9._-]{1,64}, got "ex ample"
+          "settings"              | "setings"               | node configuration must have an object settings
+          "grades"                | "grapes"                | settings must have a non-empty list grades
+          "card-status"           | "card-load"             | grades has more than one entry with the name card-load
+          "cpus": 6,              | `` | extra.cpus is missing; expected a number above 0
+          "cpus": 6               | "cpus": "6"             | extra.cpus must be a number above 0, got "6"
+          "key-kb": 100           | "key-kb": -1            | extra.key-kb must be a number of at least 0, got -1
+          "cold": false           | "cold": 0               | extra.cold must be true or false, got 0
+          [0.3, 0, 0.3, 0]        | [0.3, 0, 0.3]           | extra.worth-without must be a list with one entry for each of the 4 classes, got [0.3,0,0.3]
+          [true, false            | [true, 1                | extra.class-calls has an entry of the wrong type
+          "token"                 | "tokens"                | settings have the unknown value tokens for effect, expected one of [pure, side_effect, token]
+          "drop"                  | "stop"                  | settings have the unknown value stop for halt, expected one of [drop, off, pause]
           """)
-  void faultIsRejectedWithItsKey(String from, String into, String message) throws IOException {
+  void invalidValueIsRejectedWithItsKeyAndExpectedForm(String from, String into, String message)
+      throws IOException {
     String text = example();
     String changed = text.replace(from, into == null ? "" : into);
-    assertEquals(false, changed.equals(text), "nothing was changed");
+    assertEquals(
+        false, changed.equals(text), "the example file does not contain the text to replace");
     assertEquals(message, assertThrows(ConfigException.class, () -> parse(changed)).getMessage());
   }
 
   @Test
-  void environmentSuppliesWhatTheFileLacks() throws IOException {
+  void environmentSuppliesDefaultsForOmittedKeys() throws IOException {
     String text =
         example()
             .replace("\"name\": \"example\",", "")
@@ -83,7 +85,8 @@
   }
 
   @Test
-  void runningNodeAdoptsOtherValuesButNoMissingKeyAndNoOtherListenAddress() throws IOException {
+  void runningNodeAdoptsChangedValuesButRejectsMissingKeysAndChangedListenAddress()
+      throws IOException {
     NodeConfig inForce = parse(example());
     assertDoesNotThrow(
         () ->
@@ -91,13 +94,13 @@
                 .requireAdoptableAfter(inForce));
     NodeConfig withoutKey = parse(example().replace("\"idle-us\": 30000000, ", ""));
     assertEquals(
-        "settings.extra.idle-us is missing",
+        "settings.extra.idle-us is missing, but the configuration in force has this key",
         assertThrows(ConfigException.class, () -> withoutKey.requireAdoptableAfter(inForce))
             .getMessage());
     NodeConfig elsewhere = parse(example().replace("127.0.0.1:7001", "127.0.0.1:7002"));
     assertEquals(
         new ConfigError.RestartRequired(
-            "its name, where it listens and whether it has a runtime need a restart"),
+            "a change of name, listen or mgmt, or of whether runtime is set, requires a restart"),
         assertThrows(ConfigException.class, () -> elsewhere.requireAdoptableAfter(inForce))
             .error());
   }
--- a/src/test/java/rosecleat/config/RoutesFileReaderTest.java
+++ b/src/test/java/rosecleat/config/RoutesFileReaderTest.java
@@ -13,7 +13,7 @@
 import rosecleat.config.RoutesFile.InstanceEntry;
 import rosecleat.config.RoutesFile.InstanceState;
 
-/** The routes file: defaults, states in each spelling, and all errors at once. */
+/** Reads routes files: defaults, instance states in each spelling, and reports of all errors. */
 class RoutesFileReaderTest {
   @TempDir Path folder;
 
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void entriesKeepTheirOrderAndHaveDefaults() throws IOException {
+  void entriesAreReadInFileOrderWithDefaults() throws IOException {
     RoutesFile file =
         read(
             """
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void violationsOfTheSchemaAndUnusableAddressesAreReportedTogether() {
+  void schemaViolationsAndInvalidAddressesAreReportedTogether() {
     String message =
         assertThrows(
                 ConfigException.class,
@@ -65,10 +65,11 @@
                         """))
             .getMessage();
     assertEquals(
-        "the file of routes "
+        "routes file "
             + folder.resolve("routes.yaml")
-            + ": line 5: /services/cards/instances/b has no key wieght; did you mean weight?"
-            + "; the address of cards/a is not a literal address: host:9000",
+            + ": line 5: /services/cards/instances/b has the unknown key wieght; did you mean"
+            + " weight?; address of cards/a must be host:port with an IP address literal or"
+            + " localhost as the host, got host:9000",
         message);
   }
 }
--- a/src/test/java/rosecleat/config/SchemaExampleTest.java
+++ b/src/test/java/rosecleat/config/SchemaExampleTest.java
@@ -12,14 +12,14 @@
 import java.math.BigDecimal;
 import org.junit.jupiter.api.Test;
 
-/** Values made from schemas: the named one first, else the smallest that is allowed. */
+/** Example values for schemas: the specified value if there is one, else the smallest allowed. */
 class SchemaExampleTest {
   private static String example(Schema<?> schema) {
     return new SchemaExample(new Components()).of(schema).toString();
   }
 
   @Test
-  void exampleComesBeforeDefaultAndDefaultBeforeTheFirstChoice() {
+  void examplePrecedesDefaultAndDefaultPrecedesFirstEnumValue() {
     StringSchema schema = new StringSchema();
     schema.addEnumItem("choice");
     assertEquals("\"choice\"", example(schema));
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void valuesAreTheSmallestWithinTheBounds() {
+  void valueWithoutExampleIsTheSmallestWithinTheBounds() {
     Schema<?> atLeast = new IntegerSchema().minimum(new BigDecimal("2.5"));
     Schema<?> atMost = new NumberSchema().maximum(new BigDecimal("-3"));
     ObjectSchema object = new ObjectSchema();
@@ -42,11 +42,11 @@
   }
 
   @Test
-  void schemaThatRefersToItselfEndsAfterSixLevels() {
+  void recursiveSchemaIsExpandedToSixLevels() {
     Schema<?> recursive = new ObjectSchema();
     recursive.addProperty("next", new Schema<>().$ref("#/components/schemas/Node"));
     Components components = new Components().addSchemas("Node", recursive);
-    // an object and its reference count a level each
+    // an object and the reference to it count as one level each
     assertEquals(
         "{\"next\":{\"next\":{\"next\":{}}}}",
         new SchemaExample(components).of(recursive).toString());
--- a/src/test/java/rosecleat/config/SpellingSuggestionTest.java
+++ b/src/test/java/rosecleat/config/SpellingSuggestionTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-/** The key that a misspelt one was meant to be, and the distance that decides it. */
+/** Suggestions for misspelt keys, and the edit distance on which they are based. */
 class SpellingSuggestionTest {
   @Test
   void nearestKnownKeyIsSuggestedWithinThreeEdits() {
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void keyAsShortAsTheEditsIsNotSuggested() {
+  void knownKeyNotLongerThanItsEditDistanceIsNotSuggested() {
     assertEquals(Optional.empty(), SpellingSuggestion.nearest("xyz", List.of("kb", "abc")));
   }
 
--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -388,11 +388,13 @@
     bad("offset outside the tail", frame(1, "{}", start(3, 1, 2)));
     bad("settings are not JSON", settings("{no"));
     bad("settings are not a JSON object", settings("[]"));
-    bad("settings lack grades", settings("{}"));
-    bad("settings lack cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
-    bad("settings lack deadline-us", settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
+    bad("settings must have a non-empty list grades", settings("{}"));
+    bad("settings lack the required key cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
     bad(
-        "settings have an unknown word for halt",
+        "settings lack the required key deadline-us",
+        settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
+    bad(
+        "settings have the unknown value nap for halt, expected one of [drop, off, pause]",
         settings(SETTINGS.replace("\"pause\"", "\"nap\"")));
   }
 
