--- a/src/main/java/rosecleat/cli/Command.java
+++ b/src/main/java/rosecleat/cli/Command.java
@@ -3,23 +3,23 @@
 import java.io.IOException;
 
 /**
- * One sub-command of the program. Its fields are the options that the command line sets before
- * {@link #run} is called, once, on the main thread.
+ * A subcommand of the program. The parser sets its fields from the command line options; then
+ * {@link #run} is called once, on the main thread.
  */
 interface Command {
-  /** The exit code of a command that has done its job. */
+  /** Exit code of a successful command. */
   int SUCCESS = 0;
 
-  /** The exit code where the command line, the configuration or a file cannot be used. */
+  /** Exit code if the command line, the configuration or a file is invalid. */
   int UNUSABLE = 2;
 
   /**
    * Executes the command.
    *
-   * @return the exit code of the process, or {@link rosecleat.node.NodeProcess#KEEPS_RUNNING} where
-   *     the process keeps running
-   * @throws IOException where input or output fails; its message becomes the error line
-   * @throws rosecleat.config.ConfigException where a configuration cannot be used
+   * @return the exit code of the process, or {@link rosecleat.node.NodeProcess#KEEPS_RUNNING} if
+   *     the process continues to run after the command
+   * @throws IOException if input or output fails; its message is printed as the error line
+   * @throws rosecleat.config.ConfigException if a configuration is invalid
    */
   int run(Invocation invocation) throws IOException;
 }
--- a/src/main/java/rosecleat/cli/ErrorLine.java
+++ b/src/main/java/rosecleat/cli/ErrorLine.java
@@ -1,10 +1,10 @@
 package rosecleat.cli;
 
-/** The one line on standard error by which a failed command names its cause. */
+/** Prints the single line on standard error that states why a command failed. */
 final class ErrorLine {
   private ErrorLine() {}
 
-  /** Prints a message, with its line breaks replaced by blanks, after the program's name. */
+  /** Prints the program's name and a message whose line breaks are replaced by spaces. */
   static void print(String message) {
     System.err.println("rosecleat: " + message.replaceAll("\\s*\\R\\s*", " "));
   }
--- a/src/main/java/rosecleat/cli/Invocation.java
+++ b/src/main/java/rosecleat/cli/Invocation.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /**
- * The surroundings of one command: the words of the command line, the environment and the streams.
+ * The context of a command: the command line arguments, the environment and the standard streams.
  *
- * @param arguments all words of the command line, the command's name first
- * @param parser the parser that has read them
+ * @param arguments all command line arguments, starting with the name of the command
+ * @param parser the parser that has parsed the arguments
  * @param environment the environment variables of the process
  * @param input the standard input
  * @param output the standard output
@@ -23,7 +23,7 @@
     InputStream input,
     OutputStream output) {
 
-  /** Writes a text and a line separator to the standard output, and flushes it. */
+  /** Writes a text and a line separator to standard output and flushes it. */
   void print(String text) throws IOException {
     output.write((text + System.lineSeparator()).getBytes(StandardCharsets.UTF_8));
     output.flush();
--- a/src/main/java/rosecleat/cli/Main.java
+++ b/src/main/java/rosecleat/cli/Main.java
@@ -13,19 +13,20 @@
 import rosecleat.node.NodeProcess;
 
 /**
- * The entry point of the program: parses the command line and runs the command that it names. A
- * command line or configuration that cannot be used ends with one line on standard error and exit
- * code 2.
+ * The entry point of the program: parses the command line and runs the requested command. If the
+ * command line or the configuration is invalid, the program prints one line to standard error and
+ * exits with code 2.
  */
 public final class Main {
   private static final String COMMAND_NEEDED =
-      "a command is needed: serve, benchlink, check, rehearse, schema, state, version or help";
+      "no command given, expected serve, benchlink, check, rehearse, schema, state, version or"
+          + " help";
 
   private Main() {}
 
-  /** Runs a command, and exits with its code unless the process keeps running. */
+  /** Runs a command and exits with its exit code, unless the process continues to run. */
   public static void main(String[] args) {
-    // taken from the descriptors, so that nothing else in the process can write to standard output
+    // raw descriptors, so that System.out can be redirected and only commands write to the output
     InputStream input = new FileInputStream(FileDescriptor.in);
     OutputStream output = new FileOutputStream(FileDescriptor.out);
     int exitCode = run(args, System.getenv(), input, output);
@@ -35,9 +36,10 @@
   }
 
   /**
-   * Runs a command with this environment and these streams; errors go to {@link System#err}.
+   * Runs a command with the given environment and streams; errors are printed to {@link
+   * System#err}.
    *
-   * @return the exit code, or {@link NodeProcess#KEEPS_RUNNING} where the process keeps running
+   * @return the exit code, or {@link NodeProcess#KEEPS_RUNNING} if the process continues to run
    */
   public static int run(
       String[] args, Map<String, String> environment, InputStream input, OutputStream output) {
@@ -69,7 +71,8 @@
 
   private static Command parse(JCommander parser, String[] args) {
     if (args.length > 0 && args[0].equals(StateCommand.NAME)) {
-      StateCommand.addSubcommands(parser); // only here, since that loads their classes
+      // only if needed, as this loads the classes of the subcommands
+      StateCommand.addSubcommands(parser);
     }
     parser.parse(args);
     String name = parser.getParsedCommand();
--- a/src/main/java/rosecleat/cli/NodeOptions.java
+++ b/src/main/java/rosecleat/cli/NodeOptions.java
@@ -12,23 +12,27 @@
 import rosecleat.config.StandaloneConfig;
 import rosecleat.node.ProcessConfig;
 
-/** The options that name a node's configuration, shared by {@code serve} and {@code check}. */
+/** The options for a node's configuration, shared by {@code serve} and {@code check}. */
 final class NodeOptions {
-  @Parameter(names = "--broker", description = "the file that turns on the uwsgi front")
+  @Parameter(
+      names = "--broker",
+      description = "broker file (YAML), which enables the uwsgi frontend")
   private String brokerFile;
 
-  @Parameter(names = "--counters", description = "log the counters every so many seconds")
+  @Parameter(
+      names = "--counters",
+      description = "interval in seconds at which counters are logged; 0 for never")
   private int counterIntervalSeconds;
 
-  /** How often the counters are logged, in seconds; 0 for never. */
+  /** Returns the interval in seconds at which counters are logged; 0 for never. */
   int counterIntervalSeconds() {
     return counterIntervalSeconds;
   }
 
   /**
-   * Reads the node's configuration and that of its uwsgi front.
+   * Reads the configuration of the node and of its uwsgi frontend.
    *
-   * @throws ConfigException where a file is missing or cannot be used
+   * @throws ConfigException if a file is missing or invalid
    */
   ProcessConfig readConfig(Map<String, String> environment) {
     NodeConfig node = readNodeConfig(environment);
@@ -43,14 +47,14 @@
         : NodeConfigReader.fromEnvironment(environment);
   }
 
-  /** The configuration of the uwsgi front; empty where the node has none. */
+  /** Reads the configuration of the uwsgi frontend; empty if the node has none. */
   private Optional<BrokerConfig> readBrokerConfig(NodeConfig node) {
     if (brokerFile != null) {
       return Optional.of(BrokerConfigReader.read(Path.of(brokerFile), node.settings()));
     }
     if (node.runtimeAddress() == null) {
       throw ConfigException.invalid(
-          "the configuration", "names no runtime, and there is no broker's file");
+          "node configuration", "has no runtime, and no broker file is given with --broker");
     }
     return Optional.empty();
   }
--- a/src/main/java/rosecleat/cli/RehearseCommand.java
+++ b/src/main/java/rosecleat/cli/RehearseCommand.java
@@ -5,9 +5,13 @@
 import rosecleat.config.NodeConfigReader;
 import rosecleat.node.Rehearsal;
 
-/** {@code rehearse}: loads the classes of a serving node, for the archive that the build makes. */
+/**
+ * {@code rehearse}: loads the classes of a serving node, for the class data sharing archive that
+ * the build creates.
+ */
 @Parameters(
-    commandDescription = "serve made-up requests on loopback, for the build's archive of classes")
+    commandDescription =
+        "serve synthetic requests on loopback, to create the class data sharing archive")
 final class RehearseCommand implements Command {
   private static final int FAILURE = 1;
 
--- a/src/main/java/rosecleat/cli/ServeCommand.java
+++ b/src/main/java/rosecleat/cli/ServeCommand.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import rosecleat.node.NodeProcess;
 
-/** {@code serve}: starts a node, which keeps running after the command returns. */
+/** {@code serve}: starts a node, which continues to run after the command returns. */
 @Parameters(
     commandDescription =
-        "run one node, configured by PROXY_CONFIG or, without it, by the broker's file alone")
+        "run a node, configured by PROXY_CONFIG or, if that is not set, by the broker file alone")
 final class ServeCommand implements Command {
   private static final String SHARED_FOLDER_VARIABLE = "TMPDIR";
 
@@ -27,7 +27,7 @@
         options.counterIntervalSeconds());
   }
 
-  /** The folder that all processes of a node share; empty where none is named. */
+  /** Returns the folder that all processes of a node share; empty if none is configured. */
   private static Optional<Path> sharedFolder(Map<String, String> environment) {
     String folder = environment.get(SHARED_FOLDER_VARIABLE);
     return folder == null || folder.isBlank() ? Optional.empty() : Optional.of(Path.of(folder));
--- a/src/main/java/rosecleat/cli/SimulatorCommand.java
+++ b/src/main/java/rosecleat/cli/SimulatorCommand.java
@@ -2,12 +2,12 @@
 
 import com.beust.jcommander.Parameters;
 
-/** {@code benchlink}: lets a simulator drive the policy over standard input and output. */
-@Parameters(commandDescription = "speak the simulator's wire on standard input and output")
+/** {@code benchlink}: runs the policy for a simulator, connected by standard input and output. */
+@Parameters(commandDescription = "run the policy for a simulator over standard input and output")
 final class SimulatorCommand implements Command {
   @Override
   public int run(Invocation invocation) {
-    System.setOut(System.err); // the standard output carries the simulator's protocol alone
+    System.setOut(System.err); // standard output is reserved for the simulator's protocol
     return rosecleat.simulator.Main.run(
         invocation.arguments(), invocation.input(), invocation.output());
   }
--- a/src/main/java/rosecleat/cli/StateCommand.java
+++ b/src/main/java/rosecleat/cli/StateCommand.java
@@ -7,14 +7,14 @@
 import rosecleat.cli.state.StateCommands;
 
 /**
- * {@code state}: the group of commands on a state folder. They stand in a package of their own, so
- * that a node that serves loads none of their classes.
+ * {@code state}: the group of commands on a state folder. The commands are in a separate package,
+ * so that a serving node loads none of their classes.
  */
-@Parameters(commandDescription = "show, verify or compact what a node keeps in a folder")
+@Parameters(commandDescription = "show, verify or compact the state folder of a node")
 final class StateCommand implements Command {
   static final String NAME = "state";
 
-  /** Adds the commands of the group to the parser, before it reads the command line. */
+  /** Adds the commands of the group to the parser; must be called before parsing. */
   static void addSubcommands(JCommander parser) {
     StateCommands.addTo(parser.getCommands().get(NAME));
   }
--- a/src/main/java/rosecleat/cli/VersionCommand.java
+++ b/src/main/java/rosecleat/cli/VersionCommand.java
@@ -3,10 +3,10 @@
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
 
-/** {@code version}: prints the version that the jar's manifest names. */
+/** {@code version}: prints the version from the manifest of the jar. */
 @Parameters(commandDescription = "print the version")
 final class VersionCommand implements Command {
-  /** Printed in place of a version where the classes do not come from the packaged jar. */
+  /** Printed instead of a version if the classes are not loaded from the packaged jar. */
   private static final String NOT_PACKAGED = "unpacked";
 
   @Override
--- a/src/main/java/rosecleat/cli/package-info.java
+++ b/src/main/java/rosecleat/cli/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The command line: one class for each command, and the entry point that parses and runs them.
+ * The command line interface: one class per command, and the entry point that parses the command
+ * line and runs the command.
  *
- * <p>It is the only package that knows the process: its arguments, environment, standard streams
- * and exit codes. Everything runs on the main thread; a node that {@code serve} has started goes on
- * with threads of its own. A command may use every other package, and no other package may use this
- * one. Each error ends with one line on standard error and exit code 2.
+ * <p>Only this package accesses the arguments, environment, standard streams and exit code of the
+ * process. All commands run on the main thread; a node that {@code serve} has started continues on
+ * its own threads. A command may use every other package, and no other package may use this one. On
+ * an error, the program prints one line to standard error and exits with code 2.
  *
- * <p>Begin reading at {@link rosecleat.cli.Main}.
+ * <p>Entry point: {@link rosecleat.cli.Main}.
  */
 package rosecleat.cli;
--- a/src/main/java/rosecleat/cli/state/CommandResult.java
+++ b/src/main/java/rosecleat/cli/state/CommandResult.java
@@ -1,19 +1,19 @@
 package rosecleat.cli.state;
 
 /**
- * The outcome of a command on a state folder.
+ * The result of a command on a state folder.
  *
- * @param exitCode 0 where all is well, {@link #UNUSABLE} or {@link #DAMAGED}
- * @param isErrorLine whether the text is an error line for people rather than the command's output
- * @param text what is printed, without a final line separator
+ * @param exitCode {@link #SUCCESS}, {@link #UNUSABLE} or {@link #DAMAGED}
+ * @param isErrorLine whether the text is an error message for standard error rather than output
+ * @param text the text to print, without a final line separator
  */
 public record CommandResult(int exitCode, boolean isErrorLine, String text) {
   static final int SUCCESS = 0;
 
-  /** The exit code where the folder does not exist or cannot be used. */
+  /** Exit code if the folder does not exist, cannot be read or is locked. */
   static final int UNUSABLE = 2;
 
-  /** The exit code where a file of the folder is damaged. */
+  /** Exit code if a file in the folder is damaged. */
   static final int DAMAGED = 3;
 
   static CommandResult output(int exitCode, String text) {
--- a/src/main/java/rosecleat/cli/state/CompactCommand.java
+++ b/src/main/java/rosecleat/cli/state/CompactCommand.java
@@ -9,10 +9,10 @@
 import rosecleat.store.RecordStore;
 import rosecleat.store.RecoveryReport;
 
-/** {@code state compact}: rewrites the folder as one snapshot, and sets damaged files aside. */
-@Parameters(commandDescription = "write all that counts into one snapshot; no node may be writing")
+/** {@code state compact}: rewrites the folder as one snapshot and quarantines damaged files. */
+@Parameters(commandDescription = "rewrite the folder as one snapshot; the node must not be running")
 final class CompactCommand extends FolderCommand {
-  /** A bound on the folder's size that no folder reaches: compaction must not fail on it. */
+  /** Size limit above any real folder, so that compaction never fails because of the limit. */
   private static final long MAX_BYTES = 1L << 40;
 
   @Override
@@ -21,11 +21,14 @@
     OpenResult opening = RecordStore.compact(folder, new FactStateFactory(), MAX_BYTES);
     if (opening instanceof OpenResult.Locked) {
       return failure(
-          "a running node writes to " + path + "; it compacts by itself, or stop it first");
+          "state folder "
+              + path
+              + " is locked by a running node, which compacts it regularly;"
+              + " stop the node to compact it now");
     } else if (opening instanceof OpenResult.Incompatible incompatible) {
       return failure(incompatible.format().message());
     } else if (opening instanceof OpenResult.Failed failed) {
-      return failure(path + " can't be compacted: " + failed.cause());
+      return failure("state folder " + path + " cannot be compacted: " + failed.cause());
     }
     RecoveryReport after = RecordStore.inspect(folder, new FactStateFactory());
     return CommandResult.output(
@@ -44,6 +47,6 @@
 
   private static String text(Path path, RecoveryReport before, RecoveryReport after) {
     String sizes = path + ": " + before.bytes() + " bytes before, " + after.bytes() + " after";
-    return before.hasCorruption() ? sizes + "; what was damaged is set aside as damaged-*" : sizes;
+    return before.hasCorruption() ? sizes + "; damaged files are set aside as damaged-*" : sizes;
   }
 }
--- a/src/main/java/rosecleat/cli/state/FolderCommand.java
+++ b/src/main/java/rosecleat/cli/state/FolderCommand.java
@@ -9,9 +9,9 @@
 import rosecleat.store.Directory;
 import rosecleat.store.FileSystemDirectory;
 
-/** A command on one state folder, with the options that all of them take. */
+/** A command on one state folder, with the options that are common to all such commands. */
 abstract class FolderCommand {
-  /** Writes the JSON output. */
+  /** Serializes the JSON output. */
   static final ObjectMapper JSON = new ObjectMapper();
 
   @Parameter(description = "FOLDER", required = true, arity = 1)
@@ -23,35 +23,35 @@
   @Parameter(names = "--help", help = true, description = "print this help")
   private boolean help;
 
-  /** Whether the output is JSON for scripts rather than text for people. */
+  /** Returns whether the output is JSON for scripts rather than human-readable text. */
   final boolean printsJson() {
     return json;
   }
 
-  /** Whether the command line asks for the command's usage alone. */
+  /** Returns whether only the usage of the command is requested. */
   final boolean asksForHelp() {
     return help;
   }
 
-  /** Runs the command at a wall-clock time in microseconds. */
+  /** Runs the command; the current wall-clock time is given in microseconds. */
   final CommandResult run(long nowUs) {
     Path path = Path.of(folder.get(0));
     try {
       return run(path, FileSystemDirectory.openExisting(path), nowUs);
     } catch (NoSuchFileException e) {
       return failure(
-          "there is no folder "
+          "state folder "
               + path
-              + "; name the one that state.folder in the broker's file names");
+              + " does not exist; expected the folder that state.folder in the broker file names");
     } catch (IOException e) {
-      return failure(path + " can't be read: " + e);
+      return failure("state folder " + path + " cannot be read: " + e);
     }
   }
 
   /** Runs the command on an existing folder. */
   abstract CommandResult run(Path path, Directory folder, long nowUs) throws IOException;
 
-  /** The result of a command that cannot use the folder. */
+  /** Creates the result of a command that cannot use the folder. */
   final CommandResult failure(String cause) {
     return json
         ? CommandResult.output(
--- a/src/main/java/rosecleat/cli/state/ShowCommand.java
+++ b/src/main/java/rosecleat/cli/state/ShowCommand.java
@@ -14,8 +14,8 @@
 import rosecleat.store.RecordStore;
 import rosecleat.store.RecoveryReport;
 
-/** {@code state show}: the facts that the folder holds, as a table or as JSON. */
-@Parameters(commandDescription = "list the facts that count, with age and weight")
+/** {@code state show}: prints the facts in the folder as a table or as JSON. */
+@Parameters(commandDescription = "list the current facts with their age and weight")
 final class ShowCommand extends FolderCommand {
   private static final double MICROSECONDS_PER_SECOND = 1e6;
 
@@ -57,7 +57,7 @@
     }
     text.append('\n').append(facts.facts().size()).append(" facts");
     if (facts.unreadable() > 0) {
-      text.append(", ").append(facts.unreadable()).append(" of kinds this program does not know");
+      text.append(", ").append(facts.unreadable()).append(" more unreadable or of unknown kinds");
     }
     return text.toString();
   }
--- a/src/main/java/rosecleat/cli/state/StateCommands.java
+++ b/src/main/java/rosecleat/cli/state/StateCommands.java
@@ -3,8 +3,8 @@
 import com.beust.jcommander.JCommander;
 
 /**
- * The commands {@code state show|verify|compact FOLDER}, which read or compact the folder where a
- * node keeps its state, for people and scripts.
+ * The commands {@code state show|verify|compact FOLDER}, which print, verify or compact the state
+ * folder of a node.
  */
 public final class StateCommands {
   private static final String EXAMPLES =
@@ -12,7 +12,7 @@
 
       Examples:
         rosecleat state show /var/lib/rosecleat
-        rosecleat state verify /var/lib/rosecleat || echo "see what was damaged"
+        rosecleat state verify /var/lib/rosecleat || echo "state folder is damaged"
         rosecleat state compact /var/lib/rosecleat --json
       """;
 
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Runs the command that was parsed, at a wall-clock time in microseconds; prints nothing. Without
-   * a command, or with {@code --help}, the result is the usage.
+   * Runs the parsed command without printing anything; the current wall-clock time is given in
+   * microseconds. Without a command, or with {@code --help}, the result is the usage.
    */
   public static CommandResult run(JCommander stateParser, long nowUs) {
     String name = stateParser.getParsedCommand();
--- a/src/main/java/rosecleat/cli/state/VerifyCommand.java
+++ b/src/main/java/rosecleat/cli/state/VerifyCommand.java
@@ -11,8 +11,8 @@
 import rosecleat.store.RecoveryIssue;
 import rosecleat.store.RecoveryReport;
 
-/** {@code state verify}: whether every file of the folder can be read, and where one cannot. */
-@Parameters(commandDescription = "check every file; exit code 3 where something is damaged")
+/** {@code state verify}: checks that every file in the folder is readable; lists damage. */
+@Parameters(commandDescription = "check every file; exit code 3 if a file is damaged")
 final class VerifyCommand extends FolderCommand {
   @Override
   CommandResult run(Path path, Directory folder, long nowUs) throws IOException {
--- a/src/main/java/rosecleat/cli/state/package-info.java
+++ b/src/main/java/rosecleat/cli/state/package-info.java
@@ -1,12 +1,13 @@
 /**
- * The commands {@code state show|verify|compact}, which let operators inspect the folder where a
- * node keeps its state.
+ * The commands {@code state show|verify|compact}, by which operators inspect or compact the state
+ * folder of a node.
  *
- * <p>They keep no state of their own and run on the main thread of a process that serves nothing.
- * They use {@code rosecleat.store} and {@code rosecleat.state} to read the folder, and Jackson and
- * JCommander for output and options. A serving node must not load this package: it is reached only
- * through {@code rosecleat.cli.StateCommand} once the command line names {@code state}.
+ * <p>The commands are stateless and run on the main thread of a process that does not serve
+ * requests. They use {@code rosecleat.store} and {@code rosecleat.state} to read the folder, and
+ * Jackson and JCommander for output and options. A serving node must not load this package: its
+ * only entry point is {@code rosecleat.cli.StateCommand}, which uses the package if the command
+ * line starts with {@code state}.
  *
- * <p>Begin reading at {@link rosecleat.cli.state.StateCommands}.
+ * <p>Entry point: {@link rosecleat.cli.state.StateCommands}.
  */
 package rosecleat.cli.state;
--- a/src/test/java/rosecleat/cli/CommandRun.java
+++ b/src/test/java/rosecleat/cli/CommandRun.java
@@ -6,15 +6,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** One command line, run in the process of the test, and all that it printed. */
+/** The exit code and output of a command line that was run in the test process. */
 public record CommandRun(int exitCode, String output, String error) {
 
-  /** Runs the command line without any environment variable. */
+  /** Runs a command line with an empty environment. */
   public static CommandRun of(String... arguments) {
     return with(Map.of(), arguments);
   }
 
-  /** Runs the command line with these environment variables. */
+  /** Runs a command line with the given environment variables. */
   public static CommandRun with(Map<String, String> environment, String... arguments) {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     ByteArrayOutputStream error = new ByteArrayOutputStream();
--- a/src/test/java/rosecleat/cli/MainTest.java
+++ b/src/test/java/rosecleat/cli/MainTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: what cannot be used ends with one plain line and exit code 2. */
+/** Invalid command lines and configurations yield one error line and exit code 2. */
 class MainTest {
   private static final String EXAMPLE = "deploy/example.json";
   private static final Map<String, String> EXAMPLE_ENVIRONMENT = Map.of("PROXY_CONFIG", EXAMPLE);
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void unusableCommandLinesEndWithOneErrorLine() {
+  void invalidCommandLineYieldsOneErrorLineAndExitCode2() {
     assertRejected(Map.of());
     assertRejected(Map.of(), "dance");
     assertRejected(Map.of(), "serve", "--no-such");
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void unusableNodeFilesEndWithOneErrorLine() throws IOException {
+  void invalidNodeConfigurationYieldsOneErrorLineAndExitCode2() throws IOException {
     String good = Files.readString(Path.of(EXAMPLE));
     List<String> unusable =
         List.of(
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void unusableBrokerFilesEndWithOneErrorLine() throws IOException {
+  void invalidBrokerFileYieldsOneErrorLineAndExitCode2() throws IOException {
     List<String> unusable =
         List.of(
             "",
@@ -74,20 +74,19 @@
   }
 
   @Test
-  void deployedFilesCanBeUsed() {
+  void checkAcceptsDeployedFiles() {
     CommandRun check =
         CommandRun.with(EXAMPLE_ENVIRONMENT, "check", "--broker", "deploy/broker.yaml");
     assertEquals(
         new CommandRun(
             0,
-            "the configuration of example can be used, and so can its 4 contracts"
-                + System.lineSeparator(),
+            "configuration of node example is valid, with 4 contracts" + System.lineSeparator(),
             ""),
         check);
   }
 
   @Test
-  void informationCommandsSucceed() {
+  void versionHelpAndSchemaPrintToStandardOutput() {
     for (String command : List.of("version", "help", "schema")) {
       CommandRun run = CommandRun.of(command);
       assertEquals(0, run.exitCode());
--- a/src/test/java/rosecleat/cli/RunScriptTest.java
+++ b/src/test/java/rosecleat/cli/RunScriptTest.java
@@ -13,12 +13,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * `run` of the deploy file on a machine that refuses forks and has no other program: one process,
- * by exec.
+ * Runs the `run` command of deploy/balancer.toml where no other program is on the path. The node's
+ * environment may refuse forks, so the command must replace itself with java by exec and must not
+ * start any child process.
  */
 class RunScriptTest {
-  // what a process waited for leaves its page faults in the eleventh field, and they stay over an
-  // exec
+  // field 11 of /proc/PID/stat counts the page faults of children that the process has waited for,
+  // and exec does not reset it
   private static final String JAVA =
       "#!/bin/sh\nread -r a b c d e f g h i j faults rest < /proc/$$/stat\n"
           + "echo \"$$ $faults\"\nfor word; do echo \"$word\"; done\n";
@@ -44,13 +45,15 @@
             .toList();
     assertEquals(0, process.waitFor(), lines.toString());
     assertEquals(
-        process.pid() + " 0", lines.get(0), "not the process that was started, or it had children");
+        process.pid() + " 0",
+        lines.get(0),
+        "another process than the started one, or a child process was started");
     return lines;
   }
 
   @ParameterizedTest
   @CsvSource({"192, 40", "96, 16", "64, 12", "1, 12", "4096, 40"})
-  void runExecsOneProcessWithAHeapOfItsMemoryLimit(int memory, int heap) throws Exception {
+  void runExecsOneProcessWithHeapDerivedFromMemoryLimit(int memory, int heap) throws Exception {
     List<String> lines =
         run(
             "{\"name\":\"n\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
@@ -61,7 +64,7 @@
   }
 
   @Test
-  void memoryLimitIsFoundInAnyLayoutAndHasADefault() throws Exception {
+  void memoryLimitIsReadFromAnyJsonLayoutAndHasDefault() throws Exception {
     assertTrue(run("{\n  \"limits\": {\n    \"memory_mb\" : 96\n  }\n}\n").contains("-Xmx16m"));
     assertTrue(run("{}").contains("-Xmx40m"));
   }
--- a/src/test/java/rosecleat/cli/state/StateCommandsTest.java
+++ b/src/test/java/rosecleat/cli/state/StateCommandsTest.java
@@ -22,7 +22,7 @@
 import rosecleat.store.OpenResult;
 import rosecleat.store.RecordStore;
 
-/** state show, verify and compact: what they print and how they end. */
+/** Output and exit codes of state show, state verify and state compact. */
 class StateCommandsTest {
   @TempDir Path temp;
   private Path folder;
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void showListsTheFactsWithValueAndAge() throws IOException {
+  void showListsFactsWithValueAndAge() throws IOException {
     assertEquals(0, run("state", "show", folder.toString()));
     assertTrue(
         last.output().contains("run-time") && last.output().contains("2.002e+04"), last.output());
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void verifyReportsConditionAndPlaceOfDamage() throws IOException {
+  void verifyReportsConditionAndPositionOfDamage() throws IOException {
     assertEquals(0, run("state", "verify", folder.toString()));
     assertTrue(last.output().contains("is whole"), last.output());
     damage();
@@ -75,16 +75,22 @@
     assertEquals(3, run("state", "verify", "--json", folder.toString()));
     assertEquals("damaged", json().path("state").asText());
     assertEquals(2, run("state", "verify", temp.resolve("none").toString()));
-    assertTrue(last.error().contains("there is no folder"), last.error());
+    assertTrue(
+        last.error().contains("state folder " + temp.resolve("none") + " does not exist"),
+        last.error());
     assertEquals(2, run("state", "show", "--json", temp.resolve("none").toString()));
-    assertTrue(json().path("error").asText().contains("there is no folder"));
+    assertTrue(
+        json()
+            .path("error")
+            .asText()
+            .contains("state folder " + temp.resolve("none") + " does not exist"));
     Files.createDirectory(temp.resolve("bare"));
     assertEquals(0, run("state", "verify", temp.resolve("bare").toString()));
     assertTrue(last.output().contains("is empty"), last.output());
   }
 
   @Test
-  void compactShrinksTheFolderAndKeepsItsFactsUnlessANodeWrites() throws IOException {
+  void compactShrinksFolderAndPreservesFactsButFailsIfLockedByRunningNode() throws IOException {
     assertEquals(0, run("state", "compact", "--json", folder.toString()));
     assertTrue(json().path("after").asLong() < json().path("before").asLong(), last.output());
     assertEquals(0, run("state", "show", "--json", folder.toString()));
@@ -97,26 +103,26 @@
             line -> {});
     try (RecordStore store = assertInstanceOf(OpenResult.Opened.class, open).store()) {
       assertEquals(2, run("state", "compact", folder.toString()));
-      assertTrue(last.error().contains("a running node writes"), last.error());
+      assertTrue(last.error().contains("is locked by a running node"), last.error());
       assertEquals(0, store.metrics().failures());
     }
   }
 
   @Test
-  void compactOfADamagedFolderSetsDamagedFilesAside() throws IOException {
+  void compactOfDamagedFolderQuarantinesDamagedFiles() throws IOException {
     damage();
     assertEquals(3, run("state", "compact", folder.toString()));
     assertTrue(last.output().contains("set aside"), last.output());
     assertEquals(0, run("state", "verify", folder.toString()));
     String[] aside = folder.toFile().list((in, name) -> name.startsWith("damaged-"));
-    assertEquals(4, aside.length, "no more are kept");
+    assertEquals(4, aside.length, "number of quarantined files");
     assertTrue(
         Arrays.stream(aside).anyMatch(name -> name.endsWith("-log-1")),
-        "the one with the damage is");
+        "the damaged file is quarantined");
   }
 
   @Test
-  void helpHasExamplesAndUnusableCommandLinesEndWithExitCode2() {
+  void helpPrintsExamplesAndInvalidCommandLineYieldsExitCode2() {
     assertEquals(0, run("state"));
     assertTrue(last.output().contains("Examples:"));
     assertEquals(0, run("state", "show", "--help"));
