--- a/Makefile
+++ b/Makefile
@@ -6,19 +6,19 @@
 test:
 	mvn -B verify
 
-# The linters, on everything; target/ holds what they compiled afterwards.
+# Runs all linters; rebuilds target/ from scratch.
 lint:
 	mvn -q -B -DskipTests -Plint clean package
 
-# Lays every source out as the formatter does.
+# Formats all sources.
 format:
 	mvn -q -B spotless:apply
 
-# A broker by itself, on a fresh machine: it answers what the descriptions show.
+# Starts a standalone broker, which responds with the examples of the API descriptions; needs nothing else running.
 run: build
 	java -jar target/rosecleat.jar serve --broker deploy/broker.yaml
 
-# One uwsgi request to it; prints the status and the body.
+# Sends one uwsgi request to that broker; prints the status and the body.
 ASK = 127.0.0.1:3031 GET /cards/77/balance aspen-dining
 ask:
 	@test -f target/rosecleat.jar || $(MAKE) -s build
@@ -27,14 +27,15 @@
 clean:
 	mvn -q -B clean
 
-# The soak test with other seeds: RUNS runs from SEED on, each drawn from its seed. `make test` plays a short set.
+# Runs the soak test with RUNS consecutive seeds, starting at SEED. `make test` runs only a short set of seeds.
 .PHONY: soak
 SEED = 1
 RUNS = 50
 soak:
 	mvn -B test -Dtest=SoakTest -Dsoak.seed=$(SEED) -Dsoak.runs=$(RUNS)
 
-# Measurements; long, and no part of the tests. Each prints the table that docs/measurements keeps.
+# Measurements, which take long and are not part of the tests. Each prints the table that is recorded in
+# docs/measurements.
 .PHONY: measure-classes measure-state measure-store measure-fleet measure-routes measure-ramp
 
 measure-classes: build
@@ -50,14 +51,14 @@
 measure-store: measure-classes
 	$(MEASURE) rosecleat.measure.StoreSpeed target/measure
 
-# The view of a fleet: FLEET_SEEDS plays of each row on virtual time, then FLEET_PROCESSES real ones.
+# Membership views of a fleet: FLEET_SEEDS simulated runs per row in virtual time, then FLEET_PROCESSES real processes.
 FLEET_SEEDS = 64
 FLEET_PROCESSES = 40
 measure-fleet: measure-classes
 	java -Xmx6g -cp target/test-classes:target/classes:$$(cat target/classpath) rosecleat.measure.FleetView $(FLEET_SEEDS)
 	$(MEASURE) rosecleat.harness.FleetProcesses $(FLEET_PROCESSES) 1000
 
-# What 20 and 30 processes send in sum to a dependency that comes back cold.
+# Total load that 20 and 30 processes put on a dependency that returns cold.
 measure-ramp: measure-classes
 	$(MEASURE) rosecleat.policy.FleetRamp
 
