--- a/src/main/java/rosecleat/config/OperationsReader.java
+++ b/src/main/java/rosecleat/config/OperationsReader.java
@@ -90,12 +90,7 @@
     if (!(memoryKb > 0 && memoryKb < MAX_MEMORY_KB && rank >= 0 && rank < 1)) {
       throw ConfigException.invalid(
           subject,
-          "needs kb above 0 and below "
-              + MAX_MEMORY_KB
-              + " and rank from 0 to below 1, got kb "
-              + memoryKb
-              + " and rank "
-              + rank);
+          "needs 0 < kb < " + MAX_MEMORY_KB + ", 0 <= rank < 1; got " + memoryKb + ", " + rank);
     }
     return new ServiceOperation(
         service,
