--- a/src/main/java/rosecleat/config/ConfigError.java
+++ b/src/main/java/rosecleat/config/ConfigError.java
@@ -57,7 +57,7 @@
    * A missing or invalid key, value or section.
    *
    * @param subject the key, operation, service, budget or document at fault
-   * @param fault the rest of the message, which starts with a verb
+   * @param fault the fault, which completes the sentence that the subject starts
    */
   record InvalidEntry(String subject, String fault) implements ConfigError {
     @Override
