--- a/src/main/java/rosecleat/config/StandaloneConfig.java
+++ b/src/main/java/rosecleat/config/StandaloneConfig.java
@@ -11,37 +11,36 @@
 import rosecleat.policy.PolicySettings;
 
 /**
- * Makes the configuration of a node that no platform starts, from the broker file alone. Its
- * classes and tenants are those of its contracts and budgets, and nothing lies downstream of it but
- * its services.
+ * Creates the configuration of a node without a platform from the broker file alone. The contracts
+ * and budgets define its classes and tenants; its services are its only downstream dependencies.
  */
 public final class StandaloneConfig {
-  /** Requests executed at once where the file does not say: so many for each service. */
+  /** Default number of concurrently executed requests, per service. */
   static final int CORES_PER_SERVICE = 4;
 
   private static final long DEFAULT_MEMORY_MB = 256;
   private static final int DEFAULT_MAX_SOCKETS = 1024;
   private static final long DEFAULT_STOP_TIMEOUT_MS = 5_000;
 
-  /** The part of the process's memory that requests may take, in kilobytes per megabyte. */
+  /** Requests may use a quarter of the process's memory; in kilobytes per megabyte. */
   private static final double REQUEST_MEMORY_KB_PER_MB = 1024 / 4.0;
 
   private static final int SERVERS = 1;
 
-  /** How many callers there are is not known. */
+  /** 0 means that the number of callers is unknown. */
   private static final int UNKNOWN_CALLERS = 0;
 
   private static final double COLD_CAPACITY = 1;
   private static final double RUN_MEMORY_FACTOR = 2;
-  private static final double KEY_KB = 16;
+  private static final double IDEMPOTENCY_KEY_KB = 16;
   private static final double OVERLOAD_MULTIPLE = 8;
-  private static final long OVERLOAD_SPAN_US = 2 * Units.MICROSECONDS_PER_SECOND;
-  private static final long GRACE_US = Units.MICROSECONDS_PER_SECOND;
-  private static final long SLACK_US = 80 * Units.MICROSECONDS_PER_MS;
+  private static final long OVERLOAD_DURATION_US = 2 * Units.MICROSECONDS_PER_SECOND;
+  private static final long DRAIN_GRACE_PERIOD_US = Units.MICROSECONDS_PER_SECOND;
+  private static final long DEADLINE_SLACK_US = 80 * Units.MICROSECONDS_PER_MS;
   private static final double OVER_QUOTA_WEIGHT = 0.2;
   private static final long MAX_RETRY_AFTER_US = Units.MICROSECONDS_PER_SECOND;
   private static final long IDLE_TIMEOUT_US = 30 * Units.MICROSECONDS_PER_SECOND;
-  private static final long ROUND_US = Units.MICROSECONDS_PER_MS;
+  private static final long ROUND_TRIP_US = Units.MICROSECONDS_PER_MS;
 
   private static final long HASH_START = 1_125_899_906_842_597L;
   private static final long HASH_FACTOR = 31;
@@ -51,7 +50,7 @@
   /**
    * Reads the node's configuration from a broker file.
    *
-   * @throws ConfigException where the file cannot be read or used
+   * @throws ConfigException if the file cannot be read or is invalid
    */
   public static NodeConfig read(Path file) {
     JsonNode root = BrokerFile.read(file);
@@ -94,11 +93,11 @@
         /* warmupUs= */ 0,
         memoryKb,
         RUN_MEMORY_FACTOR,
-        KEY_KB,
+        IDEMPOTENCY_KEY_KB,
         OVERLOAD_MULTIPLE,
-        OVERLOAD_SPAN_US,
-        GRACE_US,
-        SLACK_US,
+        OVERLOAD_DURATION_US,
+        DRAIN_GRACE_PERIOD_US,
+        DEADLINE_SLACK_US,
         /* propagatesDeadline= */ true,
         /* signalsCancellation= */ true,
         /* marksRetries= */ true,
@@ -116,12 +115,14 @@
         /* concurrentCalls= */ 0,
         /* callWindowUs= */ 0,
         /* callLingerUs= */ 0,
-        ROUND_US,
+        ROUND_TRIP_US,
         List.of(),
         List.of());
   }
 
-  /** A seed that differs between names, and is the same at each start. */
+  /**
+   * Returns a seed derived from the name: it differs between nodes and is the same at each start.
+   */
   private static long seed(String name) {
     long seed = HASH_START;
     for (int i = 0; i < name.length(); i++) {
--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -395,12 +395,14 @@
         "text ends at byte 67 of a frame body of 66 bytes", frame(1, "{}", start(3, 1, 2)));
     assertRejected("settings are not JSON", settings("{no"));
     assertRejected("settings are not a JSON object", settings("[]"));
-    assertRejected("settings lack grades", settings("{}"));
-    assertRejected("settings lack cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
+    assertRejected("settings must have a non-empty list grades", settings("{}"));
     assertRejected(
-        "settings lack deadline-us", settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
+        "settings lack the required key cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
     assertRejected(
-        "settings have an unknown word for halt",
+        "settings lack the required key deadline-us",
+        settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
+    assertRejected(
+        "settings have the unknown value nap for halt, expected one of [drop, off, pause]",
         settings(SETTINGS.replace("\"pause\"", "\"nap\"")));
   }
 
