--- a/src/test/java/rosecleat/fakes/FakeRegistry.java
+++ b/src/test/java/rosecleat/fakes/FakeRegistry.java
@@ -14,7 +14,7 @@
   public final List<String> reports = new CopyOnWriteArrayList<>();
 
   /** What it does with a report: "204", another status, or "" to keep silent. */
-  public volatile String mood = "204";
+  public volatile String responseStatus = "204";
 
   @Override
   protected void serve(Socket socket) throws IOException {
@@ -33,11 +33,11 @@
         at += in.read(body, at, length - at);
       }
       reports.add(first + " " + new String(body));
-      if (!mood.isEmpty()) {
+      if (!responseStatus.isEmpty()) {
         socket
             .getOutputStream()
             .write(
-                ("HTTP/1.1 " + mood + " Words\r\nContent-Length: 0\r\n\r\n")
+                ("HTTP/1.1 " + responseStatus + " Words\r\nContent-Length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.UTF_8));
       }
     }
--- a/src/test/java/rosecleat/node/NodeRegistryTest.java
+++ b/src/test/java/rosecleat/node/NodeRegistryTest.java
@@ -19,13 +19,13 @@
 class NodeRegistryTest extends NodeLinksHarness {
   @Test
   void failedReportIsSentAgainEachSecond() throws IOException {
-    registry.mood = "";
+    registry.responseStatus = "";
     startServing();
     // The first report got no response: it was abandoned, and a new connection opened.
     await(() -> registry.reports.size() == 2);
-    registry.mood = "503";
+    registry.responseStatus = "503";
     await(() -> registry.reports.size() == 3);
-    registry.mood = "204";
+    registry.responseStatus = "204";
     await(() -> count("roster.reports") == 1);
     assertEquals("PUT /roster/t1 HTTP/1.1 {\"duty\":\"on\"}", registry.reports.get(0));
   }
--- a/src/test/java/rosecleat/registry/RegistryClientTest.java
+++ b/src/test/java/rosecleat/registry/RegistryClientTest.java
@@ -81,11 +81,11 @@
    */
   @Test
   void failedReportIsRetriedBeforeNextInterval() {
-    registry.mood = "503";
+    registry.responseStatus = "503";
     gate.run(client::start);
     Await.until(() -> count("roster.failed") == 1);
     long failedNs = System.nanoTime();
-    registry.mood = "204";
+    registry.responseStatus = "204";
     Await.until(() -> count("roster.reports") == 1);
     assertTrue(
         System.nanoTime() - failedNs < 600_000_000, "the retry waited for the next regular report");
@@ -93,7 +93,7 @@
 
   @Test
   void interimResponseDoesNotEndReport() {
-    registry.mood = "103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 204";
+    registry.responseStatus = "103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 204";
     gate.run(client::start);
     Await.until(() -> count("roster.reports") == 1);
     assertEquals(0, count("roster.failed"));
