--- a/src/test/java/rosecleat/fakes/FakeUwsgiService.java
+++ b/src/test/java/rosecleat/fakes/FakeUwsgiService.java
@@ -13,16 +13,16 @@
   private static final String IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY";
 
   /** What it does with a request. */
-  public enum Mood {
-    GOOD,
+  public enum Behavior {
+    SUCCEED,
     ERROR,
-    BREAKS,
-    SLOW
+    CLOSE,
+    HANG
   }
 
   public final AtomicInteger requests = new AtomicInteger();
   public final AtomicInteger closedOnUs = new AtomicInteger();
-  public volatile Mood mood = Mood.GOOD;
+  public volatile Behavior behavior = Behavior.SUCCEED;
   public volatile int bytes = 10;
   public volatile String lastPacket = "";
 
@@ -65,20 +65,20 @@
   }
 
   private void respond(Socket socket, DataInputStream input) throws IOException {
-    switch (mood) {
-      case GOOD ->
+    switch (behavior) {
+      case SUCCEED ->
           write(
               socket,
               "HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
       case ERROR -> write(socket, "HTTP/1.1 500 Oops\r\n\r\n");
-      case BREAKS -> {} // closes without a response
-      case SLOW -> {
+      case CLOSE -> {} // closes without a response
+      case HANG -> {
         while (input.read() >= 0) {
           Thread.onSpinWait();
         }
         closedOnUs.incrementAndGet();
       }
-      default -> throw new IllegalStateException(mood.name());
+      default -> throw new IllegalStateException(behavior.name());
     }
   }
 
--- a/src/test/java/rosecleat/node/UwsgiFrontendTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -25,7 +25,7 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.config.NodeConfigReader;
 import rosecleat.fakes.FakeRuntime;
-import rosecleat.fakes.FakeUwsgiService.Mood;
+import rosecleat.fakes.FakeUwsgiService.Behavior;
 import rosecleat.fakes.RespClient;
 import rosecleat.fakes.TestSite;
 import rosecleat.fakes.UwsgiClient;
@@ -154,7 +154,7 @@
 
   @Test
   void requestNotCompletedByItsDeadlineIsAGatewayTimeout() throws IOException {
-    env.backend.mood = Mood.SLOW;
+    env.backend.behavior = Behavior.HANG;
     long start = System.nanoTime();
     Reply reply = get("/files/a", "HTTP_X_DEADLINE_MS", "300");
     assertEquals(504, reply.status());
@@ -165,7 +165,7 @@
 
   @Test
   void contractDeadlineAppliesWhenTheCallerSetsNone() throws IOException {
-    env.backend.mood = Mood.SLOW;
+    env.backend.behavior = Behavior.HANG;
     long start = System.nanoTime();
     assertEquals(504, get("/files/a").status());
     assertTrue(System.nanoTime() - start < 2_000_000_000L, "response came late");
@@ -210,11 +210,11 @@
 
   @Test
   void requestOnABrokenConnectionMayHaveRun() throws IOException {
-    env.backend.mood = Mood.BREAKS;
+    env.backend.behavior = Behavior.CLOSE;
     Reply reply = put("k2");
     assertEquals(502, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
-    env.backend.mood = Mood.GOOD;
+    env.backend.behavior = Behavior.SUCCEED;
     // The request may have had its effect, so it is not sent again.
     assertEquals(502, put("k2").status());
     assertEquals(1, env.backend.requests.get());
@@ -336,7 +336,7 @@
 
   @Test
   void closedConnectionCancelsItsRequest() throws IOException {
-    env.backend.mood = Mood.SLOW;
+    env.backend.behavior = Behavior.HANG;
     try (Socket socket = UwsgiClient.open(env.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
       env.await(core -> env.backend.requests.get() == 1);
