--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -54,7 +54,7 @@
    * So many commands are lost with the link they came by, and with them whatever comes behind the
    * first of them on that link.
    */
-  public volatile int swallow;
+  public volatile int commandsToLose;
 
   private Socket losing;
 
@@ -109,8 +109,8 @@
   private synchronized void command(Socket socket, JsonNode command) throws IOException {
     String type = command.path("type").asText();
     String id = command.path("job").asText();
-    if (swallow > 0 && !id.isEmpty()) {
-      swallow--;
+    if (commandsToLose > 0 && !id.isEmpty()) {
+      commandsToLose--;
       losing = socket;
     }
     if (socket == losing) {
--- a/src/test/java/rosecleat/node/NodeRuntimeTest.java
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -45,9 +45,9 @@
   @Test
   void commandLostWithTheConnectionIsResent() throws IOException {
     startServing();
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     send("balance-check", null);
-    await(() -> runtime.swallow == 0);
+    await(() -> runtime.commandsToLose == 0);
     runtime.cut();
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals(1, count("runtime.resent"));
@@ -56,11 +56,11 @@
   @Test
   void idempotentStartThatMayHaveArrivedFailsAtOnce() throws IOException {
     startServing();
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     long sentNs = System.nanoTime();
     // Runs of this class may end without a call, so a repeated start could run twice.
     send("card-load", "k");
-    await(() -> runtime.swallow == 0);
+    await(() -> runtime.commandsToLose == 0);
     runtime.cut();
     assertEquals("FAILED", client.answer().get(1));
     assertTrue(
@@ -109,10 +109,10 @@
   @Test
   void idempotentStartWhoseRunMayCallFailsAtOnce() throws IOException {
     startServing(TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500, true));
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     long sentNs = System.nanoTime();
     send("card-load", "k");
-    await(() -> runtime.swallow == 0);
+    await(() -> runtime.commandsToLose == 0);
     runtime.cut();
     assertEquals("FAILED", client.answer().get(1));
     assertTrue(
--- a/src/test/java/rosecleat/runtime/RuntimeClientTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeClientTest.java
@@ -107,9 +107,9 @@
    */
   @Test
   void startLostOnFirstOfTwoBrokenConnectionsIsResent() {
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     start("00000000000000a1");
-    Await.until(() -> runtime.swallow == 0);
+    Await.until(() -> runtime.commandsToLose == 0);
     runtime.readyAfterMs = 3_600_000; // the second connection does not become ready
     runtime.cut();
     Await.until(() -> syncs() == 2);
@@ -130,9 +130,9 @@
     runtime.down();
     Await.until(() -> gate.call(() -> counters.get("runtime.unreached")) > 0);
     start("00000000000000a2");
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     runtime.up();
-    Await.until(() -> runtime.swallow == 0);
+    Await.until(() -> runtime.commandsToLose == 0);
     runtime.cut();
     Await.until(() -> runtime.started("00000000000000a2"));
     assertEquals(1, runtime.startsOf("00000000000000a2"));
@@ -144,9 +144,9 @@
    */
   @Test
   void startSentOnNewConnectionIsNotInDoubt() {
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     start("00000000000000a3");
-    Await.until(() -> runtime.swallow == 0);
+    Await.until(() -> runtime.commandsToLose == 0);
     runtime.down();
     Await.until(() -> gate.call(() -> counters.get("runtime.unreached")) > 0);
     // sent on the new connection before its messages show which earlier commands arrived
--- a/src/test/java/rosecleat/soak/SoakRun.java
+++ b/src/test/java/rosecleat/soak/SoakRun.java
@@ -147,10 +147,10 @@
   }
 
   private static void cutLosingCommands(FakeRuntime runtime) throws InterruptedException {
-    runtime.swallow = LOST_COMMANDS;
+    runtime.commandsToLose = LOST_COMMANDS;
     TimeUnit.MILLISECONDS.sleep(BEFORE_CUT_MS);
     runtime.cut();
-    runtime.swallow = 0;
+    runtime.commandsToLose = 0;
   }
 
   private static void cutEndingRuns(FakeRuntime runtime) throws InterruptedException {
