--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -61,7 +61,7 @@
   public volatile boolean nackStarts;
 
   /** Sent once, behind the next start. */
-  public volatile String spoil = "";
+  public volatile String outputAfterNextStart = "";
 
   public volatile long readyAfterMs;
 
@@ -153,9 +153,9 @@
     waiting.remove(id);
     queue.add(job);
     next();
-    if (!spoil.isEmpty()) {
-      link.getOutputStream().write(spoil.getBytes(StandardCharsets.UTF_8));
-      spoil = "";
+    if (!outputAfterNextStart.isEmpty()) {
+      link.getOutputStream().write(outputAfterNextStart.getBytes(StandardCharsets.UTF_8));
+      outputAfterNextStart = "";
     }
   }
 
--- a/src/test/java/rosecleat/node/NodeRuntimeTest.java
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -170,7 +170,7 @@
   @Test
   void unreadableMessageFailsOnlyItsOwnRun() throws IOException {
     startServing();
-    runtime.spoil =
+    runtime.outputAfterNextStart =
         "{\"type\":\"info\",\"n\":true,\"state\":\"x\"}\n[]\n{\"type\":\"end\"\n"
             + "{\"type\":\"end\",\"job\":\"0000000000000001\",\"state\":\"ok\",\"data\":\"?!\"}\n";
     send("balance-check", null);
