--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -78,7 +78,7 @@
    * What runs of a kind take: on a core, and then waiting off it (ms). Others take the time given
    * at the start.
    */
-  public final Map<String, int[]> takes = new ConcurrentHashMap<>();
+  public final Map<String, int[]> runTimesMs = new ConcurrentHashMap<>();
 
   /** How many calls a run makes that makes any. */
   public volatile int callsPerRun = 1;
@@ -216,7 +216,7 @@
     while (busy < TestSite.CORES && !queue.isEmpty()) {
       Job job = queue.remove();
       busy++;
-      work.schedule(() -> worked(job), takes(job)[0], TimeUnit.MILLISECONDS);
+      work.schedule(() -> worked(job), runTimesMs(job)[0], TimeUnit.MILLISECONDS);
     }
   }
 
@@ -238,7 +238,7 @@
                 .put("job", job.id)
                 .put("data", Base64.getEncoder().encodeToString(body)));
       } else {
-        finish(job.id, takes(job)[1]);
+        finish(job.id, runTimesMs(job)[1]);
       }
     }
   }
@@ -248,8 +248,8 @@
     return (number == 1 ? "call for " : "call " + number + " for ") + id;
   }
 
-  private int[] takes(Job job) {
-    return takes.getOrDefault(job.kind, new int[] {workMs, 0});
+  private int[] runTimesMs(Job job) {
+    return runTimesMs.getOrDefault(job.kind, new int[] {workMs, 0});
   }
 
   private void finish(String id, int afterMs) {
@@ -277,7 +277,7 @@
             .put("type", "end")
             .put("job", job.id)
             .put("state", state)
-            .put("took", takes(job)[0] + takes(job)[1]);
+            .put("took", runTimesMs(job)[0] + runTimesMs(job)[1]);
     if (result != null) {
       end.put("data", Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.UTF_8)));
     }
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -185,8 +185,8 @@
       throws Exception {
     try (FakeRuntime runtime = new FakeRuntime(3);
         FakeUwsgiService backend = new FakeUwsgiService()) {
-      runtime.takes.put("balance-check", new int[] {3, 40});
-      runtime.takes.put("card-load", new int[] {8, 150});
+      runtime.runTimesMs.put("balance-check", new int[] {3, 40});
+      runtime.runTimesMs.put("card-load", new int[] {8, 150});
       int port = freePort();
       Process broker = startBroker(state, port, runtime.port(), backend.port());
       try {
--- a/src/test/java/rosecleat/runtime/RuntimeClientTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeClientTest.java
@@ -163,7 +163,7 @@
    */
   @Test
   void startSentBeforeAnsweredGaugesRequestIsNotInDoubt() {
-    runtime.takes.put("balance-check", new int[] {60_000, 0});
+    runtime.runTimesMs.put("balance-check", new int[] {60_000, 0});
     start("00000000000000a5");
     requestGauges();
     awaitCommands("gauges ", 1);
--- a/src/test/java/rosecleat/soak/SoakNode.java
+++ b/src/test/java/rosecleat/soak/SoakNode.java
@@ -33,7 +33,7 @@
   SoakNode(SoakPlan plan) {
     this.plan = plan;
     for (RequestClassPlan each : plan.classes()) {
-      runtime.takes.put(each.name(), new int[] {each.workMs(), 0});
+      runtime.runTimesMs.put(each.name(), new int[] {each.workMs(), 0});
     }
   }
 
