--- a/src/test/java/rosecleat/fakes/FakeUwsgiService.java
+++ b/src/test/java/rosecleat/fakes/FakeUwsgiService.java
@@ -21,7 +21,7 @@
   }
 
   public final AtomicInteger requests = new AtomicInteger();
-  public final AtomicInteger closedOnUs = new AtomicInteger();
+  public final AtomicInteger closedByPeer = new AtomicInteger();
   public volatile Behavior behavior = Behavior.SUCCEED;
   public volatile int bytes = 10;
   public volatile String lastPacket = "";
@@ -76,7 +76,7 @@
         while (input.read() >= 0) {
           Thread.onSpinWait();
         }
-        closedOnUs.incrementAndGet();
+        closedByPeer.incrementAndGet();
       }
       default -> throw new IllegalStateException(behavior.name());
     }
--- a/src/test/java/rosecleat/node/UwsgiFrontendTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -160,7 +160,7 @@
     assertEquals(504, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
     assertTrue(System.nanoTime() - start < 800_000_000L, "response came late");
-    env.await(core -> env.backend.closedOnUs.get() == 1); // the run was cancelled
+    env.await(core -> env.backend.closedByPeer.get() == 1); // the run was cancelled
   }
 
   @Test
@@ -343,7 +343,7 @@
     }
     env.await(
         core ->
-            env.backend.closedOnUs.get() == 1
+            env.backend.closedByPeer.get() == 1
                 && core.counters().get("gone") == 1
                 && core.inFlight() == 0);
   }
