--- a/src/test/java/rosecleat/fakes/FakeUwsgiService.java
+++ b/src/test/java/rosecleat/fakes/FakeUwsgiService.java
@@ -30,7 +30,7 @@
   public final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
   /** Sent as it stands, where it is not empty. */
-  public volatile String script = "";
+  public volatile String rawResponse = "";
 
   @Override
   protected void serve(Socket socket) throws IOException {
@@ -42,8 +42,8 @@
     if (vars.contains(IDEMPOTENCY_KEY)) {
       runs.merge(valueOf(IDEMPOTENCY_KEY, vars), 1, Integer::sum);
     }
-    if (!script.isEmpty()) {
-      socket.getOutputStream().write(script.getBytes(StandardCharsets.ISO_8859_1));
+    if (!rawResponse.isEmpty()) {
+      socket.getOutputStream().write(rawResponse.getBytes(StandardCharsets.ISO_8859_1));
       return;
     }
     respond(socket, input);
--- a/src/test/java/rosecleat/node/UwsgiFrontendTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -223,7 +223,7 @@
 
   @Test
   void responseOfAServiceReachesTheCallerUnchanged() throws IOException {
-    env.backend.script =
+    env.backend.rawResponse =
         "HTTP/1.1 100 Continue\r\n\r\n"
             + "HTTP/1.1 404 Nope\r\n"
             + "Content-Type: application/json\r\n"
@@ -247,9 +247,9 @@
             + "Content-Length: 5\r\n"
             + "Connection: close",
         reply.head());
-    env.backend.script = "HTTP/1.1 500 Oops\r\n\r\nwhy";
+    env.backend.rawResponse = "HTTP/1.1 500 Oops\r\n\r\nwhy";
     assertEquals(500, get("/files/a").status());
-    env.backend.script = "HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n";
+    env.backend.rawResponse = "HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n";
     Reply empty = get("/files/a");
     assertEquals(204, empty.status());
     assertEquals("", empty.header("Content-Length"));
@@ -257,10 +257,10 @@
 
   @Test
   void retryWithTheSameKeyGetsTheWholeResponse() throws IOException {
-    env.backend.script = "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
+    env.backend.rawResponse = "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
     Reply first = put("k7");
     assertEquals(409, first.status());
-    env.backend.script = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    env.backend.rawResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     assertEquals(first, put("k7"), "status, headers and body of the first response");
     assertEquals(1, env.backend.requests.get());
   }
@@ -274,7 +274,7 @@
             "HTTP/1.1 101 Switching\r\n\r\n",
             "HTTP/1.1 204 No Content\r\n\r\nbody",
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nlong")) {
-      env.backend.script = bad;
+      env.backend.rawResponse = bad;
       Reply reply = get("/files/a");
       assertEquals(502, reply.status(), bad);
       assertEquals("ran", reply.header("X-Progress"));
