--- a/src/test/java/rosecleat/fakes/FakeServer.java
+++ b/src/test/java/rosecleat/fakes/FakeServer.java
@@ -58,7 +58,7 @@
   }
 
   /** Listens at another port from now on; connections made at the old one stay. */
-  public void moveAway() {
+  public void moveToAnotherPort() {
     stopListening();
     listen(0);
   }
--- a/src/test/java/rosecleat/node/NodeReloadTest.java
+++ b/src/test/java/rosecleat/node/NodeReloadTest.java
@@ -20,7 +20,7 @@
       send("balance-check", null);
       int started = round + 1;
       await(() -> runtime.starts.size() == started);
-      runtime.moveAway();
+      runtime.moveToAnotherPort();
       reload();
       assertEquals(FakeRuntime.result("body " + tag), client.answer().get(3));
     }
@@ -40,7 +40,7 @@
     runtime.endRunsBehindGauges = "resumed";
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
-    runtime.moveAway();
+    runtime.moveToAnotherPort();
     reload();
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals("OK", answer("card-refresh").get(1));
@@ -51,7 +51,7 @@
   @Test
   void reloadWhileConnectingConnectsToTheLastAddress() throws IOException {
     startServing();
-    runtime.moveAway();
+    runtime.moveToAnotherPort();
     node.reload(ProcessConfig.of(TestSite.config(1, 1, 1, 2_000, 500))); // no process listens there
     reload();
     reload();
@@ -64,8 +64,8 @@
     index.answers.add("wait");
     send("card-refresh", null);
     await(() -> index.lines.size() == 1);
-    index.moveAway();
-    registry.moveAway();
+    index.moveToAnotherPort();
+    registry.moveToAnotherPort();
     long reports = registry.reports.size();
     reload();
     await(() -> registry.reports.size() > reports);
@@ -82,7 +82,7 @@
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
     node.beginShutdown(() -> {});
-    runtime.moveAway();
+    runtime.moveToAnotherPort();
     reload();
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
   }
--- a/src/test/java/rosecleat/soak/SoakRun.java
+++ b/src/test/java/rosecleat/soak/SoakRun.java
@@ -119,13 +119,13 @@
     switch (action) {
       case RELOAD -> reload();
       case MOVE_RUNTIME -> {
-        runtime.moveAway();
+        runtime.moveToAnotherPort();
         reload();
       }
       case MOVE_INDEX_AND_REGISTRY -> {
         setRegistryDown(false);
-        index.moveAway();
-        registry.moveAway();
+        index.moveToAnotherPort();
+        registry.moveToAnotherPort();
         reload();
       }
       case TERMINATE -> terminate(node());
