--- a/src/test/java/rosecleat/fakes/FakeServer.java
+++ b/src/test/java/rosecleat/fakes/FakeServer.java
@@ -66,7 +66,7 @@
   /** Is down: nobody listens, and no connection is left. */
   public void down() {
     stopListening();
-    cut();
+    closeConnections();
   }
 
   /** Is back where it was. */
@@ -91,7 +91,7 @@
   }
 
   /** Cuts every connection, and goes on listening. */
-  public void cut() {
+  public void closeConnections() {
     for (Socket socket : open) {
       try {
         socket.close();
@@ -104,7 +104,7 @@
   @Override
   public void close() {
     stopListening();
-    cut();
+    closeConnections();
   }
 
   private static Thread thread(Runnable task) {
--- a/src/test/java/rosecleat/index/IndexClientTest.java
+++ b/src/test/java/rosecleat/index/IndexClientTest.java
@@ -83,7 +83,7 @@
         });
     awaitCount("index.replies", 1);
     gate.hold();
-    index.cut();
+    index.closeConnections();
     gate.settle();
     loop.execute(() -> call("00000000000000a2"));
     gate.release();
--- a/src/test/java/rosecleat/node/DescriptorLimitTest.java
+++ b/src/test/java/rosecleat/node/DescriptorLimitTest.java
@@ -80,7 +80,7 @@
         assertEquals("OK", answer(balancer, "balance-check"));
         assertEquals("OK", answer(balancer, "card-refresh"));
         assertEquals(1, index.lines.size(), "number of calls to the index");
-        runtime.cut();
+        runtime.closeConnections();
         assertEquals("OK", answer(balancer, "balance-check"));
         registry.up();
         long recoveredAtNs = System.nanoTime();
--- a/src/test/java/rosecleat/node/NodeRuntimeTest.java
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -34,7 +34,7 @@
     startServing();
     send("balance-check", null);
     await(() -> runtime.starts.size() == 1);
-    runtime.cut(); // the run continues, and ends while there is no connection
+    runtime.closeConnections(); // the run continues, and ends while there is no connection
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals("OK", answer("balance-check").get(1));
     assertEquals(2, runtime.starts.size());
@@ -48,7 +48,7 @@
     runtime.commandsToLose = 1;
     send("balance-check", null);
     await(() -> runtime.commandsToLose == 0);
-    runtime.cut();
+    runtime.closeConnections();
     assertEquals(FakeRuntime.result("body 1"), client.answer().get(3));
     assertEquals(1, count("runtime.resent"));
   }
@@ -61,7 +61,7 @@
     // Runs of this class may end without a call, so a repeated start could run twice.
     send("card-load", "k");
     await(() -> runtime.commandsToLose == 0);
-    runtime.cut();
+    runtime.closeConnections();
     assertEquals("FAILED", client.answer().get(1));
     assertTrue(
         System.nanoTime() - sentNs < 700_000_000, "request was not failed before its deadline");
@@ -94,7 +94,7 @@
     runtime.endRunsBehindGauges = "resumed";
     send(className, once);
     await(() -> runtime.starts.size() == 1);
-    runtime.cut();
+    runtime.closeConnections();
     assertNotEquals("BUSY", client.answer().get(1)); // the request ran
     // Processed after any command that was sent again.
     assertEquals("OK", answer("card-refresh").get(1));
@@ -113,14 +113,14 @@
     long sentNs = System.nanoTime();
     send("card-load", "k");
     await(() -> runtime.commandsToLose == 0);
-    runtime.cut();
+    runtime.closeConnections();
     assertEquals("FAILED", client.answer().get(1));
     assertTrue(
         System.nanoTime() - sentNs < 700_000_000, "request was not failed before its deadline");
     assertEquals(0, runtime.starts.size());
     send("card-load", "k2");
     assertEquals(FakeRuntime.result("body 2"), client.answer().get(3));
-    runtime.cut();
+    runtime.closeConnections();
     assertEquals("OK", answer("balance-check").get(1));
     assertEquals(1, runtime.startsOf("body 2"));
   }
@@ -137,7 +137,7 @@
     runtime.gaugesUnansweredBeforeSync = true;
     send("card-load", "k");
     await(() -> runtime.starts.size() == 1);
-    runtime.cut();
+    runtime.closeConnections();
     // Fails immediately: there is no proof that the request runs.
     assertEquals("FAILED", client.answer().get(1));
     await(() -> count("runs.proven") == 1);
@@ -159,7 +159,7 @@
     send("card-refresh", null);
     runtime.gaugesUnansweredBeforeSync = true;
     await(() -> runtime.gives.size() == 1);
-    runtime.cut();
+    runtime.closeConnections();
     client.answer();
     for (String give : List.copyOf(runtime.gives)) {
       String[] callAndReply = give.split(" -> ");
--- a/src/test/java/rosecleat/registry/RegistryClientTest.java
+++ b/src/test/java/rosecleat/registry/RegistryClientTest.java
@@ -62,7 +62,7 @@
     gate.run(client::start);
     Await.until(() -> count("roster.reports") == 1);
     gate.hold();
-    registry.cut();
+    registry.closeConnections();
     gate.settle();
     loop.execute(client::startDraining);
     long drainStartNs = System.nanoTime();
--- a/src/test/java/rosecleat/runtime/RuntimeClientTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeClientTest.java
@@ -111,11 +111,11 @@
     start("00000000000000a1");
     Await.until(() -> runtime.commandsToLose == 0);
     runtime.readyAfterMs = 3_600_000; // the second connection does not become ready
-    runtime.cut();
+    runtime.closeConnections();
     Await.until(() -> syncs() == 2);
     now.addAndGet(5_000_000);
     runtime.readyAfterMs = 0;
-    runtime.cut();
+    runtime.closeConnections();
     Await.until(() -> runtime.started("00000000000000a1"));
     assertEquals(1, gate.call(() -> counters.get("runtime.resent")));
     assertEquals(1, runtime.startsOf("00000000000000a1"));
@@ -133,7 +133,7 @@
     runtime.commandsToLose = 1;
     runtime.up();
     Await.until(() -> runtime.commandsToLose == 0);
-    runtime.cut();
+    runtime.closeConnections();
     Await.until(() -> runtime.started("00000000000000a2"));
     assertEquals(1, runtime.startsOf("00000000000000a2"));
   }
@@ -169,7 +169,7 @@
     awaitCommands("gauges ", 1);
     // the second request is sent only after the first was answered
     Await.until(() -> requestGaugesAndCountRequests() == 2);
-    runtime.cut();
+    runtime.closeConnections();
     awaitCommands("sync ", 2);
     start("00000000000000a6");
     Await.until(() -> runtime.started("00000000000000a6"));
--- a/src/test/java/rosecleat/soak/SoakRun.java
+++ b/src/test/java/rosecleat/soak/SoakRun.java
@@ -134,7 +134,7 @@
         lastNode().awaitServing();
       }
       case TERMINATE_SUCCESSOR -> terminate(lastNode());
-      case CUT_RUNTIME -> runtime.cut();
+      case CUT_RUNTIME -> runtime.closeConnections();
       case CUT_RUNTIME_LOSING_COMMANDS -> cutLosingCommands(runtime);
       case CUT_RUNTIME_ENDING_RUNS -> cutEndingRuns(runtime);
       case SILENCE_GAUGES -> runtime.gaugesUnansweredBeforeSync = true;
@@ -149,7 +149,7 @@
   private static void cutLosingCommands(FakeRuntime runtime) throws InterruptedException {
     runtime.commandsToLose = LOST_COMMANDS;
     TimeUnit.MILLISECONDS.sleep(BEFORE_CUT_MS);
-    runtime.cut();
+    runtime.closeConnections();
     runtime.commandsToLose = 0;
   }
 
@@ -157,7 +157,7 @@
     runtime.endRunsBehindGauges = "resumed";
     runtime.gaugesUnansweredBeforeSync = true;
     TimeUnit.MILLISECONDS.sleep(BEFORE_CUT_MS);
-    runtime.cut();
+    runtime.closeConnections();
   }
 
   private void spoilCalls() {
