--- a/src/test/java/rosecleat/node/UwsgiFrontendTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -257,7 +257,8 @@
 
   @Test
   void retryWithTheSameKeyGetsTheWholeResponse() throws IOException {
-    env.backend.rawResponse = "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
+    env.backend.rawResponse =
+        "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
     Reply first = put("k7");
     assertEquals(409, first.status());
     env.backend.rawResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
