--- a/src/test/java/rosecleat/fakes/FakeServer.java
+++ b/src/test/java/rosecleat/fakes/FakeServer.java
@@ -18,19 +18,19 @@
   }
 
   private void listen(int port) {
-    ServerSocket fresh;
+    ServerSocket listening;
     try {
-      fresh = new ServerSocket(port, 200, InetAddress.getLoopbackAddress());
+      listening = new ServerSocket(port, 200, InetAddress.getLoopbackAddress());
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
-    server = fresh;
+    server = listening;
     accepting =
         thread(
             () -> {
-              while (!fresh.isClosed()) {
+              while (!listening.isClosed()) {
                 try {
-                  Socket socket = fresh.accept();
+                  Socket socket = listening.accept();
                   socket.setTcpNoDelay(true);
                   open.add(socket);
                   thread(() -> session(socket));
--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -186,14 +186,14 @@
             .replace("7947        #", "7946        #"));
     assertEquals(0, check(file).length());
     Files.writeString(file, Files.readString(file).replace(good, bad));
-    String told = check(file);
-    assertTrue(told.contains(why) && told.strip().lines().count() == 1, told);
+    String messages = check(file);
+    assertTrue(messages.contains(why) && messages.strip().lines().count() == 1, messages);
   }
 
   private String check(Path file) {
     PrintStream err = System.err;
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
-    System.setErr(new PrintStream(told));
+    ByteArrayOutputStream messages = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(messages));
     try {
       Main.run(
           new String[] {"check", "--broker", file.toString()},
@@ -203,6 +203,6 @@
     } finally {
       System.setErr(err);
     }
-    return told.toString(UTF_8);
+    return messages.toString(UTF_8);
   }
 }
--- a/src/test/java/rosecleat/harness/FleetProcesses.java
+++ b/src/test/java/rosecleat/harness/FleetProcesses.java
@@ -61,7 +61,7 @@
       if (i == FIRST_CHANGE_WITH_ONE_STOPPED) {
         site.signal(stopped, "STOP"); // holds none of the others back
       }
-      int[] observers = i < FIRST_CHANGE_WITH_ONE_STOPPED ? site.all() : site.allBut(stopped);
+      int[] observers = i < FIRST_CHANGE_WITH_ONE_STOPPED ? site.all() : site.allExcept(stopped);
       changes[i] = applyChange(site, "c" + (i + 1), observers);
     }
     site.signal(stopped, "CONT");
@@ -99,11 +99,11 @@
         "crash known",
         120,
         () ->
-            Arrays.stream(site.allBut(victim))
+            Arrays.stream(site.allExcept(victim))
                 .allMatch(i -> site.state(i, "n" + victim).equals("dead")));
     System.out.printf(
         Locale.ROOT, "crash known to all: %.1f periods%n", periodsSince(begunNs, site));
-    site.await("settled", 120, () -> site.settled(site.allBut(victim)));
+    site.await("settled", 120, () -> site.settled(site.allExcept(victim)));
     System.out.printf(
         Locale.ROOT, "settled again: %.1f periods after the crash%n", periodsSince(begunNs, site));
     site.start(victim);
--- a/src/test/java/rosecleat/harness/Links.java
+++ b/src/test/java/rosecleat/harness/Links.java
@@ -41,34 +41,34 @@
     LinkCondition of(int from, int to);
   }
 
-  private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
   private final List<DatagramSocket> datagrams = new ArrayList<>();
   private final List<ServerSocket> servers = new ArrayList<>();
   private final Set<Pipe> pipes = ConcurrentHashMap.newKeySet();
-  private final ScheduledExecutorService later =
+  private final ScheduledExecutorService scheduler =
       Executors.newSingleThreadScheduledExecutor(r -> daemon(r));
-  private final int[] real;
-  private final int[] advertised;
+  private final int[] listenPorts;
+  private final int[] advertisedPorts;
   private final Random random = new Random(7);
-  final AtomicInteger torn = new AtomicInteger();
+  final AtomicInteger interruptedExchanges = new AtomicInteger();
 
   /** Breaks each exchange that is not of members alone after so many bytes; 0 for none. */
-  volatile int tearAfter;
+  volatile int bytesBeforeInterruption;
 
   private volatile LinkConditions conditions = (from, to) -> LinkCondition.CLEAR;
   private volatile boolean closed;
 
   /** Links to processes that listen at these ports, by relays at those. */
-  Links(int[] real, int[] advertised) throws IOException {
-    this.real = real;
-    this.advertised = advertised;
-    for (int i = 0; i < real.length; i++) {
+  Links(int[] listenPorts, int[] advertisedPorts) throws IOException {
+    this.listenPorts = listenPorts;
+    this.advertisedPorts = advertisedPorts;
+    for (int i = 0; i < listenPorts.length; i++) {
       int to = i;
-      DatagramSocket udp = new DatagramSocket(new InetSocketAddress(HERE, advertised[i]));
-      ServerSocket tcp = new ServerSocket(advertised[i], 50, HERE);
+      DatagramSocket udp = new DatagramSocket(new InetSocketAddress(LOOPBACK, advertisedPorts[i]));
+      ServerSocket tcp = new ServerSocket(advertisedPorts[i], 50, LOOPBACK);
       datagrams.add(udp);
       servers.add(tcp);
-      daemon(() -> relay(udp, to)).start();
+      daemon(() -> relayDatagrams(udp, to)).start();
       daemon(() -> accept(tcp, to)).start();
     }
   }
@@ -90,15 +90,15 @@
     }
   }
 
-  private void relay(DatagramSocket udp, int to) {
+  private void relayDatagrams(DatagramSocket udp, int to) {
     byte[] buffer = new byte[65_536];
     while (!closed) {
       try {
         DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
         udp.receive(packet);
         int from = -1;
-        for (int i = 0; i < real.length; i++) {
-          from = packet.getPort() == real[i] ? i : from;
+        for (int i = 0; i < listenPorts.length; i++) {
+          from = packet.getPort() == listenPorts[i] ? i : from;
         }
         LinkCondition condition = conditions.of(from, to);
         if (condition.cut || random.nextDouble() < condition.loss) {
@@ -109,7 +109,7 @@
             copies > 0;
             copies--) {
           int wait = condition.delayMs == 0 ? 0 : random.nextInt(2 * condition.delayMs);
-          later.schedule(() -> send(udp, bytes, real[to]), wait, TimeUnit.MILLISECONDS);
+          scheduler.schedule(() -> send(udp, bytes, listenPorts[to]), wait, TimeUnit.MILLISECONDS);
         }
       } catch (IOException e) {
         if (closed) {
@@ -122,13 +122,13 @@
   /** Sends bytes to a process as a stranger does. */
   void sendGarbage(int to, byte[] bytes) throws IOException {
     try (DatagramSocket socket = new DatagramSocket()) {
-      send(socket, bytes, real[to]);
+      send(socket, bytes, listenPorts[to]);
     }
   }
 
   private static void send(DatagramSocket from, byte[] bytes, int port) {
     try {
-      from.send(new DatagramPacket(bytes, bytes.length, HERE, port));
+      from.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, port));
     } catch (IOException e) {
       return; // nobody is there
     }
@@ -138,7 +138,7 @@
     while (!closed) {
       try {
         Socket socket = tcp.accept();
-        daemon(() -> converse(socket, to)).start();
+        daemon(() -> relayConnection(socket, to)).start();
       } catch (IOException e) {
         return;
       }
@@ -146,9 +146,9 @@
   }
 
   /** Who opens a connection is known from its first frame. */
-  private void converse(Socket socket, int to) {
+  private void relayConnection(Socket socket, int to) {
     try (socket;
-        Socket on = new Socket()) {
+        Socket target = new Socket()) {
       socket.setSoTimeout(5_000);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       int kind = in.read();
@@ -159,19 +159,19 @@
               .getFrom()
               .getPort(); // behind its hash
       int from = -1;
-      for (int i = 0; i < advertised.length; i++) {
-        from = advertised[i] == port || real[i] == port ? i : from;
+      for (int i = 0; i < advertisedPorts.length; i++) {
+        from = advertisedPorts[i] == port || listenPorts[i] == port ? i : from;
       }
       if (conditions.of(from, to).cut || conditions.of(to, from).cut) {
         return;
       }
-      on.connect(new InetSocketAddress(HERE, real[to]), 1_000);
-      Pipe pipe = new Pipe(from, to, kind, socket, on);
+      target.connect(new InetSocketAddress(LOOPBACK, listenPorts[to]), 1_000);
+      Pipe pipe = new Pipe(from, to, kind, socket, target);
       pipes.add(pipe);
-      new DataOutputStream(on.getOutputStream()).write(header(kind, frame));
-      Thread back = daemon(() -> pipe.copy(on, socket));
+      new DataOutputStream(target.getOutputStream()).write(header(kind, frame));
+      Thread back = daemon(() -> pipe.copy(target, socket));
       back.start();
-      pipe.copy(socket, on);
+      pipe.copy(socket, target);
       back.join(10_000);
       pipes.remove(pipe);
     } catch (IOException | InterruptedException e) {
@@ -191,16 +191,16 @@
     final int sender;
     final int receiver;
     private final int kind;
-    private final Socket one;
-    private final Socket other;
+    private final Socket opened;
+    private final Socket forwarded;
     private int passed;
 
-    Pipe(int sender, int receiver, int kind, Socket one, Socket other) {
+    Pipe(int sender, int receiver, int kind, Socket opened, Socket forwarded) {
       this.sender = sender;
       this.receiver = receiver;
       this.kind = kind;
-      this.one = one;
-      this.other = other;
+      this.opened = opened;
+      this.forwarded = forwarded;
     }
 
     void copy(Socket in, Socket out) {
@@ -210,11 +210,11 @@
         InputStream source = in.getInputStream();
         OutputStream sink = out.getOutputStream();
         for (int count = source.read(buffer); count >= 0; count = source.read(buffer)) {
-          int tear = kind == 1 ? 0 : tearAfter;
+          int maxBytes = kind == 1 ? 0 : bytesBeforeInterruption;
           passed += count;
-          if (tear > 0 && passed > tear) {
-            sink.write(buffer, 0, Math.max(0, count - (passed - tear)));
-            torn.incrementAndGet();
+          if (maxBytes > 0 && passed > maxBytes) {
+            sink.write(buffer, 0, Math.max(0, count - (passed - maxBytes)));
+            interruptedExchanges.incrementAndGet();
             close();
             return;
           }
@@ -232,8 +232,8 @@
 
     void close() {
       try {
-        one.close();
-        other.close();
+        opened.close();
+        forwarded.close();
       } catch (IOException e) {
         return;
       }
@@ -243,7 +243,7 @@
   @Override
   public void close() {
     closed = true;
-    later.shutdownNow();
+    scheduler.shutdownNow();
     datagrams.forEach(DatagramSocket::close);
     pipes.forEach(Pipe::close);
     for (ServerSocket server : servers) {
--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -31,7 +31,7 @@
  */
 class RoutesTest {
   /** A table that all agree on is kept for so long: five periods of the membership protocol. */
-  private static final long KEPT_NS = 1_000_000_000;
+  private static final long STABLE_NS = 1_000_000_000;
 
   @TempDir Path folder;
   private final FakeUwsgiService one = new FakeUwsgiService();
@@ -43,7 +43,7 @@
     site = new Site(folder, 5, 200, "");
     site.writeRoutes(line("c1", one, "on"));
     site.startAll().awaitSettled(site.all());
-    inForce(digest(0, "c1"), site.all());
+    awaitInForce(digestWith(0, "c1"), site.all());
   }
 
   @AfterEach
@@ -58,7 +58,7 @@
   }
 
   /** The digest in force at a process once its table names an instance. */
-  private String digest(int process, String instance) throws InterruptedException {
+  private String digestWith(int process, String instance) throws InterruptedException {
     site.await("instance " + instance, 20, () -> hasInstance(process, instance));
     return tableDigest(process);
   }
@@ -71,7 +71,7 @@
         .has(instance);
   }
 
-  private void inForce(String digest, int... where) throws InterruptedException {
+  private void awaitInForce(String digest, int... where) throws InterruptedException {
     site.await(
         "routes " + digest,
         20,
@@ -91,16 +91,16 @@
    * has just started shows a table of its own file alone, until it has met the others.
    */
   private void awaitOneTable(Set<String> instances, int... where) throws InterruptedException {
-    site.await("one table of " + instances, 20, () -> holdOneTable(instances, where));
+    site.await("one table of " + instances, 20, () -> shareOneTable(instances, where));
     String digest = tableDigest(where[0]);
-    long keptUntilNs = System.nanoTime() + KEPT_NS;
-    while (System.nanoTime() < keptUntilNs) {
-      assertTrue(holdOneTable(instances, where), "not kept: " + instances);
+    long stableUntilNs = System.nanoTime() + STABLE_NS;
+    while (System.nanoTime() < stableUntilNs) {
+      assertTrue(shareOneTable(instances, where), "not kept: " + instances);
       assertEquals(digest, tableDigest(where[0]));
     }
   }
 
-  private boolean holdOneTable(Set<String> instances, int... where) {
+  private boolean shareOneTable(Set<String> instances, int... where) {
     Set<String> digests = new HashSet<>();
     for (int process : where) {
       JsonNode table = site.adminJson(process, "/v1/routes");
@@ -119,7 +119,7 @@
     return digests.size() == 1;
   }
 
-  private UwsgiClient.Reply ask(int at) {
+  private UwsgiClient.Reply sendRead(int at) {
     try {
       return UwsgiClient.exchange(
           site.frontendPort(at), UwsgiClient.packet(UwsgiClient.vars("GET", "/cheap", "till"), ""));
@@ -128,7 +128,7 @@
     }
   }
 
-  private UwsgiClient.Reply load(int at, String key) {
+  private UwsgiClient.Reply sendLoad(int at, String key) {
     try {
       return UwsgiClient.exchange(
           site.frontendPort(at),
@@ -158,9 +158,9 @@
     private void call(int process) {
       while (!stopping.get()) {
         String key = "k" + process + "-" + requests.incrementAndGet();
-        countIfLost(ask(process).status() == 200);
-        UwsgiClient.Reply first = load(process, key);
-        countIfLost(first.status() == 200 && first.body().equals(load(process, key).body()));
+        countIfLost(sendRead(process).status() == 200);
+        UwsgiClient.Reply first = sendLoad(process, key);
+        countIfLost(first.status() == 200 && first.body().equals(sendLoad(process, key).body()));
       }
     }
 
@@ -190,8 +190,8 @@
     assertEquals(0, traffic.lost.get(), "of " + traffic.requests.get());
     assertEachKeyRanOnce();
     publish("gone: {address: \"uwsgi://127.0.0.1:9\", state: off}");
-    inForce(digest(0, "gone"), site.all());
-    UwsgiClient.Reply none = ask(3);
+    awaitInForce(digestWith(0, "gone"), site.all());
+    UwsgiClient.Reply none = sendRead(3);
     assertEquals(503, none.status());
     assertEquals("never-ran", none.header("X-Progress"));
     assertFalse(site.logOf(2).contains("a task failed"), site.logOf(2));
@@ -203,7 +203,7 @@
     String name = (even ? "d" : "c") + round;
     String draining = round % 3 == 0 ? ", " + line("old", even ? one : two, "drain") : "";
     publish(line(name, even ? two : one, "on") + draining);
-    inForce(digest(0, name), site.all());
+    awaitInForce(digestWith(0, name), site.all());
   }
 
   private void publish(String instances) throws Exception {
@@ -232,18 +232,18 @@
   @Test
   void partitionsTornExchangesAndOldFilesEndInOneTable() throws Exception {
     publishOnBothSidesOfAPartition();
-    healWithTornExchanges();
+    healWithInterruptedExchanges();
     String all = tableDigest(1);
     site.signal(0, "KILL"); // back with its file, which others have written since: they stay
     site.start(0);
-    inForce(all, site.all());
+    awaitInForce(all, site.all());
     site.awaitSettled(site.all());
     site.signal(2, "STOP"); // a follower that takes nothing holds nobody up
     publish(line("c1", one, "on"));
     site.await("a removal", 20, () -> !hasInstance(4, "left"));
     site.signal(2, "CONT");
-    inForce(tableDigest(4), site.all());
-    assertEquals(200, ask(2).status());
+    awaitInForce(tableDigest(4), site.all());
+    assertEquals(200, sendRead(2).status());
   }
 
   private void publishOnBothSidesOfAPartition() throws Exception {
@@ -276,11 +276,11 @@
                 : LinkCondition.CUT);
   }
 
-  private void healWithTornExchanges() throws Exception {
-    site.links.tearAfter = 100; // each exchange of routes breaks
+  private void healWithInterruptedExchanges() throws Exception {
+    site.links.bytesBeforeInterruption = 100; // each exchange of routes breaks
     site.links.setConditions((from, to) -> LinkCondition.CLEAR);
-    site.await("torn", 30, () -> site.links.torn.get() > 3);
-    site.links.tearAfter = 0;
+    site.await("torn", 30, () -> site.links.interruptedExchanges.get() > 3);
+    site.links.bytesBeforeInterruption = 0;
     awaitOneTable(Set.of("c1", "left", "right"), site.all());
   }
 }
--- a/src/test/java/rosecleat/harness/Site.java
+++ b/src/test/java/rosecleat/harness/Site.java
@@ -42,14 +42,14 @@
   private final int[] advertisedPorts;
   private final int[] adminPorts;
   private final int[] frontendPorts;
-  private final String more;
+  private final String moreSections;
 
   /** Processes with these further lines in their files; not started yet. */
-  public Site(Path folder, int size, int periodMs, String more) throws IOException {
+  public Site(Path folder, int size, int periodMs, String moreSections) throws IOException {
     this.folder = folder;
     this.size = size;
     this.periodMs = periodMs;
-    this.more = more;
+    this.moreSections = moreSections;
     processes = new Process[size];
     int[] ports = ports(4 * size);
     fleetPorts = java.util.Arrays.copyOfRange(ports, 0, size);
@@ -65,14 +65,14 @@
 
   /** Ports that nothing listens at. */
   static int[] ports(int count) throws IOException {
-    List<ServerSocket> held = new ArrayList<>();
+    List<ServerSocket> reserved = new ArrayList<>();
     try {
       for (int i = 0; i < count; i++) {
-        held.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+        reserved.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
       }
-      return held.stream().mapToInt(ServerSocket::getLocalPort).toArray();
+      return reserved.stream().mapToInt(ServerSocket::getLocalPort).toArray();
     } finally {
-      for (ServerSocket each : held) {
+      for (ServerSocket each : reserved) {
         each.close();
       }
     }
@@ -117,14 +117,14 @@
                 periodMs,
                 frontendPorts[i],
                 sections,
-                more));
+                moreSections));
   }
 
   /** Writes the file of routes that n0 publishes; {@code lines} are instances. */
   public void writeRoutes(String lines) throws IOException {
-    Path fresh = folder.resolve("routes.new");
-    Files.writeString(fresh, "services:\n  cards:\n    instances: {" + lines + "}\n");
-    Files.move(fresh, folder.resolve("routes.yaml"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+    Path replacement = folder.resolve("routes.new");
+    Files.writeString(replacement, "services:\n  cards:\n    instances: {" + lines + "}\n");
+    Files.move(replacement, folder.resolve("routes.yaml"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
   }
 
   /** Starts processes by number. */
@@ -258,16 +258,16 @@
     return IntStream.range(0, size).toArray();
   }
 
-  public int[] allBut(int... without) {
+  public int[] allExcept(int... without) {
     return IntStream.range(0, size)
         .filter(i -> IntStream.of(without).noneMatch(w -> w == i))
         .toArray();
   }
 
   /** Waits for something; fails with what was wanted and what all show. */
-  public void await(String what, int seconds, BooleanSupplier holds) throws InterruptedException {
+  public void await(String what, int seconds, BooleanSupplier condition) throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-    while (!holds.getAsBoolean()) {
+    while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
         StringBuilder seen = new StringBuilder();
         for (int i = 0; i < size; i++) {
--- a/src/test/java/rosecleat/harness/ViewTest.java
+++ b/src/test/java/rosecleat/harness/ViewTest.java
@@ -30,7 +30,7 @@
     site.close();
   }
 
-  private void everywhere(String name, String state, int... where) throws InterruptedException {
+  private void awaitState(String name, String state, int... where) throws InterruptedException {
     site.await(
         name + " " + state,
         30,
@@ -48,15 +48,15 @@
   void aCrashAPauseALeaveAndARestartAreToldApart() throws Exception {
     long before = site.epoch(1, "n6");
     site.signal(6, "KILL");
-    everywhere("n6", "dead", site.allBut(6));
-    site.awaitSettled(site.allBut(6));
+    awaitState("n6", "dead", site.allExcept(6));
+    site.awaitSettled(site.allExcept(6));
     site.signal(5, "TERM");
-    everywhere("n5", "left", site.allBut(5, 6));
+    awaitState("n5", "left", site.allExcept(5, 6));
     site.await("its end", 20, () -> !site.isAlive(5));
     site.signal(4, "STOP"); // longer than detection takes, then it goes on
-    everywhere("n4", "dead", 0, 1, 2, 3);
+    awaitState("n4", "dead", 0, 1, 2, 3);
     site.signal(4, "CONT");
-    everywhere("n4", "alive", 0, 1, 2, 3);
+    awaitState("n4", "alive", 0, 1, 2, 3);
     site.start(5, 6);
     site.awaitSettled(site.all());
     assertTrue(site.epoch(1, "n6") > before);
@@ -75,8 +75,8 @@
     Links.LinkConditions halves =
         (a, b) -> a >= 0 && a % 2 == b % 2 ? LinkCondition.CLEAR : LinkCondition.CUT;
     site.links.setConditions(halves);
-    everywhere("n1", "dead", 0, 2, 4, 6);
-    everywhere("n0", "dead", 1, 3, 5);
+    awaitState("n1", "dead", 0, 2, 4, 6);
+    awaitState("n0", "dead", 1, 3, 5);
     site.await(
         "the smaller side says that it may be cut off",
         10,
@@ -86,13 +86,13 @@
     site.awaitSettled(site.all());
     site.links.setConditions(
         (a, b) -> a >= 0 && a % 3 == b % 3 ? LinkCondition.CLEAR : LinkCondition.CUT);
-    everywhere("n1", "dead", 0, 3, 6);
-    everywhere("n2", "dead", 0, 3, 6);
-    everywhere("n0", "dead", 1, 4, 2, 5);
+    awaitState("n1", "dead", 0, 3, 6);
+    awaitState("n2", "dead", 0, 3, 6);
+    awaitState("n0", "dead", 1, 4, 2, 5);
     site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
     site.links.setConditions((a, b) -> a == 2 || b == 2 ? LinkCondition.CUT : LinkCondition.CLEAR);
-    everywhere("n2", "dead", site.allBut(2));
+    awaitState("n2", "dead", site.allExcept(2));
     assertFalse(
         site.adminJson(2, "/v1/fleet").path("settled").asBoolean(),
         site.adminJson(2, "/v1/fleet") + site.logOf(2));
