--- a/src/test/java/rosecleat/ArchitectureTest.java
+++ b/src/test/java/rosecleat/ArchitectureTest.java
@@ -23,13 +23,13 @@
     return Arrays.stream(names).map(name -> "rosecleat." + name + "..").toArray(String[]::new);
   }
 
-  private static void hold(ArchRule rule) {
+  private static void check(ArchRule rule) {
     rule.check(ALL);
   }
 
   @Test
-  void theCoreKnowsNoFrontAndNoNetwork() {
-    hold(
+  void coreDependsOnNoFrontendOrNetwork() {
+    check(
         noClasses()
             .that()
             .resideInAnyPackage(packages("core", "policy"))
@@ -50,7 +50,7 @@
                     "state",
                     "store",
                     "facts")));
-    hold(
+    check(
         noClasses()
             .that()
             .resideInAnyPackage(packages("core", "policy"))
@@ -60,8 +60,8 @@
   }
 
   @Test
-  void theNetworkKnowsNothingOfTheModule() {
-    hold(
+  void networkDependsOnNoPolicyOrState() {
+    check(
         noClasses()
             .that()
             .resideInAnyPackage(packages("net", "front", "runtime", "index", "registry", "admin"))
@@ -71,8 +71,8 @@
   }
 
   @Test
-  void theStoreKnowsNothingOfWhatItKeeps() {
-    hold(
+  void storeDependsOnNoOtherPackage() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.store..")
@@ -82,8 +82,8 @@
   }
 
   @Test
-  void decisionsOnFactsAreFreeOfInputAndOutput() {
-    hold(
+  void factsDoNoInputOrOutput() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.facts..")
@@ -93,8 +93,8 @@
   }
 
   @Test
-  void theViewOfTheFleetIsFreeOfInputAndOutputAndItsTaskKnowsNoNode() {
-    hold(
+  void membershipDoesNoInputOrOutputAndItsTransportDependsOnNoNode() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.fleet")
@@ -108,7 +108,7 @@
                 "java.nio",
                 "java.nio.charset..",
                 "com.google.protobuf.."));
-    hold(
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.fleet.transport..")
@@ -118,8 +118,8 @@
   }
 
   @Test
-  void routesAndPoolsDecideWithoutInputAndOutput() {
-    hold(
+  void routesAndPoolsDoNoInputOrOutput() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.routes")
@@ -135,7 +135,7 @@
                 "java.nio.charset..",
                 "java.security..",
                 "com.google.protobuf.."));
-    hold(
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.pool..")
@@ -145,15 +145,15 @@
   }
 
   @Test
-  void nothingKnowsTheCommandLineAndOnlyThatKnowsTheProcess() {
-    hold(
+  void nothingDependsOnTheCommandLineWhichAloneDependsOnTheNode() {
+    check(
         noClasses()
             .that()
             .resideOutsideOfPackage("rosecleat.cli..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("rosecleat.cli.."));
-    hold(
+    check(
         noClasses()
             .that()
             .resideOutsideOfPackages("rosecleat.cli..", "rosecleat.node..")
@@ -163,8 +163,8 @@
   }
 
   @Test
-  void whatANodeKeepsKnowsNoWire() {
-    hold(
+  void savedStateDependsOnNoFrontendOrNetwork() {
+    check(
         noClasses()
             .that()
             .resideInAPackage("rosecleat.state..")
--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -60,7 +60,7 @@
 
   /** What `make run` starts and `make ask` asks, at other ports. */
   @Test
-  void aBrokerStartsByItselfAndAnswersWhatIsDescribed() throws Exception {
+  void brokerWithoutFleetStartsAloneAndServesItsDescriptions() throws Exception {
     int[] ports = Site.ports(2);
     Files.createDirectory(folder.resolve("descriptions"));
     for (String file : List.of("cards.yaml", "loads.yaml")) {
@@ -105,7 +105,7 @@
    * those of old.
    */
   @Test
-  void aNodeOfThePlatformSharesNothing() throws Exception {
+  void platformNodeLoadsNoFleetClassAndOpensNoDatagramSocket() throws Exception {
     int[] ports = Site.ports(5);
     Path config = folder.resolve("config.json");
     Files.writeString(
@@ -173,7 +173,7 @@
         "name: n2 | name: a b | name",
         "backend: fleet | backend: flet | backend"
       })
-  void aFileThatCannotBeUsedIsRefusedInOneLine(String good, String bad, String why)
+  void invalidBrokerFileIsRejectedWithOneLine(String good, String bad, String why)
       throws Exception {
     Files.createDirectory(folder.resolve("fleet"));
     Files.createDirectory(folder.resolve("descriptions"));
--- a/src/test/java/rosecleat/harness/ProcessExitTest.java
+++ b/src/test/java/rosecleat/harness/ProcessExitTest.java
@@ -35,12 +35,12 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1_500, 2_000})
-  void processEndsBeforeItIsKilledThoughClientsKeepTheirConnections(int stopMs) throws Exception {
+  void processExitsWithinStopTimeWhileClientsKeepConnectionsOpen(int stopMs) throws Exception {
     try (FakeRuntime runtime = new FakeRuntime(5);
         ServeProcess node = start(runtime, stopMs)) {
       List<Thread> clients = startClients(portOf(node));
       Await.until(() -> runtime.starts.size() > CLIENTS);
-      assertEndsBeforeKill(node, stopMs);
+      assertExitsBeforeKill(node, stopMs);
       for (Thread client : clients) {
         client.join();
       }
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void processEndsBeforeItIsKilledThoughNobodyClosesIdleConnections() throws Exception {
+  void processExitsWithinStopTimeWithIdleConnectionOpen() throws Exception {
     int stopMs = 1_500;
     try (FakeRuntime runtime = new FakeRuntime(5);
         ServeProcess node = start(runtime, stopMs);
         RespClient idle = new RespClient(portOf(node), null)) {
       idle.send(RespClient.array("PING", 1, ""));
       assertEquals("UP", idle.answer().get(1));
-      assertEndsBeforeKill(node, stopMs);
+      assertExitsBeforeKill(node, stopMs);
     }
   }
 
@@ -107,7 +107,7 @@
     }
   }
 
-  private static void assertEndsBeforeKill(ServeProcess node, int stopMs) throws Exception {
+  private static void assertExitsBeforeKill(ServeProcess node, int stopMs) throws Exception {
     long signalledNs = System.nanoTime();
     node.terminate();
     boolean ended = node.awaitExit(TimeUnit.MILLISECONDS.toNanos(stopMs));
--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -177,7 +177,7 @@
   }
 
   @Test
-  void aChangeReachesAllAndLosesNothingUnderTraffic() throws Exception {
+  void changedRoutesReachAllProcessesWithoutLostRequests() throws Exception {
     Traffic traffic = new Traffic().start();
     for (int round = 0; round < 6; round++) {
       publishInstances(round);
@@ -230,7 +230,7 @@
   }
 
   @Test
-  void partitionsTornExchangesAndOldFilesEndInOneTable() throws Exception {
+  void tablesConvergeAfterPartitionsInterruptedExchangesAndRestarts() throws Exception {
     publishOnBothSidesOfAPartition();
     healWithInterruptedExchanges();
     String all = tableDigest(1);
--- a/src/test/java/rosecleat/harness/ViewTest.java
+++ b/src/test/java/rosecleat/harness/ViewTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aCrashAPauseALeaveAndARestartAreToldApart() throws Exception {
+  void crashPauseLeaveAndRestartAreDistinguished() throws Exception {
     long before = site.epoch(1, "n6");
     site.signal(6, "KILL");
     awaitState("n6", "dead", site.allExcept(6));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void sidesOfASplitFindEachOther() throws Exception {
+  void viewsConvergeAfterPartitionsHeal() throws Exception {
     Links.LinkConditions halves =
         (a, b) -> a >= 0 && a % 2 == b % 2 ? LinkCondition.CLEAR : LinkCondition.CUT;
     site.links.setConditions(halves);
@@ -105,7 +105,7 @@
    * hears but is not heard.
    */
   @Test
-  void oneWayAndLossAndGarbageHarmNobody() throws Exception {
+  void viewSettlesDespiteOneWayLinkLossAndMalformedDatagrams() throws Exception {
     site.links.setConditions((a, b) -> a == 3 && b == 4 ? LinkCondition.CUT : LinkCondition.CLEAR);
     Random random = new Random(5);
     for (int round = 0; round < 40; round++) {
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void twoProcessesUnderOneNameAreKeptApartAndANewRingStartsAtOnce() throws Exception {
+  void processesWithTheSameNameStayDistinctAndSimultaneousRestartSettles() throws Exception {
     site.configure(6, "n5", "\"" + site.advertisedAddress(0) + "\"", "");
     site.signal(6, "TERM");
     site.await("its end", 20, () -> !site.isAlive(6));
--- a/src/test/java/rosecleat/soak/SoakTest.java
+++ b/src/test/java/rosecleat/soak/SoakTest.java
@@ -25,7 +25,7 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void nodeKeepsTheRules(long seed) throws Exception {
+  void nodeObeysProtocolRules(long seed) throws Exception {
     SoakRecord record = SoakRun.play(seed, folder);
     List<String> violations = SoakOracle.violations(record);
     assertTrue(
