--- a/src/test/java/rosecleat/soak/SentRequest.java
+++ b/src/test/java/rosecleat/soak/SentRequest.java
@@ -22,7 +22,7 @@
   /** When the request said that it came. */
   volatile long arrivedNs;
 
-  volatile boolean undone;
+  volatile boolean withdrawn;
 
   /** The words of all answers. */
   final List<List<String>> answers = new ArrayList<>();
@@ -46,7 +46,7 @@
     this.connection = connection;
   }
 
-  String word() {
+  String status() {
     return answers.isEmpty() ? "none" : answers.get(0).get(1);
   }
 
@@ -59,7 +59,7 @@
             requestClass.effect(),
             key.isEmpty() ? "" : " key " + key,
             waitMs,
-            word(),
-            undone ? ", undone" : "");
+            status(),
+            withdrawn ? ", withdrawn" : "");
   }
 }
--- a/src/test/java/rosecleat/soak/SoakClient.java
+++ b/src/test/java/rosecleat/soak/SoakClient.java
@@ -136,10 +136,10 @@
   }
 
   private int waitMs(RequestClassPlan requestClass) {
-    int most = requestClass.deadlineMs();
+    int maxMs = requestClass.deadlineMs();
     return random.nextInt(10) == 0
         ? MIN_WAIT_MS + random.nextInt(MIN_WAIT_MS)
-        : most / 2 + random.nextInt(most / 2);
+        : maxMs / 2 + random.nextInt(maxMs / 2);
   }
 
   private String nextId() {
--- a/src/test/java/rosecleat/soak/SoakConnection.java
+++ b/src/test/java/rosecleat/soak/SoakConnection.java
@@ -29,7 +29,7 @@
    * When the node is known to have begun to read; 0 where that is not known. A health check goes
    * before everything else and is answered as soon as it is read.
    */
-  volatile long readSinceNs;
+  volatile long readingSinceNs;
 
   /** Whether this side closed it. */
   volatile boolean closedByClient;
@@ -70,7 +70,7 @@
     client.send(new byte[] {message[message.length - 1]});
     request.writtenNs = beforeLastByteNs;
     if (random.nextInt(20) == 0) {
-      request.undone = true;
+      request.withdrawn = true;
       client.send(RespClient.array("UNDO", tag));
     }
   }
@@ -88,7 +88,7 @@
 
   private void answered(List<String> words) {
     if (words.get(0).equals(HEALTH_CHECK_TAG)) {
-      readSinceNs = System.nanoTime();
+      readingSinceNs = System.nanoTime();
       return;
     }
     SentRequest request = byTag.get(Integer.parseInt(words.get(0)));
--- a/src/test/java/rosecleat/soak/SoakNode.java
+++ b/src/test/java/rosecleat/soak/SoakNode.java
@@ -84,7 +84,7 @@
   }
 
   /** Returns why the way in which the process ended breaks a rule; empty where it does not. */
-  String wrongEnd() {
+  String exitViolation() {
     if (killed) {
       return "had not ended " + killDelayMs() + " ms after SIGTERM";
     }
--- a/src/test/java/rosecleat/soak/SoakOracle.java
+++ b/src/test/java/rosecleat/soak/SoakOracle.java
@@ -19,7 +19,7 @@
   private final List<String> violations = new ArrayList<>();
   private final Map<String, Integer> startsById = new HashMap<>();
   private final Map<String, Integer> startsByBody = new HashMap<>();
-  private final Map<String, SoakNode> runBy = new HashMap<>();
+  private final Map<String, SoakNode> nodeByRequestId = new HashMap<>();
 
   private SoakOracle(SoakRecord record) {
     this.record = record;
@@ -41,7 +41,7 @@
         String[] words = start.split(" ", 3);
         startsById.merge(words[0], 1, Integer::sum);
         startsByBody.merge(words[2], 1, Integer::sum);
-        runBy.put(words[0], node);
+        nodeByRequestId.put(words[0], node);
       }
     }
   }
@@ -57,22 +57,22 @@
 
   /**
    * An answer is due when the caller gives up, but not before the request was read (WIRE, the first
-   * rule): behind a crowd it lies in the backlog until a place is free.
+   * rule): behind a idleClients it lies in the backlog until a place is free.
    */
   private void checkAnswered(SentRequest request) {
     if (request.answers.size() > 1) {
       violations.add("several answers: " + request + " " + request.answers);
     }
-    if (request.undone || request.connection.closedByClient) {
+    if (request.withdrawn || request.connection.closedByClient) {
       return;
     }
     if (request.answers.isEmpty()) {
-      checkCrossedTheEnd(request);
+      checkSentShortlyBeforeClose(request);
       return;
     }
-    long callerGivesUpNs = request.arrivedNs + TimeUnit.MILLISECONDS.toNanos(request.waitMs);
+    long deadlineNs = request.arrivedNs + TimeUnit.MILLISECONDS.toNanos(request.waitMs);
     long dueNs =
-        Math.max(callerGivesUpNs, request.connection.readSinceNs)
+        Math.max(deadlineNs, request.connection.readingSinceNs)
             + TimeUnit.MILLISECONDS.toNanos(SoakConfig.ANSWER_SLACK_MS + SOCKET_SLACK_MS);
     long lateNs =
         request.answeredNs - dueNs - record.pausedNs(request.arrivedNs, request.answeredNs);
@@ -82,15 +82,15 @@
   }
 
   /** A request without an answer was written at most 50 ms before its connection ended. */
-  private void checkCrossedTheEnd(SentRequest request) {
+  private void checkSentShortlyBeforeClose(SentRequest request) {
     long endedNs = request.connection.endedNs;
-    long crossingNs = endedNs - request.writtenNs - record.pausedNs(request.writtenNs, endedNs);
+    long beforeCloseNs = endedNs - request.writtenNs - record.pausedNs(request.writtenNs, endedNs);
     if (endedNs == 0) {
       violations.add("no answer, and the connection is open: " + request);
-    } else if (crossingNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
+    } else if (beforeCloseNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
       violations.add(
           "lost: its connection ended "
-              + TimeUnit.NANOSECONDS.toMillis(crossingNs)
+              + TimeUnit.NANOSECONDS.toMillis(beforeCloseNs)
               + " ms after it was written, "
               + record.sinceTermination(endedNs)
               + ": "
@@ -104,7 +104,7 @@
     }
     List<String> words = request.answers.get(0);
     boolean ran = startsById.containsKey(request.id);
-    if (request.word().equals("OK")) {
+    if (request.status().equals("OK")) {
       String result = words.size() > 3 ? words.get(3) : "";
       if (!result.equals(FakeRuntime.result(request.body))) {
         violations.add("another result: " + request + " " + words);
@@ -112,7 +112,7 @@
       if (!startsByBody.containsKey(request.body)) {
         violations.add("a result of no run: " + request);
       }
-    } else if (request.word().equals("BUSY") && ran) {
+    } else if (request.status().equals("BUSY") && ran) {
       violations.add("rejected though it ran: " + request);
     }
   }
@@ -127,7 +127,7 @@
       violations.add("its key ran " + runsOfKey + " times: " + request);
     }
     if (runs > 0) {
-      long lateNs = request.writtenNs - runBy.get(request.id).graceEndNs();
+      long lateNs = request.writtenNs - nodeByRequestId.get(request.id).graceEndNs();
       if (lateNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
         violations.add(
             "ran though it came " + record.sinceTermination(request.writtenNs) + ": " + request);
@@ -136,12 +136,12 @@
   }
 
   private void checkProcess(SoakNode node) {
-    if (!node.wrongEnd().isEmpty()) {
-      violations.add("the process " + node.wrongEnd());
+    if (!node.exitViolation().isEmpty()) {
+      violations.add("the process " + node.exitViolation());
     }
-    for (String sign : List.of("Too many open files", "a task failed", "OutOfMemoryError")) {
-      if (node.log().contains(sign)) {
-        violations.add("the log says: " + sign);
+    for (String marker : List.of("Too many open files", "a task failed", "OutOfMemoryError")) {
+      if (node.log().contains(marker)) {
+        violations.add("the log says: " + marker);
       }
     }
   }
@@ -173,7 +173,7 @@
   }
 
   private void atLeast(Map<String, Long> counters, String counter, String word) {
-    long read = record.requests().stream().filter(request -> request.word().equals(word)).count();
+    long read = record.requests().stream().filter(request -> request.status().equals(word)).count();
     long counted = counters.getOrDefault(counter, 0L);
     if (counted < read) {
       violations.add(counter + " is " + counted + ", but clients read " + read);
--- a/src/test/java/rosecleat/soak/SoakPlan.java
+++ b/src/test/java/rosecleat/soak/SoakPlan.java
@@ -15,7 +15,7 @@
  * @param descriptors the limit on file descriptors
  * @param clients how many connections send requests at a time
  * @param pauseMs the mean pause of a client between two requests
- * @param crowd how many idle clients connect
+ * @param idleClients how many idle clients connect
  * @param terminatedInStart whether SIGTERM meets a process that is still starting
  * @param registryDownAtStart whether the registry is away when the node starts
  * @param steps what is done, in order; a SIGTERM is always among them
@@ -28,7 +28,7 @@
     int descriptors,
     int clients,
     int pauseMs,
-    int crowd,
+    int idleClients,
     boolean terminatedInStart,
     boolean registryDownAtStart,
     List<Step> steps) {
@@ -38,16 +38,16 @@
   /** The class of which the fake runtime makes calls. */
   private static final int CALLING_CLASS = 1;
 
-  private static final List<Action> TROUBLES =
+  private static final List<Action> FAULTS =
       List.of(
           Action.RELOAD,
           Action.MOVE_RUNTIME,
           Action.MOVE_INDEX_AND_REGISTRY,
-          Action.CUT_RUNTIME,
-          Action.CUT_RUNTIME_LOSING_COMMANDS,
-          Action.CUT_RUNTIME_ENDING_RUNS,
-          Action.SILENCE_GAUGES,
-          Action.SPOIL_CALLS,
+          Action.DISCONNECT_RUNTIME,
+          Action.DISCONNECT_RUNTIME_LOSING_COMMANDS,
+          Action.DISCONNECT_RUNTIME_ENDING_RUNS,
+          Action.IGNORE_GAUGE_REQUESTS,
+          Action.FAIL_CALLS,
           Action.REGISTRY_DOWN,
           Action.REGISTRY_UP,
           Action.BURST);
@@ -55,7 +55,7 @@
   static SoakPlan draw(long seed) {
     Random random = new Random(seed);
     int descriptors = List.of(64, 96, 200, 256).get(random.nextInt(4));
-    boolean crowded = random.nextInt(3) == 0;
+    boolean withIdleClients = random.nextInt(3) == 0;
     int graceMs = between(random, 200, 700);
     boolean terminatedInStart = random.nextInt(8) == 0;
     return new SoakPlan(
@@ -66,14 +66,14 @@
         descriptors,
         between(random, 2, 10),
         between(random, 5, 40),
-        crowded ? between(random, descriptors / 4, 2 * descriptors) : 0,
+        withIdleClients ? between(random, descriptors / 4, 2 * descriptors) : 0,
         terminatedInStart,
         random.nextInt(4) == 0,
         terminatedInStart ? stepsInStart(random) : steps(random));
   }
 
-  private static int between(Random random, int least, int most) {
-    return least + random.nextInt(most - least + 1);
+  private static int between(Random random, int min, int max) {
+    return min + random.nextInt(max - min + 1);
   }
 
   private static List<RequestClassPlan> classes(Random random) {
@@ -124,6 +124,6 @@
   }
 
   private static Action draw(Random random) {
-    return TROUBLES.get(random.nextInt(TROUBLES.size()));
+    return FAULTS.get(random.nextInt(FAULTS.size()));
   }
 }
--- a/src/test/java/rosecleat/soak/SoakRun.java
+++ b/src/test/java/rosecleat/soak/SoakRun.java
@@ -16,9 +16,9 @@
 /** One run: a node, its peers and its clients, from the start of the process to its end. */
 final class SoakRun {
   private static final int BURST_REQUESTS = 60;
-  private static final int SPOILT_CALLS = 4;
+  private static final int FAILED_CALLS = 4;
   private static final int LOST_COMMANDS = 3;
-  private static final int BEFORE_CUT_MS = 20;
+  private static final int DELAY_BEFORE_DISCONNECT_MS = 20;
 
   private final SoakPlan plan;
   private final Path folder;
@@ -28,7 +28,7 @@
   private final PauseMeter pauses = new PauseMeter();
   private final List<SoakClient> clients = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
-  private final List<Socket> crowd = new ArrayList<>();
+  private final List<Socket> idleClients = new ArrayList<>();
   private final List<String> events = new ArrayList<>();
   private final long startedNs = System.nanoTime();
   private final List<SoakNode> nodes = new ArrayList<>();
@@ -60,13 +60,13 @@
     if (!plan.terminatedInStart()) {
       node().awaitServing();
       note("the node serves");
-      connectCrowd();
+      connectIdleClients();
     }
     startClients();
     for (Step step : plan.steps()) {
       TimeUnit.MILLISECONDS.sleep(step.afterMs());
       note(step.action().toString());
-      take(step.action());
+      perform(step.action());
     }
     awaitExit();
     stopClients();
@@ -93,10 +93,10 @@
   }
 
   /** Idle clients; some have asked for health once. A full backlog takes no more of them. */
-  private void connectCrowd() throws IOException {
-    for (int i = 0; i < plan.crowd(); i++) {
+  private void connectIdleClients() throws IOException {
+    for (int i = 0; i < plan.idleClients(); i++) {
       Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-      crowd.add(socket);
+      idleClients.add(socket);
       if (i % 2 == 0) {
         socket.getOutputStream().write(RespClient.array("PING", 1, ""));
       }
@@ -114,7 +114,7 @@
     }
   }
 
-  private void take(Step.Action action) throws Exception {
+  private void perform(Step.Action action) throws Exception {
     FakeRuntime runtime = node().runtime;
     switch (action) {
       case RELOAD -> reload();
@@ -134,11 +134,11 @@
         lastNode().awaitServing();
       }
       case TERMINATE_SUCCESSOR -> terminate(lastNode());
-      case CUT_RUNTIME -> runtime.closeConnections();
-      case CUT_RUNTIME_LOSING_COMMANDS -> cutLosingCommands(runtime);
-      case CUT_RUNTIME_ENDING_RUNS -> cutEndingRuns(runtime);
-      case SILENCE_GAUGES -> runtime.gaugesUnansweredBeforeSync = true;
-      case SPOIL_CALLS -> spoilCalls();
+      case DISCONNECT_RUNTIME -> runtime.closeConnections();
+      case DISCONNECT_RUNTIME_LOSING_COMMANDS -> disconnectLosingCommands(runtime);
+      case DISCONNECT_RUNTIME_ENDING_RUNS -> disconnectEndingRuns(runtime);
+      case IGNORE_GAUGE_REQUESTS -> runtime.gaugesUnansweredBeforeSync = true;
+      case FAIL_CALLS -> failCalls();
       case REGISTRY_DOWN -> setRegistryDown(true);
       case REGISTRY_UP -> setRegistryDown(false);
       case BURST -> clients.forEach(client -> client.burst(BURST_REQUESTS));
@@ -146,22 +146,22 @@
     }
   }
 
-  private static void cutLosingCommands(FakeRuntime runtime) throws InterruptedException {
+  private static void disconnectLosingCommands(FakeRuntime runtime) throws InterruptedException {
     runtime.commandsToLose = LOST_COMMANDS;
-    TimeUnit.MILLISECONDS.sleep(BEFORE_CUT_MS);
+    TimeUnit.MILLISECONDS.sleep(DELAY_BEFORE_DISCONNECT_MS);
     runtime.closeConnections();
     runtime.commandsToLose = 0;
   }
 
-  private static void cutEndingRuns(FakeRuntime runtime) throws InterruptedException {
+  private static void disconnectEndingRuns(FakeRuntime runtime) throws InterruptedException {
     runtime.endRunsBehindGauges = "resumed";
     runtime.gaugesUnansweredBeforeSync = true;
-    TimeUnit.MILLISECONDS.sleep(BEFORE_CUT_MS);
+    TimeUnit.MILLISECONDS.sleep(DELAY_BEFORE_DISCONNECT_MS);
     runtime.closeConnections();
   }
 
-  private void spoilCalls() {
-    for (int i = 0; i < SPOILT_CALLS; i++) {
+  private void failCalls() {
+    for (int i = 0; i < FAILED_CALLS; i++) {
       index.answers.add(List.of("cut", "", "SHED", "BROKEN").get(i % 4));
     }
   }
@@ -229,7 +229,7 @@
     for (SoakNode node : nodes) {
       node.close();
     }
-    for (Socket socket : crowd) {
+    for (Socket socket : idleClients) {
       socket.close();
     }
     pauses.close();
--- a/src/test/java/rosecleat/soak/Step.java
+++ b/src/test/java/rosecleat/soak/Step.java
@@ -24,15 +24,15 @@
     /** SIGTERM to that other process. */
     TERMINATE_SUCCESSOR,
     /** The connection to the runtime breaks. */
-    CUT_RUNTIME,
+    DISCONNECT_RUNTIME,
     /** The connection to the runtime breaks and takes the last commands with it. */
-    CUT_RUNTIME_LOSING_COMMANDS,
+    DISCONNECT_RUNTIME_LOSING_COMMANDS,
     /** The connection to the runtime breaks, and all runs end while it is synchronized. */
-    CUT_RUNTIME_ENDING_RUNS,
+    DISCONNECT_RUNTIME_ENDING_RUNS,
     /** The runtime answers nothing until its connection is made again. */
-    SILENCE_GAUGES,
+    IGNORE_GAUGE_REQUESTS,
     /** The index breaks, ignores or rejects some calls. */
-    SPOIL_CALLS,
+    FAIL_CALLS,
     /** The registry does not listen. */
     REGISTRY_DOWN,
     /** The registry listens again. */
