--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -22,10 +22,10 @@
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
     for (int n : new int[] {30, 120, 1_000}) {
-      row("crash known to all, n=" + n, n == 1_000 ? seeds / 4 : seeds, seed -> crash(n, seed));
+      printRow("crash known to all, n=" + n, n == 1_000 ? seeds / 4 : seeds, seed -> crash(n, seed));
     }
     for (int n : new int[] {30, 120}) {
-      row("settled after a crash, n=" + n, seeds / 2, seed -> settled(n, seed));
+      printRow("settled after a crash, n=" + n, seeds / 2, seed -> settled(n, seed));
     }
     for (int n : new int[] {120, 1_000}) {
       idle(n);
@@ -34,7 +34,7 @@
       pauses(health, 25);
     }
     for (int n : new int[] {120, 1_000}) {
-      row(
+      printRow(
           "views equal after a split of 30, n=" + n,
           n == 1_000 ? seeds / 8 : seeds / 2,
           seed -> heal(n, seed));
@@ -114,11 +114,11 @@
         new SimulatedCluster(PAUSE_MEMBERS, seed, tuning).startedWithFullViews();
     cluster.loss = 0.05;
     FalseDeaths sum = new FalseDeaths(0, 0);
-    boolean[][] heldForDead = new boolean[PAUSE_MEMBERS][PAUSE_MEMBERS];
+    boolean[][] consideredDead = new boolean[PAUSE_MEMBERS][PAUSE_MEMBERS];
     for (int period = 0; period < PAUSE_PERIODS; period++) {
       pauseSome(cluster);
       cluster.run(1);
-      sum = sum.plus(newlyHeldForDead(cluster, heldForDead));
+      sum = sum.plus(newlyConsideredDead(cluster, consideredDead));
     }
     return sum;
   }
@@ -133,21 +133,21 @@
     }
   }
 
-  private static FalseDeaths newlyHeldForDead(SimulatedCluster cluster, boolean[][] heldForDead) {
+  private static FalseDeaths newlyConsideredDead(SimulatedCluster cluster, boolean[][] consideredDead) {
     long healthy = 0;
     long pausing = 0;
     for (SimulatedCluster.Peer observer : cluster.peers) {
       for (SimulatedCluster.Peer target : cluster.peers) {
         MemberId id = target.protocol.localId();
         boolean dead = !observer.protocol.stateOf(id).orElseThrow().isActive();
-        if (dead && !heldForDead[observer.index][target.index]) {
+        if (dead && !consideredDead[observer.index][target.index]) {
           if (target.index >= PAUSING_MEMBERS) {
             healthy++;
           } else {
             pausing++;
           }
         }
-        heldForDead[observer.index][target.index] = dead;
+        consideredDead[observer.index][target.index] = dead;
       }
     }
     return new FalseDeaths(healthy, pausing);
@@ -157,8 +157,8 @@
     double run(long seed);
   }
 
-  private static void row(String what, int seeds, Trial trial) {
-    long begun = System.nanoTime();
+  private static void printRow(String what, int seeds, Trial trial) {
+    long startNs = System.nanoTime();
     double[] all =
         IntStream.range(0, Math.max(3, seeds))
             .parallel()
@@ -177,6 +177,6 @@
         shown.get(1),
         shown.get(2),
         Arrays.stream(all).filter(x -> x < 0).count(),
-        (System.nanoTime() - begun) / 1e9);
+        (System.nanoTime() - startNs) / 1e9);
   }
 }
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -25,12 +25,12 @@
   public static void main(String[] args) {
     for (int size : new int[] {1_000, 10_000, 100_000}) {
       for (int changes : new int[] {1, 10, 100, 1_000}) {
-        row(size, changes);
+        printRow(size, changes);
       }
     }
   }
 
-  private static void row(int size, int changes) {
+  private static void printRow(int size, int changes) {
     RouteStore author = new RouteStore();
     Map<RouteEntry.Key, Instance> file = new HashMap<>();
     putInstances(file, size, 0);
@@ -104,11 +104,11 @@
   }
 
   private static long time(LongSupplier what) {
-    long begun = System.nanoTime();
+    long startNs = System.nanoTime();
     if (what.getAsLong() < 0) {
       throw new IllegalStateException();
     }
-    return System.nanoTime() - begun;
+    return System.nanoTime() - startNs;
   }
 
   /** Makes two stores equal; returns the bytes of the answer. */
@@ -116,8 +116,8 @@
     RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
     RouteSyncSession answers =
         new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
-    byte[] told = answers.nextFrame(opener.nextFrame(null, 0), 0);
-    opener.nextFrame(told, 0);
-    return told.length;
+    byte[] response = answers.nextFrame(opener.nextFrame(null, 0), 0);
+    opener.nextFrame(response, 0);
+    return response.length;
   }
 }
--- a/src/test/java/rosecleat/measure/StartLoad.java
+++ b/src/test/java/rosecleat/measure/StartLoad.java
@@ -72,9 +72,9 @@
    *
    * @param port where the broker listens
    * @param durationMs how long requests are sent (ms)
-   * @param restMs how long responses are awaited after that (ms); 0 leaves the connection open
+   * @param responseWaitMs how long responses are awaited after that (ms); 0 leaves the connection open
    */
-  static Outcome run(int port, int durationMs, int restMs, double ratePerS, long seed)
+  static Outcome run(int port, int durationMs, int responseWaitMs, double ratePerS, long seed)
       throws Exception {
     StartLoad load = new StartLoad(connect(port), durationMs, ratePerS, seed);
     Thread reader = new Thread(load::readResponses, "responses");
@@ -82,8 +82,8 @@
     reader.setDaemon(true);
     reader.start();
     int sent = load.send();
-    Thread.sleep(restMs);
-    if (restMs > 0) {
+    Thread.sleep(responseWaitMs);
+    if (responseWaitMs > 0) {
       load.client.close();
     }
     return load.outcome(sent);
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -27,8 +27,8 @@
  */
 public final class StateStart {
   private static final int LEARN_MS = 12_000;
-  private static final int WATCH_MS = 5_000;
-  private static final int REST_MS = 1_500;
+  private static final int LOAD_MS = 5_000;
+  private static final int RESPONSE_WAIT_MS = 1_500;
   private static final int FIRST_SEED = 101;
   private static final long MINUTE_US = 60_000_000;
   private static final long DAY_US = 24 * 60 * MINUTE_US;
@@ -92,7 +92,7 @@
           long nowUs = System.currentTimeMillis() * 1000;
           StateFiles.rewrite(learned, state, nowUs, variant.getValue());
         }
-        StartLoad.Outcome outcome = loadBroker(state, WATCH_MS, REST_MS, FIRST_SEED - 1 + seed);
+        StartLoad.Outcome outcome = loadBroker(state, LOAD_MS, RESPONSE_WAIT_MS, FIRST_SEED - 1 + seed);
         outcomes.get(variant.getKey()).add(outcome);
         System.err.println(variant.getKey() + " seed " + seed + ": " + outcome);
       }
@@ -157,7 +157,7 @@
         seeds,
         StartLoad.WAITING_REQUESTS,
         ratePerS,
-        WATCH_MS / 1000,
+        LOAD_MS / 1000,
         StartLoad.OBJECTIVE_MS);
     System.out.println(
         "| start | in aim | missed aims to cold's | p99, median of starts (ms) | missed by start"
@@ -181,7 +181,7 @@
   }
 
   /** Starts a broker on a folder and loads it from its first moment on; kills it at the end. */
-  private StartLoad.Outcome loadBroker(Path state, int durationMs, int restMs, long seed)
+  private StartLoad.Outcome loadBroker(Path state, int durationMs, int responseWaitMs, long seed)
       throws Exception {
     try (FakeRuntime runtime = new FakeRuntime(3);
         FakeUwsgiService backend = new FakeUwsgiService()) {
@@ -190,7 +190,7 @@
       int port = freePort();
       Process broker = startBroker(state, port, runtime.port(), backend.port());
       try {
-        return StartLoad.run(port, durationMs, restMs, ratePerS, seed);
+        return StartLoad.run(port, durationMs, responseWaitMs, ratePerS, seed);
       } finally {
         broker.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
       }
