--- a/src/test/java/rosecleat/harness/Site.java
+++ b/src/test/java/rosecleat/harness/Site.java
@@ -124,7 +124,8 @@
   public void writeRoutes(String lines) throws IOException {
     Path replacement = folder.resolve("routes.new");
     Files.writeString(replacement, "services:\n  cards:\n    instances: {" + lines + "}\n");
-    Files.move(replacement, folder.resolve("routes.yaml"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+    Files.move(
+        replacement, folder.resolve("routes.yaml"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
   }
 
   /** Starts processes by number. */
@@ -265,7 +266,8 @@
   }
 
   /** Waits for something; fails with what was wanted and what all show. */
-  public void await(String what, int seconds, BooleanSupplier condition) throws InterruptedException {
+  public void await(String what, int seconds, BooleanSupplier condition)
+      throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -22,7 +22,8 @@
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
     for (int n : new int[] {30, 120, 1_000}) {
-      printRow("crash known to all, n=" + n, n == 1_000 ? seeds / 4 : seeds, seed -> crash(n, seed));
+      printRow(
+          "crash known to all, n=" + n, n == 1_000 ? seeds / 4 : seeds, seed -> crash(n, seed));
     }
     for (int n : new int[] {30, 120}) {
       printRow("settled after a crash, n=" + n, seeds / 2, seed -> settled(n, seed));
@@ -133,7 +134,8 @@
     }
   }
 
-  private static FalseDeaths newlyConsideredDead(SimulatedCluster cluster, boolean[][] consideredDead) {
+  private static FalseDeaths newlyConsideredDead(
+      SimulatedCluster cluster, boolean[][] consideredDead) {
     long healthy = 0;
     long pausing = 0;
     for (SimulatedCluster.Peer observer : cluster.peers) {
--- a/src/test/java/rosecleat/measure/StartLoad.java
+++ b/src/test/java/rosecleat/measure/StartLoad.java
@@ -72,7 +72,8 @@
    *
    * @param port where the broker listens
    * @param durationMs how long requests are sent (ms)
-   * @param responseWaitMs how long responses are awaited after that (ms); 0 leaves the connection open
+   * @param responseWaitMs how long responses are awaited after that (ms); 0 leaves the connection
+   *     open
    */
   static Outcome run(int port, int durationMs, int responseWaitMs, double ratePerS, long seed)
       throws Exception {
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -92,7 +92,8 @@
           long nowUs = System.currentTimeMillis() * 1000;
           StateFiles.rewrite(learned, state, nowUs, variant.getValue());
         }
-        StartLoad.Outcome outcome = loadBroker(state, LOAD_MS, RESPONSE_WAIT_MS, FIRST_SEED - 1 + seed);
+        StartLoad.Outcome outcome =
+            loadBroker(state, LOAD_MS, RESPONSE_WAIT_MS, FIRST_SEED - 1 + seed);
         outcomes.get(variant.getKey()).add(outcome);
         System.err.println(variant.getKey() + " seed " + seed + ": " + outcome);
       }
