--- a/src/test/java/rosecleat/fakes/FakeIndex.java
+++ b/src/test/java/rosecleat/fakes/FakeIndex.java
@@ -8,18 +8,19 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 
-/** The shared index as PROTOCOL describes it; says what the test tells it to. */
+/** A fake of the shared index as the protocol page describes it, with answers given by the test. */
 public final class FakeIndex extends FakeServer {
-  /** The lines that came. */
+  /** The received command lines. */
   public final List<String> lines = new CopyOnWriteArrayList<>();
 
   /**
-   * The next answers, first to last: a word, "cut" to break the connection, "" for silence, "wait",
-   * "raw TEXT" with ID in it; then HIT.
+   * The next answers in order: a status word; "cut", which closes the connection; "" for no answer;
+   * "wait", which answers HIT after {@link #release}; "raw TEXT", which sends TEXT with the
+   * request's id in place of ID. When the list is empty, every answer is HIT.
    */
   public final List<String> answers = new CopyOnWriteArrayList<>();
 
-  /** Lets go the answers that wait. */
+  /** Releases the answers "wait" when it is counted down. */
   public volatile CountDownLatch release = new CountDownLatch(1);
 
   @Override
--- a/src/test/java/rosecleat/fakes/FakeRegistry.java
+++ b/src/test/java/rosecleat/fakes/FakeRegistry.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The roster as PROTOCOL describes it. */
+/** A fake of the registry as the protocol page describes it. */
 public final class FakeRegistry extends FakeServer {
-  /** The reports: first line and body. */
+  /** The received reports: request line and body. */
   public final List<String> reports = new CopyOnWriteArrayList<>();
 
-  /** What it does with a report: "204", another status, or "" to keep silent. */
+  /** The status of the response to each report, such as "204"; "" sends no response. */
   public volatile String responseStatus = "204";
 
   @Override
--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The machine's runtime as PROTOCOL describes it: so many cores, each doing one piece of work at a
- * time.
+ * A fake of the machine's runtime as the protocol page describes it, with {@link TestSite#CORES}
+ * cores. Each core executes one run at a time.
  */
 public final class FakeRuntime extends FakeServer {
   private record Job(String id, String kind, byte[] body) {}
@@ -32,7 +32,7 @@
   private final ScheduledExecutorService work =
       Executors.newSingleThreadScheduledExecutor(
           r -> {
-            Thread thread = new Thread(r, "stand-in runtime");
+            Thread thread = new Thread(r, "fake runtime");
             thread.setDaemon(true);
             return thread;
           });
@@ -44,55 +44,60 @@
   private Socket link;
   public final List<String> commands = new ArrayList<>();
 
-  /** Each start: id and kind and body. */
+  /** The accepted start commands: id, kind and body. */
   public final List<String> starts = new ArrayList<>();
 
-  /** Each give: the call's body and its reply. */
+  /** The replies that runs received by give commands: the call's body and the reply. */
   public final List<String> gives = new ArrayList<>();
 
   /**
-   * So many commands are lost with the link they came by, and with them whatever comes behind the
-   * first of them on that link.
+   * The number of next commands with a job that are lost. The connection that carried such a
+   * command loses all later commands too.
    */
   public volatile int commandsToLose;
 
+  /** The connection on which commands are lost. */
   private Socket losing;
 
+  /** Whether each start command is answered with a nack. */
   public volatile boolean nackStarts;
 
-  /** Sent once, behind the next start. */
+  /** Text that is sent once, right after the next start command; empty for none. */
   public volatile String outputAfterNextStart = "";
 
+  /** The delay between a sync command and the message that the runtime is ready. */
   public volatile long readyAfterMs;
 
-  /** No request for gauges is answered before the next connection is synchronized. */
+  /** Whether gauge requests stay unanswered until the next sync command. */
   public volatile boolean gaugesUnansweredBeforeSync;
 
   /**
-   * Every run ends, or reaches its next call, between the answer to the first request for gauges
-   * with this reference and the next line that is read; empty for never.
+   * The reference of a gauge request. Immediately after the answer to the first such request, every
+   * run ends or makes its next call, before the next command is read; empty for never.
    */
   public volatile String endRunsBehindGauges = "";
 
   /**
-   * What runs of a kind take: on a core, and then waiting off it (ms). Others take the time given
-   * at the start.
+   * Run times by kind (ms): first on a core, then off it. Other kinds use the time on a core that
+   * the constructor received, and no time off it.
    */
   public final Map<String, int[]> runTimesMs = new ConcurrentHashMap<>();
 
-  /** How many calls a run makes that makes any. */
+  /** The number of downstream calls of each run that makes any. */
   public volatile int callsPerRun = 1;
 
   private final Map<String, Integer> callsMade = new HashMap<>();
   private final Set<String> waiting = new HashSet<>();
 
+  /** The connection on which no more messages are sent. */
   private Socket muted;
 
+  /** Creates a runtime whose runs occupy a core for this time (ms). */
   public FakeRuntime(int workMs) {
     this.workMs = workMs;
   }
 
-  /** What a run of this body brings. */
+  /** Returns the result of a run with this body. */
   public static String result(String body) {
     return "did " + body;
   }
@@ -124,7 +129,7 @@
       case "give" -> give(id, decode(command));
       case "omit" -> finish(id, 1);
       case "gauges" -> sendGauges(command.path("ref").asText());
-      default -> throw new IOException("no such command: " + command);
+      default -> throw new IOException("unknown command: " + command);
     }
   }
 
@@ -290,7 +295,7 @@
     send(notice);
   }
 
-  /** Says nothing more on the link there is, and keeps it open. */
+  /** Sends nothing more on the current connection, which stays open. */
   public synchronized void mute() {
     muted = link;
   }
@@ -302,16 +307,16 @@
     try {
       link.getOutputStream().write((message + "\n").getBytes(StandardCharsets.UTF_8));
     } catch (IOException e) {
-      // no link just now: it follows after the next sync
+      // There is no connection: numbered messages are sent again after the next sync.
     }
   }
 
-  /** How often a body was started. */
+  /** Returns the number of accepted starts with this body. */
   public synchronized long startsOf(String body) {
     return starts.stream().filter(s -> s.endsWith(" " + body)).count();
   }
 
-  /** Whether a request of this id was started. */
+  /** Returns whether a request with this id was started. */
   public synchronized boolean started(String id) {
     return starts.stream().anyMatch(s -> s.startsWith(id + " "));
   }
--- a/src/test/java/rosecleat/fakes/FakeServer.java
+++ b/src/test/java/rosecleat/fakes/FakeServer.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A blocking server for fakes of outside systems: a thread for each connection. */
+/** A blocking server for fakes of external systems, with one thread per connection. */
 public abstract class FakeServer implements AutoCloseable {
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private volatile ServerSocket server;
@@ -45,39 +45,41 @@
     try (socket) {
       serve(socket);
     } catch (IOException e) {
-      // the node closed, or the test did
+      // The peer or the test closed the connection.
     } finally {
       open.remove(socket);
     }
   }
 
+  /** Serves one connection until it ends. */
   protected abstract void serve(Socket socket) throws IOException;
 
+  /** Returns the port of the server socket. */
   public int port() {
     return server.getLocalPort();
   }
 
-  /** Listens at another port from now on; connections made at the old one stay. */
+  /** Listens on another port from now on; established connections stay open. */
   public void moveToAnotherPort() {
     stopListening();
     listen(0);
   }
 
-  /** Is down: nobody listens, and no connection is left. */
+  /** Stops listening and closes all connections. */
   public void down() {
     stopListening();
     closeConnections();
   }
 
-  /** Is back where it was. */
+  /** Listens again on the previous port. */
   public void up() {
     listen(server.getLocalPort());
   }
 
   /**
-   * Waits for the thread that accepts: until its call returns, the system still accepts connections
-   * for a socket that was closed, and a test that wants nobody there would meet a server that
-   * answers.
+   * Closes the server socket and waits for the accepting thread. Until its accept call returns, the
+   * operating system still accepts connections to the closed socket, so a test that expects refused
+   * connections would reach a server that answers.
    */
   private void stopListening() {
     try {
@@ -90,7 +92,7 @@
     }
   }
 
-  /** Cuts every connection, and goes on listening. */
+  /** Closes all connections; the server still listens. */
   public void closeConnections() {
     for (Socket socket : open) {
       try {
@@ -108,7 +110,7 @@
   }
 
   private static Thread thread(Runnable task) {
-    Thread thread = new Thread(task, "stand-in");
+    Thread thread = new Thread(task, "fake server");
     thread.setDaemon(true);
     thread.start();
     return thread;
--- a/src/test/java/rosecleat/fakes/FakeUwsgiService.java
+++ b/src/test/java/rosecleat/fakes/FakeUwsgiService.java
@@ -8,28 +8,40 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A team's uwsgi service: reads a request, then does what the test says. */
+/** A fake uwsgi service that reads one request per connection and responds as the test demands. */
 public final class FakeUwsgiService extends FakeServer {
   private static final String IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY";
 
-  /** What it does with a request. */
+  /** The reaction to a request. */
   public enum Behavior {
+    /** Responds with status 200. */
     SUCCEED,
+    /** Responds with status 500. */
     ERROR,
+    /** Closes the connection without a response. */
     CLOSE,
+    /** Sends no response and waits until the peer closes the connection. */
     HANG
   }
 
+  /** The number of requests read. */
   public final AtomicInteger requests = new AtomicInteger();
+
+  /** The number of connections that the peer closed while a request was held unanswered. */
   public final AtomicInteger closedByPeer = new AtomicInteger();
+
   public volatile Behavior behavior = Behavior.SUCCEED;
+
+  /** The body length of responses with status 200. */
   public volatile int bytes = 10;
+
+  /** The var block of the last request. */
   public volatile String lastPacket = "";
 
-  /** How often each key was run. */
+  /** The number of requests by idempotency key. */
   public final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
-  /** Sent as it stands, where it is not empty. */
+  /** A response that is sent unchanged in place of any other; empty for none. */
   public volatile String rawResponse = "";
 
   @Override
@@ -58,7 +70,7 @@
     return new String(vars, StandardCharsets.ISO_8859_1);
   }
 
-  /** The value of a var of under 256 bytes: behind the name stand two bytes of its length. */
+  /** Returns a var's value of less than 256 bytes; a length of two bytes precedes the value. */
   private static String valueOf(String name, String vars) {
     int start = vars.indexOf(name) + name.length() + 2;
     return vars.substring(start, start + vars.charAt(start - 2));
@@ -71,7 +83,7 @@
               socket,
               "HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
       case ERROR -> write(socket, "HTTP/1.1 500 Oops\r\n\r\n");
-      case CLOSE -> {} // closes without a response
+      case CLOSE -> {} // The server closes the connection when this method returns.
       case HANG -> {
         while (input.read() >= 0) {
           Thread.onSpinWait();
--- a/src/test/java/rosecleat/fakes/RespClient.java
+++ b/src/test/java/rosecleat/fakes/RespClient.java
@@ -12,14 +12,16 @@
 import java.util.List;
 import java.util.Random;
 
-/** A balancer's connection: RESP arrays out, whole answers in. */
+/** A balancer's connection, which sends RESP arrays and reads complete answers. */
 public final class RespClient implements AutoCloseable {
   private final Socket socket;
   private final DataInputStream input;
   private final Random pieces;
+
+  /** The number of BYE messages that {@link #answer} skipped. */
   public int byes;
 
-  /** Connects; with a source of random numbers, writes go out in pieces of random length. */
+  /** Connects; if {@code pieces} is not null, writes are split into pieces of random length. */
   public RespClient(int port, Random pieces) throws IOException {
     socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setTcpNoDelay(true);
@@ -28,6 +30,7 @@
     this.pieces = pieces;
   }
 
+  /** Encodes words as a RESP array. */
   public static byte[] array(Object... words) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes(("*" + words.length + "\r\n").getBytes(StandardCharsets.UTF_8));
@@ -41,7 +44,7 @@
     return out.toByteArray();
   }
 
-  /** The fields of a request that comes now. */
+  /** Returns the fields of a request that arrives now; {@code once} is its key or null. */
   public static String fields(String id, String tenant, int waitMs, String once) {
     return "id="
         + id
@@ -55,6 +58,7 @@
         + (once == null ? "" : ",once=" + once);
   }
 
+  /** Writes bytes, in pieces if the constructor received a random source. */
   public void send(byte[] bytes) throws IOException {
     int at = 0;
     while (at < bytes.length) {
@@ -66,7 +70,8 @@
   }
 
   /**
-   * The next answer as words, null at the end of the connection; wishes to close are only counted.
+   * Returns the words of the next answer, or null at the end of the connection. BYE messages are
+   * counted and skipped.
    */
   public List<String> answer() throws IOException {
     List<String> words = read();
@@ -77,7 +82,7 @@
     return words;
   }
 
-  /** The next array as words, null at the end of the connection. */
+  /** Returns the words of the next array, or null at the end of the connection. */
   public List<String> read() throws IOException {
     String head = line(input);
     if (head == null) {
@@ -104,7 +109,7 @@
     return line.toString().trim();
   }
 
-  /** Whether this side has closed. */
+  /** Returns whether this client closed the connection. */
   public boolean isClosed() {
     return socket.isClosed();
   }
--- a/src/test/java/rosecleat/fakes/TestCore.java
+++ b/src/test/java/rosecleat/fakes/TestCore.java
@@ -10,7 +10,7 @@
 import rosecleat.log.Log;
 import rosecleat.policy.PolicyEngine;
 
-/** Cores for tests of what surrounds them, with the policy of {@link TestSite}. */
+/** Creates cores with the policy of {@link TestSite}, for tests of the code that surrounds them. */
 public final class TestCore {
   private static final long RESPONSE_SLACK_US = 80_000;
   private static final long GRACE_US = 1_500_000;
--- a/src/test/java/rosecleat/fakes/TestSite.java
+++ b/src/test/java/rosecleat/fakes/TestSite.java
@@ -4,11 +4,14 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.config.NodeConfigReader;
 
-/** A small site for tests: two tenants, a read, a read with a call below, and a keyed write. */
+/**
+ * The configuration of a small site: two tenants, a read, a read that makes downstream calls, and a
+ * keyed write.
+ */
 public final class TestSite {
   public static final int CORES = 2;
 
-  /** How many calls may be outstanding in the mean. */
+  /** The mean number of outstanding downstream calls that is allowed. */
   public static final int CALLS_OUT = 50;
 
   /** The latency objective of each class (ms). */
@@ -16,12 +19,14 @@
 
   private TestSite() {}
 
-  /** A node's configuration; ports of 0 leave a part out. */
+  /** Returns a node's configuration; a port of 0 omits that system. */
   public static NodeConfig config(int runtime, int index, int roster, int stopMs, int graceMs) {
     return config(runtime, index, roster, stopMs, graceMs, false);
   }
 
-  /** The same, where runs of the keyed write call below too, or do not. */
+  /**
+   * Like the other method; {@code keyedCalls} states whether keyed writes make downstream calls.
+   */
   public static NodeConfig config(
       int runtime, int index, int roster, int stopMs, int graceMs, boolean keyedCalls) {
     String text =
@@ -56,12 +61,13 @@
     return NodeConfigReader.parse(text, Map.of());
   }
 
-  /** The same configuration, where the class {@code balance-check} has another effect. */
+  /** Returns the configuration with another effect of the class {@code balance-check}. */
   public static NodeConfig withEffect(NodeConfig config, String effect) {
     String pure = "\"effect\":\"pure\",\"name\":\"balance-check\"";
     String text = config.source().toString();
     if (!text.contains(pure)) {
-      throw new IllegalArgumentException("balance-check is no read here: " + text);
+      throw new IllegalArgumentException(
+          "balance-check is not a pure class in this configuration: " + text);
     }
     return NodeConfigReader.parse(text.replace(pure, pure.replace("pure", effect)), Map.of());
   }
--- a/src/test/java/rosecleat/fakes/UnusedDownstreamClient.java
+++ b/src/test/java/rosecleat/fakes/UnusedDownstreamClient.java
@@ -2,7 +2,7 @@
 
 import rosecleat.core.DownstreamClient;
 
-/** A client for tests whose runs make no downstream calls. */
+/** A downstream client that ignores all calls, for tests whose runs make none. */
 public final class UnusedDownstreamClient implements DownstreamClient {
   @Override
   public void call(String id, long untilUs, byte[] body) {}
--- a/src/test/java/rosecleat/fakes/UwsgiClient.java
+++ b/src/test/java/rosecleat/fakes/UwsgiClient.java
@@ -10,10 +10,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A web server's side of the uwsgi protocol, written from its public description. */
+/** The web server's side of the uwsgi protocol, implemented from its public specification. */
 public final class UwsgiClient {
-  /** What came back. */
+  /** A response; the status is 0 if the response has no complete head. */
   public record Reply(int status, String head, String body) {
+    /** Returns the value of a header, or an empty string. */
     public String header(String name) {
       for (String line : head.split("\r\n")) {
         if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
@@ -26,7 +27,7 @@
 
   private UwsgiClient() {}
 
-  /** A request's vars. */
+  /** Returns a request's vars; {@code more} alternates names and values. */
   public static Map<String, String> vars(String method, String path, String team, String... more) {
     Map<String, String> vars = new LinkedHashMap<>();
     vars.put("REQUEST_METHOD", method);
@@ -38,6 +39,7 @@
     return vars;
   }
 
+  /** Encodes vars and body, and adds the var CONTENT_LENGTH if it is missing. */
   public static byte[] packet(Map<String, String> vars, String body) {
     Map<String, String> all = new LinkedHashMap<>(vars);
     all.putIfAbsent("CONTENT_LENGTH", Integer.toString(body.length()));
@@ -63,7 +65,10 @@
     out.writeBytes(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Connects with a small buffer, so that a large reply is not all taken by the system. */
+  /**
+   * Connects with a small receive buffer, so that the operating system cannot buffer a large
+   * response completely.
+   */
   public static Socket open(int port) throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(64 << 10);
@@ -72,7 +77,7 @@
     return socket;
   }
 
-  /** Sends bytes on a connection of their own and reads the whole reply. */
+  /** Sends bytes on a new connection and reads the complete response. */
   public static Reply exchange(int port, byte[] packet) throws IOException {
     try (Socket socket = open(port)) {
       socket.getOutputStream().write(packet);
@@ -80,6 +85,7 @@
     }
   }
 
+  /** Reads a response up to the end of the connection. */
   public static Reply read(Socket socket) throws IOException {
     String text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     int end = text.indexOf("\r\n\r\n");
