--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -25,8 +25,8 @@
 import rosecleat.fakes.UwsgiClient;
 
 /**
- * One process by itself: a broker on a fresh machine, and a node of the platform, which shares
- * nothing.
+ * Tests processes outside a fleet: a broker that starts without one, a node of the platform, and
+ * the check of broker files.
  */
 class AloneTest {
   @TempDir Path folder;
@@ -58,7 +58,10 @@
     }
   }
 
-  /** What `make run` starts and `make ask` asks, at other ports. */
+  /**
+   * Starts the broker of {@code make run} and sends the requests of {@code make ask}, on other
+   * ports.
+   */
   @Test
   void brokerWithoutFleetStartsAloneAndServesItsDescriptions() throws Exception {
     int[] ports = Site.ports(2);
@@ -92,7 +95,7 @@
               .body());
       assertFalse(
           Files.readString(folder.resolve("classes")).contains("rosecleat.fleet"),
-          "nothing is shared here");
+          "a broker outside a fleet loads no fleet class");
       process.destroy();
       assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     } finally {
@@ -101,8 +104,8 @@
   }
 
   /**
-   * Guards the platform, which forbids talk among nodes: no class of it is loaded, no socket but
-   * those of old.
+   * The platform forbids communication between nodes. A node that it starts must load no class that
+   * exchanges membership or routes, and must open no datagram socket.
    */
   @Test
   void platformNodeLoadsNoFleetClassAndOpensNoDatagramSocket() throws Exception {
@@ -117,7 +120,8 @@
             .replace("5432", "" + ports[3]));
     String run = Files.readString(Path.of("deploy/run"));
     assertTrue(
-        run.endsWith("rosecleat.jar serve \"$@\"\n"), "what the platform starts is this command");
+        run.endsWith("rosecleat.jar serve \"$@\"\n"),
+        "the platform starts the command of deploy/run");
     Process process = process(Map.of("PROXY_CONFIG", config.toString()), "serve");
     try {
       await("listens on");
@@ -131,7 +135,7 @@
                           ".* rosecleat\\.((fleet|routes|pool|cost)\\.|node\\.(FleetMembership|FileRoutes|RouteReplication|ActiveRoutes|InstancePools|FleetDocuments|RouteEntries)"
                               + " |front\\.uwsgi\\.(InstanceBalancer|Sample)).*"))
               .toList());
-      assertFalse(hasDatagramSocket(process.pid()), "no datagrams");
+      assertFalse(hasDatagramSocket(process.pid()), "the node has a datagram socket");
     } finally {
       process.destroyForcibly();
     }
@@ -146,7 +150,7 @@
                 line.split("\\s+").length > 10 && sockets.contains(line.trim().split("\\s+")[9]));
   }
 
-  /** The open files of a process; sockets by their inodes. */
+  /** Returns the open files of a process, with sockets as inode numbers. */
   private static List<String> openFiles(long pid) throws IOException {
     List<String> files = new ArrayList<>();
     try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + pid + "/fd"))) {
@@ -155,7 +159,7 @@
           String file = Files.readSymbolicLink(descriptor).toString();
           files.add(file.replaceAll("socket:\\[(.*)]", "$1"));
         } catch (NoSuchFileException e) {
-          // closed meanwhile
+          // The descriptor was closed after it was listed.
         }
       }
     }
--- a/src/test/java/rosecleat/harness/FleetProcesses.java
+++ b/src/test/java/rosecleat/harness/FleetProcesses.java
@@ -7,13 +7,13 @@
 import rosecleat.harness.Links.LinkCondition;
 
 /**
- * What docs/measurements/fleet-view.md keeps of real processes: {@code FleetProcesses COUNT
- * PERIOD_MS}; long.
+ * Measures a fleet of real processes for docs/measurements/fleet-view.md; runs long. Usage: {@code
+ * FleetProcesses COUNT PERIOD_MS}.
  */
 public final class FleetProcesses {
   private static final int CHANGES = 10;
 
-  /** From this change on one process is stopped. */
+  /** The first route change while one process is stopped. */
   private static final int FIRST_CHANGE_WITH_ONE_STOPPED = 5;
 
   private FleetProcesses() {}
@@ -59,7 +59,7 @@
     for (int i = 0; i < CHANGES; i++) {
       site.writeRoutes(route(i + 1));
       if (i == FIRST_CHANGE_WITH_ONE_STOPPED) {
-        site.signal(stopped, "STOP"); // holds none of the others back
+        site.signal(stopped, "STOP"); // A stopped process must not delay the others.
       }
       int[] observers = i < FIRST_CHANGE_WITH_ONE_STOPPED ? site.all() : site.allExcept(stopped);
       changes[i] = applyChange(site, "c" + (i + 1), observers);
@@ -72,7 +72,7 @@
     site.await("settled", 120, () -> site.settled(site.all()));
   }
 
-  /** Lets n0 read its routes; returns the periods until all observers have an instance. */
+  /** Has n0 reload its routes; returns the periods until all observers have the instance. */
   private static double applyChange(Site site, String instance, int[] observers) throws Exception {
     long begunNs = System.nanoTime();
     site.signal(0, "HUP");
@@ -123,7 +123,7 @@
         periodsSince(begunNs, site));
   }
 
-  /** Milliseconds of processor time that all have used. */
+  /** Returns the processor time that all processes have used (ms). */
   private static long cpu(Site site) throws Exception {
     long ticks = 0;
     for (int i : site.all()) {
--- a/src/test/java/rosecleat/harness/Links.java
+++ b/src/test/java/rosecleat/harness/Links.java
@@ -23,11 +23,12 @@
 import rosecleat.fleet.wire.SyncFrame;
 
 /**
- * The links between the processes of a site: each is reached by the others only through a relay
- * here, which knows who sends, and loses, doubles, delays, cuts one way or both, throttles.
+ * The links between the processes of a site. The processes reach one another only through relays,
+ * which identify the sender and can drop, duplicate, delay and throttle its traffic, or disconnect
+ * one or both directions.
  */
 final class Links implements AutoCloseable {
-  /** What may happen between a sender and a receiver; probabilities, and milliseconds. */
+  /** The condition of one direction; loss and duplication are probabilities. */
   record LinkCondition(
       double loss, double duplication, int delayMs, boolean cut, int bytesPerSecond) {
     static final LinkCondition CLEAR = new LinkCondition(0, 0, 0, false, 0);
@@ -35,7 +36,7 @@
   }
 
   /**
-   * Chooses the conditions from one process to another, by their numbers; an unknown sender has -1.
+   * Returns the condition from one process to another by their numbers; an unknown sender has -1.
    */
   interface LinkConditions {
     LinkCondition of(int from, int to);
@@ -52,13 +53,16 @@
   private final Random random = new Random(7);
   final AtomicInteger interruptedExchanges = new AtomicInteger();
 
-  /** Breaks each exchange that is not of members alone after so many bytes; 0 for none. */
+  /**
+   * Interrupts each exchange of another kind than membership after this number of bytes; 0 for
+   * never.
+   */
   volatile int bytesBeforeInterruption;
 
   private volatile LinkConditions conditions = (from, to) -> LinkCondition.CLEAR;
   private volatile boolean closed;
 
-  /** Links to processes that listen at these ports, by relays at those. */
+  /** Starts relays on the advertised ports, which forward to processes on their listen ports. */
   Links(int[] listenPorts, int[] advertisedPorts) throws IOException {
     this.listenPorts = listenPorts;
     this.advertisedPorts = advertisedPorts;
@@ -79,7 +83,7 @@
     return thread;
   }
 
-  /** The conditions from now on; connections that are cut now end. */
+  /** Sets the conditions; open connections on disconnected links are closed. */
   void setConditions(LinkConditions updated) {
     conditions = updated;
     for (Pipe pipe : pipes) {
@@ -119,7 +123,7 @@
     }
   }
 
-  /** Sends bytes to a process as a stranger does. */
+  /** Sends a datagram to a process from a port that belongs to no process. */
   void sendGarbage(int to, byte[] bytes) throws IOException {
     try (DatagramSocket socket = new DatagramSocket()) {
       send(socket, bytes, listenPorts[to]);
@@ -130,7 +134,7 @@
     try {
       from.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, port));
     } catch (IOException e) {
-      return; // nobody is there
+      return; // The process does not listen.
     }
   }
 
@@ -145,7 +149,7 @@
     }
   }
 
-  /** Who opens a connection is known from its first frame. */
+  /** Relays a connection; its first frame identifies the sender. */
   private void relayConnection(Socket socket, int to) {
     try (socket;
         Socket target = new Socket()) {
@@ -157,7 +161,7 @@
       int port =
           SyncFrame.parseFrom(java.util.Arrays.copyOfRange(frame, 8, frame.length))
               .getFrom()
-              .getPort(); // behind its hash
+              .getPort(); // The frame starts with a hash of 8 bytes.
       int from = -1;
       for (int i = 0; i < advertisedPorts.length; i++) {
         from = advertisedPorts[i] == port || listenPorts[i] == port ? i : from;
@@ -175,7 +179,7 @@
       back.join(10_000);
       pipes.remove(pipe);
     } catch (IOException | InterruptedException e) {
-      return; // the other side sees its connection end
+      return; // Closing both sockets ends the connection for both processes.
     }
   }
 
@@ -187,6 +191,7 @@
         .array();
   }
 
+  /** One relayed connection: the sender's socket and the one forwarded to the receiver. */
   private final class Pipe {
     final int sender;
     final int receiver;
--- a/src/test/java/rosecleat/harness/ProcessExitTest.java
+++ b/src/test/java/rosecleat/harness/ProcessExitTest.java
@@ -18,14 +18,14 @@
 import rosecleat.fakes.TestSite;
 
 /**
- * The process ended a fifth of a second after {@code stop_ms} where clients kept their connections,
- * so that the platform's SIGKILL came first and what is stored and logged at the end was lost. The
- * node itself had finished 0.15 s before that time: the rest went into the end of the virtual
- * machine, which waits up to 0.3 s for threads in system calls, as the one that waits for sockets
- * is.
+ * Guards against an exit after {@code stop_ms}: the platform then sends SIGKILL first, and the
+ * state and log lines written at the end are lost. While clients kept their connections open, the
+ * process exited 0.2 s late, although the node had finished 0.15 s before {@code stop_ms}: at its
+ * exit the virtual machine waits up to 0.3 s for threads in system calls, such as the selector
+ * thread.
  *
- * <p>The bound is the operators': the process ends by itself before SIGKILL comes, {@code stop_ms}
- * after SIGTERM.
+ * <p>The bound is the operators': the process exits by itself before SIGKILL, which follows SIGTERM
+ * after {@code stop_ms}.
  */
 class ProcessExitTest {
   private static final int CLIENTS = 6;
@@ -77,9 +77,7 @@
     return Integer.parseInt(line.strip().replaceAll(".*:", ""));
   }
 
-  /**
-   * Clients that send request after request until their connection ends, whatever they are told.
-   */
+  /** Starts clients that send requests until their connection ends, whatever the answers are. */
   private static List<Thread> startClients(int port) {
     List<Thread> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
@@ -103,7 +101,7 @@
         answer = client.answer();
       }
     } catch (IOException e) {
-      // the connection ended: this client is done
+      // The connection ended, so this client is finished.
     }
   }
 
@@ -116,7 +114,14 @@
       node.awaitExit(TimeUnit.SECONDS.toNanos(10));
       tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalledNs);
     }
-    assertTrue(ended, "it ended after " + tookMs + " ms\n" + node.log());
+    assertTrue(
+        ended,
+        "process exited "
+            + tookMs
+            + " ms after SIGTERM, expected at most "
+            + stopMs
+            + " ms\n"
+            + node.log());
     assertEquals(0, node.exitCode());
   }
 }
--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -26,11 +26,11 @@
 import rosecleat.harness.Links.LinkCondition;
 
 /**
- * One table of routes in five processes, and uwsgi traffic through each, while it changes and
- * pieces break.
+ * Tests that five processes converge to the same table of routes and serve uwsgi traffic while the
+ * table changes and processes and links fail.
  */
 class RoutesTest {
-  /** A table that all agree on is kept for so long: five periods of the membership protocol. */
+  /** A common table must stay unchanged for five periods of the membership protocol. */
   private static final long STABLE_NS = 1_000_000_000;
 
   @TempDir Path folder;
@@ -57,7 +57,7 @@
     return name + ": {address: \"uwsgi://127.0.0.1:" + at.port() + "\", state: " + state + "}";
   }
 
-  /** The digest in force at a process once its table names an instance. */
+  /** Waits until the table of a process contains an instance; returns the table's digest. */
   private String digestWith(int process, String instance) throws InterruptedException {
     site.await("instance " + instance, 20, () -> hasInstance(process, instance));
     return tableDigest(process);
@@ -86,16 +86,17 @@
   }
 
   /**
-   * Waits until processes hold one table with exactly these instances, and sees that they keep it.
-   * The digest that one of them shows as soon as it knows an instance will not do: a process that
-   * has just started shows a table of its own file alone, until it has met the others.
+   * Waits until the processes share one table with exactly these instances, and checks that it
+   * stays unchanged. The digest of the first table that contains an instance is not enough: until a
+   * started process synchronizes with the others, its table contains the instances of its own file
+   * alone.
    */
   private void awaitOneTable(Set<String> instances, int... where) throws InterruptedException {
     site.await("one table of " + instances, 20, () -> shareOneTable(instances, where));
     String digest = tableDigest(where[0]);
     long stableUntilNs = System.nanoTime() + STABLE_NS;
     while (System.nanoTime() < stableUntilNs) {
-      assertTrue(shareOneTable(instances, where), "not kept: " + instances);
+      assertTrue(shareOneTable(instances, where), "table not stable: " + instances);
       assertEquals(digest, tableDigest(where[0]));
     }
   }
@@ -139,7 +140,7 @@
     }
   }
 
-  /** Callers at all processes, each with one read and one load in two attempts at a time. */
+  /** One client per process, which repeatedly sends a read, a load, and a retry of the load. */
   private final class Traffic {
     private final AtomicBoolean stopping = new AtomicBoolean();
     private final AtomicInteger requests = new AtomicInteger();
@@ -197,7 +198,7 @@
     assertFalse(site.logOf(2).contains("a task failed"), site.logOf(2));
   }
 
-  /** Moves the traffic to the other backend; in some rounds the former one drains. */
+  /** Moves the traffic to the other backend; in some rounds the previous backend drains. */
   private void publishInstances(int round) throws Exception {
     boolean even = round % 2 == 0;
     String name = (even ? "d" : "c") + round;
@@ -215,7 +216,7 @@
     Files.writeString(
         folder.resolve("routes.yaml"), "services: {cards: {instances: {x: {adress: 5}}}}");
     site.signal(0, "HUP");
-    site.await("the finding", 10, () -> site.logOf(0).contains("adress"));
+    site.await("rejected routes file in the log", 10, () -> site.logOf(0).contains("adress"));
   }
 
   private String tableDigest(int process) {
@@ -234,11 +235,12 @@
     publishOnBothSidesOfAPartition();
     healWithInterruptedExchanges();
     String all = tableDigest(1);
-    site.signal(0, "KILL"); // back with its file, which others have written since: they stay
+    // After a restart of n0 with its own file, the entries of other publishers stay.
+    site.signal(0, "KILL");
     site.start(0);
     awaitInForce(all, site.all());
     site.awaitSettled(site.all());
-    site.signal(2, "STOP"); // a follower that takes nothing holds nobody up
+    site.signal(2, "STOP"); // A stopped follower must not delay the others.
     publish(line("c1", one, "on"));
     site.await("a removal", 20, () -> !hasInstance(4, "left"));
     site.signal(2, "CONT");
@@ -260,14 +262,15 @@
         folder.resolve("other.yaml"),
         "services: {cards: {instances: {" + line("right", two, "on") + "}}}");
     site.signal(4, "KILL");
-    partition(from -> from < 2 ? 0 : from == 4 ? 2 : 1); // it shows its own file alone at first
+    // n4 is isolated first, so that it has only the routes of its own file.
+    partition(from -> from < 2 ? 0 : from == 4 ? 2 : 1);
     site.start(4);
     awaitOneTable(Set.of("right"), 4);
     partition(from -> from < 2 ? 0 : 1);
     awaitOneTable(Set.of("c1", "right"), 2, 3, 4);
   }
 
-  /** Cuts all links but those within a group; a process is given by its number. */
+  /** Disconnects all links between groups; the function maps process numbers to groups. */
   private void partition(IntUnaryOperator groupOf) {
     site.links.setConditions(
         (from, to) ->
@@ -277,9 +280,9 @@
   }
 
   private void healWithInterruptedExchanges() throws Exception {
-    site.links.bytesBeforeInterruption = 100; // each exchange of routes breaks
+    site.links.bytesBeforeInterruption = 100; // interrupts each exchange of routes
     site.links.setConditions((from, to) -> LinkCondition.CLEAR);
-    site.await("torn", 30, () -> site.links.interruptedExchanges.get() > 3);
+    site.await("interrupted exchanges", 30, () -> site.links.interruptedExchanges.get() > 3);
     site.links.bytesBeforeInterruption = 0;
     awaitOneTable(Set.of("c1", "left", "right"), site.all());
   }
--- a/src/test/java/rosecleat/harness/ServeProcess.java
+++ b/src/test/java/rosecleat/harness/ServeProcess.java
@@ -12,9 +12,9 @@
 import java.util.stream.Collectors;
 
 /**
- * A node as a process of its own, started as {@code deploy/run} does, but with classes from where
- * the tests have them and with as few open jars. Its files are in one folder: the configuration,
- * the log, and what the node keeps.
+ * A node in a process of its own, started like {@code deploy/run}, but with the class path of the
+ * tests, reduced to the jars that the node needs so that few descriptors are open. Configuration,
+ * log and stored files are in one folder.
  */
 public final class ServeProcess implements AutoCloseable {
   private static final String HEAP = "-Xmx40m";
@@ -32,10 +32,10 @@
   /**
    * Starts a node.
    *
-   * @param folder where its files are kept; another node there shares its {@code TMPDIR}
-   * @param name begins the names of its files
+   * @param folder the folder of its files; nodes in the same folder share a {@code TMPDIR}
+   * @param name the prefix of its file names
    * @param config the configuration
-   * @param maxDescriptors the system's limit on its file descriptors
+   * @param maxDescriptors the limit of the operating system on its file descriptors
    */
   public static ServeProcess start(Path folder, String name, String config, int maxDescriptors)
       throws IOException {
@@ -66,14 +66,14 @@
         .collect(Collectors.joining(File.pathSeparator));
   }
 
-  /** Returns a port of loopback that nobody listens at. */
+  /** Returns a loopback port on which no process listens. */
   public static int freePort() throws IOException {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return server.getLocalPort();
     }
   }
 
-  /** Returns what the node has logged so far. */
+  /** Returns the log lines that the node has written so far. */
   public String log() {
     try {
       return Files.readString(logFile);
@@ -82,32 +82,32 @@
     }
   }
 
-  /** Puts another configuration in its file; SIGHUP has the node read it. */
+  /** Replaces the configuration file, which the node reads on SIGHUP. */
   public void configure(String config) throws IOException {
     Files.writeString(configFile, config);
   }
 
-  /** Sends SIGTERM, which has arrived when this returns. */
+  /** Sends SIGTERM directly; the signal has been delivered when this method returns. */
   public void terminate() {
     process.toHandle().destroy();
   }
 
-  /** Sends another signal by its name, such as {@code HUP}, which takes some milliseconds. */
+  /** Sends a signal by name, such as {@code HUP}, through a {@code kill} process; takes some ms. */
   public void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Returns whether the process has not ended. */
+  /** Returns whether the process still runs. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Waits for the end of the process; returns false where it does not come in time. */
+  /** Waits for the process to exit; returns false on timeout. */
   public boolean awaitExit(long timeoutNs) throws InterruptedException {
     return process.waitFor(timeoutNs, TimeUnit.NANOSECONDS);
   }
 
-  /** Returns the code that the process ended with. */
+  /** Returns the exit code of the process. */
   public int exitCode() {
     return process.exitValue();
   }
@@ -117,7 +117,7 @@
     process.destroyForcibly();
   }
 
-  /** Kills the process and waits for its end. */
+  /** Kills the process and waits for its exit. */
   @Override
   public void close() {
     try {
--- a/src/test/java/rosecleat/harness/Site.java
+++ b/src/test/java/rosecleat/harness/Site.java
@@ -16,13 +16,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Several processes of the program on loopback, each linked to the others through relays; named n0,
- * n1, ...
+ * Several processes of the program on loopback, named n0, n1 and so on. They are connected through
+ * the relays of {@link Links}.
  */
 public final class Site implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Words of all the sites' files; a service with a keyed operation and two reads. */
+  /** The OpenAPI description of the service: two reads and a keyed operation. */
   private static final String DESCRIPTION =
       """
       openapi: 3.0.3
@@ -44,7 +44,7 @@
   private final int[] frontendPorts;
   private final String moreSections;
 
-  /** Processes with these further lines in their files; not started yet. */
+  /** Writes the files of processes, with more sections in each; starts no process. */
   public Site(Path folder, int size, int periodMs, String moreSections) throws IOException {
     this.folder = folder;
     this.size = size;
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Ports that nothing listens at. */
+  /** Returns ports on which no process listens. */
   static int[] ports(int count) throws IOException {
     List<ServerSocket> reserved = new ArrayList<>();
     try {
@@ -86,7 +86,7 @@
             .toList());
   }
 
-  /** Writes a process's file; it takes effect at its next start. */
+  /** Writes the broker file of a process, which reads it at its next start. */
   public void configure(int i, String name, String seeds, String sections) throws IOException {
     Files.writeString(
         folder.resolve("n" + i + ".yaml"),
@@ -120,7 +120,7 @@
                 moreSections));
   }
 
-  /** Writes the file of routes that n0 publishes; {@code lines} are instances. */
+  /** Replaces the routes file that n0 publishes; {@code lines} are the entries of instances. */
   public void writeRoutes(String lines) throws IOException {
     Path replacement = folder.resolve("routes.new");
     Files.writeString(replacement, "services:\n  cards:\n    instances: {" + lines + "}\n");
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Starts all. */
+  /** Starts all processes. */
   public Site startAll() throws IOException {
     start(IntStream.range(0, size).toArray());
     return this;
@@ -161,7 +161,7 @@
     return folder.resolve("n" + i + ".log");
   }
 
-  /** All lines that a process wrote. */
+  /** Returns all lines that a process logged. */
   public String logOf(int i) {
     try {
       return Files.readString(log(i));
@@ -200,7 +200,7 @@
     return "127.0.0.1:" + advertisedPorts[i];
   }
 
-  /** What the operators' door of a process shows; a missing node where it does not answer. */
+  /** Returns JSON from a process's admin server; a missing node if the request fails. */
   public JsonNode adminJson(int i, String path) {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), adminPorts[i])) {
       socket.setSoTimeout(3_000);
@@ -216,7 +216,8 @@
   }
 
   /**
-   * How a process holds another; empty where it does not know it. The one with the greatest epoch.
+   * Returns the state of a name's member in a process's view, or an empty string if there is none.
+   * Of several members the last listed counts, which has the greatest epoch.
    */
   public String state(int at, String name) {
     String state = "";
@@ -226,6 +227,7 @@
     return state;
   }
 
+  /** Like {@link #state}, but returns the member's epoch, or 0 if there is none. */
   public long epoch(int at, String name) {
     long epoch = 0;
     for (JsonNode member : adminJson(at, "/v1/fleet").path("members")) {
@@ -235,7 +237,8 @@
   }
 
   /**
-   * Whether these processes hold exactly one another for alive, and are settled with one digest.
+   * Returns whether each of these processes considers as many members alive as are named here, and
+   * all are settled with the same digest.
    */
   public boolean settled(int... which) {
     String digest = null;
@@ -265,7 +268,7 @@
         .toArray();
   }
 
-  /** Waits for something; fails with what was wanted and what all show. */
+  /** Waits for a condition; the failure message contains the views and logs of all processes. */
   public void await(String what, int seconds, BooleanSupplier condition)
       throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
@@ -280,21 +283,21 @@
               .append(adminJson(i, "/v1/routes"))
               .append(logOf(i).lines().limit(6).toList());
         }
-        throw new AssertionError(what + " did not come to be:" + seen);
+        throw new AssertionError(what + " not reached within " + seconds + " s:" + seen);
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
   }
 
-  /** The whole fleet is up and settled. */
+  /** Waits up to 20 s until these processes are settled. */
   public Site awaitSettled(int... which) throws InterruptedException {
     await("settled", 20, () -> settled(which));
     return this;
   }
 
-  /** These hold one another for alive and are settled, whatever else they know. */
+  /** Waits up to 60 s until a partition of {@code alive} processes is settled. */
   public Site awaitSettledPartition(int alive, int... which) throws InterruptedException {
-    await("a side settled", 60, () -> settled(which) && which.length == alive);
+    await("partition settled", 60, () -> settled(which) && which.length == alive);
     return this;
   }
 
--- a/src/test/java/rosecleat/harness/ViewTest.java
+++ b/src/test/java/rosecleat/harness/ViewTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.harness.Links.LinkCondition;
 
-/** What seven processes of the program hold of one another while pieces break. */
+/** Tests the membership views of seven processes while processes and links fail. */
 class ViewTest {
   private static final int PERIOD_MS = 200;
   @TempDir Path folder;
@@ -52,8 +52,8 @@
     site.awaitSettled(site.allExcept(6));
     site.signal(5, "TERM");
     awaitState("n5", "left", site.allExcept(5, 6));
-    site.await("its end", 20, () -> !site.isAlive(5));
-    site.signal(4, "STOP"); // longer than detection takes, then it goes on
+    site.await("exit of n5", 20, () -> !site.isAlive(5));
+    site.signal(4, "STOP"); // The pause exceeds the detection time; then the process continues.
     awaitState("n4", "dead", 0, 1, 2, 3);
     site.signal(4, "CONT");
     awaitState("n4", "alive", 0, 1, 2, 3);
@@ -61,10 +61,10 @@
     site.awaitSettled(site.all());
     assertTrue(site.epoch(1, "n6") > before);
     long again = site.epoch(1, "n6");
-    site.signal(6, "KILL"); // back before anybody notices: new all the same
+    site.signal(6, "KILL"); // A restart before detection still gets a greater epoch.
     site.start(6);
     site.await(
-        "the later start",
+        "the restarted process",
         30,
         () -> site.epoch(1, "n6") > again && site.state(1, "n6").equals("alive"));
     site.awaitSettled(site.all());
@@ -78,10 +78,10 @@
     awaitState("n1", "dead", 0, 2, 4, 6);
     awaitState("n0", "dead", 1, 3, 5);
     site.await(
-        "the smaller side says that it may be cut off",
+        "the smaller partition is not settled",
         10,
         () -> !site.adminJson(1, "/v1/fleet").path("settled").asBoolean());
-    site.awaitSettledPartition(4, 0, 2, 4, 6); // more than half: settled without the others
+    site.awaitSettledPartition(4, 0, 2, 4, 6); // A majority settles without the others.
     site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
     site.links.setConditions(
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Guards against a view that flaps where one direction is gone: relays answer for the one that
-   * hears but is not heard.
+   * Guards against a view that flaps when one direction of a link fails: indirect probes through
+   * other members show that the member whose messages do not arrive is alive.
    */
   @Test
   void viewSettlesDespiteOneWayLinkLossAndMalformedDatagrams() throws Exception {
@@ -118,7 +118,7 @@
     }
     site.awaitSettled(site.all());
     site.links.setConditions((a, b) -> new LinkCondition(0.2, 0.1, 20, false, 0));
-    Thread.sleep(20L * PERIOD_MS); // it must hold for a while, which no condition tells
+    Thread.sleep(20L * PERIOD_MS); // No member may be declared dead in this time.
     for (int i : site.all()) {
       assertFalse(site.logOf(i).contains("is dead"), site.logOf(i));
     }
@@ -130,10 +130,10 @@
   void processesWithTheSameNameStayDistinctAndSimultaneousRestartSettles() throws Exception {
     site.configure(6, "n5", "\"" + site.advertisedAddress(0) + "\"", "");
     site.signal(6, "TERM");
-    site.await("its end", 20, () -> !site.isAlive(6));
+    site.await("exit of n6", 20, () -> !site.isAlive(6));
     site.start(6);
     site.await(
-        "both seen",
+        "two members named n5",
         30,
         () -> {
           int named = 0;
@@ -150,7 +150,7 @@
     assertTrue(site.logOf(5).contains("another process is named n5"), site.logOf(5));
     Thread.sleep(15L * PERIOD_MS);
     assertTrue(site.settled(site.all()));
-    for (int i : site.all()) { // all at once, with seeds that start with them
+    for (int i : site.all()) { // All processes restart together, so their seeds start with them.
       site.signal(i, "KILL");
     }
     site.configure(6, "n6", "\"" + site.advertisedAddress(5) + "\"", "");
