--- a/src/test/java/rosecleat/soak/PauseMeter.java
+++ b/src/test/java/rosecleat/soak/PauseMeter.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Notices when the machine itself stands still, by a thread that sleeps for a millisecond at a
- * time: the protocol does not count such times against a node.
+ * Detects pauses of the whole machine with a thread that repeatedly sleeps for a millisecond. By
+ * the protocol such pauses do not count against a node.
  */
 final class PauseMeter implements AutoCloseable {
   private static final long SLEEP_MS = 1;
 
-  /** A sleep that is longer by this much shows a pause (ns). */
+  /** A sleep that takes longer than this shows a pause of the machine (ns). */
   private static final long PAUSE_NS = 5_000_000;
 
   private record Pause(long fromNs, long toNs) {}
@@ -41,7 +41,7 @@
     }
   }
 
-  /** How long the machine stood still between two times (ns). */
+  /** Returns how long the machine paused between two times (ns). */
   long pausedNs(long fromNs, long toNs) {
     synchronized (pauses) {
       return pauses.stream()
--- a/src/test/java/rosecleat/soak/RequestClassPlan.java
+++ b/src/test/java/rosecleat/soak/RequestClassPlan.java
@@ -1,13 +1,13 @@
 package rosecleat.soak;
 
 /**
- * A class of requests in one run.
+ * A request class in one run.
  *
  * @param name its name on the wire
  * @param effect {@code pure}, {@code token} or {@code side_effect}
- * @param calls whether its requests may call downstream
- * @param deadlineMs the longest time to an answer
- * @param windowMs how long a key is in force
+ * @param calls whether its runs may make downstream calls
+ * @param deadlineMs the maximum time until the answer
+ * @param windowMs how long an idempotency key is valid
  * @param workMs how long a run takes on a core
  */
 record RequestClassPlan(
--- a/src/test/java/rosecleat/soak/SentRequest.java
+++ b/src/test/java/rosecleat/soak/SentRequest.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * One request as its client saw it. Written by the client's threads and read after they have ended;
- * times are {@link System#nanoTime}.
+ * A request as its client observed it. The client's threads write the fields, which are read after
+ * these threads have ended; times are from {@link System#nanoTime}.
  */
 final class SentRequest {
   final RequestClassPlan requestClass;
@@ -16,15 +16,15 @@
   final int waitMs;
   final SoakConnection connection;
 
-  /** Just before the last byte was written; 0 while it is not written whole. */
+  /** When the write of the last byte began; 0 while the request is not written completely. */
   volatile long writtenNs;
 
-  /** When the request said that it came. */
+  /** When the request arrived according to its fields. */
   volatile long arrivedNs;
 
   volatile boolean withdrawn;
 
-  /** The words of all answers. */
+  /** The words of each answer. */
   final List<List<String>> answers = new ArrayList<>();
 
   volatile long answeredNs;
@@ -46,6 +46,7 @@
     this.connection = connection;
   }
 
+  /** Returns the status word of the first answer, or {@code none}. */
   String status() {
     return answers.isEmpty() ? "none" : answers.get(0).get(1);
   }
--- a/src/test/java/rosecleat/soak/SoakClient.java
+++ b/src/test/java/rosecleat/soak/SoakClient.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A balancer that sends requests, also after SIGTERM, BYE and the registry's {@code off}, for as
- * long as its connection lives; then it connects again while anybody listens.
+ * A balancer that sends requests until its connection ends, also after SIGTERM, BYE and the
+ * registry's {@code off}. Then it reconnects while a process listens.
  */
 final class SoakClient implements Runnable {
   private static final int MIN_WAIT_MS = 30;
 
-  /** A later try of a keyed request is sent within this part of the window. */
+  /** A retry of a keyed request is sent within this fraction of the key's window. */
   private static final int RETRY_WINDOW_PART = 4;
 
   private final SoakPlan plan;
@@ -40,7 +40,7 @@
     stopping = true;
   }
 
-  /** Sends so many requests without pauses. */
+  /** Sends the next {@code count} requests without pauses. */
   void burst(int count) {
     burst.set(count);
   }
@@ -53,14 +53,14 @@
     }
   }
 
-  /** Returns whether there was a connection. */
+  /** Returns whether a connection was established. */
   private boolean useOneConnection() {
     SoakConnection connection;
     try {
       connection = new SoakConnection(port, random);
     } catch (IOException e) {
       pause();
-      return false; // nobody listens yet, or any more
+      return false; // No process listens yet, or none listens any more.
     }
     connections.add(connection);
     try {
@@ -71,7 +71,7 @@
         pause();
       }
     } catch (IOException e) {
-      // it ended while a request was written, which is not written whole
+      // The connection ended while a request was written, which is therefore incomplete.
     }
     return true;
   }
@@ -119,7 +119,7 @@
         connection);
   }
 
-  /** A keyed request of a moment ago, so that all its tries fall into one window; or null. */
+  /** Returns a recent keyed request, so that all its attempts fall into one window, or null. */
   private SentRequest recentKeyedRequest() {
     if (requests.isEmpty()) {
       return null;
--- a/src/test/java/rosecleat/soak/SoakConfig.java
+++ b/src/test/java/rosecleat/soak/SoakConfig.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The configuration of the node in a run, as the platform hands it over. */
+/** The configuration of the node in a run, in the platform's format. */
 final class SoakConfig {
-  /** How much later than its due time an answer is still valid (ms); the settings name it. */
+  /** The time after its due time up to which an answer is still valid (ms), as in the settings. */
   static final int ANSWER_SLACK_MS = 80;
 
   private SoakConfig() {}
--- a/src/test/java/rosecleat/soak/SoakConnection.java
+++ b/src/test/java/rosecleat/soak/SoakConnection.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import rosecleat.fakes.RespClient;
 
-/** One connection of a client: requests out, answers read by a thread of its own. */
+/** A connection of a client, which sends requests and reads the answers on a thread of its own. */
 final class SoakConnection implements AutoCloseable {
   private static final int MAX_OPEN_REQUESTS = 16;
 
-  /** The first tag of a connection. */
+  /** The first tag of a connection, which its health check uses. */
   private static final String HEALTH_CHECK_TAG = "1";
 
   private final RespClient client;
@@ -22,16 +22,16 @@
   private final Thread reader;
   private int lastTag;
 
-  /** When the node ended the connection; 0 while it has not. */
+  /** When the end of the connection was read; 0 while it is open. */
   volatile long endedNs;
 
   /**
-   * When the node is known to have begun to read; 0 where that is not known. A health check goes
-   * before everything else and is answered as soon as it is read.
+   * When the answer of the health check arrived; 0 before. The health check is the first message
+   * and is answered as soon as it is read, so the node reads this connection by then.
    */
   volatile long readingSinceNs;
 
-  /** Whether this side closed it. */
+  /** Whether the client closed the connection. */
   volatile boolean closedByClient;
 
   SoakConnection(int port, Random random) throws IOException {
@@ -51,7 +51,7 @@
     return open.get() >= MAX_OPEN_REQUESTS;
   }
 
-  /** Sends a request, and withdraws it a little later in some cases. */
+  /** Sends a request, and withdraws one of twenty on average right after sending it. */
   void send(SentRequest request, boolean retry) throws IOException {
     int tag = ++lastTag;
     byTag.put(tag, request);
@@ -81,7 +81,7 @@
         answered(words);
       }
     } catch (IOException e) {
-      // the connection was reset: an end like any other
+      // A reset is an end of the connection like any other.
     }
     endedNs = System.nanoTime();
   }
--- a/src/test/java/rosecleat/soak/SoakNode.java
+++ b/src/test/java/rosecleat/soak/SoakNode.java
@@ -11,16 +11,16 @@
 import rosecleat.fakes.FakeRuntime;
 import rosecleat.harness.ServeProcess;
 
-/** One process of the node with its runtime, and what is known of its end. */
+/** A process of the node with its runtime, and how the process ended. */
 final class SoakNode implements AutoCloseable {
   private static final String COUNTERS = " info counters ";
 
-  /** The platform kills a process that another takes over from so long after the longest wait. */
+  /** The platform kills a replaced process this long after the longest deadline of a class. */
   private static final int TAKEOVER_KILL_DELAY_MS = 700;
 
   private static final long KILLED_EXIT_TIMEOUT_S = 10;
 
-  /** What a shell's signal number is added to in the exit code of a process that it ended. */
+  /** The exit code of a process that SIGTERM ended: 128 plus the signal's number. */
   private static final int EXIT_CODE_OF_SIGTERM = 143;
 
   final FakeRuntime runtime = new FakeRuntime(1);
@@ -54,7 +54,7 @@
   /**
    * Sends SIGTERM.
    *
-   * @param successorServes whether another process has taken over by then
+   * @param successorServes whether a successor has taken over by now
    */
   void terminate(boolean successorServes) {
     if (terminatedNs == 0) {
@@ -68,7 +68,7 @@
     return terminatedNs != 0;
   }
 
-  /** Waits for the end, and kills the process at the earliest time that the platform may. */
+  /** Waits for the exit; kills the process at the earliest time at which the platform may do so. */
   void awaitExit() throws InterruptedException {
     long killNs = terminatedNs + TimeUnit.MILLISECONDS.toNanos(killDelayMs());
     killed = !process.awaitExit(Math.max(1, killNs - System.nanoTime()));
@@ -83,16 +83,16 @@
     return takenOver ? longestMs + TAKEOVER_KILL_DELAY_MS : plan.stopMs();
   }
 
-  /** Returns why the way in which the process ended breaks a rule; empty where it does not. */
+  /** Returns how the exit of the process violates a rule, or an empty string if it does not. */
   String exitViolation() {
     if (killed) {
-      return "had not ended " + killDelayMs() + " ms after SIGTERM";
+      return "had not exited " + killDelayMs() + " ms after SIGTERM";
     }
     boolean neverListened = !log().contains("listens on");
     if (process.exitCode() == 0 || (neverListened && process.exitCode() == EXIT_CODE_OF_SIGTERM)) {
       return "";
     }
-    return "ended with code " + process.exitCode();
+    return "exited with code " + process.exitCode() + ", expected 0";
   }
 
   boolean killed() {
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Returns when requests that arrive must not run any more, by {@link System#nanoTime}. A process
-   * that another one takes over from serves what it holds.
+   * Returns the {@link System#nanoTime} from which on arriving requests must not run. There is no
+   * such time for a process with a successor, which still serves the requests it has accepted.
    */
   long graceEndNs() {
     return terminatedNs == 0 || takenOver
@@ -109,7 +109,7 @@
         : terminatedNs + TimeUnit.MILLISECONDS.toNanos(plan.graceMs());
   }
 
-  /** The runtime's record of starts: id, class and body. */
+  /** Returns the starts that the runtime recorded: id, class and body. */
   List<String> starts() {
     synchronized (runtime) {
       return List.copyOf(runtime.starts);
@@ -120,7 +120,7 @@
     return process.log();
   }
 
-  /** The counters that the process logged at its end; empty where it logged none. */
+  /** Returns the counters that the process logged at its exit; empty if it logged none. */
   Map<String, Long> counters() {
     Map<String, Long> counters = new HashMap<>();
     log()
--- a/src/test/java/rosecleat/soak/SoakOracle.java
+++ b/src/test/java/rosecleat/soak/SoakOracle.java
@@ -8,11 +8,11 @@
 import rosecleat.fakes.FakeRuntime;
 
 /**
- * The rules of the protocol's page, checked on the record of one run. Bounds are the page's and the
- * settings', less what the machine itself stood still.
+ * Checks the rules of the protocol page on the record of one run. The bounds are those of the page
+ * and of the settings; pauses of the whole machine are subtracted from the measured times.
  */
 final class SoakOracle {
-  /** How much longer every time limit is on sockets, and how long a request may cross a close. */
+  /** The tolerance of every time limit, and of a request that was sent just before a close (ms). */
   private static final long SOCKET_SLACK_MS = 50;
 
   private final SoakRecord record;
@@ -25,7 +25,7 @@
     this.record = record;
   }
 
-  /** Returns what broke a rule, in words; empty where nothing did. */
+  /** Returns a description of each violation; empty if there is none. */
   static List<String> violations(SoakRecord record) {
     SoakOracle oracle = new SoakOracle(record);
     oracle.countStarts();
@@ -48,7 +48,7 @@
 
   private void check(SentRequest request) {
     if (request.writtenNs == 0) {
-      return; // not written whole
+      return; // The request was not sent completely.
     }
     checkAnswered(request);
     checkAnswer(request);
@@ -56,12 +56,13 @@
   }
 
   /**
-   * An answer is due when the caller gives up, but not before the request was read (WIRE, the first
-   * rule): behind a idleClients it lies in the backlog until a place is free.
+   * Checks that the request was answered once and in time. By the first rule of the protocol page
+   * (WIRE), an answer is due at the client's deadline, but not before the request was read: behind
+   * many idle clients its connection waits in the backlog until a slot is free.
    */
   private void checkAnswered(SentRequest request) {
     if (request.answers.size() > 1) {
-      violations.add("several answers: " + request + " " + request.answers);
+      violations.add("more than one answer: " + request + " " + request.answers);
     }
     if (request.withdrawn || request.connection.closedByClient) {
       return;
@@ -81,17 +82,17 @@
     }
   }
 
-  /** A request without an answer was written at most 50 ms before its connection ended. */
+  /** Checks that an unanswered request was sent at most 50 ms before its connection ended. */
   private void checkSentShortlyBeforeClose(SentRequest request) {
     long endedNs = request.connection.endedNs;
     long beforeCloseNs = endedNs - request.writtenNs - record.pausedNs(request.writtenNs, endedNs);
     if (endedNs == 0) {
-      violations.add("no answer, and the connection is open: " + request);
+      violations.add("no answer, though the connection is open: " + request);
     } else if (beforeCloseNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
       violations.add(
-          "lost: its connection ended "
+          "unanswered: its connection ended "
               + TimeUnit.NANOSECONDS.toMillis(beforeCloseNs)
-              + " ms after it was written, "
+              + " ms after the request was sent, "
               + record.sinceTermination(endedNs)
               + ": "
               + request);
@@ -107,10 +108,10 @@
     if (request.status().equals("OK")) {
       String result = words.size() > 3 ? words.get(3) : "";
       if (!result.equals(FakeRuntime.result(request.body))) {
-        violations.add("another result: " + request + " " + words);
+        violations.add("wrong result: " + request + " " + words);
       }
       if (!startsByBody.containsKey(request.body)) {
-        violations.add("a result of no run: " + request);
+        violations.add("result without a run: " + request);
       }
     } else if (request.status().equals("BUSY") && ran) {
       violations.add("rejected though it ran: " + request);
@@ -130,7 +131,10 @@
       long lateNs = request.writtenNs - nodeByRequestId.get(request.id).graceEndNs();
       if (lateNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
         violations.add(
-            "ran though it came " + record.sinceTermination(request.writtenNs) + ": " + request);
+            "ran though it was sent "
+                + record.sinceTermination(request.writtenNs)
+                + ": "
+                + request);
       }
     }
   }
@@ -141,20 +145,20 @@
     }
     for (String marker : List.of("Too many open files", "a task failed", "OutOfMemoryError")) {
       if (node.log().contains(marker)) {
-        violations.add("the log says: " + marker);
+        violations.add("the log contains: " + marker);
       }
     }
   }
 
-  /** The counters that the processes log at their end must hold what the clients have read. */
+  /** Checks that the counters logged at exit include all answers that the clients have read. */
   private void checkCounters() {
     Map<String, Long> counters = new HashMap<>();
     for (SoakNode node : record.nodes()) {
       if (node.killed()) {
-        return; // that is a violation itself
+        return; // checkProcess reports the kill as a violation.
       }
       if (node.counters().isEmpty() && node.log().contains("listens on")) {
-        violations.add("the log ends without counters");
+        violations.add("the log contains no counters");
       }
       node.counters().forEach((name, count) -> counters.merge(name, count, Long::sum));
     }
@@ -176,7 +180,8 @@
     long read = record.requests().stream().filter(request -> request.status().equals(word)).count();
     long counted = counters.getOrDefault(counter, 0L);
     if (counted < read) {
-      violations.add(counter + " is " + counted + ", but clients read " + read);
+      violations.add(
+          counter + " is " + counted + ", expected at least " + read + " as read by clients");
     }
   }
 }
--- a/src/test/java/rosecleat/soak/SoakPlan.java
+++ b/src/test/java/rosecleat/soak/SoakPlan.java
@@ -6,19 +6,19 @@
 import rosecleat.soak.Step.Action;
 
 /**
- * Everything that a run draws from its seed.
+ * The plan of a run, drawn completely from its seed.
  *
  * @param seed the seed
- * @param classes the classes of requests
+ * @param classes the request classes
  * @param stopMs how long after SIGTERM the platform kills the process
- * @param graceMs how long after SIGTERM requests that arrive still run
+ * @param graceMs how long after SIGTERM arriving requests may still run
  * @param descriptors the limit on file descriptors
- * @param clients how many connections send requests at a time
+ * @param clients the number of connections that send requests concurrently
  * @param pauseMs the mean pause of a client between two requests
- * @param idleClients how many idle clients connect
- * @param terminatedInStart whether SIGTERM meets a process that is still starting
- * @param registryDownAtStart whether the registry is away when the node starts
- * @param steps what is done, in order; a SIGTERM is always among them
+ * @param idleClients the number of clients that connect and stay idle
+ * @param terminatedInStart whether SIGTERM is sent while the process starts
+ * @param registryDownAtStart whether the registry is unavailable when the node starts
+ * @param steps the steps in order, always with a SIGTERM
  */
 record SoakPlan(
     long seed,
@@ -35,7 +35,7 @@
   private static final List<String> EFFECTS = List.of("pure", "token", "side_effect");
   private static final List<String> NAMES = List.of("balance-check", "card-refresh", "card-load");
 
-  /** The class of which the fake runtime makes calls. */
+  /** The index of the class whose runs make downstream calls in the fake runtime. */
   private static final int CALLING_CLASS = 1;
 
   private static final List<Action> FAULTS =
@@ -91,7 +91,7 @@
     return List.copyOf(classes);
   }
 
-  /** SIGTERM, once or twice, while the process starts. */
+  /** Draws one or two SIGTERMs while the process starts. */
   private static List<Step> stepsInStart(Random random) {
     List<Step> steps = new ArrayList<>();
     steps.add(new Step(between(random, 200, 900), Action.TERMINATE));
@@ -101,11 +101,11 @@
     return List.copyOf(steps);
   }
 
-  /** Some troubles, SIGTERM, and some more troubles behind it; in some runs a take-over. */
+  /** Draws some faults, SIGTERM and more faults; in some runs also a takeover. */
   private static List<Step> steps(Random random) {
     List<Step> steps = new ArrayList<>();
     boolean takeover = random.nextInt(4) == 0;
-    int before = random.nextInt(7); // none: SIGTERM may meet a node that has just started
+    int before = random.nextInt(7); // With 0, SIGTERM may reach a node that has just started.
     for (int i = 0; i < before; i++) {
       steps.add(new Step(between(random, 0, 400), draw(random)));
     }
--- a/src/test/java/rosecleat/soak/SoakRecord.java
+++ b/src/test/java/rosecleat/soak/SoakRecord.java
@@ -5,13 +5,13 @@
 import java.util.stream.Collectors;
 
 /**
- * What was seen of one run, complete once it has ended.
+ * The observations of one run, complete after its end.
  *
  * @param requests all requests of all clients
  * @param nodes the processes of the node
  * @param terminatedNs when the first SIGTERM was sent
- * @param events the steps that were taken, with their times
- * @param pauses when the machine stood still
+ * @param events the executed steps with their times
+ * @param pauses the pauses of the machine
  */
 record SoakRecord(
     List<SentRequest> requests,
@@ -28,7 +28,7 @@
     return TimeUnit.NANOSECONDS.toMillis(timeNs - terminatedNs) + " ms after the first SIGTERM";
   }
 
-  /** What a reader needs to see what happened. */
+  /** Returns the events of the run and the logs of its processes. */
   String describe() {
     return String.join("\n", events)
         + "\n"
--- a/src/test/java/rosecleat/soak/SoakRun.java
+++ b/src/test/java/rosecleat/soak/SoakRun.java
@@ -13,7 +13,7 @@
 import rosecleat.fakes.RespClient;
 import rosecleat.harness.ServeProcess;
 
-/** One run: a node, its peers and its clients, from the start of the process to its end. */
+/** One run of a node with its peers and clients, from the start of the process to its exit. */
 final class SoakRun {
   private static final int BURST_REQUESTS = 60;
   private static final int FAILED_CALLS = 4;
@@ -41,7 +41,7 @@
     port = ServeProcess.freePort();
   }
 
-  /** Plays the run that a seed draws; files go to a folder of its own. */
+  /** Executes the run of a seed; its files go to {@code folder}. */
   static SoakRecord play(long seed, Path folder) throws Exception {
     SoakRun run = new SoakRun(SoakPlan.draw(seed), folder);
     try {
@@ -77,7 +77,7 @@
     return nodes.get(0);
   }
 
-  /** The process that takes over, or the only one where none does. */
+  /** Returns the successor, or the only process if there is no takeover. */
   private SoakNode lastNode() {
     return nodes.get(nodes.size() - 1);
   }
@@ -92,7 +92,10 @@
     return SoakConfig.text(plan, port, node.runtime.port(), index.port(), registry.port());
   }
 
-  /** Idle clients; some have asked for health once. A full backlog takes no more of them. */
+  /**
+   * Connects idle clients, of which every second sends one health check. A full backlog accepts no
+   * more of them.
+   */
   private void connectIdleClients() throws IOException {
     for (int i = 0; i < plan.idleClients(); i++) {
       Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -188,16 +191,16 @@
     target.terminate(target != lastNode() && !lastNode().terminated());
   }
 
-  /** A process that took over is told to leave once the other one has gone. */
+  /** Waits for the exit of the node, then terminates its successor and waits for its exit too. */
   private void awaitExit() throws InterruptedException {
     node().awaitExit();
-    note("the node has ended");
+    note("the node has exited");
     if (lastNode() != node()) {
       if (!lastNode().terminated()) {
         terminate(lastNode());
       }
       lastNode().awaitExit();
-      note("the successor has ended");
+      note("the successor has exited");
     }
   }
 
@@ -210,7 +213,7 @@
     }
     for (SoakClient client : clients) {
       for (SoakConnection connection : client.connections) {
-        connection.join(); // the process is gone: each connection has ended
+        connection.join(); // All processes have exited, so each connection has ended.
       }
     }
   }
--- a/src/test/java/rosecleat/soak/SoakTest.java
+++ b/src/test/java/rosecleat/soak/SoakTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Plays seeded runs one after another. {@code make soak SEED=1 RUNS=50} plays more of them; without
- * these it plays a fixed short set.
+ * Executes seeded runs in sequence and checks them against the rules of the protocol page. {@code
+ * make soak SEED=1 RUNS=50} executes more runs; by default a short fixed set is executed.
  */
 class SoakTest {
   private static final long FIRST_SEED = Long.getLong("soak.seed", 1);
--- a/src/test/java/rosecleat/soak/Step.java
+++ b/src/test/java/rosecleat/soak/Step.java
@@ -1,43 +1,43 @@
 package rosecleat.soak;
 
 /**
- * Something that is done to the node or its peers.
+ * A step of a run, which acts on the node or its peers.
  *
- * @param afterMs how long after the step before it, or after the start of the traffic
- * @param action what is done
+ * @param afterMs the delay after the previous step, or after the start of the traffic (ms)
+ * @param action the action
  */
 record Step(int afterMs, Action action) {
-  /** What can be done. */
+  /** The possible actions. */
   enum Action {
-    /** SIGHUP with the configuration as it is. */
+    /** Sends SIGHUP with an unchanged configuration. */
     RELOAD,
-    /** The runtime listens at another address, and SIGHUP says so. */
+    /** Moves the runtime to another address and reloads the configuration with SIGHUP. */
     MOVE_RUNTIME,
-    /** Index and registry listen at other addresses, and SIGHUP says so. */
+    /** Moves index and registry to other addresses and reloads the configuration with SIGHUP. */
     MOVE_INDEX_AND_REGISTRY,
-    /** SIGTERM; the first one begins the shutdown. */
+    /** Sends SIGTERM; the first one starts the shutdown. */
     TERMINATE,
     /**
-     * Another process of the node starts at the same address, and is waited for until it serves.
+     * Starts a second process of the node on the same address and waits until it serves requests.
      */
     START_SUCCESSOR,
-    /** SIGTERM to that other process. */
+    /** Sends SIGTERM to the second process. */
     TERMINATE_SUCCESSOR,
-    /** The connection to the runtime breaks. */
+    /** Closes the connection to the runtime. */
     DISCONNECT_RUNTIME,
-    /** The connection to the runtime breaks and takes the last commands with it. */
+    /** Closes the connection to the runtime, which loses the last commands. */
     DISCONNECT_RUNTIME_LOSING_COMMANDS,
-    /** The connection to the runtime breaks, and all runs end while it is synchronized. */
+    /** Closes the connection to the runtime; all runs end while it is synchronized again. */
     DISCONNECT_RUNTIME_ENDING_RUNS,
-    /** The runtime answers nothing until its connection is made again. */
+    /** Leaves gauge requests unanswered until the connection to the runtime is made again. */
     IGNORE_GAUGE_REQUESTS,
-    /** The index breaks, ignores or rejects some calls. */
+    /** Has the index disconnect, ignore or reject some calls. */
     FAIL_CALLS,
-    /** The registry does not listen. */
+    /** Stops the registry. */
     REGISTRY_DOWN,
-    /** The registry listens again. */
+    /** Starts the registry again. */
     REGISTRY_UP,
-    /** Many requests at once, from all clients. */
+    /** Sends many requests at once from all clients. */
     BURST
   }
 }
--- a/src/test/java/rosecleat/soak/package-info.java
+++ b/src/test/java/rosecleat/soak/package-info.java
@@ -1,9 +1,9 @@
 /**
- * A soak test: seeded runs of a real node process between fakes of its peers, checked against the
- * rules that the protocol's page states. Everything a run does is drawn from its seed, so that a
- * failing run is played again by {@code make soak SEED=N RUNS=1}.
+ * A soak test: seeded runs of a real node process with fakes of its peers, checked against the
+ * rules of the protocol page. The plan of a run is drawn from its seed, so {@code make soak SEED=N
+ * RUNS=1} repeats the plan of a failing run.
  *
- * <p>Begin reading in {@link rosecleat.soak.SoakRun}; the rules are in {@link
- * rosecleat.soak.SoakOracle}.
+ * <p>{@link rosecleat.soak.SoakRun} is the entry point; {@link rosecleat.soak.SoakOracle} contains
+ * the rules.
  */
 package rosecleat.soak;
