--- a/src/test/java/rosecleat/ArchitectureTest.java
+++ b/src/test/java/rosecleat/ArchitectureTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which package may know which: the core knows no wire, and the wires know nothing of the module.
+ * Checks which packages may depend on which others: the core does not depend on protocols or the
+ * network, and these do not depend on the policy or on saved state.
  */
 class ArchitectureTest {
   private static final JavaClasses ALL =
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -9,7 +9,8 @@
 import rosecleat.fleet.Tuning;
 
 /**
- * What docs/measurements/fleet-view.md keeps of the view on virtual time: {@code FleetView SEEDS}.
+ * Measures the membership view in virtual time for docs/measurements/fleet-view.md. Usage: {@code
+ * FleetView SEEDS}.
  */
 public final class FleetView {
   private static final int PAUSE_MEMBERS = 100;
@@ -85,7 +86,7 @@
         cluster.bytes / 40.0 / size);
   }
 
-  /** A tenth of the members pause up to 5 periods again and again, 5% of all is lost. */
+  /** A tenth of the members repeatedly pause for up to 5 periods; 5% of all messages are lost. */
   private static void pauses(boolean localHealth, int seeds) {
     FalseDeaths sum =
         IntStream.range(0, seeds)
@@ -102,7 +103,7 @@
         sum.pausing);
   }
 
-  /** How often members that run were newly held for dead, by another. */
+  /** How often a member that had not crashed was newly considered dead by another. */
   private record FalseDeaths(long healthy, long pausing) {
     FalseDeaths plus(FalseDeaths other) {
       return new FalseDeaths(healthy + other.healthy, pausing + other.pausing);
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -13,8 +13,8 @@
 import rosecleat.routes.RouteTable;
 
 /**
- * What docs/measurements/routes.md keeps: what a change in a large table costs against the whole of
- * it.
+ * Measures the cost of changes in a large table of routes, compared with the cost of the complete
+ * table, for docs/measurements/routes.md.
  */
 public final class RoutesSpeed {
   private static final MemberUpdateMessage SELF = MemberUpdateMessage.getDefaultInstance();
@@ -89,7 +89,7 @@
         4);
   }
 
-  /** The baseline: both tables as maps, each key looked up. */
+  /** The baseline: compares both tables as maps and looks up every key. */
   private static long compareCompletely(RouteTable before, RouteTable after) {
     Map<String, Map<String, Instance>> a = before.services();
     Map<String, Map<String, Instance>> b = after.services();
@@ -111,7 +111,7 @@
     return System.nanoTime() - startNs;
   }
 
-  /** Makes two stores equal; returns the bytes of the answer. */
+  /** Synchronizes a store with another; returns the size of the response in bytes. */
   private static int synchronize(RouteStore one, RouteStore other) {
     RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
     RouteSyncSession answers =
--- a/src/test/java/rosecleat/measure/StartLoad.java
+++ b/src/test/java/rosecleat/measure/StartLoad.java
@@ -12,11 +12,11 @@
 import rosecleat.fakes.RespClient;
 
 /**
- * Load on a broker from its first moment on: some requests at once, that have waited for it, and
- * then arrivals drawn from a seed. Latencies count from when a request should have been sent.
+ * Load on a broker from its start on: first the requests that accumulated while it was down, all at
+ * once, then arrivals drawn from a seed. Latencies are measured from the scheduled send time.
  */
 final class StartLoad {
-  /** Requests that waited while the broker was down, and are sent at once. */
+  /** The number of requests that accumulated while the broker was down and are sent at once. */
   static final int WAITING_REQUESTS = 40;
 
   /** The latency objective (ms). */
@@ -28,13 +28,13 @@
   private static final long MISS_INTERVAL_NS = 500_000_000;
 
   /**
-   * What came of one start.
+   * The results of one start.
    *
    * @param sent number of requests
    * @param inObjective number of requests that were served within the objective
    * @param p99Ms 99th percentile of the latency (ms)
    * @param responses number of responses by status
-   * @param missesByHalfSecond misses by when the request was sent
+   * @param missesByHalfSecond numbers of missed objectives by send time, per half second
    */
   record Outcome(
       int sent,
@@ -51,9 +51,12 @@
   private final int durationMs;
   private final double ratePerS;
   private final long seed;
-  private final Map<Integer, Long> awaited = new ConcurrentHashMap<>(); // send time (ns) by tag
+
+  /** The scheduled send times of unanswered requests (ns), by tag. */
+  private final Map<Integer, Long> awaited = new ConcurrentHashMap<>();
+
   private long startNs;
-  // guarded by latency, as the responses come on a thread of their own
+  // Guarded by latency, since a separate thread reads the responses.
   private final Histogram latency = new Histogram(MAX_LATENCY_US, 3);
   private final Map<String, Integer> responses = new TreeMap<>();
   private final int[] missesByInterval;
@@ -151,7 +154,7 @@
         }
       }
     } catch (IOException e) {
-      return; // the connection is closed at the end of the load
+      return; // The connection is closed at the end of the load.
     }
   }
 
@@ -160,7 +163,7 @@
     boolean served = status.equals("OK");
     boolean withinObjective = served && latencyUs <= OBJECTIVE_MS * 1000L;
     synchronized (latency) {
-      // a request that failed cost its caller the whole deadline
+      // A failed request counts with its deadline, the longest time that a client waits for it.
       latency.recordValue(served ? Math.min(latencyUs, MAX_LATENCY_US) : DEADLINE_MS * 1000L);
       responses.merge(served && !withinObjective ? "late" : status, 1, Integer::sum);
       if (withinObjective) {
--- a/src/test/java/rosecleat/measure/StateSaveSpeed.java
+++ b/src/test/java/rosecleat/measure/StateSaveSpeed.java
@@ -22,14 +22,14 @@
 import rosecleat.state.StateStoreOpener;
 
 /**
- * How long saving blocks a node's loop in the most expensive case: each of its estimates has
- * changed, and there are many tenants.
+ * Measures how long saving blocks a node's event loop in the most expensive case: every estimate
+ * has changed and there are many tenants.
  */
 final class StateSaveSpeed {
   private static final int ROUNDS = 3_000;
   private static final int WARM_UP_ROUNDS = 500;
 
-  /** Time between rounds on the node's clock: so long that all facts are written again (us). */
+  /** Time between rounds on the node's clock, long enough that all facts are written again (us). */
   private static final long ROUND_US = 100_000_000;
 
   private final int tenants;
@@ -82,7 +82,7 @@
         Map.of());
   }
 
-  /** Measures saving into a folder, which is emptied, and prints one line. */
+  /** Empties a folder, measures saving into it and prints one line. */
   static void print(Path folder, int tenants) throws Exception {
     StoreSpeed.wipe(folder);
     new StateSaveSpeed(folder, tenants).run();
@@ -113,7 +113,7 @@
         counters.get("state.saves"));
   }
 
-  /** Has a request arrive, so that the tenants' shares change. */
+  /** Simulates the arrival of a request, which changes the tenants' shares. */
   private void arrive(int round) {
     policy.handle(
         nowUs,
--- a/src/test/java/rosecleat/measure/StateStart.java
+++ b/src/test/java/rosecleat/measure/StateStart.java
@@ -21,9 +21,9 @@
 import rosecleat.state.StateFiles;
 
 /**
- * A broker killed with SIGKILL under load and started again: its first five seconds with the state
- * that it saved, without any, and with state that is old or wrong. Each start gets the same
- * arrivals, drawn from its own seed; the variants take turns.
+ * Measures the first five seconds of a broker that is started again after a SIGKILL under load:
+ * with the state that it saved, without state, and with old or wrong state. For each seed, every
+ * variant gets the same arrivals; the variants alternate.
  */
 public final class StateStart {
   private static final int LEARN_MS = 12_000;
@@ -33,7 +33,7 @@
   private static final long MINUTE_US = 60_000_000;
   private static final long DAY_US = 24 * 60 * MINUTE_US;
 
-  /** The longest run time that is possible under the test site's settings (us). */
+  /** The maximum run time that the test site's settings allow (us). */
   private static final double MAX_RUN_TIME_US = 799_000;
 
   private static final String BROKER =
@@ -73,13 +73,13 @@
     Path work = Files.createDirectories(Path.of(args[1]));
     new StateStart(Path.of(args[0]), work, Double.parseDouble(args[3]))
         .run(Integer.parseInt(args[2]));
-    System.exit(0); // the fakes have threads
+    System.exit(0); // Threads of the fakes may still run.
   }
 
   private void run(int seeds) throws Exception {
     Path learned = work.resolve("learnt");
     wipe(learned);
-    loadBroker(learned, LEARN_MS, 0, 1); // killed in the middle of its load
+    loadBroker(learned, LEARN_MS, 0, 1); // The broker is killed during its load.
     Map<String, UnaryOperator<Fact>> variants = variants();
     Map<String, List<StartLoad.Outcome>> outcomes = new LinkedHashMap<>();
     variants.keySet().forEach(variant -> outcomes.put(variant, new ArrayList<>()));
@@ -101,7 +101,7 @@
     print(outcomes, seeds);
   }
 
-  /** Returns how the saved facts are changed, by the name of the variant. */
+  /** Returns the change of the saved facts by variant. */
   private static Map<String, UnaryOperator<Fact>> variants() {
     Map<String, UnaryOperator<Fact>> variants = new LinkedHashMap<>();
     variants.put("cold", UnaryOperator.identity());
@@ -181,7 +181,7 @@
         starts.stream().map(start -> String.valueOf(start.missed())).toList());
   }
 
-  /** Starts a broker on a folder and loads it from its first moment on; kills it at the end. */
+  /** Starts a broker on a state folder, loads it from its start on and then kills it. */
   private StartLoad.Outcome loadBroker(Path state, int durationMs, int responseWaitMs, long seed)
       throws Exception {
     try (FakeRuntime runtime = new FakeRuntime(3);
--- a/src/test/java/rosecleat/measure/StoreSpeed.java
+++ b/src/test/java/rosecleat/measure/StoreSpeed.java
@@ -23,9 +23,9 @@
 import rosecleat.store.StoredRecord;
 
 /**
- * The store against a plain write and sync for each record, on the same folder in one run: appends
- * a second and their latency by how many are in flight; how long the appending thread is held up;
- * and how long 100 MB take to recover.
+ * Compares the store with a plain write and sync per record, in the same folder and run. Measures
+ * the appends per second and their latency by the number in flight, how long the appending thread
+ * is blocked, and how long the recovery of 100 MB takes.
  */
 public final class StoreSpeed {
   private static final int RECORD_BYTES = 200;
@@ -50,7 +50,7 @@
 
     @Override
     public void writeSnapshot(Consumer<StoredRecord> output) {
-      // a snapshot of it is empty
+      // The state machine has no state to write.
     }
   }
 
