--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -34,14 +34,14 @@
   private static final long STABLE_NS = 1_000_000_000;
 
   @TempDir Path folder;
-  private final FakeUwsgiService one = new FakeUwsgiService();
-  private final FakeUwsgiService two = new FakeUwsgiService();
+  private final FakeUwsgiService firstBackend = new FakeUwsgiService();
+  private final FakeUwsgiService secondBackend = new FakeUwsgiService();
   private Site site;
 
   @BeforeEach
   void start() throws Exception {
     site = new Site(folder, 5, 200, "");
-    site.writeRoutes(line("c1", one, "on"));
+    site.writeRoutes(instanceLine("c1", firstBackend, "on"));
     site.startAll().awaitSettled(site.all());
     awaitInForce(digestWith(0, "c1"), site.all());
   }
@@ -49,11 +49,11 @@
   @AfterEach
   void stop() {
     site.close();
-    one.close();
-    two.close();
+    firstBackend.close();
+    secondBackend.close();
   }
 
-  private static String line(String name, FakeUwsgiService at, String state) {
+  private static String instanceLine(String name, FakeUwsgiService at, String state) {
     return name + ": {address: \"uwsgi://127.0.0.1:" + at.port() + "\", state: " + state + "}";
   }
 
@@ -187,7 +187,7 @@
     publishInvalidFile();
     assertEquals(before, tableDigest(0));
     traffic.stop();
-    assertTrue(traffic.requests.get() > 100 && two.requests.get() > 0);
+    assertTrue(traffic.requests.get() > 100 && secondBackend.requests.get() > 0);
     assertEquals(0, traffic.lost.get(), "of " + traffic.requests.get());
     assertEachKeyRanOnce();
     publish("gone: {address: \"uwsgi://127.0.0.1:9\", state: off}");
@@ -202,8 +202,11 @@
   private void publishInstances(int round) throws Exception {
     boolean even = round % 2 == 0;
     String name = (even ? "d" : "c") + round;
-    String draining = round % 3 == 0 ? ", " + line("old", even ? one : two, "drain") : "";
-    publish(line(name, even ? two : one, "on") + draining);
+    String draining =
+        round % 3 == 0
+            ? ", " + instanceLine("old", even ? firstBackend : secondBackend, "drain")
+            : "";
+    publish(instanceLine(name, even ? secondBackend : firstBackend, "on") + draining);
     awaitInForce(digestWith(0, name), site.all());
   }
 
@@ -224,8 +227,8 @@
   }
 
   private void assertEachKeyRanOnce() {
-    Map<String, Integer> runs = new HashMap<>(one.runs);
-    two.runs.forEach((key, count) -> runs.merge(key, count, Integer::sum));
+    Map<String, Integer> runs = new HashMap<>(firstBackend.runs);
+    secondBackend.runs.forEach((key, count) -> runs.merge(key, count, Integer::sum));
     assertEquals(Set.of(1), new HashSet<>(runs.values()), "a key ran twice");
     assertTrue(runs.size() > 50);
   }
@@ -241,7 +244,7 @@
     awaitInForce(all, site.all());
     site.awaitSettled(site.all());
     site.signal(2, "STOP"); // A stopped follower must not delay the others.
-    publish(line("c1", one, "on"));
+    publish(instanceLine("c1", firstBackend, "on"));
     site.await("a removal", 20, () -> !hasInstance(4, "left"));
     site.signal(2, "CONT");
     awaitInForce(tableDigest(4), site.all());
@@ -254,13 +257,14 @@
         "split",
         30,
         () -> site.state(0, "n4").equals("dead") && site.state(4, "n0").equals("dead"));
-    publish(line("c1", one, "on") + ", " + line("left", two, "on"));
+    publish(
+        instanceLine("c1", firstBackend, "on") + ", " + instanceLine("left", secondBackend, "on"));
     awaitOneTable(Set.of("c1", "left"), 0, 1);
     String seeds = "\"" + site.advertisedAddress(3) + "\"";
     site.configure(4, "n4", seeds, "routes: {file: other.yaml}\n");
     Files.writeString(
         folder.resolve("other.yaml"),
-        "services: {cards: {instances: {" + line("right", two, "on") + "}}}");
+        "services: {cards: {instances: {" + instanceLine("right", secondBackend, "on") + "}}}");
     site.signal(4, "KILL");
     // n4 is isolated first, so that it has only the routes of its own file.
     partition(from -> from < 2 ? 0 : from == 4 ? 2 : 1);
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -112,12 +112,13 @@
   }
 
   /** Synchronizes a store with another; returns the size of the response in bytes. */
-  private static int synchronize(RouteStore one, RouteStore other) {
-    RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
-    RouteSyncSession answers =
-        new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
-    byte[] response = answers.nextFrame(opener.nextFrame(null, 0), 0);
-    opener.nextFrame(response, 0);
+  private static int synchronize(RouteStore initiator, RouteStore responder) {
+    RouteSyncSession initiatorSession =
+        new RouteSyncSession(initiator, true, "c", () -> SELF, () -> {}, () -> {});
+    RouteSyncSession responderSession =
+        new RouteSyncSession(responder, false, "c", () -> SELF, () -> {}, () -> {});
+    byte[] response = responderSession.nextFrame(initiatorSession.nextFrame(null, 0), 0);
+    initiatorSession.nextFrame(response, 0);
     return response.length;
   }
 }
