--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -296,7 +296,7 @@
   }
 
   /** Sends nothing more on the current connection, which stays open. */
-  public synchronized void mute() {
+  public synchronized void stopSending() {
     muted = link;
   }
 
--- a/src/test/java/rosecleat/node/NodeRuntimeTest.java
+++ b/src/test/java/rosecleat/node/NodeRuntimeTest.java
@@ -201,7 +201,7 @@
   void unresponsiveConnectionIsReplaced() throws IOException {
     startServing();
     assertEquals("OK", answer("balance-check").get(1));
-    runtime.mute();
+    runtime.stopSending();
     await(() -> count("runtime.silent") == 1);
     client.close();
     client = new RespClient(node.port(), null); // the former connection was idle for too long
