--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -29,7 +29,7 @@
   private record Job(String id, String kind, byte[] body) {}
 
   private final ObjectMapper json = new ObjectMapper();
-  private final ScheduledExecutorService work =
+  private final ScheduledExecutorService scheduler =
       Executors.newSingleThreadScheduledExecutor(
           r -> {
             Thread thread = new Thread(r, "fake runtime");
@@ -39,9 +39,9 @@
   private final int workMs;
   private final ArrayDeque<Job> queue = new ArrayDeque<>();
   private final Map<String, Job> jobs = new HashMap<>();
-  private final List<ObjectNode> notices = new ArrayList<>();
-  private int busy;
-  private Socket link;
+  private final List<ObjectNode> numberedMessages = new ArrayList<>();
+  private int busyCores;
+  private Socket connection;
   public final List<String> commands = new ArrayList<>();
 
   /** The accepted start commands: id, kind and body. */
@@ -57,7 +57,7 @@
   public volatile int commandsToLose;
 
   /** The connection on which commands are lost. */
-  private Socket losing;
+  private Socket lossyConnection;
 
   /** Whether each start command is answered with a nack. */
   public volatile boolean nackStarts;
@@ -90,7 +90,7 @@
   private final Set<String> waiting = new HashSet<>();
 
   /** The connection on which no more messages are sent. */
-  private Socket muted;
+  private Socket mutedConnection;
 
   /** Creates a runtime whose runs occupy a core for this time (ms). */
   public FakeRuntime(int workMs) {
@@ -116,9 +116,9 @@
     String id = command.path("job").asText();
     if (commandsToLose > 0 && !id.isEmpty()) {
       commandsToLose--;
-      losing = socket;
+      lossyConnection = socket;
     }
-    if (socket == losing) {
+    if (socket == lossyConnection) {
       return;
     }
     commands.add(type + " " + id);
@@ -138,9 +138,9 @@
   }
 
   private void synchronize(Socket socket, int lastRead) {
-    link = socket;
+    connection = socket;
     gaugesUnansweredBeforeSync = false;
-    work.schedule(() -> ready(lastRead), readyAfterMs, TimeUnit.MILLISECONDS);
+    scheduler.schedule(() -> sendReady(lastRead), readyAfterMs, TimeUnit.MILLISECONDS);
   }
 
   private void start(String id, JsonNode command) throws IOException {
@@ -157,9 +157,9 @@
     callsMade.remove(id);
     waiting.remove(id);
     queue.add(job);
-    next();
+    startQueuedRuns();
     if (!outputAfterNextStart.isEmpty()) {
-      link.getOutputStream().write(outputAfterNextStart.getBytes(StandardCharsets.UTF_8));
+      connection.getOutputStream().write(outputAfterNextStart.getBytes(StandardCharsets.UTF_8));
       outputAfterNextStart = "";
     }
   }
@@ -190,18 +190,18 @@
     }
     ObjectNode load = json.createObjectNode().put("type", "load").put("ref", reference);
     load.putArray("gauges")
-        .add(Math.min(1, busy / (double) TestSite.CORES))
-        .add(busy + queue.size())
+        .add(Math.min(1, busyCores / (double) TestSite.CORES))
+        .add(busyCores + queue.size())
         .add(0.1)
         .add(3);
     send(load);
     if (reference.equals(endRunsBehindGauges)) {
       endRunsBehindGauges = "";
-      moveAllRunsOn();
+      advanceAllRuns();
     }
   }
 
-  private void moveAllRunsOn() {
+  private void advanceAllRuns() {
     for (Job job : List.copyOf(jobs.values())) {
       if (callsMade.getOrDefault(job.id, 0) > 0) {
         callOrFinish(job);
@@ -212,23 +212,23 @@
     queue.clear();
   }
 
-  private synchronized void ready(int n) {
+  private synchronized void sendReady(int n) {
     send(json.createObjectNode().put("type", "ready").put("state", "warm").put("took", 100_000));
-    notices.subList(n, notices.size()).forEach(this::send);
+    numberedMessages.subList(n, numberedMessages.size()).forEach(this::send);
   }
 
-  private void next() {
-    while (busy < TestSite.CORES && !queue.isEmpty()) {
+  private void startQueuedRuns() {
+    while (busyCores < TestSite.CORES && !queue.isEmpty()) {
       Job job = queue.remove();
-      busy++;
-      work.schedule(() -> worked(job), runTimesMs(job)[0], TimeUnit.MILLISECONDS);
+      busyCores++;
+      scheduler.schedule(() -> completeWorkOnCore(job), runTimesMs(job)[0], TimeUnit.MILLISECONDS);
     }
   }
 
-  private synchronized void worked(Job job) {
-    busy--;
+  private synchronized void completeWorkOnCore(Job job) {
+    busyCores--;
     callOrFinish(job);
-    next();
+    startQueuedRuns();
   }
 
   private void callOrFinish(Job job) {
@@ -237,7 +237,7 @@
         callsMade.merge(job.id, 1, Integer::sum);
         waiting.add(job.id);
         byte[] body = callBody(job.id).getBytes(StandardCharsets.UTF_8);
-        notice(
+        sendNumbered(
             json.createObjectNode()
                 .put("type", "wants")
                 .put("job", job.id)
@@ -258,7 +258,7 @@
   }
 
   private void finish(String id, int afterMs) {
-    work.schedule(
+    scheduler.schedule(
         () -> {
           synchronized (this) {
             Job job = jobs.get(id);
@@ -286,26 +286,26 @@
     if (result != null) {
       end.put("data", Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.UTF_8)));
     }
-    notice(end);
+    sendNumbered(end);
   }
 
-  private void notice(ObjectNode notice) {
-    notice.put("n", notices.size() + 1);
-    notices.add(notice);
-    send(notice);
+  private void sendNumbered(ObjectNode message) {
+    message.put("n", numberedMessages.size() + 1);
+    numberedMessages.add(message);
+    send(message);
   }
 
   /** Sends nothing more on the current connection, which stays open. */
   public synchronized void stopSending() {
-    muted = link;
+    mutedConnection = connection;
   }
 
   private void send(ObjectNode message) {
-    if (link == muted) {
+    if (connection == mutedConnection) {
       return;
     }
     try {
-      link.getOutputStream().write((message + "\n").getBytes(StandardCharsets.UTF_8));
+      connection.getOutputStream().write((message + "\n").getBytes(StandardCharsets.UTF_8));
     } catch (IOException e) {
       // There is no connection: numbered messages are sent again after the next sync.
     }
@@ -323,7 +323,7 @@
 
   @Override
   public void close() {
-    work.shutdownNow();
+    scheduler.shutdownNow();
     super.close();
   }
 }
