--- a/src/test/java/rosecleat/ArchitectureTest.java
+++ b/src/test/java/rosecleat/ArchitectureTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which package may know which: the core knows no wire, and the wires know nothing of the module.
+ * Checks which packages may depend on which others: the core does not depend on protocols or the
+ * network, and these do not depend on the policy or on saved state.
  */
 class ArchitectureTest {
   private static final JavaClasses ALL =
@@ -23,13 +24,13 @@
     return Arrays.stream(names).map(name -> "rosecleat." + name + "..").toArray(String[]::new);
   }
 
-  private static void hold(ArchRule rule) {
+  private static void check(ArchRule rule) {
     rule.check(ALL);
   }
 
   @Test
-  void theCoreKnowsNoFrontAndNoNetwork() {
-    hold(
+  void coreDependsOnNoFrontendOrNetwork() {
+    check(
         noClasses()
             .that()
             .resideInAnyPackage(packages("core", "policy"))
@@ -50,7 +51,7 @@
                     "state",
                     "store",
                     "facts")));
-    hold(
+    check(
         noClasses()
             .that()
             .resideInAnyPackage(packages("core", "policy"))
@@ -60,8 +61,8 @@
   }
 
   @Test
-  void theNetworkKnowsNothingOfTheModule() {
-    hold(
+  void networkDependsOnNoPolicyOrState() {
+    check(
         noClasses()
             .that()
             .resideInAnyPackage(packages("net", "front", "runtime", "index", "registry", "admin"))
@@ -71,8 +72,8 @@
   }
 
   @Test
-  void theStoreKnowsNothingOfWhatItKeeps() {
-    hold(
+  void storeDependsOnNoOtherPackage() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.store..")
@@ -82,8 +83,8 @@
   }
 
   @Test
-  void decisionsOnFactsAreFreeOfInputAndOutput() {
-    hold(
+  void factsDoNoInputOrOutput() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.facts..")
@@ -93,8 +94,8 @@
   }
 
   @Test
-  void theViewOfTheFleetIsFreeOfInputAndOutputAndItsTaskKnowsNoNode() {
-    hold(
+  void membershipDoesNoInputOrOutputAndItsTransportDependsOnNoNode() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.fleet")
@@ -108,7 +109,7 @@
                 "java.nio",
                 "java.nio.charset..",
                 "com.google.protobuf.."));
-    hold(
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.fleet.transport..")
@@ -118,8 +119,8 @@
   }
 
   @Test
-  void routesAndPoolsDecideWithoutInputAndOutput() {
-    hold(
+  void routesAndPoolsDoNoInputOrOutput() {
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.routes")
@@ -135,7 +136,7 @@
                 "java.nio.charset..",
                 "java.security..",
                 "com.google.protobuf.."));
-    hold(
+    check(
         classes()
             .that()
             .resideInAPackage("rosecleat.pool..")
@@ -145,15 +146,15 @@
   }
 
   @Test
-  void nothingKnowsTheCommandLineAndOnlyThatKnowsTheProcess() {
-    hold(
+  void nothingDependsOnTheCommandLineWhichAloneDependsOnTheNode() {
+    check(
         noClasses()
             .that()
             .resideOutsideOfPackage("rosecleat.cli..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("rosecleat.cli.."));
-    hold(
+    check(
         noClasses()
             .that()
             .resideOutsideOfPackages("rosecleat.cli..", "rosecleat.node..")
@@ -163,8 +164,8 @@
   }
 
   @Test
-  void whatANodeKeepsKnowsNoWire() {
-    hold(
+  void savedStateDependsOnNoFrontendOrNetwork() {
+    check(
         noClasses()
             .that()
             .resideInAPackage("rosecleat.state..")
--- a/src/test/java/rosecleat/fakes/FakeRegistry.java
+++ b/src/test/java/rosecleat/fakes/FakeRegistry.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The roster as PROTOCOL describes it. */
+/** A fake of the registry as the protocol page describes it. */
 public final class FakeRegistry extends FakeServer {
-  /** The reports: first line and body. */
+  /** The received reports: request line and body. */
   public final List<String> reports = new CopyOnWriteArrayList<>();
 
-  /** What it does with a report: "204", another status, or "" to keep silent. */
-  public volatile String mood = "204";
+  /** The status of the response to each report, such as "204"; "" sends no response. */
+  public volatile String responseStatus = "204";
 
   @Override
   protected void serve(Socket socket) throws IOException {
@@ -33,11 +33,11 @@
         at += in.read(body, at, length - at);
       }
       reports.add(first + " " + new String(body));
-      if (!mood.isEmpty()) {
+      if (!responseStatus.isEmpty()) {
         socket
             .getOutputStream()
             .write(
-                ("HTTP/1.1 " + mood + " Words\r\nContent-Length: 0\r\n\r\n")
+                ("HTTP/1.1 " + responseStatus + " Words\r\nContent-Length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.UTF_8));
       }
     }
--- a/src/test/java/rosecleat/fakes/FakeRuntime.java
+++ b/src/test/java/rosecleat/fakes/FakeRuntime.java
@@ -22,77 +22,82 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The machine's runtime as PROTOCOL describes it: so many cores, each doing one piece of work at a
- * time.
+ * A fake of the machine's runtime as the protocol page describes it, with {@link TestSite#CORES}
+ * cores. Each core executes one run at a time.
  */
 public final class FakeRuntime extends FakeServer {
   private record Job(String id, String kind, byte[] body) {}
 
   private final ObjectMapper json = new ObjectMapper();
-  private final ScheduledExecutorService work =
+  private final ScheduledExecutorService scheduler =
       Executors.newSingleThreadScheduledExecutor(
           r -> {
-            Thread thread = new Thread(r, "stand-in runtime");
+            Thread thread = new Thread(r, "fake runtime");
             thread.setDaemon(true);
             return thread;
           });
   private final int workMs;
   private final ArrayDeque<Job> queue = new ArrayDeque<>();
   private final Map<String, Job> jobs = new HashMap<>();
-  private final List<ObjectNode> notices = new ArrayList<>();
-  private int busy;
-  private Socket link;
+  private final List<ObjectNode> numberedMessages = new ArrayList<>();
+  private int busyCores;
+  private Socket connection;
   public final List<String> commands = new ArrayList<>();
 
-  /** Each start: id and kind and body. */
+  /** The accepted start commands: id, kind and body. */
   public final List<String> starts = new ArrayList<>();
 
-  /** Each give: the call's body and its reply. */
+  /** The replies that runs received by give commands: the call's body and the reply. */
   public final List<String> gives = new ArrayList<>();
 
   /**
-   * So many commands are lost with the link they came by, and with them whatever comes behind the
-   * first of them on that link.
+   * The number of next commands with a job that are lost. The connection that carried such a
+   * command loses all later commands too.
    */
-  public volatile int swallow;
+  public volatile int commandsToLose;
 
-  private Socket losing;
+  /** The connection on which commands are lost. */
+  private Socket lossyConnection;
 
+  /** Whether each start command is answered with a nack. */
   public volatile boolean nackStarts;
 
-  /** Sent once, behind the next start. */
-  public volatile String spoil = "";
+  /** Text that is sent once, right after the next start command; empty for none. */
+  public volatile String outputAfterNextStart = "";
 
+  /** The delay between a sync command and the message that the runtime is ready. */
   public volatile long readyAfterMs;
 
-  /** No request for gauges is answered before the next connection is synchronized. */
+  /** Whether gauge requests stay unanswered until the next sync command. */
   public volatile boolean gaugesUnansweredBeforeSync;
 
   /**
-   * Every run ends, or reaches its next call, between the answer to the first request for gauges
-   * with this reference and the next line that is read; empty for never.
+   * The reference of a gauge request. Immediately after the answer to the first such request, every
+   * run ends or makes its next call, before the next command is read; empty for never.
    */
   public volatile String endRunsBehindGauges = "";
 
   /**
-   * What runs of a kind take: on a core, and then waiting off it (ms). Others take the time given
-   * at the start.
+   * Run times by kind (ms): first on a core, then off it. Other kinds use the time on a core that
+   * the constructor received, and no time off it.
    */
-  public final Map<String, int[]> takes = new ConcurrentHashMap<>();
+  public final Map<String, int[]> runTimesMs = new ConcurrentHashMap<>();
 
-  /** How many calls a run makes that makes any. */
+  /** The number of downstream calls of each run that makes any. */
   public volatile int callsPerRun = 1;
 
   private final Map<String, Integer> callsMade = new HashMap<>();
   private final Set<String> waiting = new HashSet<>();
 
-  private Socket muted;
+  /** The connection on which no more messages are sent. */
+  private Socket mutedConnection;
 
+  /** Creates a runtime whose runs occupy a core for this time (ms). */
   public FakeRuntime(int workMs) {
     this.workMs = workMs;
   }
 
-  /** What a run of this body brings. */
+  /** Returns the result of a run with this body. */
   public static String result(String body) {
     return "did " + body;
   }
@@ -109,11 +114,11 @@
   private synchronized void command(Socket socket, JsonNode command) throws IOException {
     String type = command.path("type").asText();
     String id = command.path("job").asText();
-    if (swallow > 0 && !id.isEmpty()) {
-      swallow--;
-      losing = socket;
+    if (commandsToLose > 0 && !id.isEmpty()) {
+      commandsToLose--;
+      lossyConnection = socket;
     }
-    if (socket == losing) {
+    if (socket == lossyConnection) {
       return;
     }
     commands.add(type + " " + id);
@@ -124,7 +129,7 @@
       case "give" -> give(id, decode(command));
       case "omit" -> finish(id, 1);
       case "gauges" -> sendGauges(command.path("ref").asText());
-      default -> throw new IOException("no such command: " + command);
+      default -> throw new IOException("unknown command: " + command);
     }
   }
 
@@ -133,9 +138,9 @@
   }
 
   private void synchronize(Socket socket, int lastRead) {
-    link = socket;
+    connection = socket;
     gaugesUnansweredBeforeSync = false;
-    work.schedule(() -> ready(lastRead), readyAfterMs, TimeUnit.MILLISECONDS);
+    scheduler.schedule(() -> sendReady(lastRead), readyAfterMs, TimeUnit.MILLISECONDS);
   }
 
   private void start(String id, JsonNode command) throws IOException {
@@ -152,10 +157,10 @@
     callsMade.remove(id);
     waiting.remove(id);
     queue.add(job);
-    next();
-    if (!spoil.isEmpty()) {
-      link.getOutputStream().write(spoil.getBytes(StandardCharsets.UTF_8));
-      spoil = "";
+    startQueuedRuns();
+    if (!outputAfterNextStart.isEmpty()) {
+      connection.getOutputStream().write(outputAfterNextStart.getBytes(StandardCharsets.UTF_8));
+      outputAfterNextStart = "";
     }
   }
 
@@ -185,18 +190,18 @@
     }
     ObjectNode load = json.createObjectNode().put("type", "load").put("ref", reference);
     load.putArray("gauges")
-        .add(Math.min(1, busy / (double) TestSite.CORES))
-        .add(busy + queue.size())
+        .add(Math.min(1, busyCores / (double) TestSite.CORES))
+        .add(busyCores + queue.size())
         .add(0.1)
         .add(3);
     send(load);
     if (reference.equals(endRunsBehindGauges)) {
       endRunsBehindGauges = "";
-      moveAllRunsOn();
+      advanceAllRuns();
     }
   }
 
-  private void moveAllRunsOn() {
+  private void advanceAllRuns() {
     for (Job job : List.copyOf(jobs.values())) {
       if (callsMade.getOrDefault(job.id, 0) > 0) {
         callOrFinish(job);
@@ -207,23 +212,23 @@
     queue.clear();
   }
 
-  private synchronized void ready(int n) {
+  private synchronized void sendReady(int n) {
     send(json.createObjectNode().put("type", "ready").put("state", "warm").put("took", 100_000));
-    notices.subList(n, notices.size()).forEach(this::send);
+    numberedMessages.subList(n, numberedMessages.size()).forEach(this::send);
   }
 
-  private void next() {
-    while (busy < TestSite.CORES && !queue.isEmpty()) {
+  private void startQueuedRuns() {
+    while (busyCores < TestSite.CORES && !queue.isEmpty()) {
       Job job = queue.remove();
-      busy++;
-      work.schedule(() -> worked(job), takes(job)[0], TimeUnit.MILLISECONDS);
+      busyCores++;
+      scheduler.schedule(() -> completeWorkOnCore(job), runTimesMs(job)[0], TimeUnit.MILLISECONDS);
     }
   }
 
-  private synchronized void worked(Job job) {
-    busy--;
+  private synchronized void completeWorkOnCore(Job job) {
+    busyCores--;
     callOrFinish(job);
-    next();
+    startQueuedRuns();
   }
 
   private void callOrFinish(Job job) {
@@ -232,13 +237,13 @@
         callsMade.merge(job.id, 1, Integer::sum);
         waiting.add(job.id);
         byte[] body = callBody(job.id).getBytes(StandardCharsets.UTF_8);
-        notice(
+        sendNumbered(
             json.createObjectNode()
                 .put("type", "wants")
                 .put("job", job.id)
                 .put("data", Base64.getEncoder().encodeToString(body)));
       } else {
-        finish(job.id, takes(job)[1]);
+        finish(job.id, runTimesMs(job)[1]);
       }
     }
   }
@@ -248,12 +253,12 @@
     return (number == 1 ? "call for " : "call " + number + " for ") + id;
   }
 
-  private int[] takes(Job job) {
-    return takes.getOrDefault(job.kind, new int[] {workMs, 0});
+  private int[] runTimesMs(Job job) {
+    return runTimesMs.getOrDefault(job.kind, new int[] {workMs, 0});
   }
 
   private void finish(String id, int afterMs) {
-    work.schedule(
+    scheduler.schedule(
         () -> {
           synchronized (this) {
             Job job = jobs.get(id);
@@ -277,48 +282,48 @@
             .put("type", "end")
             .put("job", job.id)
             .put("state", state)
-            .put("took", takes(job)[0] + takes(job)[1]);
+            .put("took", runTimesMs(job)[0] + runTimesMs(job)[1]);
     if (result != null) {
       end.put("data", Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.UTF_8)));
     }
-    notice(end);
+    sendNumbered(end);
   }
 
-  private void notice(ObjectNode notice) {
-    notice.put("n", notices.size() + 1);
-    notices.add(notice);
-    send(notice);
+  private void sendNumbered(ObjectNode message) {
+    message.put("n", numberedMessages.size() + 1);
+    numberedMessages.add(message);
+    send(message);
   }
 
-  /** Says nothing more on the link there is, and keeps it open. */
-  public synchronized void mute() {
-    muted = link;
+  /** Sends nothing more on the current connection, which stays open. */
+  public synchronized void stopSending() {
+    mutedConnection = connection;
   }
 
   private void send(ObjectNode message) {
-    if (link == muted) {
+    if (connection == mutedConnection) {
       return;
     }
     try {
-      link.getOutputStream().write((message + "\n").getBytes(StandardCharsets.UTF_8));
+      connection.getOutputStream().write((message + "\n").getBytes(StandardCharsets.UTF_8));
     } catch (IOException e) {
-      // no link just now: it follows after the next sync
+      // There is no connection: numbered messages are sent again after the next sync.
     }
   }
 
-  /** How often a body was started. */
+  /** Returns the number of accepted starts with this body. */
   public synchronized long startsOf(String body) {
     return starts.stream().filter(s -> s.endsWith(" " + body)).count();
   }
 
-  /** Whether a request of this id was started. */
+  /** Returns whether a request with this id was started. */
   public synchronized boolean started(String id) {
     return starts.stream().anyMatch(s -> s.startsWith(id + " "));
   }
 
   @Override
   public void close() {
-    work.shutdownNow();
+    scheduler.shutdownNow();
     super.close();
   }
 }
--- a/src/test/java/rosecleat/harness/RoutesTest.java
+++ b/src/test/java/rosecleat/harness/RoutesTest.java
@@ -26,39 +26,39 @@
 import rosecleat.harness.Links.LinkCondition;
 
 /**
- * One table of routes in five processes, and uwsgi traffic through each, while it changes and
- * pieces break.
+ * Tests that five processes converge to the same table of routes and serve uwsgi traffic while the
+ * table changes and processes and links fail.
  */
 class RoutesTest {
-  /** A table that all agree on is kept for so long: five periods of the membership protocol. */
-  private static final long KEPT_NS = 1_000_000_000;
+  /** A common table must stay unchanged for five periods of the membership protocol. */
+  private static final long STABLE_NS = 1_000_000_000;
 
   @TempDir Path folder;
-  private final FakeUwsgiService one = new FakeUwsgiService();
-  private final FakeUwsgiService two = new FakeUwsgiService();
+  private final FakeUwsgiService firstBackend = new FakeUwsgiService();
+  private final FakeUwsgiService secondBackend = new FakeUwsgiService();
   private Site site;
 
   @BeforeEach
   void start() throws Exception {
     site = new Site(folder, 5, 200, "");
-    site.writeRoutes(line("c1", one, "on"));
+    site.writeRoutes(instanceLine("c1", firstBackend, "on"));
     site.startAll().awaitSettled(site.all());
-    inForce(digest(0, "c1"), site.all());
+    awaitInForce(digestWith(0, "c1"), site.all());
   }
 
   @AfterEach
   void stop() {
     site.close();
-    one.close();
-    two.close();
+    firstBackend.close();
+    secondBackend.close();
   }
 
-  private static String line(String name, FakeUwsgiService at, String state) {
+  private static String instanceLine(String name, FakeUwsgiService at, String state) {
     return name + ": {address: \"uwsgi://127.0.0.1:" + at.port() + "\", state: " + state + "}";
   }
 
-  /** The digest in force at a process once its table names an instance. */
-  private String digest(int process, String instance) throws InterruptedException {
+  /** Waits until the table of a process contains an instance; returns the table's digest. */
+  private String digestWith(int process, String instance) throws InterruptedException {
     site.await("instance " + instance, 20, () -> hasInstance(process, instance));
     return tableDigest(process);
   }
@@ -71,7 +71,7 @@
         .has(instance);
   }
 
-  private void inForce(String digest, int... where) throws InterruptedException {
+  private void awaitInForce(String digest, int... where) throws InterruptedException {
     site.await(
         "routes " + digest,
         20,
@@ -86,21 +86,22 @@
   }
 
   /**
-   * Waits until processes hold one table with exactly these instances, and sees that they keep it.
-   * The digest that one of them shows as soon as it knows an instance will not do: a process that
-   * has just started shows a table of its own file alone, until it has met the others.
+   * Waits until the processes share one table with exactly these instances, and checks that it
+   * stays unchanged. The digest of the first table that contains an instance is not enough: until a
+   * started process synchronizes with the others, its table contains the instances of its own file
+   * alone.
    */
   private void awaitOneTable(Set<String> instances, int... where) throws InterruptedException {
-    site.await("one table of " + instances, 20, () -> holdOneTable(instances, where));
+    site.await("one table of " + instances, 20, () -> shareOneTable(instances, where));
     String digest = tableDigest(where[0]);
-    long keptUntilNs = System.nanoTime() + KEPT_NS;
-    while (System.nanoTime() < keptUntilNs) {
-      assertTrue(holdOneTable(instances, where), "not kept: " + instances);
+    long stableUntilNs = System.nanoTime() + STABLE_NS;
+    while (System.nanoTime() < stableUntilNs) {
+      assertTrue(shareOneTable(instances, where), "table not stable: " + instances);
       assertEquals(digest, tableDigest(where[0]));
     }
   }
 
-  private boolean holdOneTable(Set<String> instances, int... where) {
+  private boolean shareOneTable(Set<String> instances, int... where) {
     Set<String> digests = new HashSet<>();
     for (int process : where) {
       JsonNode table = site.adminJson(process, "/v1/routes");
@@ -119,7 +120,7 @@
     return digests.size() == 1;
   }
 
-  private UwsgiClient.Reply ask(int at) {
+  private UwsgiClient.Reply sendRead(int at) {
     try {
       return UwsgiClient.exchange(
           site.frontendPort(at), UwsgiClient.packet(UwsgiClient.vars("GET", "/cheap", "till"), ""));
@@ -128,7 +129,7 @@
     }
   }
 
-  private UwsgiClient.Reply load(int at, String key) {
+  private UwsgiClient.Reply sendLoad(int at, String key) {
     try {
       return UwsgiClient.exchange(
           site.frontendPort(at),
@@ -139,7 +140,7 @@
     }
   }
 
-  /** Callers at all processes, each with one read and one load in two attempts at a time. */
+  /** One client per process, which repeatedly sends a read, a load, and a retry of the load. */
   private final class Traffic {
     private final AtomicBoolean stopping = new AtomicBoolean();
     private final AtomicInteger requests = new AtomicInteger();
@@ -158,9 +159,9 @@
     private void call(int process) {
       while (!stopping.get()) {
         String key = "k" + process + "-" + requests.incrementAndGet();
-        countIfLost(ask(process).status() == 200);
-        UwsgiClient.Reply first = load(process, key);
-        countIfLost(first.status() == 200 && first.body().equals(load(process, key).body()));
+        countIfLost(sendRead(process).status() == 200);
+        UwsgiClient.Reply first = sendLoad(process, key);
+        countIfLost(first.status() == 200 && first.body().equals(sendLoad(process, key).body()));
       }
     }
 
@@ -177,7 +178,7 @@
   }
 
   @Test
-  void aChangeReachesAllAndLosesNothingUnderTraffic() throws Exception {
+  void changedRoutesReachAllProcessesWithoutLostRequests() throws Exception {
     Traffic traffic = new Traffic().start();
     for (int round = 0; round < 6; round++) {
       publishInstances(round);
@@ -186,24 +187,27 @@
     publishInvalidFile();
     assertEquals(before, tableDigest(0));
     traffic.stop();
-    assertTrue(traffic.requests.get() > 100 && two.requests.get() > 0);
+    assertTrue(traffic.requests.get() > 100 && secondBackend.requests.get() > 0);
     assertEquals(0, traffic.lost.get(), "of " + traffic.requests.get());
     assertEachKeyRanOnce();
     publish("gone: {address: \"uwsgi://127.0.0.1:9\", state: off}");
-    inForce(digest(0, "gone"), site.all());
-    UwsgiClient.Reply none = ask(3);
+    awaitInForce(digestWith(0, "gone"), site.all());
+    UwsgiClient.Reply none = sendRead(3);
     assertEquals(503, none.status());
     assertEquals("never-ran", none.header("X-Progress"));
     assertFalse(site.logOf(2).contains("task on the event loop failed"), site.logOf(2));
   }
 
-  /** Moves the traffic to the other backend; in some rounds the former one drains. */
+  /** Moves the traffic to the other backend; in some rounds the previous backend drains. */
   private void publishInstances(int round) throws Exception {
     boolean even = round % 2 == 0;
     String name = (even ? "d" : "c") + round;
-    String draining = round % 3 == 0 ? ", " + line("old", even ? one : two, "drain") : "";
-    publish(line(name, even ? two : one, "on") + draining);
-    inForce(digest(0, name), site.all());
+    String draining =
+        round % 3 == 0
+            ? ", " + instanceLine("old", even ? firstBackend : secondBackend, "drain")
+            : "";
+    publish(instanceLine(name, even ? secondBackend : firstBackend, "on") + draining);
+    awaitInForce(digestWith(0, name), site.all());
   }
 
   private void publish(String instances) throws Exception {
@@ -215,7 +219,7 @@
     Files.writeString(
         folder.resolve("routes.yaml"), "services: {cards: {instances: {x: {adress: 5}}}}");
     site.signal(0, "HUP");
-    site.await("the finding", 10, () -> site.logOf(0).contains("adress"));
+    site.await("rejected routes file in the log", 10, () -> site.logOf(0).contains("adress"));
   }
 
   private String tableDigest(int process) {
@@ -223,27 +227,28 @@
   }
 
   private void assertEachKeyRanOnce() {
-    Map<String, Integer> runs = new HashMap<>(one.runs);
-    two.runs.forEach((key, count) -> runs.merge(key, count, Integer::sum));
+    Map<String, Integer> runs = new HashMap<>(firstBackend.runs);
+    secondBackend.runs.forEach((key, count) -> runs.merge(key, count, Integer::sum));
     assertEquals(Set.of(1), new HashSet<>(runs.values()), "a key ran twice");
     assertTrue(runs.size() > 50);
   }
 
   @Test
-  void partitionsTornExchangesAndOldFilesEndInOneTable() throws Exception {
+  void tablesConvergeAfterPartitionsInterruptedExchangesAndRestarts() throws Exception {
     publishOnBothSidesOfAPartition();
-    healWithTornExchanges();
+    healWithInterruptedExchanges();
     String all = tableDigest(1);
-    site.signal(0, "KILL"); // back with its file, which others have written since: they stay
+    // After a restart of n0 with its own file, the entries of other publishers stay.
+    site.signal(0, "KILL");
     site.start(0);
-    inForce(all, site.all());
+    awaitInForce(all, site.all());
     site.awaitSettled(site.all());
-    site.signal(2, "STOP"); // a follower that takes nothing holds nobody up
-    publish(line("c1", one, "on"));
+    site.signal(2, "STOP"); // A stopped follower must not delay the others.
+    publish(instanceLine("c1", firstBackend, "on"));
     site.await("a removal", 20, () -> !hasInstance(4, "left"));
     site.signal(2, "CONT");
-    inForce(tableDigest(4), site.all());
-    assertEquals(200, ask(2).status());
+    awaitInForce(tableDigest(4), site.all());
+    assertEquals(200, sendRead(2).status());
   }
 
   private void publishOnBothSidesOfAPartition() throws Exception {
@@ -252,22 +257,24 @@
         "split",
         30,
         () -> site.state(0, "n4").equals("dead") && site.state(4, "n0").equals("dead"));
-    publish(line("c1", one, "on") + ", " + line("left", two, "on"));
+    publish(
+        instanceLine("c1", firstBackend, "on") + ", " + instanceLine("left", secondBackend, "on"));
     awaitOneTable(Set.of("c1", "left"), 0, 1);
     String seeds = "\"" + site.advertisedAddress(3) + "\"";
     site.configure(4, "n4", seeds, "routes: {file: other.yaml}\n");
     Files.writeString(
         folder.resolve("other.yaml"),
-        "services: {cards: {instances: {" + line("right", two, "on") + "}}}");
+        "services: {cards: {instances: {" + instanceLine("right", secondBackend, "on") + "}}}");
     site.signal(4, "KILL");
-    partition(from -> from < 2 ? 0 : from == 4 ? 2 : 1); // it shows its own file alone at first
+    // n4 is isolated first, so that it has only the routes of its own file.
+    partition(from -> from < 2 ? 0 : from == 4 ? 2 : 1);
     site.start(4);
     awaitOneTable(Set.of("right"), 4);
     partition(from -> from < 2 ? 0 : 1);
     awaitOneTable(Set.of("c1", "right"), 2, 3, 4);
   }
 
-  /** Cuts all links but those within a group; a process is given by its number. */
+  /** Disconnects all links between groups; the function maps process numbers to groups. */
   private void partition(IntUnaryOperator groupOf) {
     site.links.setConditions(
         (from, to) ->
@@ -276,11 +283,11 @@
                 : LinkCondition.CUT);
   }
 
-  private void healWithTornExchanges() throws Exception {
-    site.links.tearAfter = 100; // each exchange of routes breaks
+  private void healWithInterruptedExchanges() throws Exception {
+    site.links.bytesBeforeInterruption = 100; // interrupts each exchange of routes
     site.links.setConditions((from, to) -> LinkCondition.CLEAR);
-    site.await("torn", 30, () -> site.links.torn.get() > 3);
-    site.links.tearAfter = 0;
+    site.await("interrupted exchanges", 30, () -> site.links.interruptedExchanges.get() > 3);
+    site.links.bytesBeforeInterruption = 0;
     awaitOneTable(Set.of("c1", "left", "right"), site.all());
   }
 }
--- a/src/test/java/rosecleat/harness/ViewTest.java
+++ b/src/test/java/rosecleat/harness/ViewTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rosecleat.harness.Links.LinkCondition;
 
-/** What seven processes of the program hold of one another while pieces break. */
+/** Tests the membership views of seven processes while processes and links fail. */
 class ViewTest {
   private static final int PERIOD_MS = 200;
   @TempDir Path folder;
@@ -30,7 +30,7 @@
     site.close();
   }
 
-  private void everywhere(String name, String state, int... where) throws InterruptedException {
+  private void awaitState(String name, String state, int... where) throws InterruptedException {
     site.await(
         name + " " + state,
         30,
@@ -45,54 +45,54 @@
   }
 
   @Test
-  void aCrashAPauseALeaveAndARestartAreToldApart() throws Exception {
+  void crashPauseLeaveAndRestartAreDistinguished() throws Exception {
     long before = site.epoch(1, "n6");
     site.signal(6, "KILL");
-    everywhere("n6", "dead", site.allBut(6));
-    site.awaitSettled(site.allBut(6));
+    awaitState("n6", "dead", site.allExcept(6));
+    site.awaitSettled(site.allExcept(6));
     site.signal(5, "TERM");
-    everywhere("n5", "left", site.allBut(5, 6));
-    site.await("its end", 20, () -> !site.isAlive(5));
-    site.signal(4, "STOP"); // longer than detection takes, then it goes on
-    everywhere("n4", "dead", 0, 1, 2, 3);
+    awaitState("n5", "left", site.allExcept(5, 6));
+    site.await("exit of n5", 20, () -> !site.isAlive(5));
+    site.signal(4, "STOP"); // The pause exceeds the detection time; then the process continues.
+    awaitState("n4", "dead", 0, 1, 2, 3);
     site.signal(4, "CONT");
-    everywhere("n4", "alive", 0, 1, 2, 3);
+    awaitState("n4", "alive", 0, 1, 2, 3);
     site.start(5, 6);
     site.awaitSettled(site.all());
     assertTrue(site.epoch(1, "n6") > before);
     long again = site.epoch(1, "n6");
-    site.signal(6, "KILL"); // back before anybody notices: new all the same
+    site.signal(6, "KILL"); // A restart before detection still gets a greater epoch.
     site.start(6);
     site.await(
-        "the later start",
+        "the restarted process",
         30,
         () -> site.epoch(1, "n6") > again && site.state(1, "n6").equals("alive"));
     site.awaitSettled(site.all());
   }
 
   @Test
-  void sidesOfASplitFindEachOther() throws Exception {
+  void viewsConvergeAfterPartitionsHeal() throws Exception {
     Links.LinkConditions halves =
         (a, b) -> a >= 0 && a % 2 == b % 2 ? LinkCondition.CLEAR : LinkCondition.CUT;
     site.links.setConditions(halves);
-    everywhere("n1", "dead", 0, 2, 4, 6);
-    everywhere("n0", "dead", 1, 3, 5);
+    awaitState("n1", "dead", 0, 2, 4, 6);
+    awaitState("n0", "dead", 1, 3, 5);
     site.await(
-        "the smaller side says that it may be cut off",
+        "the smaller partition is not settled",
         10,
         () -> !site.adminJson(1, "/v1/fleet").path("settled").asBoolean());
-    site.awaitSettledPartition(4, 0, 2, 4, 6); // more than half: settled without the others
+    site.awaitSettledPartition(4, 0, 2, 4, 6); // A majority settles without the others.
     site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
     site.links.setConditions(
         (a, b) -> a >= 0 && a % 3 == b % 3 ? LinkCondition.CLEAR : LinkCondition.CUT);
-    everywhere("n1", "dead", 0, 3, 6);
-    everywhere("n2", "dead", 0, 3, 6);
-    everywhere("n0", "dead", 1, 4, 2, 5);
+    awaitState("n1", "dead", 0, 3, 6);
+    awaitState("n2", "dead", 0, 3, 6);
+    awaitState("n0", "dead", 1, 4, 2, 5);
     site.links.setConditions((a, b) -> LinkCondition.CLEAR);
     site.awaitSettled(site.all());
     site.links.setConditions((a, b) -> a == 2 || b == 2 ? LinkCondition.CUT : LinkCondition.CLEAR);
-    everywhere("n2", "dead", site.allBut(2));
+    awaitState("n2", "dead", site.allExcept(2));
     assertFalse(
         site.adminJson(2, "/v1/fleet").path("settled").asBoolean(),
         site.adminJson(2, "/v1/fleet") + site.logOf(2));
@@ -101,11 +101,11 @@
   }
 
   /**
-   * Guards against a view that flaps where one direction is gone: relays answer for the one that
-   * hears but is not heard.
+   * Guards against a view that flaps when one direction of a link fails: indirect probes through
+   * other members show that the member whose messages do not arrive is alive.
    */
   @Test
-  void oneWayAndLossAndGarbageHarmNobody() throws Exception {
+  void viewSettlesDespiteOneWayLinkLossAndMalformedDatagrams() throws Exception {
     site.links.setConditions((a, b) -> a == 3 && b == 4 ? LinkCondition.CUT : LinkCondition.CLEAR);
     Random random = new Random(5);
     for (int round = 0; round < 40; round++) {
@@ -118,7 +118,7 @@
     }
     site.awaitSettled(site.all());
     site.links.setConditions((a, b) -> new LinkCondition(0.2, 0.1, 20, false, 0));
-    Thread.sleep(20L * PERIOD_MS); // it must hold for a while, which no condition tells
+    Thread.sleep(20L * PERIOD_MS); // No member may be declared dead in this time.
     for (int i : site.all()) {
       assertFalse(site.logOf(i).contains("is dead"), site.logOf(i));
     }
@@ -127,13 +127,13 @@
   }
 
   @Test
-  void twoProcessesUnderOneNameAreKeptApartAndANewRingStartsAtOnce() throws Exception {
+  void processesWithTheSameNameStayDistinctAndSimultaneousRestartSettles() throws Exception {
     site.configure(6, "n5", "\"" + site.advertisedAddress(0) + "\"", "");
     site.signal(6, "TERM");
-    site.await("its end", 20, () -> !site.isAlive(6));
+    site.await("exit of n6", 20, () -> !site.isAlive(6));
     site.start(6);
     site.await(
-        "both seen",
+        "two members named n5",
         30,
         () -> {
           int named = 0;
@@ -150,7 +150,7 @@
     assertTrue(site.logOf(5).contains("another process is named n5"), site.logOf(5));
     Thread.sleep(15L * PERIOD_MS);
     assertTrue(site.settled(site.all()));
-    for (int i : site.all()) { // all at once, with seeds that start with them
+    for (int i : site.all()) { // All processes restart together, so their seeds start with them.
       site.signal(i, "KILL");
     }
     site.configure(6, "n6", "\"" + site.advertisedAddress(5) + "\"", "");
--- a/src/test/java/rosecleat/measure/FleetView.java
+++ b/src/test/java/rosecleat/measure/FleetView.java
@@ -9,7 +9,8 @@
 import rosecleat.fleet.Tuning;
 
 /**
- * What docs/measurements/fleet-view.md keeps of the view on virtual time: {@code FleetView SEEDS}.
+ * Measures the membership view in virtual time for docs/measurements/fleet-view.md. Usage: {@code
+ * FleetView SEEDS}.
  */
 public final class FleetView {
   private static final int PAUSE_MEMBERS = 100;
@@ -22,10 +23,11 @@
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
     for (int n : new int[] {30, 120, 1_000}) {
-      row("crash known to all, n=" + n, n == 1_000 ? seeds / 4 : seeds, seed -> crash(n, seed));
+      printRow(
+          "crash known to all, n=" + n, n == 1_000 ? seeds / 4 : seeds, seed -> crash(n, seed));
     }
     for (int n : new int[] {30, 120}) {
-      row("settled after a crash, n=" + n, seeds / 2, seed -> settled(n, seed));
+      printRow("settled after a crash, n=" + n, seeds / 2, seed -> settled(n, seed));
     }
     for (int n : new int[] {120, 1_000}) {
       idle(n);
@@ -34,7 +36,7 @@
       pauses(health, 25);
     }
     for (int n : new int[] {120, 1_000}) {
-      row(
+      printRow(
           "views equal after a split of 30, n=" + n,
           n == 1_000 ? seeds / 8 : seeds / 2,
           seed -> heal(n, seed));
@@ -84,7 +86,7 @@
         cluster.bytes / 40.0 / size);
   }
 
-  /** A tenth of the members pause up to 5 periods again and again, 5% of all is lost. */
+  /** A tenth of the members repeatedly pause for up to 5 periods; 5% of all messages are lost. */
   private static void pauses(boolean localHealth, int seeds) {
     FalseDeaths sum =
         IntStream.range(0, seeds)
@@ -101,7 +103,7 @@
         sum.pausing);
   }
 
-  /** How often members that run were newly held for dead, by another. */
+  /** How often a member that had not crashed was newly considered dead by another. */
   private record FalseDeaths(long healthy, long pausing) {
     FalseDeaths plus(FalseDeaths other) {
       return new FalseDeaths(healthy + other.healthy, pausing + other.pausing);
@@ -114,11 +116,11 @@
         new SimulatedCluster(PAUSE_MEMBERS, seed, tuning).startedWithFullViews();
     cluster.loss = 0.05;
     FalseDeaths sum = new FalseDeaths(0, 0);
-    boolean[][] heldForDead = new boolean[PAUSE_MEMBERS][PAUSE_MEMBERS];
+    boolean[][] consideredDead = new boolean[PAUSE_MEMBERS][PAUSE_MEMBERS];
     for (int period = 0; period < PAUSE_PERIODS; period++) {
       pauseSome(cluster);
       cluster.run(1);
-      sum = sum.plus(newlyHeldForDead(cluster, heldForDead));
+      sum = sum.plus(newlyConsideredDead(cluster, consideredDead));
     }
     return sum;
   }
@@ -133,21 +135,22 @@
     }
   }
 
-  private static FalseDeaths newlyHeldForDead(SimulatedCluster cluster, boolean[][] heldForDead) {
+  private static FalseDeaths newlyConsideredDead(
+      SimulatedCluster cluster, boolean[][] consideredDead) {
     long healthy = 0;
     long pausing = 0;
     for (SimulatedCluster.Peer observer : cluster.peers) {
       for (SimulatedCluster.Peer target : cluster.peers) {
         MemberId id = target.protocol.localId();
         boolean dead = !observer.protocol.stateOf(id).orElseThrow().isActive();
-        if (dead && !heldForDead[observer.index][target.index]) {
+        if (dead && !consideredDead[observer.index][target.index]) {
           if (target.index >= PAUSING_MEMBERS) {
             healthy++;
           } else {
             pausing++;
           }
         }
-        heldForDead[observer.index][target.index] = dead;
+        consideredDead[observer.index][target.index] = dead;
       }
     }
     return new FalseDeaths(healthy, pausing);
@@ -157,8 +160,8 @@
     double run(long seed);
   }
 
-  private static void row(String what, int seeds, Trial trial) {
-    long begun = System.nanoTime();
+  private static void printRow(String what, int seeds, Trial trial) {
+    long startNs = System.nanoTime();
     double[] all =
         IntStream.range(0, Math.max(3, seeds))
             .parallel()
@@ -177,6 +180,6 @@
         shown.get(1),
         shown.get(2),
         Arrays.stream(all).filter(x -> x < 0).count(),
-        (System.nanoTime() - begun) / 1e9);
+        (System.nanoTime() - startNs) / 1e9);
   }
 }
--- a/src/test/java/rosecleat/measure/RoutesSpeed.java
+++ b/src/test/java/rosecleat/measure/RoutesSpeed.java
@@ -13,8 +13,8 @@
 import rosecleat.routes.RouteTable;
 
 /**
- * What docs/measurements/routes.md keeps: what a change in a large table costs against the whole of
- * it.
+ * Measures the cost of changes in a large table of routes, compared with the cost of the complete
+ * table, for docs/measurements/routes.md.
  */
 public final class RoutesSpeed {
   private static final MemberUpdateMessage SELF = MemberUpdateMessage.getDefaultInstance();
@@ -25,12 +25,12 @@
   public static void main(String[] args) {
     for (int size : new int[] {1_000, 10_000, 100_000}) {
       for (int changes : new int[] {1, 10, 100, 1_000}) {
-        row(size, changes);
+        printRow(size, changes);
       }
     }
   }
 
-  private static void row(int size, int changes) {
+  private static void printRow(int size, int changes) {
     RouteStore author = new RouteStore();
     Map<RouteEntry.Key, Instance> file = new HashMap<>();
     putInstances(file, size, 0);
@@ -89,7 +89,7 @@
         4);
   }
 
-  /** The baseline: both tables as maps, each key looked up. */
+  /** The baseline: compares both tables as maps and looks up every key. */
   private static long compareCompletely(RouteTable before, RouteTable after) {
     Map<String, Map<String, Instance>> a = before.services();
     Map<String, Map<String, Instance>> b = after.services();
@@ -104,20 +104,21 @@
   }
 
   private static long time(LongSupplier what) {
-    long begun = System.nanoTime();
+    long startNs = System.nanoTime();
     if (what.getAsLong() < 0) {
       throw new IllegalStateException();
     }
-    return System.nanoTime() - begun;
+    return System.nanoTime() - startNs;
   }
 
-  /** Makes two stores equal; returns the bytes of the answer. */
-  private static int synchronize(RouteStore one, RouteStore other) {
-    RouteSyncSession opener = new RouteSyncSession(one, true, "c", () -> SELF, () -> {}, () -> {});
-    RouteSyncSession answers =
-        new RouteSyncSession(other, false, "c", () -> SELF, () -> {}, () -> {});
-    byte[] told = answers.nextFrame(opener.nextFrame(null, 0), 0);
-    opener.nextFrame(told, 0);
-    return told.length;
+  /** Synchronizes a store with another; returns the size of the response in bytes. */
+  private static int synchronize(RouteStore initiator, RouteStore responder) {
+    RouteSyncSession initiatorSession =
+        new RouteSyncSession(initiator, true, "c", () -> SELF, () -> {}, () -> {});
+    RouteSyncSession responderSession =
+        new RouteSyncSession(responder, false, "c", () -> SELF, () -> {}, () -> {});
+    byte[] response = responderSession.nextFrame(initiatorSession.nextFrame(null, 0), 0);
+    initiatorSession.nextFrame(response, 0);
+    return response.length;
   }
 }
--- a/src/test/java/rosecleat/node/UwsgiFrontendTest.java
+++ b/src/test/java/rosecleat/node/UwsgiFrontendTest.java
@@ -25,7 +25,7 @@
 import rosecleat.config.NodeConfig;
 import rosecleat.config.NodeConfigReader;
 import rosecleat.fakes.FakeRuntime;
-import rosecleat.fakes.FakeUwsgiService.Mood;
+import rosecleat.fakes.FakeUwsgiService.Behavior;
 import rosecleat.fakes.RespClient;
 import rosecleat.fakes.TestSite;
 import rosecleat.fakes.UwsgiClient;
@@ -154,18 +154,18 @@
 
   @Test
   void requestNotCompletedByItsDeadlineIsAGatewayTimeout() throws IOException {
-    env.backend.mood = Mood.SLOW;
+    env.backend.behavior = Behavior.HANG;
     long start = System.nanoTime();
     Reply reply = get("/files/a", "HTTP_X_DEADLINE_MS", "300");
     assertEquals(504, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
     assertTrue(System.nanoTime() - start < 800_000_000L, "response came late");
-    env.await(core -> env.backend.closedOnUs.get() == 1); // the run was cancelled
+    env.await(core -> env.backend.closedByPeer.get() == 1); // the run was cancelled
   }
 
   @Test
   void contractDeadlineAppliesWhenTheCallerSetsNone() throws IOException {
-    env.backend.mood = Mood.SLOW;
+    env.backend.behavior = Behavior.HANG;
     long start = System.nanoTime();
     assertEquals(504, get("/files/a").status());
     assertTrue(System.nanoTime() - start < 2_000_000_000L, "response came late");
@@ -210,11 +210,11 @@
 
   @Test
   void requestOnABrokenConnectionMayHaveRun() throws IOException {
-    env.backend.mood = Mood.BREAKS;
+    env.backend.behavior = Behavior.CLOSE;
     Reply reply = put("k2");
     assertEquals(502, reply.status());
     assertEquals("may-have-run", reply.header("X-Progress"));
-    env.backend.mood = Mood.GOOD;
+    env.backend.behavior = Behavior.SUCCEED;
     // The request may have had its effect, so it is not sent again.
     assertEquals(502, put("k2").status());
     assertEquals(1, env.backend.requests.get());
@@ -223,7 +223,7 @@
 
   @Test
   void responseOfAServiceReachesTheCallerUnchanged() throws IOException {
-    env.backend.script =
+    env.backend.rawResponse =
         "HTTP/1.1 100 Continue\r\n\r\n"
             + "HTTP/1.1 404 Nope\r\n"
             + "Content-Type: application/json\r\n"
@@ -247,9 +247,9 @@
             + "Content-Length: 5\r\n"
             + "Connection: close",
         reply.head());
-    env.backend.script = "HTTP/1.1 500 Oops\r\n\r\nwhy";
+    env.backend.rawResponse = "HTTP/1.1 500 Oops\r\n\r\nwhy";
     assertEquals(500, get("/files/a").status());
-    env.backend.script = "HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n";
+    env.backend.rawResponse = "HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n";
     Reply empty = get("/files/a");
     assertEquals(204, empty.status());
     assertEquals("", empty.header("Content-Length"));
@@ -257,10 +257,11 @@
 
   @Test
   void retryWithTheSameKeyGetsTheWholeResponse() throws IOException {
-    env.backend.script = "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
+    env.backend.rawResponse =
+        "HTTP/1.1 409 Conflict\r\nX-Why: taken\r\nContent-Length: 4\r\n\r\nfull";
     Reply first = put("k7");
     assertEquals(409, first.status());
-    env.backend.script = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    env.backend.rawResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     assertEquals(first, put("k7"), "status, headers and body of the first response");
     assertEquals(1, env.backend.requests.get());
   }
@@ -274,7 +275,7 @@
             "HTTP/1.1 101 Switching\r\n\r\n",
             "HTTP/1.1 204 No Content\r\n\r\nbody",
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nlong")) {
-      env.backend.script = bad;
+      env.backend.rawResponse = bad;
       Reply reply = get("/files/a");
       assertEquals(502, reply.status(), bad);
       assertEquals("ran", reply.header("X-Progress"));
@@ -336,14 +337,14 @@
 
   @Test
   void closedConnectionCancelsItsRequest() throws IOException {
-    env.backend.mood = Mood.SLOW;
+    env.backend.behavior = Behavior.HANG;
     try (Socket socket = UwsgiClient.open(env.uwsgiPort)) {
       socket.getOutputStream().write(packet(vars("GET", "/files/a", "till"), ""));
       env.await(core -> env.backend.requests.get() == 1);
     }
     env.await(
         core ->
-            env.backend.closedOnUs.get() == 1
+            env.backend.closedByPeer.get() == 1
                 && core.counters().get("gone") == 1
                 && core.inFlight() == 0);
   }
--- a/src/test/java/rosecleat/runtime/RuntimeClientTest.java
+++ b/src/test/java/rosecleat/runtime/RuntimeClientTest.java
@@ -107,15 +107,15 @@
    */
   @Test
   void startLostOnFirstOfTwoBrokenConnectionsIsResent() {
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     start("00000000000000a1");
-    Await.until(() -> runtime.swallow == 0);
+    Await.until(() -> runtime.commandsToLose == 0);
     runtime.readyAfterMs = 3_600_000; // the second connection does not become ready
-    runtime.cut();
+    runtime.closeConnections();
     Await.until(() -> syncs() == 2);
     now.addAndGet(5_000_000);
     runtime.readyAfterMs = 0;
-    runtime.cut();
+    runtime.closeConnections();
     Await.until(() -> runtime.started("00000000000000a1"));
     assertEquals(1, gate.call(() -> counters.get("runtime.resent")));
     assertEquals(1, runtime.startsOf("00000000000000a1"));
@@ -130,10 +130,10 @@
     runtime.down();
     Await.until(() -> gate.call(() -> counters.get("runtime.unreached")) > 0);
     start("00000000000000a2");
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     runtime.up();
-    Await.until(() -> runtime.swallow == 0);
-    runtime.cut();
+    Await.until(() -> runtime.commandsToLose == 0);
+    runtime.closeConnections();
     Await.until(() -> runtime.started("00000000000000a2"));
     assertEquals(1, runtime.startsOf("00000000000000a2"));
   }
@@ -144,9 +144,9 @@
    */
   @Test
   void startSentOnNewConnectionIsNotInDoubt() {
-    runtime.swallow = 1;
+    runtime.commandsToLose = 1;
     start("00000000000000a3");
-    Await.until(() -> runtime.swallow == 0);
+    Await.until(() -> runtime.commandsToLose == 0);
     runtime.down();
     Await.until(() -> gate.call(() -> counters.get("runtime.unreached")) > 0);
     // sent on the new connection before its messages show which earlier commands arrived
@@ -163,13 +163,13 @@
    */
   @Test
   void startSentBeforeAnsweredGaugesRequestIsNotInDoubt() {
-    runtime.takes.put("balance-check", new int[] {60_000, 0});
+    runtime.runTimesMs.put("balance-check", new int[] {60_000, 0});
     start("00000000000000a5");
     requestGauges();
     awaitCommands("gauges ", 1);
     // the second request is sent only after the first was answered
     Await.until(() -> requestGaugesAndCountRequests() == 2);
-    runtime.cut();
+    runtime.closeConnections();
     awaitCommands("sync ", 2);
     start("00000000000000a6");
     Await.until(() -> runtime.started("00000000000000a6"));
--- a/src/test/java/rosecleat/soak/SoakOracle.java
+++ b/src/test/java/rosecleat/soak/SoakOracle.java
@@ -8,24 +8,24 @@
 import rosecleat.fakes.FakeRuntime;
 
 /**
- * The rules of the protocol's page, checked on the record of one run. Bounds are the page's and the
- * settings', less what the machine itself stood still.
+ * Checks the rules of the protocol page on the record of one run. The bounds are those of the page
+ * and of the settings; pauses of the whole machine are subtracted from the measured times.
  */
 final class SoakOracle {
-  /** How much longer every time limit is on sockets, and how long a request may cross a close. */
+  /** The tolerance of every time limit, and of a request that was sent just before a close (ms). */
   private static final long SOCKET_SLACK_MS = 50;
 
   private final SoakRecord record;
   private final List<String> violations = new ArrayList<>();
   private final Map<String, Integer> startsById = new HashMap<>();
   private final Map<String, Integer> startsByBody = new HashMap<>();
-  private final Map<String, SoakNode> runBy = new HashMap<>();
+  private final Map<String, SoakNode> nodeByRequestId = new HashMap<>();
 
   private SoakOracle(SoakRecord record) {
     this.record = record;
   }
 
-  /** Returns what broke a rule, in words; empty where nothing did. */
+  /** Returns a description of each violation; empty if there is none. */
   static List<String> violations(SoakRecord record) {
     SoakOracle oracle = new SoakOracle(record);
     oracle.countStarts();
@@ -41,14 +41,14 @@
         String[] words = start.split(" ", 3);
         startsById.merge(words[0], 1, Integer::sum);
         startsByBody.merge(words[2], 1, Integer::sum);
-        runBy.put(words[0], node);
+        nodeByRequestId.put(words[0], node);
       }
     }
   }
 
   private void check(SentRequest request) {
     if (request.writtenNs == 0) {
-      return; // not written whole
+      return; // The request was not sent completely.
     }
     checkAnswered(request);
     checkAnswer(request);
@@ -56,23 +56,24 @@
   }
 
   /**
-   * An answer is due when the caller gives up, but not before the request was read (WIRE, the first
-   * rule): behind a crowd it lies in the backlog until a place is free.
+   * Checks that the request was answered once and in time. By the first rule of the protocol page
+   * (WIRE), an answer is due at the client's deadline, but not before the request was read: behind
+   * many idle clients its connection waits in the backlog until a slot is free.
    */
   private void checkAnswered(SentRequest request) {
     if (request.answers.size() > 1) {
-      violations.add("several answers: " + request + " " + request.answers);
+      violations.add("more than one answer: " + request + " " + request.answers);
     }
-    if (request.undone || request.connection.closedByClient) {
+    if (request.withdrawn || request.connection.closedByClient) {
       return;
     }
     if (request.answers.isEmpty()) {
-      checkCrossedTheEnd(request);
+      checkSentShortlyBeforeClose(request);
       return;
     }
-    long callerGivesUpNs = request.arrivedNs + TimeUnit.MILLISECONDS.toNanos(request.waitMs);
+    long deadlineNs = request.arrivedNs + TimeUnit.MILLISECONDS.toNanos(request.waitMs);
     long dueNs =
-        Math.max(callerGivesUpNs, request.connection.readSinceNs)
+        Math.max(deadlineNs, request.connection.readingSinceNs)
             + TimeUnit.MILLISECONDS.toNanos(SoakConfig.ANSWER_SLACK_MS + SOCKET_SLACK_MS);
     long lateNs =
         request.answeredNs - dueNs - record.pausedNs(request.arrivedNs, request.answeredNs);
@@ -81,17 +82,17 @@
     }
   }
 
-  /** A request without an answer was written at most 50 ms before its connection ended. */
-  private void checkCrossedTheEnd(SentRequest request) {
+  /** Checks that an unanswered request was sent at most 50 ms before its connection ended. */
+  private void checkSentShortlyBeforeClose(SentRequest request) {
     long endedNs = request.connection.endedNs;
-    long crossingNs = endedNs - request.writtenNs - record.pausedNs(request.writtenNs, endedNs);
+    long beforeCloseNs = endedNs - request.writtenNs - record.pausedNs(request.writtenNs, endedNs);
     if (endedNs == 0) {
-      violations.add("no answer, and the connection is open: " + request);
-    } else if (crossingNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
+      violations.add("no answer, though the connection is open: " + request);
+    } else if (beforeCloseNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
       violations.add(
-          "lost: its connection ended "
-              + TimeUnit.NANOSECONDS.toMillis(crossingNs)
-              + " ms after it was written, "
+          "unanswered: its connection ended "
+              + TimeUnit.NANOSECONDS.toMillis(beforeCloseNs)
+              + " ms after the request was sent, "
               + record.sinceTermination(endedNs)
               + ": "
               + request);
@@ -104,15 +105,15 @@
     }
     List<String> words = request.answers.get(0);
     boolean ran = startsById.containsKey(request.id);
-    if (request.word().equals("OK")) {
+    if (request.status().equals("OK")) {
       String result = words.size() > 3 ? words.get(3) : "";
       if (!result.equals(FakeRuntime.result(request.body))) {
-        violations.add("another result: " + request + " " + words);
+        violations.add("wrong result: " + request + " " + words);
       }
       if (!startsByBody.containsKey(request.body)) {
-        violations.add("a result of no run: " + request);
+        violations.add("result without a run: " + request);
       }
-    } else if (request.word().equals("BUSY") && ran) {
+    } else if (request.status().equals("BUSY") && ran) {
       violations.add("rejected though it ran: " + request);
     }
   }
@@ -127,35 +128,38 @@
       violations.add("its key ran " + runsOfKey + " times: " + request);
     }
     if (runs > 0) {
-      long lateNs = request.writtenNs - runBy.get(request.id).graceEndNs();
+      long lateNs = request.writtenNs - nodeByRequestId.get(request.id).graceEndNs();
       if (lateNs > TimeUnit.MILLISECONDS.toNanos(SOCKET_SLACK_MS)) {
         violations.add(
-            "ran though it came " + record.sinceTermination(request.writtenNs) + ": " + request);
+            "ran though it was sent "
+                + record.sinceTermination(request.writtenNs)
+                + ": "
+                + request);
       }
     }
   }
 
   private void checkProcess(SoakNode node) {
-    if (!node.wrongEnd().isEmpty()) {
-      violations.add("the process " + node.wrongEnd());
+    if (!node.exitViolation().isEmpty()) {
+      violations.add("the process " + node.exitViolation());
     }
-    for (String sign :
+    for (String marker :
         List.of("Too many open files", "task on the event loop failed", "OutOfMemoryError")) {
-      if (node.log().contains(sign)) {
-        violations.add("the log says: " + sign);
+      if (node.log().contains(marker)) {
+        violations.add("the log contains: " + marker);
       }
     }
   }
 
-  /** The counters that the processes log at their end must hold what the clients have read. */
+  /** Checks that the counters logged at exit include all answers that the clients have read. */
   private void checkCounters() {
     Map<String, Long> counters = new HashMap<>();
     for (SoakNode node : record.nodes()) {
       if (node.killed()) {
-        return; // that is a violation itself
+        return; // checkProcess reports the kill as a violation.
       }
       if (node.counters().isEmpty() && node.log().contains("listens on")) {
-        violations.add("the log ends without counters");
+        violations.add("the log contains no counters");
       }
       node.counters().forEach((name, count) -> counters.merge(name, count, Long::sum));
     }
@@ -174,10 +178,11 @@
   }
 
   private void atLeast(Map<String, Long> counters, String counter, String word) {
-    long read = record.requests().stream().filter(request -> request.word().equals(word)).count();
+    long read = record.requests().stream().filter(request -> request.status().equals(word)).count();
     long counted = counters.getOrDefault(counter, 0L);
     if (counted < read) {
-      violations.add(counter + " is " + counted + ", but clients read " + read);
+      violations.add(
+          counter + " is " + counted + ", expected at least " + read + " as read by clients");
     }
   }
 }
--- a/src/test/java/rosecleat/soak/SoakPlan.java
+++ b/src/test/java/rosecleat/soak/SoakPlan.java
@@ -6,19 +6,19 @@
 import rosecleat.soak.Step.Action;
 
 /**
- * Everything that a run draws from its seed.
+ * The plan of a run, drawn completely from its seed.
  *
  * @param seed the seed
- * @param classes the classes of requests
+ * @param classes the request classes
  * @param stopMs how long after SIGTERM the platform kills the process
- * @param graceMs how long after SIGTERM requests that arrive still run
+ * @param graceMs how long after SIGTERM arriving requests may still run
  * @param descriptors the limit on file descriptors
- * @param clients how many connections send requests at a time
+ * @param clients the number of connections that send requests concurrently
  * @param pauseMs the mean pause of a client between two requests
- * @param crowd how many idle clients connect
- * @param terminatedInStart whether SIGTERM meets a process that is still starting
- * @param registryDownAtStart whether the registry is away when the node starts
- * @param steps what is done, in order; a SIGTERM is always among them
+ * @param idleClients the number of clients that connect and stay idle
+ * @param terminatedInStart whether SIGTERM is sent while the process starts
+ * @param registryDownAtStart whether the registry is unavailable when the node starts
+ * @param steps the steps in order, always with a SIGTERM
  */
 record SoakPlan(
     long seed,
@@ -28,26 +28,26 @@
     int descriptors,
     int clients,
     int pauseMs,
-    int crowd,
+    int idleClients,
     boolean terminatedInStart,
     boolean registryDownAtStart,
     List<Step> steps) {
   private static final List<String> EFFECTS = List.of("pure", "token", "side_effect");
   private static final List<String> NAMES = List.of("balance-check", "card-refresh", "card-load");
 
-  /** The class of which the fake runtime makes calls. */
+  /** The index of the class whose runs make downstream calls in the fake runtime. */
   private static final int CALLING_CLASS = 1;
 
-  private static final List<Action> TROUBLES =
+  private static final List<Action> FAULTS =
       List.of(
           Action.RELOAD,
           Action.MOVE_RUNTIME,
           Action.MOVE_INDEX_AND_REGISTRY,
-          Action.CUT_RUNTIME,
-          Action.CUT_RUNTIME_LOSING_COMMANDS,
-          Action.CUT_RUNTIME_ENDING_RUNS,
-          Action.SILENCE_GAUGES,
-          Action.SPOIL_CALLS,
+          Action.DISCONNECT_RUNTIME,
+          Action.DISCONNECT_RUNTIME_LOSING_COMMANDS,
+          Action.DISCONNECT_RUNTIME_ENDING_RUNS,
+          Action.IGNORE_GAUGE_REQUESTS,
+          Action.FAIL_CALLS,
           Action.REGISTRY_DOWN,
           Action.REGISTRY_UP,
           Action.BURST);
@@ -55,7 +55,7 @@
   static SoakPlan draw(long seed) {
     Random random = new Random(seed);
     int descriptors = List.of(64, 96, 200, 256).get(random.nextInt(4));
-    boolean crowded = random.nextInt(3) == 0;
+    boolean withIdleClients = random.nextInt(3) == 0;
     int graceMs = between(random, 200, 700);
     boolean terminatedInStart = random.nextInt(8) == 0;
     return new SoakPlan(
@@ -66,14 +66,14 @@
         descriptors,
         between(random, 2, 10),
         between(random, 5, 40),
-        crowded ? between(random, descriptors / 4, 2 * descriptors) : 0,
+        withIdleClients ? between(random, descriptors / 4, 2 * descriptors) : 0,
         terminatedInStart,
         random.nextInt(4) == 0,
         terminatedInStart ? stepsInStart(random) : steps(random));
   }
 
-  private static int between(Random random, int least, int most) {
-    return least + random.nextInt(most - least + 1);
+  private static int between(Random random, int min, int max) {
+    return min + random.nextInt(max - min + 1);
   }
 
   private static List<RequestClassPlan> classes(Random random) {
@@ -91,7 +91,7 @@
     return List.copyOf(classes);
   }
 
-  /** SIGTERM, once or twice, while the process starts. */
+  /** Draws one or two SIGTERMs while the process starts. */
   private static List<Step> stepsInStart(Random random) {
     List<Step> steps = new ArrayList<>();
     steps.add(new Step(between(random, 200, 900), Action.TERMINATE));
@@ -101,11 +101,11 @@
     return List.copyOf(steps);
   }
 
-  /** Some troubles, SIGTERM, and some more troubles behind it; in some runs a take-over. */
+  /** Draws some faults, SIGTERM and more faults; in some runs also a takeover. */
   private static List<Step> steps(Random random) {
     List<Step> steps = new ArrayList<>();
     boolean takeover = random.nextInt(4) == 0;
-    int before = random.nextInt(7); // none: SIGTERM may meet a node that has just started
+    int before = random.nextInt(7); // With 0, SIGTERM may reach a node that has just started.
     for (int i = 0; i < before; i++) {
       steps.add(new Step(between(random, 0, 400), draw(random)));
     }
@@ -124,6 +124,6 @@
   }
 
   private static Action draw(Random random) {
-    return TROUBLES.get(random.nextInt(TROUBLES.size()));
+    return FAULTS.get(random.nextInt(FAULTS.size()));
   }
 }
--- a/src/test/java/rosecleat/soak/SoakRun.java
+++ b/src/test/java/rosecleat/soak/SoakRun.java
@@ -13,12 +13,12 @@
 import rosecleat.fakes.RespClient;
 import rosecleat.harness.ServeProcess;
 
-/** One run: a node, its peers and its clients, from the start of the process to its end. */
+/** One run of a node with its peers and clients, from the start of the process to its exit. */
 final class SoakRun {
   private static final int BURST_REQUESTS = 60;
-  private static final int SPOILT_CALLS = 4;
+  private static final int FAILED_CALLS = 4;
   private static final int LOST_COMMANDS = 3;
-  private static final int BEFORE_CUT_MS = 20;
+  private static final int DELAY_BEFORE_DISCONNECT_MS = 20;
 
   private final SoakPlan plan;
   private final Path folder;
@@ -28,7 +28,7 @@
   private final PauseMeter pauses = new PauseMeter();
   private final List<SoakClient> clients = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
-  private final List<Socket> crowd = new ArrayList<>();
+  private final List<Socket> idleClients = new ArrayList<>();
   private final List<String> events = new ArrayList<>();
   private final long startedNs = System.nanoTime();
   private final List<SoakNode> nodes = new ArrayList<>();
@@ -41,7 +41,7 @@
     port = ServeProcess.freePort();
   }
 
-  /** Plays the run that a seed draws; files go to a folder of its own. */
+  /** Executes the run of a seed; its files go to {@code folder}. */
   static SoakRecord play(long seed, Path folder) throws Exception {
     SoakRun run = new SoakRun(SoakPlan.draw(seed), folder);
     try {
@@ -60,13 +60,13 @@
     if (!plan.terminatedInStart()) {
       node().awaitServing();
       note("the node serves");
-      connectCrowd();
+      connectIdleClients();
     }
     startClients();
     for (Step step : plan.steps()) {
       TimeUnit.MILLISECONDS.sleep(step.afterMs());
       note(step.action().toString());
-      take(step.action());
+      perform(step.action());
     }
     awaitExit();
     stopClients();
@@ -77,7 +77,7 @@
     return nodes.get(0);
   }
 
-  /** The process that takes over, or the only one where none does. */
+  /** Returns the successor, or the only process if there is no takeover. */
   private SoakNode lastNode() {
     return nodes.get(nodes.size() - 1);
   }
@@ -92,11 +92,14 @@
     return SoakConfig.text(plan, port, node.runtime.port(), index.port(), registry.port());
   }
 
-  /** Idle clients; some have asked for health once. A full backlog takes no more of them. */
-  private void connectCrowd() throws IOException {
-    for (int i = 0; i < plan.crowd(); i++) {
+  /**
+   * Connects idle clients, of which every second sends one health check. A full backlog accepts no
+   * more of them.
+   */
+  private void connectIdleClients() throws IOException {
+    for (int i = 0; i < plan.idleClients(); i++) {
       Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-      crowd.add(socket);
+      idleClients.add(socket);
       if (i % 2 == 0) {
         socket.getOutputStream().write(RespClient.array("PING", 1, ""));
       }
@@ -114,18 +117,18 @@
     }
   }
 
-  private void take(Step.Action action) throws Exception {
+  private void perform(Step.Action action) throws Exception {
     FakeRuntime runtime = node().runtime;
     switch (action) {
       case RELOAD -> reload();
       case MOVE_RUNTIME -> {
-        runtime.moveAway();
+        runtime.moveToAnotherPort();
         reload();
       }
       case MOVE_INDEX_AND_REGISTRY -> {
         setRegistryDown(false);
-        index.moveAway();
-        registry.moveAway();
+        index.moveToAnotherPort();
+        registry.moveToAnotherPort();
         reload();
       }
       case TERMINATE -> terminate(node());
@@ -134,11 +137,11 @@
         lastNode().awaitServing();
       }
       case TERMINATE_SUCCESSOR -> terminate(lastNode());
-      case CUT_RUNTIME -> runtime.cut();
-      case CUT_RUNTIME_LOSING_COMMANDS -> cutLosingCommands(runtime);
-      case CUT_RUNTIME_ENDING_RUNS -> cutEndingRuns(runtime);
-      case SILENCE_GAUGES -> runtime.gaugesUnansweredBeforeSync = true;
-      case SPOIL_CALLS -> spoilCalls();
+      case DISCONNECT_RUNTIME -> runtime.closeConnections();
+      case DISCONNECT_RUNTIME_LOSING_COMMANDS -> disconnectLosingCommands(runtime);
+      case DISCONNECT_RUNTIME_ENDING_RUNS -> disconnectEndingRuns(runtime);
+      case IGNORE_GAUGE_REQUESTS -> runtime.gaugesUnansweredBeforeSync = true;
+      case FAIL_CALLS -> failCalls();
       case REGISTRY_DOWN -> setRegistryDown(true);
       case REGISTRY_UP -> setRegistryDown(false);
       case BURST -> clients.forEach(client -> client.burst(BURST_REQUESTS));
@@ -146,22 +149,22 @@
     }
   }
 
-  private static void cutLosingCommands(FakeRuntime runtime) throws InterruptedException {
-    runtime.swallow = LOST_COMMANDS;
-    TimeUnit.MILLISECONDS.sleep(BEFORE_CUT_MS);
-    runtime.cut();
-    runtime.swallow = 0;
+  private static void disconnectLosingCommands(FakeRuntime runtime) throws InterruptedException {
+    runtime.commandsToLose = LOST_COMMANDS;
+    TimeUnit.MILLISECONDS.sleep(DELAY_BEFORE_DISCONNECT_MS);
+    runtime.closeConnections();
+    runtime.commandsToLose = 0;
   }
 
-  private static void cutEndingRuns(FakeRuntime runtime) throws InterruptedException {
+  private static void disconnectEndingRuns(FakeRuntime runtime) throws InterruptedException {
     runtime.endRunsBehindGauges = "resumed";
     runtime.gaugesUnansweredBeforeSync = true;
-    TimeUnit.MILLISECONDS.sleep(BEFORE_CUT_MS);
-    runtime.cut();
+    TimeUnit.MILLISECONDS.sleep(DELAY_BEFORE_DISCONNECT_MS);
+    runtime.closeConnections();
   }
 
-  private void spoilCalls() {
-    for (int i = 0; i < SPOILT_CALLS; i++) {
+  private void failCalls() {
+    for (int i = 0; i < FAILED_CALLS; i++) {
       index.answers.add(List.of("cut", "", "SHED", "BROKEN").get(i % 4));
     }
   }
@@ -188,16 +191,16 @@
     target.terminate(target != lastNode() && !lastNode().terminated());
   }
 
-  /** A process that took over is told to leave once the other one has gone. */
+  /** Waits for the exit of the node, then terminates its successor and waits for its exit too. */
   private void awaitExit() throws InterruptedException {
     node().awaitExit();
-    note("the node has ended");
+    note("the node has exited");
     if (lastNode() != node()) {
       if (!lastNode().terminated()) {
         terminate(lastNode());
       }
       lastNode().awaitExit();
-      note("the successor has ended");
+      note("the successor has exited");
     }
   }
 
@@ -210,7 +213,7 @@
     }
     for (SoakClient client : clients) {
       for (SoakConnection connection : client.connections) {
-        connection.join(); // the process is gone: each connection has ended
+        connection.join(); // All processes have exited, so each connection has ended.
       }
     }
   }
@@ -229,7 +232,7 @@
     for (SoakNode node : nodes) {
       node.close();
     }
-    for (Socket socket : crowd) {
+    for (Socket socket : idleClients) {
       socket.close();
     }
     pauses.close();
