--- a/src/main/java/rosecleat/node/NodeProcess.java
+++ b/src/main/java/rosecleat/node/NodeProcess.java
@@ -113,7 +113,7 @@
       throws IOException {
     if (config.adminAddress() != null) {
       new AdminServer(loop, config.adminAddress(), operations, counters, log);
-      log.info("admin server listens on " + config.adminAddress());
+      log.info("admin server listening on " + config.adminAddress());
     }
   }
 
--- a/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
+++ b/src/main/java/rosecleat/policy/ServiceTimeEstimator.java
@@ -114,7 +114,9 @@
   }
 
   /**
-   * Counts one run less behind a restored run time, which may be wrong, after a rejection by it.
+   * Reduces by one the number of runs that count in favour of the restored run time of a class.
+   * Called when a request is rejected or failed because of its expected run time, since a restored
+   * run time may be wrong.
    */
   void discountRestored(int classIndex) {
     if (restoredRunCounts[classIndex] > 0) {
--- a/src/main/java/rosecleat/store/RecordStore.java
+++ b/src/main/java/rosecleat/store/RecordStore.java
@@ -94,7 +94,8 @@
     try {
       RecoveryReport before = Recovery.run(directory, factory);
       if (before.isNewStore()) {
-        return new OpenResult.Compacted(before); // compaction must not create a store
+        // A directory without a store is left as it is: compaction must not create a store.
+        return new OpenResult.Compacted(before);
       }
       lock = directory.tryLock(FileNames.LOCK);
       if (lock.isEmpty()) {
