--- a/src/main/java/rosecleat/net/WriteQueue.java
+++ b/src/main/java/rosecleat/net/WriteQueue.java
@@ -3,13 +3,13 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** The bytes of a connection that wait to be written, in order. For the loop alone. */
+/** A FIFO queue of a connection's unwritten bytes. All methods must be called on the event loop. */
 final class WriteQueue {
   /**
-   * The most bytes handed to the system at once: it copies each piece into a buffer outside the
-   * heap.
+   * Most bytes per write operation. The JDK copies each chunk into a buffer outside the heap, so
+   * this bounds the size of that buffer.
    */
-  private static final int MAX_PIECE_BYTES = 16 << 10;
+  private static final int MAX_CHUNK_BYTES = 16 << 10;
 
   private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
   private int queuedBytes;
@@ -28,20 +28,20 @@
     return queuedBytes;
   }
 
-  /** Returns how many bytes were written since the connection began. */
+  /** Returns the number of bytes written since the connection was established. */
   long writtenBytes() {
     return writtenBytes;
   }
 
   /** Returns a view of the next bytes to write; the queue must not be empty. */
-  ByteBuffer nextPiece() {
+  ByteBuffer nextChunk() {
     ByteBuffer first = buffers.element();
-    ByteBuffer piece = first.duplicate();
-    piece.limit(Math.min(first.limit(), first.position() + MAX_PIECE_BYTES));
-    return piece;
+    ByteBuffer chunk = first.duplicate();
+    chunk.limit(Math.min(first.limit(), first.position() + MAX_CHUNK_BYTES));
+    return chunk;
   }
 
-  /** Takes {@code count} written bytes off the first buffer. */
+  /** Removes {@code count} written bytes from the first buffer. */
   void written(int count) {
     queuedBytes -= count;
     writtenBytes += count;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Drops all that was not written. */
+  /** Discards all unwritten bytes. */
   void clear() {
     buffers.clear();
     queuedBytes = 0;
--- a/src/main/java/rosecleat/node/NodeTicker.java
+++ b/src/main/java/rosecleat/node/NodeTicker.java
@@ -3,15 +3,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Does everything on a node that depends on time alone. The core decides when the next tick is due.
- * For the event loop.
+ * Runs the time-driven work of a node. The core decides when the next tick is due. For use on the
+ * event loop.
  */
 final class NodeTicker {
-  /** A tick that is this late delays responses and is logged (us). */
-  private static final long LATE_US = 200_000;
+  /** A tick that is later than this delays responses and is logged (us). */
+  private static final long LATE_TICK_US = 200_000;
 
-  /** The time from a tick that failed to the next (us). */
-  private static final long PERIOD_AFTER_FAILURE_US = 20_000;
+  /** Time from a tick that failed to the next one (us). */
+  private static final long RETRY_DELAY_US = 20_000;
 
   private final NodeParts parts;
   private final PeerMonitor peers;
@@ -24,9 +24,12 @@
     this.shutdown = shutdown;
   }
 
-  /** Ticks from now on for as long as the loop lives; an exception ends its own tick alone. */
+  /**
+   * Starts ticking for the lifetime of the event loop. An exception ends only the tick that threw
+   * it.
+   */
   void start() {
-    long nextUs = parts.clock.getAsLong() + PERIOD_AFTER_FAILURE_US;
+    long nextUs = parts.clock.getAsLong() + RETRY_DELAY_US;
     try {
       nextUs = tick();
     } finally {
@@ -47,14 +50,14 @@
 
   private void warnIfLate(long nowUs) {
     long lateUs = nowUs - nextTickUs;
-    if (lateUs > LATE_US) {
+    if (lateUs > LATE_TICK_US) {
       parts.counters.add("beats.late");
       parts.log.warn(
-          "the loop was "
+          "event loop tick was "
               + TimeUnit.MICROSECONDS.toMillis(lateUs)
-              + " ms late, with "
+              + " ms late, "
               + parts.core.inFlight()
-              + " in hand");
+              + " requests in flight");
     }
   }
 }
--- a/src/test/java/rosecleat/admin/HttpRequestParserTest.java
+++ b/src/test/java/rosecleat/admin/HttpRequestParserTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The request parser by itself, without a connection. */
+/** The HTTP request parser, without a connection. */
 class HttpRequestParserTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -26,7 +26,7 @@
     return parser.error();
   }
 
-  /** A request is the same however its bytes are split into reads. */
+  /** The parsed request does not depend on how its bytes are split into reads. */
   @Property(tries = 200, seed = "20261201")
   void splittingTheInputDoesNotChangeTheRequest(
       @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 40) Integer> lengths) {
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void inputIsSeenFromTheFirstByteAndNoErrorIsReportedBeforeALineEnds() {
+  void inputIsDetectedFromFirstByteAndNoErrorIsReportedBeforeLineEnd() {
     HttpRequestParser parser = new HttpRequestParser();
     assertFalse(parser.hasInput());
     assertFalse(parser.feed(ByteBuffer.wrap(bytes("g"))));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void eachKindOfInvalidRequestHasItsError() {
+  void invalidRequestReportsItsErrorKind() {
     assertEquals(
         Optional.of(HttpRequestError.MALFORMED_REQUEST_LINE), errorOf("get / HTTP/1.1\r\n"));
     assertEquals(Optional.of(HttpRequestError.UNSUPPORTED_VERSION), errorOf("GET / HTTP/1.0\r\n"));
--- a/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
+++ b/src/test/java/rosecleat/fleet/MembershipProtocolTest.java
@@ -16,20 +16,20 @@
 import rosecleat.fleet.wire.MemberUpdateMessage;
 import rosecleat.fleet.wire.RecordUpdateMessage;
 
-/** Many members on virtual time: faults, and that the views converge again. */
+/** Runs many members on virtual time, injects faults and checks that the views converge again. */
 class MembershipProtocolTest {
   private static final String CLUSTER = "test";
 
-  /** The largest datagram that may leave a member, with its checksum (bytes). */
-  private static final int MAX_SEALED_DATAGRAM_BYTES = 1_400;
+  /** The largest datagram that a member may send, including its checksum (bytes). */
+  private static final int MAX_DATAGRAM_WITH_CHECKSUM_BYTES = 1_400;
 
   /**
-   * Loss, partitions, pauses, crashes, joins and restarts from a seed; then calm, and all views
-   * must hold exactly who is there.
+   * Injects seeded loss, duplication, partitions, pauses, crashes and restarts while the members
+   * join. Once the faults end, all views must contain exactly the running members.
    */
   @ParameterizedTest
   @CsvSource({"5, 60", "24, 24", "60, 6", "200, 1"})
-  void viewsConvergeAfterAnyFaults(int size, int seeds) {
+  void viewsConvergeAfterRandomFaults(int size, int seeds) {
     for (long seed = 1; seed <= seeds; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(size, seed).started(0, 1);
       cluster.run(cluster.random.nextInt(5));
@@ -40,14 +40,16 @@
       cluster.loss = 0;
       cluster.link = (from, to) -> true;
       double periods = cluster.runUntil(120, () -> hasConverged(cluster));
-      assertTrue(periods >= 0, "size " + size + " seed " + seed + ": " + cluster.counters);
       assertTrue(
-          cluster.largestDatagram <= MAX_SEALED_DATAGRAM_BYTES,
-          "a datagram of " + cluster.largestDatagram + " bytes");
+          periods >= 0,
+          "views did not converge, size " + size + " seed " + seed + ": " + cluster.counters);
+      assertTrue(
+          cluster.largestDatagram <= MAX_DATAGRAM_WITH_CHECKSUM_BYTES,
+          "largest datagram has " + cluster.largestDatagram + " bytes");
     }
   }
 
-  /** A minority can't be settled: it may be cut off. */
+  /** Views of a minority need not settle, since it may be partitioned from the rest. */
   private static boolean hasConverged(SimulatedCluster cluster) {
     boolean minority = 2 * cluster.running().size() <= cluster.peers.size();
     return cluster.viewsAgree() && (minority || cluster.allSettled());
@@ -62,8 +64,8 @@
         int parts = 2 + cluster.random.nextInt(2);
         cluster.link = (from, to) -> from % parts == to % parts;
       }
-      case 2 -> cluster.link = (from, to) -> from != peer.index; // hears all, is not heard
-      case 3 -> peer.pause((1 + cluster.random.nextInt(12)) * SimulatedCluster.PERIOD);
+      case 2 -> cluster.link = (from, to) -> from != peer.index; // receives, but cannot send
+      case 3 -> peer.pause((1 + cluster.random.nextInt(12)) * SimulatedCluster.PERIOD_US);
       case 4 -> {
         if (cluster.running().size() > 2) {
           peer.crash();
@@ -78,11 +80,11 @@
     }
   }
 
-  /** How long a view may be settled wrongly after a crash, and how soon it is right again. */
+  /** Limits how long views stay falsely settled after a crash, and how soon they settle again. */
   @Test
-  void viewsAreSettledWronglyNoLongerThanDetectionTakes() {
+  void viewsAreFalselySettledNoLongerThanDetectionTakes() {
     for (long seed = 1; seed <= 20; seed++) {
-      SimulatedCluster cluster = new SimulatedCluster(20, seed).acquainted();
+      SimulatedCluster cluster = new SimulatedCluster(20, seed).startedWithFullViews();
       cluster.run(10);
       assertTrue(cluster.allSettled());
       MemberId id = cluster.peers.get(7).protocol.localId();
@@ -100,9 +102,12 @@
     return cluster.running().stream().noneMatch(peer -> peer.protocol.isSettled(cluster.nowUs));
   }
 
-  /** A failure that a seed shows can be played again: nothing draws from outside the seed. */
+  /**
+   * Guards against sources of randomness other than the seed, so that the failure of a seed can be
+   * reproduced.
+   */
   @Test
-  void theSameSeedReplaysTheSameTrace() {
+  void equalSeedsReplayEqualTraces() {
     assertEquals(traceOf(5), traceOf(5));
     assertNotEquals(traceOf(5), traceOf(6));
   }
@@ -117,43 +122,45 @@
   }
 
   @Test
-  void aRestartWithAnEarlierClockIsTakenForTheLaterStart() {
-    SimulatedCluster cluster = new SimulatedCluster(4, 9).acquainted();
+  void restartWithAnEarlierClockIsRecognizedAsTheLaterStart() {
+    SimulatedCluster cluster = new SimulatedCluster(4, 9).startedWithFullViews();
     SimulatedCluster.Peer restarted = cluster.peers.get(3);
     long formerEpoch = restarted.protocol.localId().epoch();
     restarted.crash();
     cluster.run(1);
     long nowUs = cluster.nowUs;
-    cluster.nowUs = 1; // the epoch is taken from this clock
+    cluster.nowUs = 1; // the new epoch is taken from this clock
     restarted.start(0);
     cluster.nowUs = nowUs;
     double periods =
         cluster.runUntil(
             30, () -> restarted.protocol.localId().epoch() > formerEpoch && cluster.viewsAgree());
-    assertTrue(periods >= 0, "it is not seen as a later start");
+    assertTrue(periods >= 0, "restarted member is not recognized as a later start");
   }
 
-  /** Records become equal everywhere, also after a partition, and expire with their owners. */
+  /**
+   * Records must become equal on all members, also after a partition, and expire with their owners.
+   */
   @Test
   void recordsConvergeAndExpireWithTheirOwners() {
-    SimulatedCluster cluster = new SimulatedCluster(12, 4).acquainted();
+    SimulatedCluster cluster = new SimulatedCluster(12, 4).startedWithFullViews();
     cluster.link = (from, to) -> from % 2 == to % 2;
     cluster.run(20);
     cluster.peers.forEach(peer -> publishVersions(cluster, peer));
     MembershipProtocol second = cluster.peers.get(1).protocol;
-    byte[] large = new byte[Tuning.MAX_RECORD_BYTES]; // too large for gossip, a sync brings it
+    byte[] large = new byte[Tuning.MAX_RECORD_BYTES]; // above the gossip limit: by sync only
     second.publish("costs", "large", large, 20_000, cluster.nowUs);
     byte[] tooLarge = new byte[Tuning.MAX_RECORD_BYTES + 1];
     assertFalse(second.publish("costs", "larger", tooLarge, 20_000, cluster.nowUs));
     cluster.run(5);
     cluster.link = (from, to) -> true;
-    assertTrue(cluster.runUntil(60, () -> allHoldRecords(cluster, 12 * 3 + 1)) >= 0);
+    assertTrue(cluster.runUntil(60, () -> allStoreRecords(cluster, 12 * 3 + 1)) >= 0);
     cluster.peers.get(11).crash();
-    double periods = cluster.runUntil(80, () -> allHoldRecords(cluster, 11 * 3 + 1));
-    assertTrue(periods > 18, "expired after " + periods);
+    double periods = cluster.runUntil(80, () -> allStoreRecords(cluster, 11 * 3 + 1));
+    assertTrue(periods > 18, "records expired after " + periods + " periods");
   }
 
-  /** Three records, two of them in two versions. */
+  /** Publishes three records, two of them in two versions. */
   private static void publishVersions(SimulatedCluster cluster, SimulatedCluster.Peer peer) {
     for (int i = 0; i < 5; i++) {
       byte[] payload = {(byte) i, (byte) peer.index};
@@ -162,40 +169,44 @@
     peer.run();
   }
 
-  private static boolean allHoldRecords(SimulatedCluster cluster, int count) {
+  private static boolean allStoreRecords(SimulatedCluster cluster, int count) {
     return cluster.running().stream()
         .allMatch(peer -> peer.protocol.recordsOfKind("costs").size() == count);
   }
 
-  /** Whatever comes, nothing is thrown, and nobody is held for dead on its ground. */
+  /**
+   * Random, corrupted and forged messages must not cause an exception, and no member may stay dead
+   * in a view because of them.
+   */
   @Test
-  void malformedAndForgedMessagesOnlyAddToCounters() {
-    SimulatedCluster cluster = new SimulatedCluster(6, 2).acquainted();
+  void malformedAndForgedMessagesOnlyIncrementCounters() {
+    SimulatedCluster cluster = new SimulatedCluster(6, 2).startedWithFullViews();
     SimulatedCluster.Peer victim = cluster.peers.get(0);
     SimulatedCluster.Peer other = cluster.peers.get(1);
     Random random = new Random(3);
     victim.run();
-    sendGarbage(cluster, victim, random);
+    sendRandomBytes(cluster, victim, random);
     byte[] valid = validDatagram(cluster, victim);
     cluster.run(1);
     sendCorrupted(cluster, other, valid, random);
     Datagram.Builder forged = forgedDatagram(cluster);
-    other.protocol.onDatagram(sealed(forged), cluster.nowUs);
+    other.protocol.onDatagram(withChecksum(forged), cluster.nowUs);
     other.run();
-    double periods = cluster.runUntil(60, () -> cluster.viewsAgree() && listsAreSmall(cluster));
-    assertTrue(periods >= 0, "they do not agree any more: " + cluster.counters);
-    other.protocol.onDatagram(sealed(forged.setCluster("other")), cluster.nowUs);
+    double periods =
+        cluster.runUntil(60, () -> cluster.viewsAgree() && memberListsAreSmall(cluster));
+    assertTrue(periods >= 0, "views do not agree again: " + cluster.counters);
+    other.protocol.onDatagram(withChecksum(forged.setCluster("other")), cluster.nowUs);
     other.run();
     assertTrue(
         cluster.counters.get("garbage") > 1_000 && cluster.counters.get("foreign") >= 1,
         cluster.counters.toString());
   }
 
-  private static boolean listsAreSmall(SimulatedCluster cluster) {
+  private static boolean memberListsAreSmall(SimulatedCluster cluster) {
     return cluster.running().stream().allMatch(peer -> peer.protocol.memberCount() < 40);
   }
 
-  private static void sendGarbage(
+  private static void sendRandomBytes(
       SimulatedCluster cluster, SimulatedCluster.Peer victim, Random random) {
     for (int i = 0; i < 5_000; i++) {
       byte[] garbage = new byte[random.nextInt(300)];
@@ -207,7 +218,7 @@
 
   private static byte[] validDatagram(SimulatedCluster cluster, SimulatedCluster.Peer peer) {
     peer.protocol.publish("x", "", new byte[10], 1_000, cluster.nowUs);
-    peer.protocol.onTimer(cluster.nowUs + SimulatedCluster.PERIOD);
+    peer.protocol.onTimer(cluster.nowUs + SimulatedCluster.PERIOD_US);
     byte[] valid = null;
     for (Effect effect : peer.protocol.drainEffects()) {
       valid = effect instanceof Effect.SendDatagram send ? send.payload() : valid;
@@ -215,7 +226,7 @@
     return valid;
   }
 
-  /** One bit is flipped, and half of the datagrams are cut off besides. */
+  /** Sends datagrams with one flipped bit, half of which are also truncated. */
   private static void sendCorrupted(
       SimulatedCluster cluster, SimulatedCluster.Peer victim, byte[] valid, Random random) {
     for (int i = 0; i < 20_000 && valid != null; i++) {
@@ -228,7 +239,9 @@
     }
   }
 
-  /** Says that everybody is dead, and claims records in everybody's name. */
+  /**
+   * Returns a datagram that reports all members dead and contains records under all members' names.
+   */
   private static Datagram.Builder forgedDatagram(SimulatedCluster cluster) {
     Datagram.Builder forged =
         Datagram.newBuilder()
@@ -253,21 +266,22 @@
     return WireCodec.encode(new MemberUpdate(id, endpoint, "", MemberState.ALIVE, 1, 0));
   }
 
-  private static byte[] sealed(Datagram.Builder datagram) {
+  private static byte[] withChecksum(Datagram.Builder datagram) {
     return Checksum.attach(datagram.build().toByteArray(), CLUSTER);
   }
 
   @Test
-  void membersAreListedUpToTheBoundAndRejectedBeyondIt() {
+  void membersBeyondTheMaximumAreRejected() {
     LocalNode local =
         new LocalNode(CLUSTER, new MemberId("a", 1), new Endpoint("10.0.0.1", 1), "", List.of());
     MembershipProtocol protocol =
         new MembershipProtocol(
-            local, Tuning.of(SimulatedCluster.PERIOD), new SplittableRandom(1), 1);
+            local, Tuning.of(SimulatedCluster.PERIOD_US), new SplittableRandom(1), 1);
     for (int i = 0; i < 5_000; i++) {
       Endpoint endpoint = new Endpoint("10.1." + i / 250 + "." + i % 250, 7);
       MemberUpdateMessage sender = aliveAt(new MemberId("m" + i, 1), endpoint);
-      protocol.onDatagram(sealed(Datagram.newBuilder().setCluster(CLUSTER).setFrom(sender)), 2);
+      protocol.onDatagram(
+          withChecksum(Datagram.newBuilder().setCluster(CLUSTER).setFrom(sender)), 2);
       if (i % 100 == 0) {
         protocol.drainEffects();
       }
--- a/src/test/java/rosecleat/front/resp/ReadBufferSizeTest.java
+++ b/src/test/java/rosecleat/front/resp/ReadBufferSizeTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The size of the read buffers, by the heap's size in MiB and the number of connections. */
+/** The size of read buffers, given the size of the heap in MiB and the number of connections. */
 class ReadBufferSizeTest {
-  /** Guards a small heap from the read buffers of many connections. */
+  /** The read buffers of many connections must not fill a small heap. */
   @ParameterizedTest
   @CsvSource({"12, 28", "12, 960", "40, 448", "40, 960", "40, 4000"})
-  void allBuffersTogetherTakeAnEighthOfTheHeapAtMost(long heapMib, int maxConnections) {
+  void readBuffersTogetherTakeAtMostAnEighthOfTheHeap(long heapMib, int maxConnections) {
     int bytes = readBufferBytes(heapMib, maxConnections);
     assertTrue(
         (long) bytes * maxConnections <= (heapMib << 20) / 8,
@@ -20,7 +20,7 @@
 
   @ParameterizedTest
   @CsvSource({"40, 1, 8192", "12, 60000, 1024"})
-  void theSizeHasLowerAndUpperBounds(long heapMib, int maxConnections, int expectedBytes) {
+  void readBufferSizeHasLowerAndUpperBounds(long heapMib, int maxConnections, int expectedBytes) {
     assertEquals(expectedBytes, readBufferBytes(heapMib, maxConnections));
   }
 
--- a/src/test/java/rosecleat/net/ConnectionTest.java
+++ b/src/test/java/rosecleat/net/ConnectionTest.java
@@ -20,7 +20,10 @@
 import rosecleat.core.Progress;
 import rosecleat.log.Log;
 
-/** Ends of connections that coincide with what their peers do; the loop is held meanwhile. */
+/**
+ * Closing of connections while their peers send, connect or close. A {@link LoopGate} pauses the
+ * event loop, so that both happen in a defined order.
+ */
 class ConnectionTest {
   private final Log log = new Log(System.err);
   private EventLoop loop;
@@ -31,8 +34,8 @@
   private boolean responsePending;
 
   /**
-   * Echoes bytes, except "q", whose response is pending until {@link #answer}, and "c", which
-   * closes the connection.
+   * Echoes each byte, except for two commands: the response to "q" is pending until {@link
+   * #completePendingResponse}, and "c" closes the connection gracefully.
    */
   private final class Echo implements ConnectionHandler {
     private final Connection connection;
@@ -51,12 +54,12 @@
     @Override
     public void received(ByteBuffer bytes) {
       while (bytes.hasRemaining()) {
-        byte word = bytes.get();
-        responsePending |= word == 'q';
-        if (word == 'c') {
+        byte command = bytes.get();
+        responsePending |= command == 'q';
+        if (command == 'c') {
           connection.closeGracefully();
-        } else if (word != 'q') {
-          connection.write(ByteBuffer.wrap(new byte[] {word}));
+        } else if (command != 'q') {
+          connection.write(ByteBuffer.wrap(new byte[] {command}));
         }
       }
     }
@@ -68,7 +71,7 @@
     }
   }
 
-  private void answer() {
+  private void completePendingResponse() {
     gate.call(
         () -> {
           responsePending = false;
@@ -107,13 +110,13 @@
     loop.execute(() -> accepted.join().closeGracefully());
   }
 
-  /** The loop has not been notified of the message when it closes the connection. */
+  /** The read has completed, but the loop closes the connection before it handles the result. */
   @Test
-  void messageThatArrivedBeforeTheCloseIsAnswered() throws Exception {
+  void messageReceivedBeforeCloseIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       gate.hold();
-      closeGracefully(); // the loop runs this first,
-      peer.getOutputStream().write('x'); // and is notified of this after it
+      closeGracefully(); // the loop runs this task first
+      peer.getOutputStream().write('x'); // and the completed read of this byte second
       gate.settle();
       gate.release();
       assertEquals('x', peer.getInputStream().read());
@@ -121,9 +124,9 @@
     }
   }
 
-  /** Both come in the same bytes, and the handler is about to read the message. */
+  /** One read contains the close command and a message that the handler has not consumed yet. */
   @Test
-  void messageBehindTheReasonToCloseIsAnswered() throws Exception {
+  void messageAfterCloseCommandInSameReadIsAnswered() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write(new byte[] {'c', 'x'});
       assertEquals('x', peer.getInputStream().read());
@@ -132,22 +135,22 @@
   }
 
   @Test
-  void closeWaitsForPendingResponseAndReceivesMeanwhile() throws Exception {
+  void gracefulCloseWaitsForPendingResponseAndStillReceives() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('q');
       gate.settle();
       closeGracefully();
       peer.getOutputStream().write('y');
       assertEquals('y', peer.getInputStream().read());
-      answer();
+      completePendingResponse();
       assertEquals('a', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
     }
   }
 
-  /** A reset could lose the response, so the bytes are read all the same. */
+  /** Closing with unread bytes would reset the connection, and the peer could lose the response. */
   @Test
-  void bytesAfterTheShutdownAreDroppedAndResetNothing() throws Exception {
+  void bytesReceivedAfterOutputShutdownAreDroppedWithoutReset() throws Exception {
     try (Socket peer = connect()) {
       peer.getOutputStream().write('z');
       gate.settle();
@@ -157,16 +160,16 @@
       gate.settle();
       gate.run(() -> {});
       peer.getOutputStream()
-          .write("later".getBytes(UTF_8)); // a reset would fail this write, or the reading
+          .write("later".getBytes(UTF_8)); // after a reset this write or the next read would fail
       assertEquals('z', peer.getInputStream().read());
       assertEquals(-1, peer.getInputStream().read());
-      assertFalse(ended.isDone(), "it lingers until its peer closes");
+      assertFalse(ended.isDone(), "connection ended before its peer closed");
     }
     assertEquals(Progress.SENT, ended.get(5, TimeUnit.SECONDS).progress());
   }
 
   @Test
-  void secondCloseHasNoEffectAndNothingIsWrittenAfterTheShutdown() throws Exception {
+  void secondGracefulCloseHasNoEffectAndWriteAfterOutputShutdownIsRejected() throws Exception {
     try (Socket peer = connect()) {
       gate.call(
           () -> {
@@ -175,7 +178,7 @@
             connection.closeGracefully();
             connection.closeGracefully();
             return connection.write(
-                ByteBuffer.wrap(new byte[] {'2'})); // the output is not shut down yet
+                ByteBuffer.wrap(new byte[] {'2'})); // the first byte is queued: output still open
           });
       assertEquals('1', peer.getInputStream().read());
       assertEquals('2', peer.getInputStream().read());
@@ -185,7 +188,7 @@
   }
 
   @Test
-  void connectionToPeerThatNeverClosesEndsAfterTheLingerTime() throws Exception {
+  void halfClosedConnectionIsClosedAfterLingerTime() throws Exception {
     try (Socket peer = connect()) {
       closeGracefully();
       assertEquals(-1, peer.getInputStream().read());
@@ -193,9 +196,12 @@
     }
   }
 
-  /** The connect has succeeded, but its handler must not be given a closed connection. */
+  /**
+   * The connect operation completes, but the loop runs the timeout first. The handler must not
+   * receive the connection that the timeout has closed.
+   */
   @Test
-  void timeoutHandledBeforeTheConnectFailsTheAttempt() throws Exception {
+  void connectTimeoutHandledBeforeCompletionFailsTheAttempt() throws Exception {
     CompletableFuture<String> outcome = new CompletableFuture<>();
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       gate.hold();
@@ -231,9 +237,9 @@
     }
   }
 
-  /** The proof that a request was not sent depends on it. */
+  /** A rejected write proves that a request was not sent, so that it may be sent again. */
   @Test
-  void writeAfterTheEndIsRejected() throws Exception {
+  void writeAfterCloseIsRejected() throws Exception {
     connect().close();
     ended.get(5, TimeUnit.SECONDS);
     assertFalse(gate.call(() -> accepted.join().write(ByteBuffer.allocate(1))));
--- a/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
+++ b/src/test/java/rosecleat/node/MixedProtocolLoadTest.java
@@ -23,73 +23,76 @@
 import rosecleat.fakes.UwsgiClient;
 
 /**
- * Both protocols at once at 150% of what the cores can do, with every rule counted after each
+ * Both protocols at once at 150% of the capacity of the cores. All rules are checked after each
  * request.
  */
 class MixedProtocolLoadTest {
   private static final int WORK_MS = 20;
   private static final int WAIT_MS = 900;
 
-  /** The rule's slack of 130 ms, and room for a busy machine that runs this test (ms). */
+  /** The permitted response delay of 130 ms plus an allowance for a busy test machine (ms). */
   private static final long SLACK_MS = 130 + 500;
 
   private static final int GRACE_MS = 600;
   private static final int STOP_MS = 3_000;
-  private static final int OPEN = 32;
+  private static final int MAX_OPEN_REQUESTS = 32;
 
-  /** One request as sent, and the words that came back for it. */
+  /** A request as sent. Its due time is the latest time of its response without slack. */
   private record Sent(String body, boolean uwsgi, long dueMs, boolean afterGrace) {}
 
-  /** The rules, counted after each answer. */
-  private final class Book {
-    final Map<String, Integer> broken = new ConcurrentHashMap<>();
+  /** Checks the rules on each response, and counts violations. */
+  private final class RuleChecker {
+    final Map<String, Integer> violations = new ConcurrentHashMap<>();
     final Map<String, Integer> served = new ConcurrentHashMap<>();
-    final Map<String, Integer> asked = new ConcurrentHashMap<>();
+    final Map<String, Integer> sentCounts = new ConcurrentHashMap<>();
     final Map<Sent, Integer> answers = new ConcurrentHashMap<>();
 
-    void breach(String rule, Sent sent) {
-      broken.merge(rule + (sent == null ? "" : " " + sent.body), 1, Integer::sum);
+    void recordViolation(String rule, Sent sent) {
+      violations.merge(rule + (sent == null ? "" : " " + sent.body), 1, Integer::sum);
     }
 
-    /** {@code word} is OK, BUSY or FAILED on either wire. */
+    /**
+     * Checks a response.
+     *
+     * @param word OK, BUSY or FAILED, for both protocols
+     */
     void answered(Sent sent, String word, String body) {
       if (answers.merge(sent, 1, Integer::sum) > 1) {
-        breach("two answers", sent);
+        recordViolation("answered twice", sent);
       }
       if (System.currentTimeMillis() > sent.dueMs + SLACK_MS) {
-        breach("late", sent);
+        recordViolation("late", sent);
       }
-      long starts = rig.runtime.startsOf(sent.body);
+      long starts = harness.runtime.startsOf(sent.body);
       if (starts > 1) {
-        breach("run twice", sent);
+        recordViolation("run twice", sent);
       }
       if (word.equals("OK")) {
         served.merge(sent.uwsgi ? "uwsgi" : "resp", 1, Integer::sum);
         if (starts == 0 || !body.equals(FakeRuntime.result(sent.body))) {
-          breach("served with what no run made", sent);
+          recordViolation("served with a result that no run returned", sent);
         }
       }
-      if (word.equals("BUSY")
-          && starts > 0
-          && !sent.body.startsWith("load")) { // of a load another try may run
-        breach("refused after it ran", sent);
+      // Another attempt with the same key may run a load.
+      if (word.equals("BUSY") && starts > 0 && !sent.body.startsWith("load")) {
+        recordViolation("rejected after it ran", sent);
       }
       if (sent.afterGrace && starts > 0 && !sent.body.startsWith("load")) {
-        breach("run after the grace", sent);
+        recordViolation("run after the grace period", sent);
       }
     }
   }
 
-  /** A balancer's connection with its reader. */
+  /** A balancer's connection and the task that reads its responses. */
   private final class Balancer {
     private final RespClient client;
     private final Map<Long, Sent> open = new ConcurrentHashMap<>();
-    private final Semaphore places = new Semaphore(OPEN);
+    private final Semaphore freeSlots = new Semaphore(MAX_OPEN_REQUESTS);
     private volatile boolean leaving;
     private long lastTag;
 
     Balancer() throws IOException {
-      client = new RespClient(rig.node.port(), null);
+      client = new RespClient(harness.node.port(), null);
       pool.execute(this::read);
     }
 
@@ -99,12 +102,12 @@
           if (words.get(1).equals("BYE")) {
             leaving = true;
           } else {
-            places.release();
+            freeSlots.release();
             Sent sent = open.remove(Long.parseLong(words.get(0)));
             if (sent == null) {
-              book.breach("an answer to nothing", null);
+              rules.recordViolation("response without a request", null);
             } else {
-              book.answered(sent, words.get(1), words.get(3));
+              rules.answered(sent, words.get(1), words.get(3));
             }
           }
           if (leaving && open.isEmpty()) {
@@ -113,15 +116,15 @@
           }
         }
       } catch (IOException e) {
-        open.values().forEach(sent -> book.breach("connection broken under", sent));
+        open.values().forEach(sent -> rules.recordViolation("connection broken under", sent));
       }
     }
 
     void send(Sent sent, String className, String key) {
-      if (leaving || !places.tryAcquire()) {
+      if (leaving || !freeSlots.tryAcquire()) {
         return;
       }
-      book.asked.merge("resp", 1, Integer::sum);
+      rules.sentCounts.merge("resp", 1, Integer::sum);
       long tag = ++lastTag;
       open.put(tag, sent);
       try {
@@ -133,21 +136,21 @@
                 RespClient.fields(String.format("%016x", ids++), "small", WAIT_MS, key),
                 sent.body));
       } catch (IOException e) {
-        book.breach("connection closed under", sent);
+        rules.recordViolation("connection closed under", sent);
       }
     }
   }
 
   @TempDir Path folder;
   private final ExecutorService pool = Executors.newCachedThreadPool();
-  private final Book book = new Book();
+  private final RuleChecker rules = new RuleChecker();
   private final List<Sent> all = new ArrayList<>();
-  private NodeHarness rig;
+  private NodeHarness harness;
   private long ids = 1;
 
   @Test
-  void bothProtocolsKeepTheRulesUnderOverloadAndNeitherStarves() throws Exception {
-    rig = new NodeHarness(WORK_MS, STOP_MS, GRACE_MS, folder);
+  void bothProtocolsFollowTheRulesUnderOverloadAndNeitherStarves() throws Exception {
+    harness = new NodeHarness(WORK_MS, STOP_MS, GRACE_MS, folder);
     try {
       List<Balancer> balancers = List.of(new Balancer(), new Balancer());
       double perSecond = 1.5 * TestSite.CORES * 1000 / WORK_MS;
@@ -156,33 +159,34 @@
       int count = (int) (4 * perSecond);
       for (int i = 0; i < count; i++) {
         pace(start + i * gap);
-        one(i, balancers, false);
-        assertEquals(Map.of(), book.broken, "after request " + i);
+        sendRequest(i, balancers, false);
+        assertEquals(Map.of(), rules.violations, "after request " + i);
       }
-      checkServedParts();
+      checkServedShares();
 
       Semaphore left = new Semaphore(0);
       long notice = System.nanoTime();
-      rig.node.beginShutdown(left::release);
-      for (int i = 0; i < perSecond; i++) { // a second more, past the grace
+      harness.node.beginShutdown(left::release);
+      for (int i = 0; i < perSecond; i++) { // one more second, beyond the end of the grace period
         pace(notice + i * gap);
-        one(count + i, balancers, System.nanoTime() - notice > (GRACE_MS + 100) * 1_000_000L);
-        assertEquals(Map.of(), book.broken, "after request " + i + " of the drain");
+        sendRequest(
+            count + i, balancers, System.nanoTime() - notice > (GRACE_MS + 100) * 1_000_000L);
+        assertEquals(Map.of(), rules.violations, "after request " + i + " of the drain");
       }
-      assertTrue(left.tryAcquire(STOP_MS, TimeUnit.MILLISECONDS), "it does not leave in time");
-      checkNothingIsLost();
+      assertTrue(left.tryAcquire(STOP_MS, TimeUnit.MILLISECONDS), "shutdown not completed in time");
+      checkEveryRequestWasAnswered();
     } finally {
       pool.shutdownNow();
-      rig.close();
+      harness.close();
     }
   }
 
-  /** Both protocols are overloaded, and neither takes much more than its part. */
-  private void checkServedParts() {
-    int askedResp = book.asked.get("resp");
-    int askedUwsgi = book.asked.get("uwsgi");
-    double resp = (double) book.served.getOrDefault("resp", 0) / askedResp;
-    double uwsgi = (double) book.served.getOrDefault("uwsgi", 0) / askedUwsgi;
+  /** Both protocols are overloaded, and neither is served a much larger share than the other. */
+  private void checkServedShares() {
+    int sentResp = rules.sentCounts.get("resp");
+    int sentUwsgi = rules.sentCounts.get("uwsgi");
+    double resp = (double) rules.served.getOrDefault("resp", 0) / sentResp;
+    double uwsgi = (double) rules.served.getOrDefault("uwsgi", 0) / sentUwsgi;
     assertTrue(resp > 0.25 && uwsgi > 0.25, "served: resp " + resp + ", uwsgi " + uwsgi);
     assertTrue(resp < 0.95 && uwsgi < 0.95, "no overload: resp " + resp + ", uwsgi " + uwsgi);
     assertTrue(
@@ -190,13 +194,13 @@
         "served: resp " + resp + ", uwsgi " + uwsgi);
   }
 
-  private void checkNothingIsLost() throws InterruptedException {
+  private void checkEveryRequestWasAnswered() throws InterruptedException {
     pool.shutdown();
     assertTrue(pool.awaitTermination(10, TimeUnit.SECONDS));
     all.stream()
-        .filter(sent -> !book.answers.containsKey(sent))
-        .forEach(sent -> book.breach("lost", sent));
-    assertEquals(Map.of(), book.broken);
+        .filter(sent -> !rules.answers.containsKey(sent))
+        .forEach(sent -> rules.recordViolation("lost", sent));
+    assertEquals(Map.of(), rules.violations);
   }
 
   private static void pace(long until) throws InterruptedException {
@@ -206,8 +210,8 @@
     }
   }
 
-  /** Sends by one protocol or the other; a load goes by both, under one key. */
-  private void one(int i, List<Balancer> balancers, boolean afterGrace) {
+  /** Sends a request by one of the protocols. A load is sent by both, with the same key. */
+  private void sendRequest(int i, List<Balancer> balancers, boolean afterGrace) {
     boolean load = i % 10 == 0;
     String body = (load ? "load" : "read") + i;
     String key = "key" + i;
@@ -232,24 +236,25 @@
                 ? UwsgiClient.vars("POST", "/cards/loads", "till", "HTTP_IDEMPOTENCY_KEY", key)
                 : UwsgiClient.vars("GET", "/cards/x/balance", "till"));
     vars.put("HTTP_X_DEADLINE_MS", Integer.toString(WAIT_MS));
-    try (Socket socket = UwsgiClient.open(rig.uwsgiPort)) {
-      book.asked.merge("uwsgi", 1, Integer::sum);
+    try (Socket socket = UwsgiClient.open(harness.uwsgiPort)) {
+      rules.sentCounts.merge("uwsgi", 1, Integer::sum);
       socket.getOutputStream().write(UwsgiClient.packet(vars, sent.body));
       UwsgiClient.Reply reply = UwsgiClient.read(socket);
       boolean neverRan = reply.header("X-Progress").equals("never-ran");
-      book.answered(
+      rules.answered(
           sent,
           reply.status() == 200 ? "OK" : reply.status() == 503 || neverRan ? "BUSY" : "FAILED",
           reply.body());
       if (reply.status() != 200 && reply.status() != 503 && reply.status() != 504) {
-        book.breach("answered " + reply.status(), sent);
+        rules.recordViolation("answered " + reply.status(), sent);
       }
     } catch (java.net.ConnectException e) {
-      if (!rig.ask(core -> core.gracePeriodEnded())) { // a refused connection: nothing ran
-        book.breach("not accepted", sent);
+      // Nothing ran on a connection that was refused.
+      if (!harness.ask(core -> core.gracePeriodEnded())) {
+        rules.recordViolation("not accepted", sent);
       }
     } catch (IOException e) {
-      book.breach("connection broken under", sent);
+      rules.recordViolation("connection broken under", sent);
     }
   }
 }
--- a/src/test/java/rosecleat/node/NodeRegistryTest.java
+++ b/src/test/java/rosecleat/node/NodeRegistryTest.java
@@ -15,16 +15,14 @@
 import rosecleat.net.EventLoop;
 import rosecleat.takeover.TakeoverCoordinator;
 
-/** What a node tells the registry, and what it makes of a registry that is down. */
+/** What a node reports to the registry, and how it handles a registry that is unavailable. */
 class NodeRegistryTest extends NodeLinksHarness {
   @Test
-  void failingRegistryIsToldAgainEachSecond() throws IOException {
+  void failedReportIsSentAgainEachSecond() throws IOException {
     registry.mood = "";
     startServing();
-    await(
-        () ->
-            registry.reports.size()
-                == 2); // the first got no answer: it was given up, and a new link made
+    // The first report got no response: it was abandoned, and a new connection opened.
+    await(() -> registry.reports.size() == 2);
     registry.mood = "503";
     await(() -> registry.reports.size() == 3);
     registry.mood = "204";
@@ -33,22 +31,22 @@
   }
 
   /**
-   * Guards a drain by call against that of SIGTERM: only health checks may hear of it, and nothing
-   * is turned away.
+   * Guards the difference between a drain by operators and that of SIGTERM: a drain by operators
+   * changes only health checks, and no request is rejected.
    */
   @Test
-  void drainByOperatorsChangesHealthChecksAlone() throws IOException {
+  void operatorDrainChangesOnlyHealthChecks() throws IOException {
     Counters counters = new Counters();
-    TakeoverCoordinator handover = TakeoverCoordinator.join(Optional.empty(), counters, log);
-    NodeOperations operators = new NodeOperations(handover, new NoFleet());
-    operators.drain(); // before the node stands
+    TakeoverCoordinator takeover = TakeoverCoordinator.join(Optional.empty(), counters, log);
+    NodeOperations operators = new NodeOperations(takeover, new NoFleet());
+    operators.drain(); // before the node is built
     node =
         new Node(
             ProcessConfig.of(
                 TestSite.config(runtime.port(), index.port(), registry.port(), 2_000, 500)),
             new NodeEnvironment(
                 new EventLoop(log),
-                handover,
+                takeover,
                 new NoEstimatePersistence(),
                 new NoFleet(),
                 counters,
@@ -57,37 +55,38 @@
     node.onLoop(() -> operators.attach(node));
     client = new RespClient(node.port(), null);
     await(this::ready);
-    for (int round = 0; round < 2; round++) { // told twice is told once
+    for (int round = 0; round < 2; round++) { // a repeated drain has no further effect
       node.onLoop(operators::drain);
-      assertEquals("DOWN", check());
+      assertEquals("DOWN", healthCheck());
       assertEquals("OK", answer("balance-check").get(1));
     }
     reload();
-    assertEquals("DOWN", check());
+    assertEquals("DOWN", healthCheck());
     assertEquals(0, client.byes);
     assertEquals(true, ask(core -> operators.isReady()));
     node.onLoop(operators::activate);
-    assertEquals("UP", check());
+    assertEquals("UP", healthCheck());
     assertEquals(1, count("operators.drains"));
     assertTrue(
         registry.reports.stream().noneMatch(r -> r.contains("off")), registry.reports.toString());
   }
 
-  private String check() throws IOException {
+  private String healthCheck() throws IOException {
     client.send(RespClient.array("PING", 999, ""));
     return client.answer().get(1);
   }
 
   /**
-   * Guards a release while the registry is down: the node serves and leaves without it, and tells
-   * it when it is back.
+   * Guards a deployment while the registry is unavailable: the node serves requests and shuts down
+   * without it, and sends its report once the registry is available again.
    */
   @Test
-  void unreachableRegistryDelaysNothingAndIsToldOnceItIsBack() throws Exception {
+  void unreachableRegistryDelaysNothingAndGetsTheReportOnceItIsBack() throws Exception {
     registry.down();
     startServing();
     assertEquals("OK", answer("balance-check").get(1));
-    await(() -> count("roster.failed") >= 3); // tried again sooner than the next second's report
+    // Retried before the next periodic report, which follows after 1 s.
+    await(() -> count("roster.failed") >= 3);
     CompletableFuture<Void> left = new CompletableFuture<>();
     node.beginShutdown(() -> left.complete(null));
     Thread.sleep(300);
@@ -100,7 +99,7 @@
   }
 
   @Test
-  void beginningShutdownIsToldToTheRegistryAtOnce() throws Exception {
+  void shutdownIsReportedToTheRegistryImmediately() throws Exception {
     startServing();
     await(() -> count("roster.reports") > 0);
     CompletableFuture<Void> left = new CompletableFuture<>();
@@ -108,11 +107,11 @@
     await(() -> registry.reports.get(registry.reports.size() - 1).contains("off"));
     client.send(RespClient.array("PING", 5, ""));
     assertEquals("DOWN", client.answer().get(1));
-    assertEquals("OK", answer("balance-check").get(1)); // within the grace
+    assertEquals("OK", answer("balance-check").get(1)); // within the grace period
     await(() -> ask(Core::gracePeriodEnded));
-    Thread.sleep(5); // requests tell whole milliseconds
-    assertEquals(
-        "BUSY", answer("balance-check").get(1)); // behind it: nothing is run, all is answered
+    Thread.sleep(5); // requests carry their times in whole milliseconds
+    // After the grace period no request is run, but each gets a response.
+    assertEquals("BUSY", answer("balance-check").get(1));
     assertTrue(client.byes > 0);
     client.close();
     left.get(2, TimeUnit.SECONDS);
--- a/src/test/java/rosecleat/policy/FleetRamp.java
+++ b/src/test/java/rosecleat/policy/FleetRamp.java
@@ -7,33 +7,37 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of modules that hear nothing of each other, and what they send together: to a dependency
- * below that was away and comes back cold, and as callers to one cold card node. {@code main}
- * prints the table that docs/measurements keeps.
+ * Simulates the total load of a fleet whose processes do not communicate: on a downstream
+ * dependency that is unreachable and restarts cold, and, as callers, on one cold card node. {@code
+ * main} prints the table that docs/measurements contains.
  */
 final class FleetRamp {
   private static final long STEP_US = 10_000;
   private static final long WINDOW_US = 5_000_000;
 
   /**
-   * The dependency works, is away, and is back; cold ones take so many times as long at first, and
-   * are warm after RAMP_US.
+   * The dependency is reachable, then unreachable from this time to {@link #OUTAGE_END_US}. It
+   * restarts cold: its calls take {@link #COLD_SLOWDOWN} times as long at first, and it is warm
+   * after {@link #WARMUP_US}.
    */
-  private static final long AWAY_FROM_US = 10_000_000;
+  private static final long OUTAGE_START_US = 10_000_000;
 
-  private static final long BACK_US = 16_000_000;
-  private static final long RAMP_US = 15_000_000;
+  private static final long OUTAGE_END_US = 16_000_000;
+  private static final long WARMUP_US = 15_000_000;
   private static final long END_US = 36_000_000;
-  private static final double COLD_TIMES = 10;
+  private static final double COLD_SLOWDOWN = 10;
   private static final long CALL_US = 30_000;
-  private static final long WORK_US = 20_000;
+  private static final long EXTRA_RUN_TIME_US = 20_000;
 
   /**
-   * What a fleet sent below: the largest mean of calls outstanding in one window, and its bound;
-   * both in calls.
+   * The load of a fleet on the dependency.
+   *
+   * @param maxMeanCalls highest mean number of outstanding calls in one window
+   * @param budget bound of that mean (calls): the sum of the quotas
+   * @param calls number of calls made
    */
   record DownstreamLoad(double maxMeanCalls, double budget, int calls) {
-    /** What the operators put down to chance beyond a budget. */
+    /** Returns the highest mean that the operators attribute to chance beyond the budget. */
     double allowed() {
       return budget + 2 * Math.sqrt(budget) + 2;
     }
@@ -42,10 +46,10 @@
   private FleetRamp() {}
 
   /**
-   * Plays so many processes that share a dependency which survives so many calls in the mean, each
-   * with its quota.
+   * Simulates processes that share a dependency, each with its quota of concurrent calls. The
+   * dependency survives the sum of the quotas as the mean number of concurrent calls.
    */
-  static DownstreamLoad below(int processes, double quota, int seed) {
+  static DownstreamLoad downstreamLoad(int processes, double quota, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<SimulatedHost> fleet = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
@@ -98,13 +102,14 @@
       Map<SimulatedHost.HostedRequest, Long> callEnds,
       Map<SimulatedHost.HostedRequest, Long> runStarts) {
     host.advance(STEP_US);
-    if (random.nextInt(8) == 0) { // some twelve a second, as many as one node of the fleet is sent
+    // about twelve requests per second, the rate of one node of the fleet
+    if (random.nextInt(8) == 0) {
       host.arrive(random.nextInt(2));
     }
     for (SimulatedHost.HostedRequest hosted : List.copyOf(host.requests.values())) {
       switch (hosted.state) {
-        case RUNNING -> run(host, hosted, random, runStarts);
-        case CALLING -> call(host, hosted, now, callEnds);
+        case RUNNING -> runStep(host, hosted, random, runStarts);
+        case CALLING -> callStep(host, hosted, now, callEnds);
         default -> {
           if (!hosted.awaitingResponse && hosted.state != RequestState.COMPLETED) {
             host.end(hosted, Outcome.CANCELLED, 1);
@@ -115,7 +120,7 @@
     host.requests.values().removeIf(hosted -> hosted.state == RequestState.COMPLETED);
   }
 
-  private static void run(
+  private static void runStep(
       SimulatedHost host,
       SimulatedHost.HostedRequest hosted,
       SplittableRandom random,
@@ -124,29 +129,30 @@
       host.end(hosted, Outcome.CANCELLED, 1);
     } else if (hosted.call == null && hosted.callUntilUs == 0) {
       runStarts.put(hosted, host.nowUs);
-      host.needCall(hosted); // each run calls once, at once
+      host.needCall(hosted); // each run makes one call, at its start
     } else if (random.nextInt(10) == 0) {
       host.end(
           hosted,
           hosted.awaitingResponse ? Outcome.OK : Outcome.CANCELLED,
-          host.nowUs - runStarts.remove(hosted) + WORK_US);
+          host.nowUs - runStarts.remove(hosted) + EXTRA_RUN_TIME_US);
     }
   }
 
-  private static void call(
+  private static void callStep(
       SimulatedHost host,
       SimulatedHost.HostedRequest hosted,
       long now,
       Map<SimulatedHost.HostedRequest, Long> callEnds) {
-    if (now >= AWAY_FROM_US && now < BACK_US) {
+    if (now >= OUTAGE_START_US && now < OUTAGE_END_US) {
       callEnds.remove(hosted);
       host.endCall(hosted, Outcome.UNREACHABLE);
       return;
     }
-    double cold = now < BACK_US ? 0 : Math.max(0, 1 - (now - BACK_US) / (double) RAMP_US);
+    double coldShare =
+        now < OUTAGE_END_US ? 0 : Math.max(0, 1 - (now - OUTAGE_END_US) / (double) WARMUP_US);
     long end =
         callEnds.computeIfAbsent(
-            hosted, x -> now + (long) (CALL_US * (1 + (COLD_TIMES - 1) * cold)));
+            hosted, x -> now + (long) (CALL_US * (1 + (COLD_SLOWDOWN - 1) * coldShare)));
     if (now >= Math.min(end, hosted.callUntilUs)) {
       callEnds.remove(hosted);
       host.endCall(hosted, now >= end ? Outcome.OK : Outcome.TIMEOUT);
@@ -155,26 +161,26 @@
 
   public static void main(String[] args) {
     System.out.println(
-        "| processes | share of each | budget N | most held, worst of 3 seeds | N + 2 root N + 2 |"
-            + " calls |");
+        "| processes | quota of each | budget N | highest mean of calls, worst of 3 seeds |"
+            + " N + 2 sqrt(N) + 2 | calls |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (int processes : new int[] {20, 30}) {
-      for (double share : new double[] {0.02, 0.05, 0.3, 1, 5}) {
+      for (double quota : new double[] {0.02, 0.05, 0.3, 1, 5}) {
         DownstreamLoad worst = null;
         for (int seed = 1; seed <= 3; seed++) {
-          DownstreamLoad one = below(processes, share, seed);
-          worst = worst == null || one.maxMeanCalls() > worst.maxMeanCalls() ? one : worst;
+          DownstreamLoad load = downstreamLoad(processes, quota, seed);
+          worst = worst == null || load.maxMeanCalls() > worst.maxMeanCalls() ? load : worst;
         }
         System.out.printf(
             "| %d | %.2f | %.1f | %.2f | %.1f | %d |%n",
-            processes, share, worst.budget(), worst.maxMeanCalls(), worst.allowed(), worst.calls());
+            processes, quota, worst.budget(), worst.maxMeanCalls(), worst.allowed(), worst.calls());
       }
     }
     for (int callers : new int[] {4, 20, 30}) {
       System.out.printf(
-          "cold node, %d callers: at the most %.2f of what it survives, in the mean of its"
-              + " overload's time%n",
-          callers, ColdNodeRamp.maxLoad(callers, 1));
+          "cold node, %d callers: at most %.2f of what it survives, as the mean over the time"
+              + " that it survives an overload%n",
+          callers, ColdNodeRamp.maxOverloadShare(callers, 1));
     }
   }
 }
--- a/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/rosecleat/simulator/SimulatorAdapterTest.java
@@ -28,7 +28,10 @@
 import rosecleat.policy.PriorityClass;
 import rosecleat.policy.ServerGauges;
 
-/** The wire both ways, settings, and bad input. */
+/**
+ * Tests the decoding of events and settings, the encoding of actions, and the errors of malformed
+ * input.
+ */
 class SimulatorAdapterTest {
   private static final String SETTINGS =
       """
@@ -49,16 +52,16 @@
                  "worth-without": [0.5, 0, 0]}}\
       """;
 
-  /** Events as calls in text; each arrival is answered with the given actions. */
+  /** Records the policy's events as text, and performs the given actions at each arrival. */
   private static final class Recorder implements SimulatorAdapter.PolicyFactory {
     final List<String> calls = new ArrayList<>();
     PolicySettings settings;
-    java.util.function.Consumer<PolicyActions> onArrival = a -> {};
+    java.util.function.Consumer<PolicyActions> onArrival = actions -> {};
 
     @Override
-    public PolicyEvents create(PolicySettings s, long seed, PolicyActions actions) {
-      settings = s;
-      calls.add("make " + seed);
+    public PolicyEvents create(PolicySettings newSettings, long seed, PolicyActions actions) {
+      settings = newSettings;
+      calls.add("create " + seed);
       return (PolicyEvents)
           Proxy.newProxyInstance(
               getClass().getClassLoader(),
@@ -66,15 +69,15 @@
               (proxy, method, args) -> {
                 StringBuilder line = new StringBuilder(method.getName());
                 for (Object arg : args) {
-                  if (arg instanceof ServerGauges g) {
+                  if (arg instanceof ServerGauges gauges) {
                     line.append(" [")
-                        .append(g.coreUtilisation)
+                        .append(gauges.coreUtilisation)
                         .append(' ')
-                        .append(g.runnable)
+                        .append(gauges.runnable)
                         .append(' ')
-                        .append(g.memoryShare)
+                        .append(gauges.memoryShare)
                         .append(' ')
-                        .append(g.connections)
+                        .append(gauges.connections)
                         .append(']');
                   } else {
                     line.append(' ').append(arg);
@@ -90,9 +93,9 @@
   }
 
   private static byte[] record(int code, int server) {
-    ByteBuffer b = ByteBuffer.allocate(64).order(ByteOrder.LITTLE_ENDIAN);
-    b.putShort((short) code).putShort((short) server);
-    return b.array();
+    ByteBuffer buffer = ByteBuffer.allocate(64).order(ByteOrder.LITTLE_ENDIAN);
+    buffer.putShort((short) code).putShort((short) server);
+    return buffer.array();
   }
 
   private static byte[] hex(String text) {
@@ -101,35 +104,35 @@
   }
 
   private static byte[] start(int server, int from, int length) {
-    byte[] r = record(1000, server);
-    ByteBuffer.wrap(r)
+    byte[] record = record(1000, server);
+    ByteBuffer.wrap(record)
         .order(ByteOrder.LITTLE_ENDIAN)
         .putLong(4, 77)
         .putInt(12, from)
         .putInt(16, length);
-    return r;
+    return record;
   }
 
   private static byte[] frame(long clock, String tail, byte[]... records) {
     byte[] text = tail.getBytes(StandardCharsets.UTF_8);
-    ByteBuffer b =
+    ByteBuffer buffer =
         ByteBuffer.allocate(16 + 64 * records.length + text.length).order(ByteOrder.LITTLE_ENDIAN);
-    b.putInt(64 * records.length + text.length).putInt(records.length).putLong(clock);
-    for (byte[] r : records) {
-      b.put(r);
+    buffer.putInt(64 * records.length + text.length).putInt(records.length).putLong(clock);
+    for (byte[] record : records) {
+      buffer.put(record);
     }
-    return b.put(text).array();
+    return buffer.put(text).array();
   }
 
   private static byte[] join(byte[]... parts) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    for (byte[] p : parts) {
-      all.writeBytes(p);
+    for (byte[] part : parts) {
+      all.writeBytes(part);
     }
     return all.toByteArray();
   }
 
-  private static byte[] first() {
+  private static byte[] startBatch() {
     return frame(1000, SETTINGS, start(3, 0, SETTINGS.getBytes(StandardCharsets.UTF_8).length));
   }
 
@@ -140,45 +143,45 @@
   }
 
   @Test
-  void anEmptyBatchHasAnEmptyReply() throws IOException {
+  void emptyBatchGetsEmptyReply() throws IOException {
     assertArrayEquals(new byte[8], serve(new Recorder(), frame(5, "")));
   }
 
   private static byte[] batchOfAllEvents() {
     byte[] unknown = record(1777, 3);
-    byte[] settled = hex("fc03 0300 c4913a5dbd9d0e00 fa 44480000");
-    byte[] called = hex("1004 0300 0900000000000000 fe 01000000");
-    byte[] needs = hex("0604 0300 0900000000000000");
-    byte[] drain = hex("1a04 0300 40420f00");
-    byte[] gone = hex("2404 0300 0900000000000000");
-    byte[] accept =
+    byte[] runEnded = hex("fc03 0300 c4913a5dbd9d0e00 fa 44480000");
+    byte[] callEnded = hex("1004 0300 0900000000000000 fe 01000000");
+    byte[] callNeeded = hex("0604 0300 0900000000000000");
+    byte[] draining = hex("1a04 0300 40420f00");
+    byte[] cancelled = hex("2404 0300 0900000000000000");
+    byte[] arrived =
         hex(
             "f203 0300 c4913a5dbd9d0e00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c441"
                 + " 0000203f0700 11000000 3a070000 192b6f0e54f20100");
     byte[] timer = hex("2e04 0300 4d00000000000000 04 52b81e3f 00004040 85ebd13e 0000f042");
     return join(
-        first(),
+        startBatch(),
         frame(
             2000,
             "",
             unknown,
-            accept,
-            settled,
-            needs,
-            called,
-            drain,
-            gone,
+            arrived,
+            runEnded,
+            callNeeded,
+            callEnded,
+            draining,
+            cancelled,
             timer,
             record(1080, 3),
-            gone,
+            cancelled,
             record(1060, 9)));
   }
 
   @Test
-  void everyEventReachesThePolicyWithItsFields() throws IOException {
+  void eachEventIsDispatchedToPolicyWithItsFields() throws IOException {
     Recorder recorder = new Recorder();
     serve(recorder, batchOfAllEvents());
-    assertEquals("make 77", recorder.calls.get(0));
+    assertEquals("create 77", recorder.calls.get(0));
     assertEquals("start 1000", recorder.calls.get(1));
     assertEquals(
         "arrived 2000 PolicyRequest[id="
@@ -197,14 +200,14 @@
     assertEquals("cancelled 2000 9", recorder.calls.get(7));
     assertTrue(recorder.calls.get(8).startsWith("timerFired 2000 77 [0.6"));
     assertTrue(recorder.calls.get(8).endsWith(" 3.0 -1.0 120.0]"));
-    assertEquals(
-        9, recorder.calls.size()); // nothing after the stop, nothing for a server never started
+    // Events of a stopped server and of a server that was never started are not dispatched.
+    assertEquals(9, recorder.calls.size());
   }
 
   @Test
-  void settingsAreReadAndUnknownKeysIgnored() throws IOException {
+  void settingsAreReadAndUnknownKeysAreIgnored() throws IOException {
     Recorder recorder = new Recorder();
-    serve(recorder, first());
+    serve(recorder, startBatch());
     PolicySettings settings = recorder.settings;
     assertEquals(
         new PriorityClass(
@@ -227,7 +230,7 @@
   }
 
   @Test
-  void absentSettingsAreReadAsNone() throws IOException {
+  void absentOptionalSettingsAreReadAsDefaults() throws IOException {
     Recorder recorder = new Recorder();
     String bare =
         SETTINGS
@@ -244,10 +247,10 @@
     assertEquals(0, settings.classes().get(2).weightWithoutCall());
     assertFalse(settings.classes().get(0).callsDownstream());
     new SimulatorAdapter(new ByteArrayInputStream(settings(bare)), new ByteArrayOutputStream())
-        .serve(); // the module takes them
+        .serve(); // the policy itself accepts these settings
   }
 
-  private static void actEachWay(PolicyActions actions) {
+  private static void performEachAction(PolicyActions actions) {
     actions.run(1);
     actions.reject(2, 250_000, true);
     actions.fail(3);
@@ -264,7 +267,7 @@
     actions.log("two servers known");
   }
 
-  /** One record of each action, in the order of {@link #actEachWay}, and the tail. */
+  /** The header, one record per action of {@link #performEachAction} in order, and the tail. */
   private static final String REPLY_OF_ALL_ACTIONS =
       "61010000"
           + "0e000000"
@@ -319,29 +322,30 @@
           + HexFormat.of().formatHex("two servers known".getBytes(StandardCharsets.UTF_8));
 
   @Test
-  void everyActionIsWrittenAsTheWireSays() throws IOException {
+  void eachActionIsEncodedAsItsRecord() throws IOException {
     Recorder recorder = new Recorder();
-    recorder.onArrival = SimulatorAdapterTest::actEachWay;
-    byte[] out = serve(recorder, join(first(), frame(2000, "", record(1010, 3))));
-    String got = HexFormat.of().formatHex(out, 8, out.length);
-    assertEquals(REPLY_OF_ALL_ACTIONS, got);
+    recorder.onArrival = SimulatorAdapterTest::performEachAction;
+    byte[] out = serve(recorder, join(startBatch(), frame(2000, "", record(1010, 3))));
+    String encoded = HexFormat.of().formatHex(out, 8, out.length);
+    assertEquals(REPLY_OF_ALL_ACTIONS, encoded);
   }
 
   @Test
-  void aReplyGrowsAndTheNextOneIsClean() throws IOException {
+  void replyBufferGrowsAndNextReplyIsCleared() throws IOException {
     Recorder recorder = new Recorder();
-    int[] left = {3000};
+    int[] repetitions = {3000};
     recorder.onArrival =
-        a -> {
-          for (int i = 0; i < left[0]; i++) {
-            a.rememberKey(5, 6);
-            a.setLoadAdvice(2);
+        actions -> {
+          for (int i = 0; i < repetitions[0]; i++) {
+            actions.rememberKey(5, 6);
+            actions.setLoadAdvice(2);
           }
-          left[0] = 1;
+          repetitions[0] = 1;
         };
     byte[] out =
         serve(
-            recorder, join(first(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
+            recorder,
+            join(startBatch(), frame(1, "", record(1010, 3)), frame(2, "", record(1010, 3))));
     assertEquals(8 + 8 + 6000 * 24 + 8 + 48, out.length);
     assertEquals(
         "24040300"
@@ -355,18 +359,18 @@
   }
 
   @Test
-  void anExceptionInThePolicyIsReported() throws IOException {
+  void policyExceptionIsReportedInReply() throws IOException {
     Recorder recorder = new Recorder();
     recorder.onArrival =
-        a -> {
+        actions -> {
           throw new IllegalStateException("boom");
         };
-    byte[] out = serve(recorder, join(first(), frame(1, "", record(1010, 3))));
+    byte[] out = serve(recorder, join(startBatch(), frame(1, "", record(1010, 3))));
     assertEquals(1140, (out[16] & 0xff) | (out[17] & 0xff) << 8);
     assertTrue(new String(out, StandardCharsets.UTF_8).contains("boom"));
   }
 
-  private static void bad(String message, byte[] input) {
+  private static void assertRejected(String message, byte[] input) {
     WireException e = assertThrows(WireException.class, () -> serve(new Recorder(), input));
     assertEquals(message, e.getMessage());
   }
@@ -376,39 +380,44 @@
   }
 
   @Test
-  void badInputIsReportedWithItsCause() {
-    bad("input ends inside a frame header", new byte[7]);
-    bad("input ends inside a frame", java.util.Arrays.copyOf(first(), 40));
+  void malformedInputIsRejectedWithItsCause() {
+    assertRejected("input ended inside a frame header: got 7 of 16 bytes", new byte[7]);
+    assertRejected(
+        "input ended inside a frame body of " + (startBatch().length - 16) + " bytes",
+        java.util.Arrays.copyOf(startBatch(), 40));
     byte[] tooLong = new byte[16];
     tooLong[3] = (byte) 0xff;
-    bad("frame of 4278190080 bytes is too long", tooLong);
+    assertRejected("frame body of 4278190080 bytes exceeds the limit of 1073741824 bytes", tooLong);
     byte[] tooShort = new byte[16];
     tooShort[4] = 1;
-    bad("frame of 0 bytes is too short for 1 records", tooShort);
-    bad("offset outside the tail", frame(1, "{}", start(3, 1, 2)));
-    bad("settings are not JSON", settings("{no"));
-    bad("settings are not a JSON object", settings("[]"));
-    bad("settings lack grades", settings("{}"));
-    bad("settings lack cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
-    bad("settings lack deadline-us", settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
-    bad(
+    assertRejected("frame body of 0 bytes is too short for 1 records of 64 bytes", tooShort);
+    assertRejected(
+        "text ends at byte 67 of a frame body of 66 bytes", frame(1, "{}", start(3, 1, 2)));
+    assertRejected("settings are not JSON", settings("{no"));
+    assertRejected("settings are not a JSON object", settings("[]"));
+    assertRejected("settings lack grades", settings("{}"));
+    assertRejected("settings lack cpus", settings(SETTINGS.replace("\"cpus\"", "\"cpu\"")));
+    assertRejected(
+        "settings lack deadline-us", settings(SETTINGS.replace("\"deadline-us\"", "\"x\"")));
+    assertRejected(
         "settings have an unknown word for halt",
         settings(SETTINGS.replace("\"pause\"", "\"nap\"")));
   }
 
   @Test
-  void theProcessEndsWithOnePlainLineAndNothingOnStandardOutput() {
+  void malformedInputPrintsOneErrorLineAndNothingOnStandardOutput() {
     PrintStream err = System.err;
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     System.setErr(new PrintStream(lines, true, StandardCharsets.UTF_8));
     try {
-      String[] word = {"benchlink"};
-      assertEquals(2, Main.run(word, new ByteArrayInputStream(new byte[3]), out));
+      String[] arguments = {"benchlink"};
+      assertEquals(2, Main.run(arguments, new ByteArrayInputStream(new byte[3]), out));
       assertEquals(
-          "rosecleat: input ends inside a frame header" + System.lineSeparator(),
+          "rosecleat: input ended inside a frame header: got 3 of 16 bytes"
+              + System.lineSeparator(),
           lines.toString(StandardCharsets.UTF_8));
-      assertEquals(0, Main.run(word, new ByteArrayInputStream(new byte[0]), out));
+      assertEquals(0, Main.run(arguments, new ByteArrayInputStream(new byte[0]), out));
       assertEquals(2, Main.run(new String[0], new ByteArrayInputStream(new byte[0]), out));
     } finally {
       System.setErr(err);
--- a/src/test/java/rosecleat/state/EstimateConverterTest.java
+++ b/src/test/java/rosecleat/state/EstimateConverterTest.java
@@ -11,7 +11,7 @@
 import rosecleat.facts.SettingsDigests;
 import rosecleat.policy.Estimate;
 
-/** Estimates as facts and back. */
+/** Tests the conversion between estimates and facts. */
 class EstimateConverterTest {
   private static final long NOW_US = 1_800_000_000_000_000L;
   private static final SettingsDigests SETTINGS =
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aFactOfEachKindIsTheSameAfterBothConversions() {
+  void factOfEachKindIsUnchangedByRoundTrip() {
     for (FactKind kind : FactKind.values()) {
       String digest = SETTINGS.digestOf(kind, subjectOf(kind)).orElseThrow();
       Fact fact = new Fact(kind, subjectOf(kind), 1, 2, NOW_US, digest);
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aFactOfAnUnknownSubjectOrWithoutWeightIsNotStored() {
+  void factOfUnknownSubjectOrWithoutWeightIsNotStorable() {
     Fact unknown = new Fact(FactKind.RUN_TIME, "write", 1, 2, NOW_US, "");
     Fact weightless = new Fact(FactKind.RUN_TIME, "read", 1, 0, NOW_US, "r1");
     assertFalse(EstimateConverter.isStorable(unknown, SETTINGS));
--- a/src/test/java/rosecleat/state/FactStateTest.java
+++ b/src/test/java/rosecleat/state/FactStateTest.java
@@ -20,33 +20,33 @@
 import rosecleat.store.RecordStore;
 import rosecleat.store.StoredRecord;
 
-/** Facts on disk: two versions, unknown kinds, and how many are retained. */
+/** Tests stored facts: both record versions, unknown kinds and the limit on their number. */
 class FactStateTest {
   private static final long NOW_MS = 1_800_000_000_000L;
 
   @TempDir Path folder;
 
   /**
-   * Version 1 as its program wrote it, field by field: node, and facts of kind, subject, value,
-   * weight, milliseconds.
+   * Returns a record of version 1, encoded field by field as the earlier program wrote it: the node
+   * and one fact with its kind, subject, value, weight and time in milliseconds.
    */
   private static StoredRecord versionOneRecord(
       String node, String kind, String subject, double value, double weight, long atMs)
       throws IOException {
     ByteArrayOutputStream fact = new ByteArrayOutputStream();
-    CodedOutputStream to = CodedOutputStream.newInstance(fact);
-    to.writeString(1, kind);
-    to.writeString(2, subject);
-    to.writeDouble(3, value);
-    to.writeDouble(4, weight);
-    to.writeFixed64(5, atMs);
-    to.flush();
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    to = CodedOutputStream.newInstance(all);
-    to.writeString(1, node);
-    to.writeByteArray(2, fact.toByteArray());
-    to.flush();
-    return new StoredRecord(1, 1, all.toByteArray());
+    CodedOutputStream output = CodedOutputStream.newInstance(fact);
+    output.writeString(1, kind);
+    output.writeString(2, subject);
+    output.writeDouble(3, value);
+    output.writeDouble(4, weight);
+    output.writeFixed64(5, atMs);
+    output.flush();
+    ByteArrayOutputStream message = new ByteArrayOutputStream();
+    output = CodedOutputStream.newInstance(message);
+    output.writeString(1, node);
+    output.writeByteArray(2, fact.toByteArray());
+    output.flush();
+    return new StoredRecord(1, 1, message.toByteArray());
   }
 
   private FactState read() throws IOException {
@@ -56,14 +56,14 @@
   }
 
   @Test
-  void aFolderOfVersionOneIsReadAndRewrittenAsVersionTwo() throws IOException {
+  void versionOneRecordsAreReadAndRewrittenAsVersionTwo() throws IOException {
     StateFiles.write(
         folder,
         List.of(
             versionOneRecord("n1", "run-time", "read", 20_000, 8, NOW_MS - 600_000),
             versionOneRecord("n1", "phase-of-the-moon", "", 3, 8, NOW_MS)));
     FactState facts = read();
-    assertEquals(1, facts.unreadable(), "a kind that is not known");
+    assertEquals(1, facts.unreadable(), "the fact of an unknown kind");
     assertEquals(
         List.of(
             new NodeFact(
@@ -78,19 +78,19 @@
         2,
         aggregator.factsAt(NOW_MS * 1000).get(0).weight(),
         1e-9,
-        "half for its age, half for terms not known");
+        "weight 8 is halved for its age and halved again for unknown settings");
 
     RecordStore.compact(
         FileSystemDirectory.openExisting(folder),
         new FactStateFactory(),
-        1 << 20); // from here on it is of the new version
+        1 << 20); // rewrites the records in version 2
     FactState after = read();
     assertEquals(facts.facts(), after.facts());
     assertEquals(0, after.unreadable());
   }
 
   @Test
-  void aTimeTooLargeForMicrosecondsStaysInTheFuture() throws IOException {
+  void timeTooLargeForMicrosecondsStaysInFuture() throws IOException {
     StateFiles.write(
         folder,
         List.of(versionOneRecord("n1", "run-time", "read", 20_000, 8, Long.MAX_VALUE / 10)));
@@ -98,18 +98,19 @@
   }
 
   @Test
-  void theLastFactOfEachKeyIsRetainedAndTheirNumberIsBounded() {
+  void lastFactOfEachKeyIsRetainedAndFactCountIsBounded() {
     FactState state = new FactState();
-    List<Fact> some = new ArrayList<>();
+    List<Fact> facts = new ArrayList<>();
     for (int i = 0; i < FactState.MAX_FACTS + 1_000; i++) {
-      some.add(new Fact(FactKind.TENANT_PART, "team " + i, 0.1, 1, i, ""));
+      facts.add(new Fact(FactKind.TENANT_PART, "team " + i, 0.1, 1, i, ""));
     }
-    state.apply(FactCodec.encode("n1", some));
+    state.apply(FactCodec.encode("n1", facts));
     state.apply(
         FactCodec.encode(
             "n1", List.of(new Fact(FactKind.TENANT_PART, "team 20000", 0.2, 1, 9, ""))));
     state.apply(
-        new StoredRecord(1, 2, new byte[] {(byte) 0xff, 1, 2})); // whole on disk, and yet no facts
+        new StoredRecord(
+            1, 2, new byte[] {(byte) 0xff, 1, 2})); // a payload that is not a valid message
     assertEquals(FactState.MAX_FACTS, state.facts().size());
     assertEquals(0.2, state.facts().get(FactState.MAX_FACTS - 1).fact().value());
     assertEquals(1, state.unreadable());
--- a/src/test/java/rosecleat/store/AppendQueueTest.java
+++ b/src/test/java/rosecleat/store/AppendQueueTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The bounds of the queue, and what a batch takes. */
+/** Tests the limits of the append queue and the size of its batches. */
 class AppendQueueTest {
   private static final AppendCallback IGNORE = failure -> {};
 
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void anAppendBeyondTheNumberOrTheSizeIsRejectedUntilABatchIsTaken() throws Exception {
+  void appendBeyondCountOrSizeLimitIsRejectedUntilBatchIsTaken() throws Exception {
     AppendQueue byNumber = new AppendQueue(2, 1_000);
     assertTrue(byNumber.offer(recordOf(100), IGNORE));
     assertTrue(byNumber.offer(recordOf(100), IGNORE));
@@ -29,11 +29,13 @@
     AppendQueue bySize = new AppendQueue(10, 250);
     assertTrue(bySize.offer(recordOf(100), IGNORE));
     assertFalse(bySize.offer(recordOf(200), IGNORE));
-    assertTrue(bySize.offer(recordOf(150), IGNORE), "the rejected append left no trace");
+    assertTrue(
+        bySize.offer(recordOf(150), IGNORE),
+        "the rejected append does not count towards the size limit");
   }
 
   @Test
-  void aBatchEndsOnceItHasAMebibyte() throws Exception {
+  void batchEndsOnceItReachesOneMebibyte() throws Exception {
     AppendQueue queue = new AppendQueue(10, 16 << 20);
     for (int i = 0; i < 5; i++) {
       queue.offer(recordOf(1 << 19), IGNORE);
@@ -45,7 +47,7 @@
   }
 
   @Test
-  void appendsThatWaitAreToldThatTheStoreClosed() {
+  void waitingAppendsFailWhenStoreCloses() {
     AppendQueue queue = new AppendQueue(10, 1_000);
     List<Optional<AppendFailure>> outcomes = new ArrayList<>();
     queue.offer(recordOf(100), outcomes::add);
--- a/src/test/java/rosecleat/store/QuarantineTest.java
+++ b/src/test/java/rosecleat/store/QuarantineTest.java
@@ -7,9 +7,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How many corrupt files are retained, and under which names. */
+/** Tests how many corrupt files the quarantine retains, and under which names. */
 class QuarantineTest {
-  private static final long MAX_STORE_BYTES = 400; // 100 of them for the quarantine
+  /** Size limit of the store; the quarantine may use a quarter of it, which is 100 bytes. */
+  private static final long MAX_STORE_BYTES = 400;
+
   private final FaultyDirectory directory = new FaultyDirectory(1);
   private final Quarantine quarantine = new Quarantine(directory, MAX_STORE_BYTES);
 
@@ -19,7 +21,7 @@
   }
 
   @Test
-  void theFirstOfSeveralFilesGetsTheHighestNumber() throws IOException {
+  void firstOfSeveralCorruptFilesGetsHighestNumber() throws IOException {
     directory.put("log-1", new byte[10]);
     directory.put("log-2", new byte[20]);
     assertEquals(30, quarantine.add(List.of("log-1", "log-2")));
@@ -27,7 +29,7 @@
   }
 
   @Test
-  void theOldestFilesAreDeletedBeyondFour() throws IOException {
+  void oldestFilesAreDeletedBeyondFour() throws IOException {
     for (int number = 1; number <= 6; number++) {
       add("log-" + number, 1);
     }
@@ -37,7 +39,7 @@
   }
 
   @Test
-  void theOldestFilesAreDeletedBeyondAQuarterOfTheStoresBound() throws IOException {
+  void oldestFilesAreDeletedBeyondQuarterOfStoreSizeLimit() throws IOException {
     add("log-1", 60);
     add("log-2", 60);
     assertEquals(Set.of("damaged-2-log-2"), directory.list());
--- a/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
+++ b/src/test/java/rosecleat/takeover/PeerLoadReportsTest.java
@@ -14,75 +14,85 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What two processes may take of the limits of one node. */
+/** Division of one node's limits between two processes. */
 class PeerLoadReportsTest {
-  private static final ResourceAmounts WHOLE = new ResourceAmounts(10, 1_000, 100);
+  private static final ResourceAmounts LIMITS = new ResourceAmounts(10, 1_000, 100);
 
   @TempDir Path folder;
 
   /**
-   * Guards the shared index: what a process that is gone took is still in the span over which calls
-   * are counted.
+   * Guards against overloading the shared index: calls of a process that has ended are still within
+   * the window over which calls are counted.
    */
   @Test
-  void callsOfAnEndedProcessCountUntilTheirSpanIsOver() throws IOException {
-    PeerLoadReports old = new PeerLoadReports(folder, 1);
-    PeerLoadReports fresh = new PeerLoadReports(folder, 2);
-    fresh.read(1, 1);
+  void callsOfEndedProcessCountUntilTheirWindowIsOver() throws IOException {
+    PeerLoadReports predecessor = new PeerLoadReports(folder, 1);
+    PeerLoadReports successor = new PeerLoadReports(folder, 2);
+    successor.read(1, 1);
+    // the predecessor may use all limits until it has reported
     assertEquals(
-        ResourceAmounts.NONE,
-        fresh.grant(
-            WHOLE, ResourceAmounts.NONE, false, false, 1)); // the old one may take all as yet
+        ResourceAmounts.NONE, successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 1));
     assertEquals(
         new ResourceAmounts(9, 600, 60),
-        old.grant(WHOLE, new ResourceAmounts(8, 200, 20), true, false, 1));
-    old.write(List.of(8.0, 8.0, 7.5, 0.0));
-    fresh.read(1, 2);
+        predecessor.grant(LIMITS, new ResourceAmounts(8, 200, 20), true, false, 1));
+    predecessor.write(List.of(8.0, 8.0, 7.5, 0.0));
+    successor.read(1, 2);
     assertEquals(
-        new ResourceAmounts(1, 400, 40), fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 2));
+        new ResourceAmounts(1, 400, 40),
+        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 2));
+    // the predecessor has ended
     assertEquals(
         new ResourceAmounts(2, 1_000, 100),
-        fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 1_500_000)); // gone
+        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 1_500_000));
     assertEquals(
         new ResourceAmounts(2.5, 1_000, 100),
-        fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 2_900_000));
-    assertEquals(WHOLE, fresh.grant(WHOLE, ResourceAmounts.NONE, false, false, 4_100_000));
+        successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 2_900_000));
+    assertEquals(LIMITS, successor.grant(LIMITS, ResourceAmounts.NONE, false, false, 4_100_000));
   }
 
   /**
-   * Whatever is read how late, and though each takes all it may at once: together they keep to the
-   * whole.
+   * The usage of both processes together stays within the limits, however late reports are read and
+   * even if each process uses its whole grant at once.
    */
   @Property(tries = 200, seed = "20261203")
-  void sumOfAllGrantsStaysWithinTheLimits(
+  void usageOfBothProcessesStaysWithinLimits(
       @ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps,
-      @ForAll @IntRange(max = 10) int had)
+      @ForAll @IntRange(max = 10) int initialCalls)
       throws IOException {
     Path shared = Files.createTempDirectory("loads");
-    PeerLoadReports old = new PeerLoadReports(shared, 1);
-    PeerLoadReports fresh = new PeerLoadReports(shared, 2);
-    double a = had;
-    double b = 0;
-    double mayA = WHOLE.calls();
-    double mayB = 0;
+    PeerLoadReports first = new PeerLoadReports(shared, 1);
+    PeerLoadReports second = new PeerLoadReports(shared, 2);
+    double firstCalls = initialCalls;
+    double secondCalls = 0;
+    double firstGrant = LIMITS.calls();
+    double secondGrant = 0;
     long now = 0;
     for (int step : steps) {
       now++;
       switch (step) {
-        case 0 -> mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, false, now).calls();
+        case 0 ->
+            firstGrant =
+                first
+                    .grant(LIMITS, new ResourceAmounts(firstCalls, 0, 0), true, false, now)
+                    .calls();
         case 1 -> {
-          mayA = old.grant(WHOLE, new ResourceAmounts(a, 0, 0), true, true, now).calls();
-          old.write(List.of(a));
+          firstGrant =
+              first.grant(LIMITS, new ResourceAmounts(firstCalls, 0, 0), true, true, now).calls();
+          first.write(List.of(firstCalls));
         }
         case 2 -> {
-          fresh.read(1, now);
-          mayB = fresh.grant(WHOLE, new ResourceAmounts(b, 0, 0), false, false, now).calls();
+          second.read(1, now);
+          secondGrant =
+              second
+                  .grant(LIMITS, new ResourceAmounts(secondCalls, 0, 0), false, false, now)
+                  .calls();
         }
-        case 3 -> a = Math.max(a, mayA);
-        case 4 -> b = Math.max(b, mayB);
-        default -> a /= 2;
+        case 3 -> firstCalls = Math.max(firstCalls, firstGrant);
+        case 4 -> secondCalls = Math.max(secondCalls, secondGrant);
+        default -> firstCalls /= 2;
       }
-      assertTrue(a + b <= WHOLE.calls() + 1e-9, a + " and " + b);
+      assertTrue(
+          firstCalls + secondCalls <= LIMITS.calls() + 1e-9, firstCalls + " and " + secondCalls);
     }
     Files.deleteIfExists(shared.resolve("load-1"));
     Files.delete(shared);
