--- a/src/main/java/rosecleat/front/resp/InvalidRequestException.java
+++ b/src/main/java/rosecleat/front/resp/InvalidRequestException.java
@@ -6,7 +6,10 @@
 
   private final transient RequestError error;
 
-  /** Creates an exception without a stack trace, since invalid requests are an expected input. */
+  /**
+   * Creates an exception without a stack trace, since an invalid request is an expected outcome of
+   * decoding.
+   */
   InvalidRequestException(RequestError error) {
     super(error.description(), null, false, false);
     this.error = error;
--- a/src/main/java/rosecleat/front/resp/RespProtocolException.java
+++ b/src/main/java/rosecleat/front/resp/RespProtocolException.java
@@ -22,7 +22,10 @@
 
   private final Kind kind;
 
-  /** Creates an exception without a stack trace, since malformed input is an expected input. */
+  /**
+   * Creates an exception without a stack trace, since malformed input is an expected outcome of
+   * parsing.
+   */
   RespProtocolException(Kind kind, String message) {
     super(message, null, false, false);
     this.kind = kind;
--- a/src/main/java/rosecleat/front/uwsgi/InstanceBalancer.java
+++ b/src/main/java/rosecleat/front/uwsgi/InstanceBalancer.java
@@ -55,7 +55,10 @@
       long keyExpiresAtUs,
       int requestBytes) {}
 
-  /** Leases a slot for a run; returns empty if no instance has a free slot. */
+  /**
+   * Leases a slot for a run; returns empty if the service has no instance that accepts requests. An
+   * instance may be chosen beyond its capacity.
+   */
   Optional<Lease> lease(LeaseRequest request, long nowUs);
 
   /** Returns whether the service has no instance that accepts requests. */
--- a/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
+++ b/src/main/java/rosecleat/front/uwsgi/OperationRouter.java
@@ -33,7 +33,8 @@
 
   /**
    * Returns the operation that matches the method and the path. If operations match only the path,
-   * returns the methods that it allows.
+   * returns the methods that it allows. If none matches the path, returns {@link
+   * RouteResult.NotFound}.
    */
   RouteResult find(String method, String path) {
     if (!path.startsWith("/")) {
--- a/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
+++ b/src/main/java/rosecleat/front/uwsgi/UwsgiRunner.java
@@ -137,7 +137,7 @@
       loop.execute(() -> endWithoutResult(result));
     }
 
-    /** Returns the address to connect to; empty if no instance of the service has a free slot. */
+    /** Returns the address to connect to; empty if no instance of the service accepts requests. */
     private Optional<InetSocketAddress> chooseAddress() {
       String service = request.attributes().get(RunAttributes.SERVICE);
       if (service != null) {
--- a/src/main/java/rosecleat/index/IndexClient.java
+++ b/src/main/java/rosecleat/index/IndexClient.java
@@ -298,7 +298,7 @@
     idle.remove(connection);
     if (call.isPresent()) {
       counters.add("index.lost");
-      log.warn("index call ended without a reply: " + reason);
+      log.warn("index call ended without a valid reply: " + reason);
       complete(call.get(), result);
     }
     openForWaitingCalls();
--- a/src/main/java/rosecleat/index/IndexConnection.java
+++ b/src/main/java/rosecleat/index/IndexConnection.java
@@ -133,7 +133,7 @@
     }
     if (replies.malformed()) {
       // the call ran, but its reply cannot be read
-      end(CallResult.FAILED, "the index sent what is no reply");
+      end(CallResult.FAILED, "the index sent a malformed reply");
     }
   }
 
@@ -146,7 +146,9 @@
     }
     unexpectedReplies++;
     if (unexpectedReplies > MAX_UNEXPECTED_REPLIES) {
-      end(CallResult.FAILED, "the index sent too much that nobody asked for");
+      end(
+          CallResult.FAILED,
+          "the index sent more than " + MAX_UNEXPECTED_REPLIES + " unexpected replies");
     }
   }
 
--- a/src/main/java/rosecleat/log/Log.java
+++ b/src/main/java/rosecleat/log/Log.java
@@ -16,7 +16,7 @@
 
   /**
    * Most characters of a line. Longer lines are truncated, since a line may contain text of any
-   * length that a client has sent.
+   * length that a client or a service has sent.
    */
   public static final int MAX_LINE_CHARS = 400;
 
@@ -71,7 +71,10 @@
     enqueue("info", line);
   }
 
-  /** Logs a failure from which the program has recovered. */
+  /**
+   * Logs a failure that the program has handled, for example by continuing without the failed
+   * operation.
+   */
   public void warn(String line) {
     enqueue("warn", line);
   }
@@ -92,7 +95,10 @@
     }
   }
 
-  /** Replaces control characters, so that text from clients cannot forge a separate log line. */
+  /**
+   * Replaces control characters, so that text from clients and services cannot forge a separate log
+   * line.
+   */
   private static String withoutControlCharacters(String text) {
     StringBuilder safe = new StringBuilder(text.length());
     text.chars().forEach(c -> safe.append(c < ' ' || c == DELETE ? '?' : (char) c));
--- a/src/main/java/rosecleat/net/Connection.java
+++ b/src/main/java/rosecleat/net/Connection.java
@@ -173,7 +173,8 @@
 
   /**
    * Closes the connection once no response is pending and all queued bytes have been written. Until
-   * then bytes are still received. Further calls have no effect.
+   * then bytes are still received. May be called again: each call checks anew whether the output
+   * can be shut down.
    */
   public void closeGracefully() {
     if (state == State.OPEN) {
@@ -194,7 +195,7 @@
 
   /**
    * Shuts the output down if the connection is closing and nothing would be lost. Called after each
-   * read and write.
+   * read and write, and by each {@link #closeGracefully}.
    */
   private void shutdownOutputWhenDrained() {
     if (state != State.CLOSING
--- a/src/main/java/rosecleat/net/Connector.java
+++ b/src/main/java/rosecleat/net/Connector.java
@@ -46,8 +46,8 @@
   /**
    * Creates a connector.
    *
-   * @param address the service's address; null if it is not known yet, in which case {@link
-   *     #setAddress} must be called before {@link #connect}
+   * @param address the service's address; null if there is none, in which case {@link #connect}
+   *     must not be called until {@link #setAddress} has set one
    */
   public Connector(
       EventLoop loop,
--- a/src/main/java/rosecleat/net/IdleConnectionEvictor.java
+++ b/src/main/java/rosecleat/net/IdleConnectionEvictor.java
@@ -17,7 +17,7 @@
  * request. All methods must be called on the event loop.
  */
 final class IdleConnectionEvictor {
-  /** The target is at most one plus this part (1/4) of all slots. */
+  /** Divisor for the upper bound of the target, which is 1 + maximum connections / 4. */
   private static final int MAX_TARGET_DIVISOR = 4;
 
   /**
--- a/src/main/java/rosecleat/net/LineBuffer.java
+++ b/src/main/java/rosecleat/net/LineBuffer.java
@@ -7,8 +7,8 @@
 /**
  * Splits a stream of bytes, fragmented in any way, into lines and blocks of known length.
  *
- * <p>Memory is bounded: {@link #append} rejects input that exceeds the longest line or block by
- * more than the capacity of one input buffer. Not thread-safe.
+ * <p>Memory is bounded: {@link #append} rejects input with which the buffered bytes would exceed
+ * the longest line or block plus the capacity of the input buffer. Not thread-safe.
  */
 public final class LineBuffer {
   private static final int INITIAL_CAPACITY = 1 << 10;
--- a/src/main/java/rosecleat/node/FleetMembership.java
+++ b/src/main/java/rosecleat/node/FleetMembership.java
@@ -31,7 +31,7 @@
   private final MembershipService service;
   private final ActiveRoutes activeRoutes;
   private final RouteReplication replication;
-  // accessed on the thread of the service only
+  // set by join() before it schedules publishFile, then accessed on the thread of the service only
   private Optional<RoutesFile> unpublished = Optional.empty();
 
   private FleetMembership(FleetConfig config, EventLoop loop, Counters counters, Log log)
--- a/src/main/java/rosecleat/node/IndexedSettings.java
+++ b/src/main/java/rosecleat/node/IndexedSettings.java
@@ -22,8 +22,9 @@
 import rosecleat.policy.TenantQuota;
 
 /**
- * The configuration in force, with an index for each class and tenant. Classes and tenants retain
- * their indices over reloads while a request uses them. For use on the event loop.
+ * The configuration in force, with an index for each class and tenant. Configured classes and
+ * tenants keep their indices over reloads; the index of a removed one is not reassigned while a
+ * request uses it. For use on the event loop.
  */
 final class IndexedSettings {
   /**
@@ -70,10 +71,10 @@
    * Puts a changed configuration in force.
    *
    * @param fresh the new configuration
-   * @param classInUse whether a request uses the class with an index; such a class retains its
-   *     index
-   * @param tenantInUse whether a request uses the tenant with an index; such a tenant retains its
-   *     index
+   * @param classInUse whether a request uses the class with an index; the index of a removed class
+   *     is not reassigned while this is true
+   * @param tenantInUse whether a request uses the tenant with an index; the index of a removed
+   *     tenant is not reassigned while this is true
    * @return the indices that have been assigned to a different class, including new indices
    */
   List<Integer> update(ProcessConfig fresh, IntPredicate classInUse, IntPredicate tenantInUse) {
@@ -112,8 +113,9 @@
   }
 
   /**
-   * Returns the policy's configured settings. If the configuration states no capacity, the limit on
-   * running requests starts at the sum of the local capacity and the capacity of all instances.
+   * Returns the policy's configured settings. If the configuration states no capacity and a service
+   * uses routes, the limit on running requests starts at the sum of the local capacity and the
+   * capacity of all instances, at least 1.
    */
   private PolicySettings settingsWithCapacity() {
     OptionalInt ownCapacity =
--- a/src/main/java/rosecleat/node/ProcessConfig.java
+++ b/src/main/java/rosecleat/node/ProcessConfig.java
@@ -39,7 +39,8 @@
         || fresh.maxConnections() != inForce.maxConnections()
         || !fresh.limits().equals(inForce.limits())) {
       throw ConfigException.restartRequired(
-          "changes of the uwsgi frontend's listen address and limits need a restart");
+          "changes of the uwsgi frontend's listen address, maximum number of connections and limits"
+              + " need a restart");
     }
     if (!Objects.equals(fresh.fleet(), inForce.fleet())
         || (fresh.routes() == null) != (inForce.routes() == null)) {
--- a/src/main/java/rosecleat/node/ReloadSequence.java
+++ b/src/main/java/rosecleat/node/ReloadSequence.java
@@ -9,7 +9,8 @@
  *
  * <ol>
  *   <li>The drain time is set, and the reload is counted and logged.
- *   <li>Classes and tenants are assigned indices; those that requests use retain theirs.
+ *   <li>Classes and tenants are assigned indices. Those that stay configured keep theirs; the index
+ *       of a removed one is not reassigned while a request uses it.
  *   <li>The policy, the core and the retention of claims get their settings.
  *   <li>Descriptors are divided again.
  *   <li>Both frontends accept new requests according to the new names and contracts.
--- a/src/main/java/rosecleat/node/TakeoverPhase.java
+++ b/src/main/java/rosecleat/node/TakeoverPhase.java
@@ -7,7 +7,10 @@
  * close their connections only after that, so that they reconnect to the successor.
  */
 final class TakeoverPhase extends ShutdownPhase {
-  /** A uwsgi connection on which nothing has been received for this long is closed (us). */
+  /**
+   * A uwsgi connection that has been open for this long without receiving any part of a request is
+   * closed (us).
+   */
   private static final long QUIET_PERIOD_US = 500_000;
 
   private boolean listenersClosed;
--- a/src/main/java/rosecleat/runtime/CommandTracker.java
+++ b/src/main/java/rosecleat/runtime/CommandTracker.java
@@ -14,7 +14,8 @@
  * states:
  *
  * <ul>
- *   <li>queued: not sent, because there was no connection; it is sent first on the next one;
+ *   <li>queued: not sent, because no connection accepted commands; it is sent once the runtime is
+ *       ready on a connection;
  *   <li>unacknowledged: sent on the current connection and not acknowledged yet;
  *   <li>in doubt: unacknowledged when an earlier connection ended, which may have lost it.
  * </ul>
@@ -39,7 +40,8 @@
   private long sentCount;
 
   /**
-   * Discards the unacknowledged or in-doubt command of a run, because a new command replaces it.
+   * Discards the unacknowledged or in-doubt command of a run and the record that it was resent,
+   * because a new command replaces it. Queued commands stay.
    */
   void supersede(String runId) {
     resentRuns.remove(runId);
--- a/src/main/java/rosecleat/runtime/FlatJsonParser.java
+++ b/src/main/java/rosecleat/runtime/FlatJsonParser.java
@@ -100,7 +100,8 @@
     expect('"');
     int end = text.indexOf('"', position);
     int escape = text.indexOf('\\', position);
-    // the usual case: of all base64 characters, only the slash may be escaped
+    // the usual case, a string without escapes: base64 has none, except that its slash may be
+    // escaped
     if (escape < 0 || escape > end) {
       String plain = text.substring(position, end);
       position = end + 1;
--- a/src/main/java/rosecleat/runtime/RunCommand.java
+++ b/src/main/java/rosecleat/runtime/RunCommand.java
@@ -11,7 +11,10 @@
 record RunCommand(String runId, String line, Recovery recovery, long sequence) {
   /** What to do with a command if it is unknown whether it has arrived. */
   enum Recovery {
-    /** Send the command again: receiving it twice has no further effect. */
+    /**
+     * Send the command again: it is harmless if the runtime receives it twice, because the command
+     * has no further effect or the request may run twice.
+     */
     RESEND,
     /** End the run as one that may have executed: repeating the command could execute it twice. */
     END_RUN,
--- a/src/main/java/rosecleat/runtime/RuntimeClient.java
+++ b/src/main/java/rosecleat/runtime/RuntimeClient.java
@@ -17,8 +17,8 @@
  * Runs requests in the machine's runtime: sends commands and receives messages over one connection,
  * which is re-established whenever it is lost. A new connection begins with the number of the last
  * message read, so that each message is applied exactly once. Commands that may have been lost with
- * a connection are sent again if repeating them has no further effect. An answer to a request for
- * gauges acknowledges all commands written before the request. Used on the event loop only.
+ * a connection are sent again if repeating them is harmless. An answer to a request for gauges
+ * acknowledges all commands written before the request. Used on the event loop only.
  */
 public final class RuntimeClient implements Runner {
   /**
--- a/src/main/java/rosecleat/takeover/SharedFolderCoordinator.java
+++ b/src/main/java/rosecleat/takeover/SharedFolderCoordinator.java
@@ -102,7 +102,10 @@
       try {
         loadReports.write(remainingCalls);
       } catch (IOException e) {
-        log.warn("could not write the load report of this process: " + e);
+        log.warn(
+            "could not write the load report of this process,"
+                + " peers do not see its current share of the limits: "
+                + e);
       }
     }
     return grant;
@@ -139,7 +142,10 @@
     try {
       markers.markServing();
     } catch (IOException e) {
-      log.warn("could not write the serving marker of this process: " + e);
+      log.warn(
+          "could not write the serving marker of this process,"
+              + " its predecessor does not learn that it serves: "
+              + e);
     }
   }
 
@@ -148,7 +154,10 @@
     try {
       markers.markLeaving();
     } catch (IOException e) {
-      log.warn("could not write the leaving marker of this process: " + e);
+      log.warn(
+          "could not write the leaving marker of this process,"
+              + " predecessors still regard it as their successor: "
+              + e);
     }
   }
 
@@ -167,7 +176,10 @@
         Files.deleteIfExists(drainFile);
       }
     } catch (IOException e) {
-      log.warn("could not update the drain marker of this node: " + e);
+      log.warn(
+          "could not update the drain marker of this node,"
+              + " peer processes do not learn of the operators' request: "
+              + e);
     }
   }
 
