--- a/src/main/java/rosecleat/cli/Command.java
+++ b/src/main/java/rosecleat/cli/Command.java
@@ -10,7 +10,10 @@
   /** Exit code of a successful command. */
   int SUCCESS = 0;
 
-  /** Exit code if the command line, the configuration or a file is invalid. */
+  /**
+   * Exit code if the command line, the configuration or a file is invalid, or if input or output
+   * fails.
+   */
   int UNUSABLE = 2;
 
   /**
--- a/src/main/java/rosecleat/cli/state/CommandResult.java
+++ b/src/main/java/rosecleat/cli/state/CommandResult.java
@@ -10,7 +10,10 @@
 public record CommandResult(int exitCode, boolean isErrorLine, String text) {
   static final int SUCCESS = 0;
 
-  /** Exit code if the folder does not exist, cannot be read or is locked. */
+  /**
+   * Exit code if the folder does not exist, cannot be read or compacted, is locked, or was written
+   * by a newer version.
+   */
   static final int UNUSABLE = 2;
 
   /** Exit code if a file in the folder is damaged. */
--- a/src/main/java/rosecleat/cli/state/CompactCommand.java
+++ b/src/main/java/rosecleat/cli/state/CompactCommand.java
@@ -23,8 +23,8 @@
       return failure(
           "state folder "
               + path
-              + " is locked by a running node, which compacts it regularly;"
-              + " stop the node to compact it now");
+              + " is locked by another process, usually the running node, which compacts it by"
+              + " itself when its log has grown; stop the node to compact it now");
     } else if (opening instanceof OpenResult.Incompatible incompatible) {
       return failure(incompatible.format().message());
     } else if (opening instanceof OpenResult.Failed failed) {
--- a/src/main/java/rosecleat/cli/state/ShowCommand.java
+++ b/src/main/java/rosecleat/cli/state/ShowCommand.java
@@ -15,7 +15,9 @@
 import rosecleat.store.RecoveryReport;
 
 /** {@code state show}: prints the facts in the folder as a table or as JSON. */
-@Parameters(commandDescription = "list the current facts with their age and weight")
+@Parameters(
+    commandDescription =
+        "list the stored facts (the last one for each node and key) with their age and weight")
 final class ShowCommand extends FolderCommand {
   private static final double MICROSECONDS_PER_SECOND = 1e6;
 
@@ -57,7 +59,9 @@
     }
     text.append('\n').append(facts.facts().size()).append(" facts");
     if (facts.unreadable() > 0) {
-      text.append(", ").append(facts.unreadable()).append(" more unreadable or of unknown kinds");
+      text.append(", ")
+          .append(facts.unreadable())
+          .append(" unreadable records or facts of unknown kinds");
     }
     return text.toString();
   }
--- a/src/main/java/rosecleat/cli/state/VerifyCommand.java
+++ b/src/main/java/rosecleat/cli/state/VerifyCommand.java
@@ -11,8 +11,9 @@
 import rosecleat.store.RecoveryIssue;
 import rosecleat.store.RecoveryReport;
 
-/** {@code state verify}: checks that every file in the folder is readable; lists damage. */
-@Parameters(commandDescription = "check every file; exit code 3 if a file is damaged")
+/** {@code state verify}: checks every file that a start would use; lists damage. */
+@Parameters(
+    commandDescription = "check every file that a start would use; exit code 3 if one is damaged")
 final class VerifyCommand extends FolderCommand {
   @Override
   CommandResult run(Path path, Directory folder, long nowUs) throws IOException {
--- a/src/main/java/rosecleat/config/AddressParser.java
+++ b/src/main/java/rosecleat/config/AddressParser.java
@@ -35,7 +35,9 @@
       if (!LITERAL_HOST.matcher(host).matches()) { // there is no name service to resolve it
         throw ConfigException.invalid(
             key,
-            "must be host:port with an IP address literal or localhost as the host, got " + text);
+            "must be host:port, where host is an IPv4 address, an IPv6 address in brackets or"
+                + " localhost, got "
+                + text);
       }
       return new InetSocketAddress(host, port);
     } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
--- a/src/main/java/rosecleat/config/ConfigError.java
+++ b/src/main/java/rosecleat/config/ConfigError.java
@@ -75,7 +75,8 @@
   record InvalidDescription(String file, String message) implements ConfigError {}
 
   /**
-   * A changed setting that only takes effect after a restart.
+   * A changed setting that a running process cannot adopt; the whole reload is rejected, and the
+   * change needs a restart.
    *
    * @param message the settings that require a restart
    */
--- a/src/main/java/rosecleat/config/ContractTerms.java
+++ b/src/main/java/rosecleat/config/ContractTerms.java
@@ -44,11 +44,11 @@
     if (latencyObjectiveUs > deadlineUs) {
       throw ConfigException.invalid(
           subject,
-          "has a latency objective (aim_ms) of "
-              + latencyObjectiveUs
-              + " us, which exceeds its deadline of "
-              + deadlineUs
-              + " us");
+          "has aim_ms "
+              + latencyObjectiveUs / (double) Units.MICROSECONDS_PER_MS
+              + ", which exceeds deadline_ms "
+              + deadlineUs / (double) Units.MICROSECONDS_PER_MS
+              + " (a value may come from its class)");
     }
     return new ContractTerms(
         contract.path("worth").asDouble(DEFAULT_PRIORITY_WEIGHT),
@@ -63,7 +63,9 @@
     Idempotency effect = fromClass ? nodeClass.idempotency() : SettingsReader.EFFECTS.get(word);
     if (effect == null) {
       throw ConfigException.invalid(
-          subject, "must have the effect pure, token or side_effect, got \"" + word + "\"");
+          subject,
+          "lacks effect (pure, token or side_effect), which is required as the node defines no"
+              + " class of this name");
     }
     if (nodeClass != null && nodeClass.idempotency() != effect) {
       throw ConfigException.invalid(
--- a/src/main/java/rosecleat/config/NodeConfig.java
+++ b/src/main/java/rosecleat/config/NodeConfig.java
@@ -48,7 +48,9 @@
         || !Objects.equals(adminAddress, inForce.adminAddress)
         || (runtimeAddress == null) != (inForce.runtimeAddress == null)) {
       throw ConfigException.restartRequired(
-          "a change of name, listen or mgmt, or of whether runtime is set, requires a restart");
+          "a change of the node's name, of its listen address or of the admin server's address"
+              + " (mgmt, or operators.listen in the broker file), or of whether a runtime is set,"
+              + " requires a restart");
     }
   }
 }
--- a/src/main/java/rosecleat/config/NodeConfigReader.java
+++ b/src/main/java/rosecleat/config/NodeConfigReader.java
@@ -44,7 +44,9 @@
     String path = environment.get(CONFIG_VARIABLE);
     if (path == null || path.isBlank()) {
       throw ConfigException.invalid(
-          CONFIG_VARIABLE, "is not set; expected the path of the node configuration");
+          CONFIG_VARIABLE,
+          "is not set; set it to the path of the node configuration, or give a broker file with"
+              + " --broker");
     }
     String text;
     try {
--- a/src/main/java/rosecleat/config/NodeConfigValidator.java
+++ b/src/main/java/rosecleat/config/NodeConfigValidator.java
@@ -64,7 +64,7 @@
 
   private static void validateTenants(JsonNode tenants) {
     if (!tenants.isMissingNode() && !tenants.isArray()) {
-      throw ConfigException.invalid("parties", "must be a list, got " + tenants);
+      throw ConfigException.invalid("parties", "must be a list, got " + tenants.getNodeType());
     }
     requireDistinctNames(tenants, "parties");
     for (JsonNode tenant : tenants) {
@@ -163,7 +163,13 @@
     if (!list.isMissingNode() && (!list.isArray() || list.size() != classCount)) {
       throw ConfigException.invalid(
           key,
-          "must be a list with one entry for each of the " + classCount + " classes, got " + list);
+          "must be a list with one entry for each of the "
+              + classCount
+              + " classes, got "
+              + list.getNodeType()
+              + " with "
+              + list.size()
+              + " entries");
     }
   }
 
--- a/src/main/java/rosecleat/config/SchemaValidator.java
+++ b/src/main/java/rosecleat/config/SchemaValidator.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Replaces the pointer at the start of the library's message, which is empty for the root of the
-   * file, by a readable subject.
+   * Removes the colon after the pointer at the start of the library's message, and puts "the file"
+   * in place of the empty pointer of the root.
    */
   private static String explanation(String pointer, String message) {
     if (!message.startsWith(pointer + ":")) {
--- a/src/main/java/rosecleat/config/StandaloneConfig.java
+++ b/src/main/java/rosecleat/config/StandaloneConfig.java
@@ -121,7 +121,7 @@
   }
 
   /**
-   * Returns a seed derived from the name: it differs between nodes and is the same at each start.
+   * Returns a seed derived from the name: it differs between names and is the same at each start.
    */
   private static long seed(String name) {
     long seed = HASH_START;
--- a/src/main/java/rosecleat/config/TenantTable.java
+++ b/src/main/java/rosecleat/config/TenantTable.java
@@ -30,7 +30,8 @@
     double knownQuota = index < 0 ? 0 : tenants.get(index).quotaPerS();
     double quota = budget.path("quota_per_s").asDouble(knownQuota);
     if (quota <= 0) {
-      throw ConfigException.invalid(subject, "needs a positive quota_per_s, got " + quota);
+      throw ConfigException.invalid(
+          subject, "lacks quota_per_s, and tenant " + name + " has no quota yet");
     }
     if (index < 0) {
       tenants.add(new TenantQuota(quota));
--- a/src/main/java/rosecleat/fleet/DisseminationQueue.java
+++ b/src/main/java/rosecleat/fleet/DisseminationQueue.java
@@ -29,7 +29,7 @@
     final int maxTransmissions;
     int transmissions;
 
-    /** Set on removal; the update leaves its queue only when it reaches the head. */
+    /** Set on removal; the update stays in its queue until it is polled. */
     boolean removed;
 
     QueuedUpdate(Object subject, T update, int bytes, int maxTransmissions) {
--- a/src/main/java/rosecleat/fleet/SuspicionTracker.java
+++ b/src/main/java/rosecleat/fleet/SuspicionTracker.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * The suspected members. A suspicion begins with one witness, a member whose probe failed. Each
- * further witness shortens its timeout (Lifeguard), and a member that does not refute the suspicion
- * in time is declared dead.
+ * The suspected members. A suspicion begins with one witness, that is, a member that probed the
+ * suspected one without an answer. Each further witness shortens its timeout (Lifeguard), and a
+ * member that does not refute the suspicion in time is declared dead.
  */
 final class SuspicionTracker {
   /** Steps of the local health score that double the timeout of a suspicion. */
--- a/src/main/java/rosecleat/fleet/transport/FleetSockets.java
+++ b/src/main/java/rosecleat/fleet/transport/FleetSockets.java
@@ -55,12 +55,15 @@
       onFreePort = true;
       nextRebindUs = nowUs + REBIND_INTERVAL_US;
       log.warn(
-          "fleet: could not listen on "
+          "fleet: could not listen on the configured address "
               + listen
-              + ", reachable at "
+              + " ("
+              + e.getMessage()
+              + "); reachable at "
               + endpoint
-              + " until that address is free: "
-              + e.getMessage());
+              + " until "
+              + listen
+              + " is free");
     }
   }
 
--- a/src/main/java/rosecleat/store/FileVerifier.java
+++ b/src/main/java/rosecleat/store/FileVerifier.java
@@ -19,7 +19,8 @@
    * @param validBytes length of the valid part at the start of the file (bytes)
    * @param records number of application records in the valid part
    * @param hasSnapshotEnd whether the valid part ends with the end record of a snapshot
-   * @param problem the problem at which the valid part ends; empty if the whole file is valid
+   * @param problem the problem at which the valid part ends; empty if all records up to {@code end}
+   *     are valid
    * @param wasDurable whether a later record proves that the invalid part had been synced to disk
    */
   record Verification(
--- a/src/main/java/rosecleat/store/RecoveryIssue.java
+++ b/src/main/java/rosecleat/store/RecoveryIssue.java
@@ -27,8 +27,8 @@
     SNAPSHOT_INCOMPLETE(true, "snapshot is corrupt or has no valid end record"),
     /** The header of a segment is corrupt. */
     SEGMENT_HEADER_UNREADABLE(true, "header of the log segment is corrupt"),
-    /** A segment continues another segment that does not exist. */
-    PREVIOUS_SEGMENT_MISSING(true, "preceding log segment %d is missing"),
+    /** A segment continues another segment or a snapshot that does not exist. */
+    PREVIOUS_SEGMENT_MISSING(true, "preceding file %d (log segment or snapshot) is missing"),
     /** A segment continues a file that is corrupt or missing. */
     PREDECESSOR_LOST(true, "preceding snapshot or log segment is corrupt or missing"),
     /** A segment is shorter than the header of the next segment states. */
--- a/src/main/java/rosecleat/store/StorageEngine.java
+++ b/src/main/java/rosecleat/store/StorageEngine.java
@@ -61,7 +61,10 @@
     log.startSegment(snapshots.current());
   }
 
-  /** Writes the recovered state as a snapshot that replaces all recovered files. */
+  /**
+   * Writes the recovered state as a new snapshot that replaces the recovered log segments; the
+   * recovered snapshot is retained as the older one.
+   */
   private void writeRecoveredSnapshot(StateMachine state) throws IOException {
     long number = log.reserveNumber();
     long bytes = SnapshotWriter.write(directory, number, state);
--- a/src/test/java/rosecleat/cli/state/StateCommandsTest.java
+++ b/src/test/java/rosecleat/cli/state/StateCommandsTest.java
@@ -103,7 +103,13 @@
             line -> {});
     try (RecordStore store = assertInstanceOf(OpenResult.Opened.class, open).store()) {
       assertEquals(2, run("state", "compact", folder.toString()));
-      assertTrue(last.error().contains("is locked by a running node"), last.error());
+      assertTrue(
+          last.error()
+              .contains(
+                  "state folder "
+                      + folder
+                      + " is locked by another process, usually the running node"),
+          last.error());
       assertEquals(0, store.metrics().failures());
     }
   }
--- a/src/test/java/rosecleat/config/BrokerConfigReaderTest.java
+++ b/src/test/java/rosecleat/config/BrokerConfigReaderTest.java
@@ -117,8 +117,8 @@
     assertEquals(
         new InvalidEntry(
             "operation getBalance",
-            "has a latency objective (aim_ms) of 8601000 us, which exceeds its deadline of"
-                + " 8600000 us"),
+            "has aim_ms 8601.0, which exceeds deadline_ms 8600.0 (a value may come from its"
+                + " class)"),
         rejection("aim_ms: 2300", "aim_ms: 8601").error());
     assertEquals(
         new InvalidEntry(
--- a/src/test/java/rosecleat/config/NodeConfigReaderTest.java
+++ b/src/test/java/rosecleat/config/NodeConfigReaderTest.java
@@ -44,7 +44,7 @@
       textBlock =
           """
           "stop_ms": 4000         | "stop_ms": 0            | stop_ms must be a number above 0, got 0
-          "runtime": "127         | "runtime": "x127        | runtime must be host:port with an IP address literal or localhost as the host, got x127.0.0.1:4400
+          "runtime": "127         | "runtime": "x127        | runtime must be host:port, where host is an IPv4 address, an IPv6 address in brackets or localhost, got x127.0.0.1:4400
           "listen": "127.0.0.1:   | "listen": "127.0.0.1    | listen must be host:port with a port from 0 to 65535, got 127.0.0.17001
           "seed": "1f"            | "seed": "zz"            | seed must be a hexadecimal number of at most 64 bits, got zz
           "seed": "1f"            | "seed": 31              | seed must be a string, got 31
@@ -56,7 +56,7 @@
           "cpus": 6               | "cpus": "6"             | extra.cpus must be a number above 0, got "6"
           "key-kb": 100           | "key-kb": -1            | extra.key-kb must be a number of at least 0, got -1
           "cold": false           | "cold": 0               | extra.cold must be true or false, got 0
-          [0.3, 0, 0.3, 0]        | [0.3, 0, 0.3]           | extra.worth-without must be a list with one entry for each of the 4 classes, got [0.3,0,0.3]
+          [0.3, 0, 0.3, 0]        | [0.3, 0, 0.3]           | extra.worth-without must be a list with one entry for each of the 4 classes, got ARRAY with 3 entries
           [true, false            | [true, 1                | extra.class-calls has an entry of the wrong type
           "token"                 | "tokens"                | settings have the unknown value tokens for effect, expected one of [pure, side_effect, token]
           "drop"                  | "stop"                  | settings have the unknown value stop for halt, expected one of [drop, off, pause]
@@ -100,7 +100,9 @@
     NodeConfig elsewhere = parse(example().replace("127.0.0.1:7001", "127.0.0.1:7002"));
     assertEquals(
         new ConfigError.RestartRequired(
-            "a change of name, listen or mgmt, or of whether runtime is set, requires a restart"),
+            "a change of the node's name, of its listen address or of the admin server's address"
+                + " (mgmt, or operators.listen in the broker file), or of whether a runtime is set,"
+                + " requires a restart"),
         assertThrows(ConfigException.class, () -> elsewhere.requireAdoptableAfter(inForce))
             .error());
   }
--- a/src/test/java/rosecleat/config/RoutesFileReaderTest.java
+++ b/src/test/java/rosecleat/config/RoutesFileReaderTest.java
@@ -68,8 +68,8 @@
         "routes file "
             + folder.resolve("routes.yaml")
             + ": line 5: /services/cards/instances/b has the unknown key wieght; did you mean"
-            + " weight?; address of cards/a must be host:port with an IP address literal or"
-            + " localhost as the host, got host:9000",
+            + " weight?; address of cards/a must be host:port, where host is an IPv4"
+            + " address, an IPv6 address in brackets or localhost, got host:9000",
         message);
   }
 }
--- a/src/test/java/rosecleat/harness/AloneTest.java
+++ b/src/test/java/rosecleat/harness/AloneTest.java
@@ -171,7 +171,8 @@
       delimiter = '|',
       value = {
         "listen: 127.0.0.1:7946 | lisen: 127.0.0.1:7946 | did you mean listen",
-        "listen: 127.0.0.1:7946 | listen: somewhere:7946 | IP address literal or localhost",
+        "listen: 127.0.0.1:7946 | listen: somewhere:7946 | host is an IPv4 address, an IPv6 address"
+            + " in brackets or localhost",
         "listen: 127.0.0.1:7946 | listen: 0.0.0.0:7946 | fleet.advertise is needed",
         "period_ms: 1000 | period_ms: 1 | period_ms",
         "name: n2 | name: a b | name",
